--- a/src/ramptide/agents.py
+++ b/src/ramptide/agents.py
@@ -55,7 +55,6 @@
     tasks: list[TaskRow]
 
 
-
 class Phase(Enum):
     """Where one attempt of a task is, as its machine's owner knows."""
 
@@ -293,9 +292,8 @@
             agent.up, agent.quiet = True, False
             self.changed(agent.host)
         taken_at = None if beat.notice_s is None else now + timedelta(seconds=max(beat.notice_s, 0.0))
-        moved = (
-            taken_at is not agent.taken_at
-            and (taken_at is None or agent.taken_at is None or abs(taken_at - agent.taken_at) > NOTICE_MOVED)
+        moved = taken_at is not agent.taken_at and (
+            taken_at is None or agent.taken_at is None or abs(taken_at - agent.taken_at) > NOTICE_MOVED
         )
         if moved:
             agent.taken_at = taken_at
@@ -468,9 +466,13 @@
         if agent is None or not agent.current:
             return False
         return any(
-            entry.phase is Phase.QUEUED and entry.wish is Wish.RUN
-            or entry.wish is Wish.REAP and entry.phase is Phase.ENDED
-            or entry.wish in (Wish.STOP, Wish.REAP) and entry.phase not in OVER and entry.told is None
+            entry.phase is Phase.QUEUED
+            and entry.wish is Wish.RUN
+            or entry.wish is Wish.REAP
+            and entry.phase is Phase.ENDED
+            or entry.wish in (Wish.STOP, Wish.REAP)
+            and entry.phase not in OVER
+            and entry.told is None
             for entry in agent.entries.values()
         )
 
--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -103,9 +103,7 @@
         self.store = Store(context, settings.outside.state, cluster.state, cluster.nodes)
         self.cloud = Cloud(context, settings.outside.cloud, cluster.cloud, cluster.nodes)
         self.mirror = Mirror(self.store, "live/", self._on_change, self._on_loaded)
-        self.membership = Membership(
-            self.store, self.mirror, self.member, incarnation, cluster.nodes, self._on_view
-        )
+        self.membership = Membership(self.store, self.mirror, self.member, incarnation, cluster.nodes, self._on_view)
         self.commits = Commits(self.store, self.common)
         self.starter = Starter(self)
         self.syncing = Syncing(self)
@@ -554,9 +552,7 @@
         """The job's tasks may be started: nothing of it can be on a machine without our knowing."""
         assert self.view is not None and self.part is not None
         record = work.job.record
-        if not self.latched and (
-            record.born != self.view.number or limited(self.teams.get(record.run.team))
-        ):
+        if not self.latched and (record.born != self.view.number or limited(self.teams.get(record.run.team))):
             return False
         hand = record.hand
         if hand is None or hand.view != self.view.number or hand.member == self.member:
--- a/src/ramptide/cloud.py
+++ b/src/ramptide/cloud.py
@@ -27,9 +27,7 @@
         rate = limits.rps * (0.9 if nodes == 1 else 0.7)
         self._gate = Gate(context, Bucket(rate, rate))
 
-    def _call(
-        self, rank: Rank, method: str, target: str, body: bytes, done: Callable[[Reply | None], None]
-    ) -> None:
+    def _call(self, rank: Rank, method: str, target: str, body: bytes, done: Callable[[Reply | None], None]) -> None:
         def answered(reply: Reply | None) -> None:
             if reply is not None and reply.status == 429:
                 self._gate.overloaded()
@@ -46,9 +44,7 @@
     def flavors(self, done: Callable[[list[wire.Flavor] | None], None]) -> None:
         self._call(Rank.READ, "GET", wire.FLAVORS, b"", lambda reply: done(_read(wire.decode_flavors, reply)))
 
-    def rent(
-        self, name: str, rental: RentalRecord, done: Callable[[list[str] | None, bool], None]
-    ) -> None:
+    def rent(self, name: str, rental: RentalRecord, done: Callable[[list[str] | None, bool], None]) -> None:
         """`done(hosts, refused)`: hosts is None when there is no answer; refused when there is no capacity."""
 
         def answered(reply: Reply | None) -> None:
--- a/src/ramptide/fleet.py
+++ b/src/ramptide/fleet.py
@@ -238,11 +238,7 @@
 
     def _keep_pool(self, now: timedelta, machines: list[Machine]) -> None:
         """The idle machines kept are those that hold the images most used of late."""
-        idle = {
-            m.host: m
-            for m in machines
-            if m.up and not m.tasks and m.room is not None and m.record.leaving is None
-        }
+        idle = {m.host: m for m in machines if m.up and not m.tasks and m.room is not None and m.record.leaving is None}
         ordinary = {host for host, machine in idle.items() if not machine.record.spot}
         self._idle_since = {host: self._idle_since.get(host, now) for host in idle}
 
--- a/src/ramptide/floor.py
+++ b/src/ramptide/floor.py
@@ -259,9 +259,7 @@
 
     def failing_jobs(self) -> dict[str, int]:
         """The jobs that failed on several machines, on how many, with no success: most likely at fault themselves."""
-        return {
-            ref: len(names) for ref, names in self._failed.items() if len(names) > 1 and ref not in self._passed
-        }
+        return {ref: len(names) for ref, names in self._failed.items() if len(names) > 1 and ref not in self._passed}
 
     def out_of_use(self, name: str) -> str | None:
         """Why the machine takes no tasks, for the operators; None when it does."""
--- a/src/ramptide/jobs.py
+++ b/src/ramptide/jobs.py
@@ -31,6 +31,7 @@
 FAULTY_TOGETHER = 3
 PHASES = {phase.value: phase for phase in Phase}
 
+
 class Job:
     """A job that is not over, as the state service has it."""
 
@@ -155,9 +156,7 @@
 class Home:
     """The jobs whose starts we decide in one view, and every attempt of theirs that may be on a machine."""
 
-    def __init__(
-        self, member: str, first_attempt: int, faulty: Callable[[str], bool] = lambda host: False
-    ) -> None:
+    def __init__(self, member: str, first_attempt: int, faulty: Callable[[str], bool] = lambda host: False) -> None:
         self.member = member
         self._faulty = faulty
         self.works: dict[str, Work] = {}
@@ -456,9 +455,7 @@
         entries = self.attempts.get(host)
         if entries is None:
             return None
-        return [
-            (a.run.ref, a.task, a.number, a.wish.value, a.grace.total_seconds()) for a in entries.values()
-        ]
+        return [(a.run.ref, a.task, a.number, a.wish.value, a.grace.total_seconds()) for a in entries.values()]
 
     def using(self) -> dict[str, Amounts]:
         """What each team's attempts hold: whatever may possibly be on a machine counts."""
@@ -509,9 +506,7 @@
     return Chance.LATE if end <= job.due + (job.due - job.submitted) / 2 else Chance.TOO_LATE
 
 
-def urgency(
-    job: Job, idle: timedelta, now: datetime, prompt: Container[str], patience: timedelta
-) -> tuple[Any, ...]:
+def urgency(job: Job, idle: timedelta, now: datetime, prompt: Container[str], patience: timedelta) -> tuple[Any, ...]:
     """Sort key: rank, then the classes that are to start promptly, then by what can still be made, each by its
     deadline, then the order of submission."""
     run = job.run
--- a/src/ramptide/membership.py
+++ b/src/ramptide/membership.py
@@ -229,9 +229,7 @@
 
     def _stand(self) -> None:
         key = MEMBER + self.member
-        self._commit(
-            Txn(when={key: self._mirror.stamp(key)}, puts=[(key, {"inc": self.incarnation}, self._grant)])
-        )
+        self._commit(Txn(when={key: self._mirror.stamp(key)}, puts=[(key, {"inc": self.incarnation}, self._grant)]))
 
     def _run_for_leader(self) -> None:
         value = {"member": self.member, "inc": self.incarnation}
--- a/src/ramptide/placement.py
+++ b/src/ramptide/placement.py
@@ -70,9 +70,7 @@
 def may_use(run: wire.Run, flavor: str, yard: str, spot: bool) -> bool:
     """The job allows this type, zone and kind of machine."""
     return (
-        (run.rigs is None or flavor in run.rigs)
-        and (run.yard is None or run.yard == yard)
-        and (run.spot or not spot)
+        (run.rigs is None or flavor in run.rigs) and (run.yard is None or run.yard == yard) and (run.spot or not spot)
     )
 
 
@@ -118,9 +116,7 @@
     return run.pieces
 
 
-def usable(
-    run: wire.Run, rooms: Iterable[Room], placed: Mapping[str, int], reach: Reach = Reach.NONE
-) -> list[Room]:
+def usable(run: wire.Run, rooms: Iterable[Room], placed: Mapping[str, int], reach: Reach = Reach.NONE) -> list[Room]:
     """The rooms that may take a task of the job now."""
     found = [
         room
@@ -142,9 +138,7 @@
     return found
 
 
-def choose(
-    run: wire.Run, rooms: Iterable[Room], placed: Mapping[str, int], reach: Reach = Reach.NONE
-) -> Room | None:
+def choose(run: wire.Run, rooms: Iterable[Room], placed: Mapping[str, int], reach: Reach = Reach.NONE) -> Room | None:
     """The machine for the next task of a job, or None when none has room."""
     return min(usable(run, rooms, placed, reach), key=lambda room: _preference(run, room), default=None)
 
--- a/src/ramptide/records.py
+++ b/src/ramptide/records.py
@@ -135,9 +135,7 @@
 
     def machines(self, name: str) -> dict[str, MachineRecord]:
         return {
-            host: MachineRecord(
-                self.flavor, self.yard, self.spot, self.born, self.at, one.leaving, one.opened, name
-            )
+            host: MachineRecord(self.flavor, self.yard, self.spot, self.born, self.at, one.leaving, one.opened, name)
             for host, one in (self.hosts or {}).items()
         }
 
--- a/src/ramptide/store.py
+++ b/src/ramptide/store.py
@@ -142,9 +142,7 @@
                 done(Outcome(sent=False, full=reply.status == 429))
 
         body = wire.encode_txn(txn.when, txn.puts, txn.drops)
-        self._call(
-            rank, "POST", wire.TXN, body, answered, writes=txn.size, refuse=lambda: done(Outcome(sent=False))
-        )
+        self._call(rank, "POST", wire.TXN, body, answered, writes=txn.size, refuse=lambda: done(Outcome(sent=False)))
 
     def grant(self, life: timedelta, done: Callable[[int | None], None]) -> None:
         def answered(reply: Reply | None) -> None:
--- a/src/ramptide/wire.py
+++ b/src/ramptide/wire.py
@@ -50,9 +50,22 @@
     """A message that cannot be what its sender should have sent."""
 
 
-class Run(Struct, rename={"job_class": "jobclass", "team": "owner", "ram_gb": "ramGb", "image": "bundle",
-                          "image_gb": "imageGb", "one_zone": "oneZone", "spot": "loaners", "guess_s": "guessS",
-                          "mark_every_s": "markEveryS", "mark_cost_s": "markCostS", "due_s": "dueS"}):
+class Run(
+    Struct,
+    rename={
+        "job_class": "jobclass",
+        "team": "owner",
+        "ram_gb": "ramGb",
+        "image": "bundle",
+        "image_gb": "imageGb",
+        "one_zone": "oneZone",
+        "spot": "loaners",
+        "guess_s": "guessS",
+        "mark_every_s": "markEveryS",
+        "mark_cost_s": "markCostS",
+        "due_s": "dueS",
+    },
+):
     """A submission."""
 
     ref: Ref
@@ -168,8 +181,17 @@
     return encode(answer)
 
 
-class Flavor(Struct, rename={"ram_gb": "ramGb", "cache_gb": "cacheGb", "fetch_gb_per_s": "fetchGbPerS",
-                             "price": "rate", "spot_price": "spotPrice", "boot_s": "bootS"}):
+class Flavor(
+    Struct,
+    rename={
+        "ram_gb": "ramGb",
+        "cache_gb": "cacheGb",
+        "fetch_gb_per_s": "fetchGbPerS",
+        "price": "rate",
+        "spot_price": "spotPrice",
+        "boot_s": "bootS",
+    },
+):
     """A machine type of the cloud."""
 
     name: Name
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -343,6 +343,7 @@
     send = peers.encode
 
     with pytest.MonkeyPatch.context() as patch:
+
         def noted(sync: peers.Sync) -> bytes:
             body = send(sync)
             found.extend((name, body) for name in world.names if name != sync.member)
@@ -389,8 +390,13 @@
         said = take(syncing, body)
         if said is None or rng.random() >= rate[0]:
             return said
-        return said[: rng.randrange(len(said))] if rng.random() < 0.5 else cbor2.dumps(
-            cbor2.loads(said) | {rng.choice(["have", "view", "newest", "lacks"]): rng.choice([None, "x", -1, -(2**70)])}
+        return (
+            said[: rng.randrange(len(said))]
+            if rng.random() < 0.5
+            else cbor2.dumps(
+                cbor2.loads(said)
+                | {rng.choice(["have", "view", "newest", "lacks"]): rng.choice([None, "x", -1, -(2**70)])}
+            )
         )
 
     monkeypatch.setattr(Syncing, "take", flawed)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -174,7 +174,6 @@
     assert not controller._called_off
 
 
-
 # A machine hangs for longer than a cancellation has, and goes on with what it had.
 
 
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -22,6 +22,7 @@
 
 def status(world: World, name: str) -> dict[str, object]:
     got: list[bytes] = []
+
     def look(controller: Controller) -> None:
         Admin(controller).handle("GET", STATUS_PATH, b"", lambda code, said, kind: got.append(said))
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -178,9 +178,7 @@
 
     def poll(self, ref: str, node: str) -> tuple[int, dict[str, Any]] | None:
         got: list[tuple[int, dict[str, Any]]] = []
-        self.ask(
-            node, lambda c: c.desk.poll(ref, lambda status, body, headers: got.append((status, json.loads(body))))
-        )
+        self.ask(node, lambda c: c.desk.poll(ref, lambda status, body, headers: got.append((status, json.loads(body)))))
         self.run(2.0)
         return got[0] if got else None
 
