--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -38,8 +38,9 @@
 ANSWER_MARGIN = timedelta(seconds=2)
 #: Long enough for a restart of a controller that has to agree, short enough for a new view, which waits for it.
 ANSWER_MOST = timedelta(seconds=6)
-#: Part of the time a cancellation has after which a machine that can't be proven free of it is returned.
-PROVE_WITHIN = 0.75
+#: Share of `cancel_s` after which a machine that can't be proven free of a cancelled task is returned. What is left has
+#: to suffice for a leader that starts anew just before: its place, three missed reports, and the return.
+PROVE_WITHIN = 0.5
 FLAVORS_EVERY = timedelta(seconds=60)
 OWNERS_KEPT = 20_000
 UNSETTLED_LONG = timedelta(seconds=4)
@@ -63,7 +64,8 @@
         # cancellation that others may have promised since; and not for long, since others wait for its end.
         in_time = timedelta(seconds=cluster.workers.cancel_s) - self.lease * DRIFT - ANSWER_MARGIN
         self.answer_for = min(in_time, ANSWER_MOST)
-        self.prove_within = timedelta(seconds=cluster.workers.cancel_s) * PROVE_WITHIN
+        self.cancel_within = timedelta(seconds=cluster.workers.cancel_s)
+        self.prove_within = self.cancel_within * PROVE_WITHIN
         self.teams = {team.name: team for team in cluster.teams}
         self.guarantees = {team.name: (team.cpus, team.gpus) for team in cluster.teams if team.cpus or team.gpus}
         # Classes whose starts people wait for, as the platform's objectives say.
@@ -90,6 +92,9 @@
         self._last_round = ZERO
         self._told_unsettled = ZERO
         self._told_lacks: list[str] = []
+        self._started_at = context.now
+        #: Processes that were members before this one started and still are: they remember what was cancelled before.
+        self._witnesses: dict[str, str] | None = None
         self._unheard_since: timedelta | None = None
         #: Where workers that reported to us can be asked for their state.
         self.addresses: dict[str, str] = {}
@@ -324,13 +329,18 @@
         for host, machine in new.items():
             if machine != old.get(host):
                 self.machines[host] = machine
-                # What was cancelled before we started may be due soon, so one that stays silent has only a lease.
-                older = self.context.now - max(self.prove_within - self.lease * DRIFT, ZERO)
-                self.floor.add(host, older if machine.opened else None)
+                self.floor.add(host, self._unproven_since() if machine.opened else None)
                 self._own(host, machine)
                 if self.home is not None and self._faulty(host):
                     self.home.machine_faulty(host)
 
+    def _unproven_since(self) -> timedelta:
+        """Since when a task of a job that is over may be on a machine that was in use before this process started. What
+        was cancelled before may be due soon, so a silent machine has one lease; none when nobody is left who knows."""
+        alone = self._witnesses is not None and not self._witnesses
+        before = self.prove_within if alone else max(self.prove_within - self.lease * DRIFT, ZERO)
+        return self.context.now - before
+
     def _faulty(self, host: str) -> bool:
         record = self.machines.get(host)
         return record is not None and record.leaving == SICK
@@ -415,6 +425,7 @@
         self.floor.new_view()
         mine = view.members.get(self.member) == self.membership.incarnation
         self.syncing.new_view(view if mine else None)
+        self._count_witnesses(view)
         if not mine:
             self.part = self.home = None
             self.reports.new_view()
@@ -432,6 +443,19 @@
             self._assign(job)
         self.reports.new_view()
 
+    def _count_witnesses(self, view: View) -> None:
+        """When no process is left that knows what was cancelled before we started, a silent machine may go on with a
+        task whose cancellation is due any moment: it is returned as soon as it is known to be silent."""
+        known = view.members if self._witnesses is None else self._witnesses
+        self._witnesses = {
+            name: incarnation
+            for name, incarnation in known.items()
+            if view.members.get(name) == incarnation and name != self.member
+        }
+        recent = self.context.now - self._started_at < self.cancel_within
+        if known and recent and not self._witnesses:
+            self.floor.distrust(self._started_at, self.context.now - self.prove_within)
+
     def others_end(self) -> timedelta | None:
         """The moment after which no member of an earlier view can have answered a report. One that was left out had
         lost its grant by then, so it was last found alive `LIFE` before."""
--- a/src/ramptide/fleet.py
+++ b/src/ramptide/fleet.py
@@ -225,6 +225,9 @@
                 reason = "deaf"
             if reason is not None and leaving in (None, "idle"):
                 plan.leave[machine.host] = reason
+                if reason == "unproven":
+                    # The cancellation is due: its return does not wait until the record is written.
+                    plan.give_back.append(machine.host)
             elif leaving is not None:
                 self._see_off(machine, leaving, plan)
 
--- a/src/ramptide/floor.py
+++ b/src/ramptide/floor.py
@@ -191,6 +191,12 @@
             if self.unproven(name, now) < now - since and name in self.hosts and self.hosts[name].quiet:
                 self.hosts[name].unproven = since
 
+    def distrust(self, started: timedelta, since: timedelta) -> None:
+        """What may have been on a machine from before `started` counts as there since `since` at the latest."""
+        for host in self.hosts.values():
+            if host.unproven is not None and host.unproven <= started:
+                host.unproven = min(host.unproven, since)
+
     def job_over(self, ref: str, run: wire.Run, now: timedelta) -> None:
         """The job has left `jobs`."""
         if ref in self._where:
--- a/src/ramptide/syncing.py
+++ b/src/ramptide/syncing.py
@@ -245,7 +245,7 @@
                 asking=c.starter.asking(home) if first else {},
                 waiting=c.starter.waiting_rows(home, now) if first else [],
                 strangers=part.strangers_known() if first else {},
-                unproven=c.floor.all_unproven(now) if first else {},
+                unproven=c.floor.all_unproven(now),
             )
             calm = c.latched and not c.mirror.lacking and not first
             c.peers.send(peer, sync, CALM if calm else EVERY)
