--- a/src/ramptide/admin.py
+++ b/src/ramptide/admin.py
@@ -7,7 +7,7 @@
 from ramptide.context import JSON
 from ramptide.desk import error
 from ramptide.records import SETTINGS
-from ramptide.settings import BOUNDS, BadSettings, Tuning
+from ramptide.settings import BOUNDS, SettingsError, Tuning
 from ramptide.store import Outcome, Txn
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
         try:
             changes = wire.decode(body)
             tuning = self._c.tuning.changed(changes)
-        except (wire.BadMessage, BadSettings) as problem:
+        except (wire.MessageError, SettingsError) as problem:
             answer(400, error(str(problem)), JSON)
             return
         defaults = Tuning().to_value()
--- a/src/ramptide/agents.py
+++ b/src/ramptide/agents.py
@@ -261,7 +261,7 @@
                 ref, task = wire.split_piece(piece.piece)
                 run = self._job(ref)
                 if run is not None and task >= run.pieces:
-                    raise wire.BadMessage(f"piece: {piece.piece!r} is not of the job")
+                    raise wire.MessageError(f"piece: {piece.piece!r} is not of the job")
                 pieces[(ref, task, piece.attempt)] = piece
         self._hear(agent, beat, now)
         if current and not (agent.settled and agent.current):
--- a/src/ramptide/cli.py
+++ b/src/ramptide/cli.py
@@ -48,7 +48,7 @@
 def _run(path: Path) -> int:
     try:
         loaded = settings.load(path)
-    except settings.BadSettings as error:
+    except settings.SettingsError as error:
         print(f"ramptide: {error}", file=sys.stderr)
         return USAGE_ERROR
     level = os.environ.get("LOG_LEVEL", "info")
--- a/src/ramptide/cloud.py
+++ b/src/ramptide/cloud.py
@@ -97,6 +97,6 @@
         return None
     try:
         return decode(reply.body)
-    except wire.BadMessage as error:
+    except wire.MessageError as error:
         log.error("broken answer of the cloud: %s", error)
         return None
--- a/src/ramptide/desk.py
+++ b/src/ramptide/desk.py
@@ -83,7 +83,7 @@
     def submit(self, body: bytes, answer: Answer) -> None:
         try:
             run = wire.decode_run(body)
-        except wire.BadMessage as bad:
+        except wire.MessageError as bad:
             answer(400, error(str(bad)), {})
             return
         if run.ref in self._jobs:
--- a/src/ramptide/settings.py
+++ b/src/ramptide/settings.py
@@ -10,7 +10,7 @@
 from ramptide.http import parse_address
 
 
-class BadSettings(ValueError):
+class SettingsError(ValueError):
     """One line for the operator, naming the field."""
 
 
@@ -19,11 +19,11 @@
     try:
         body = path.read_bytes()
     except OSError as error:
-        raise BadSettings(f"{path}: {error.strerror}") from error
+        raise SettingsError(f"{path}: {error.strerror}") from error
     try:
         settings = wire.decode_settings(body)
-    except wire.BadMessage as error:
-        raise BadSettings(f"{path}: {error}") from error
+    except wire.MessageError as error:
+        raise SettingsError(f"{path}: {error}") from error
     addresses = {
         "client_listen": settings.listen,
         "peer_bind": settings.peer_listen,
@@ -34,18 +34,18 @@
         try:
             parse_address(address)
         except ValueError as error:
-            raise BadSettings(f"{path}: {error} - at `$.{field_name}`") from error
+            raise SettingsError(f"{path}: {error} - at `$.{field_name}`") from error
     names = [settings.member, *(sibling.member for sibling in settings.siblings)]
     if len(set(names)) != len(names):
-        raise BadSettings(f"{path}: two controllers have the same name - at `$.siblings`")
+        raise SettingsError(f"{path}: two controllers have the same name - at `$.siblings`")
     teams = [team.name for team in settings.cluster.teams]
     if len(set(teams)) != len(teams):
-        raise BadSettings(f"{path}: two teams have the same name - at `$.cluster.teams`")
+        raise SettingsError(f"{path}: two teams have the same name - at `$.cluster.teams`")
     workers = settings.cluster.workers
     if workers.lease_s <= workers.report_s:
-        raise BadSettings(f"{path}: must be longer than report_s - at `$.cluster.workers.lease_s`")
+        raise SettingsError(f"{path}: must be longer than report_s - at `$.cluster.workers.lease_s`")
     if workers.cancel_s <= workers.lease_s:
-        raise BadSettings(f"{path}: must be longer than lease_s - at `$.cluster.workers.cancel_s`")
+        raise SettingsError(f"{path}: must be longer than lease_s - at `$.cluster.workers.cancel_s`")
     return settings
 
 
@@ -121,22 +121,22 @@
         }
 
     def changed(self, changes: Any) -> "Tuning":
-        """A copy with some settings replaced; BadSettings names the one that is wrong."""
+        """A copy with some settings replaced; SettingsError names the one that is wrong."""
         if not isinstance(changes, dict):
-            raise BadSettings("settings: not an object")
+            raise SettingsError("settings: not an object")
         values: dict[str, Any] = {f.name: getattr(self, f.name) for f in fields(self)}
         for name, value in changes.items():
             if name not in values:
-                raise BadSettings(f"{name}: no such setting")
+                raise SettingsError(f"{name}: no such setting")
             endless = isinstance(value, float) and not math.isfinite(value)
             if isinstance(value, bool) or not isinstance(value, int | float) or endless:
-                raise BadSettings(f"{name}: not a number")
+                raise SettingsError(f"{name}: not a number")
             bound = BOUNDS[name]
             if not bound.low <= value <= bound.high:
-                raise BadSettings(f"{name}: not between {bound.low:g} and {bound.high:g}")
+                raise SettingsError(f"{name}: not between {bound.low:g} and {bound.high:g}")
             if isinstance(values[name], int):
                 if value != int(value):
-                    raise BadSettings(f"{name}: not a whole number")
+                    raise SettingsError(f"{name}: not a whole number")
                 values[name] = int(value)
             else:
                 values[name] = timedelta(seconds=value) if isinstance(values[name], timedelta) else float(value)
@@ -149,6 +149,6 @@
         for name, one in (value if isinstance(value, dict) else {}).items():
             try:
                 tuning = tuning.changed({name: one})
-            except BadSettings:
+            except SettingsError:
                 continue
         return tuning
--- a/src/ramptide/store.py
+++ b/src/ramptide/store.py
@@ -191,6 +191,6 @@
 def _read(decode: Callable[[bytes], Any], body: bytes) -> Any:
     try:
         return decode(body)
-    except wire.BadMessage as error:
+    except wire.MessageError as error:
         log.error("broken answer of the state service: %s", error)
         return None
--- a/src/ramptide/wire.py
+++ b/src/ramptide/wire.py
@@ -46,7 +46,7 @@
 T = TypeVar("T")
 
 
-class BadMessage(ValueError):
+class MessageError(ValueError):
     """A message that cannot be what its sender should have sent."""
 
 
@@ -91,7 +91,7 @@
 
 
 def decode_run(body: bytes) -> Run:
-    """A submission, or BadMessage saying what is wrong."""
+    """A submission, or MessageError saying what is wrong."""
     return _decode(body, Run)
 
 
@@ -150,7 +150,7 @@
     """'j-000412/3' as job and task number."""
     ref, slash, number = piece.rpartition("/")
     if not slash or not number.isdigit() or not number.isascii() or not is_ref(ref) or int(number) >= MAX_PIECES:
-        raise BadMessage(f"piece: {piece!r}")
+        raise MessageError(f"piece: {piece!r}")
     return ref, int(number)
 
 
@@ -425,4 +425,4 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BadMessage(str(error)) from error
+        raise MessageError(str(error)) from error
--- a/src/ramptide/workers.py
+++ b/src/ramptide/workers.py
@@ -48,7 +48,7 @@
         c = self._c
         try:
             beat = wire.decode_beat(body)
-        except wire.BadMessage as error:
+        except wire.MessageError as error:
             answer(400, wire.encode({"error": str(error)}))
             return
         view = c.view
@@ -64,7 +64,7 @@
             return
         try:
             fresh = c.part.report(beat, c.context.now)
-        except wire.BadMessage as error:
+        except wire.MessageError as error:
             answer(400, wire.encode({"error": str(error)}))
             return
         if not fresh:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -21,7 +21,7 @@
 from ramptide.agents import Part
 from ramptide.jobs import Home
 from ramptide.records import Progress
-from ramptide.settings import BadSettings, Tuning, load
+from ramptide.settings import SettingsError, Tuning, load
 from ramptide.syncing import Syncing
 
 NULLABLE = {"rigs", "yard", "dueS"}
@@ -597,7 +597,7 @@
 
 @pytest.mark.parametrize("value", [True, "1", None, [], {}, float("nan"), float("inf"), -1, 0, 10**400, -(10**400)])
 def test_no_setting_is_changed_to_what_is_out_of_bounds(value: Any) -> None:
-    with pytest.raises(BadSettings, match="^window|^step"):
+    with pytest.raises(SettingsError, match="^window|^step"):
         Tuning().changed({"step": value})
     assert Tuning.from_value({"step": value, "window": 3.0}).window == 3 * S
 
@@ -637,7 +637,7 @@
     path.write_text(json.dumps(whole))
     try:
         load(path)
-    except BadSettings as error:
+    except SettingsError as error:
         assert "\n" not in str(error) and str(error).startswith(str(path)) and len(str(error)) < 400
 
 
@@ -645,7 +645,7 @@
 def test_what_is_no_settings_file_is_named_in_one_line(tmp_path: Path, body: bytes) -> None:
     path = tmp_path / "s.json"
     path.write_bytes(body)
-    with pytest.raises(BadSettings) as error:
+    with pytest.raises(SettingsError) as error:
         load(path)
     assert "\n" not in str(error.value)
 
@@ -663,6 +663,6 @@
 def test_settings_that_contradict_themselves_are_named(tmp_path: Path, cluster: dict[str, Any], named: str) -> None:
     path = tmp_path / "s.json"
     path.write_text(json.dumps(FILE | {"cluster": FILE["cluster"] | cluster}))
-    with pytest.raises(BadSettings, match=named) as error:
+    with pytest.raises(SettingsError, match=named) as error:
         load(path)
     assert "\n" not in str(error.value)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from ramptide import wire
 from ramptide.admin import METRICS_PATH, SETTINGS_PATH, STATUS_PATH, Admin
 from ramptide.cli import main
-from ramptide.settings import BOUNDS, BadSettings, Tuning, load
+from ramptide.settings import BOUNDS, SettingsError, Tuning, load
 
 FILE: dict[str, Any] = {
     "member": "c0", "area": "a", "client_listen": "127.0.0.1:1", "peer_bind": "127.0.0.1:2", "siblings": [],
@@ -82,7 +82,7 @@
     "changes", [{"nothing": 1}, {"cooldown": "1"}, {"cooldown": -1}, {"pool_size": 1.5}, {"step": True}, [1]]
 )
 def test_bad_changes_name_the_setting(changes: Any) -> None:
-    with pytest.raises(BadSettings) as caught:
+    with pytest.raises(SettingsError) as caught:
         Tuning().changed(changes)
     assert (next(iter(changes)) if isinstance(changes, dict) else "settings") in str(caught.value)
 
@@ -137,13 +137,13 @@
     ],
 )  # fmt: skip
 def test_malformed_submissions(changes: dict[str, Any]) -> None:
-    with pytest.raises(wire.BadMessage):
+    with pytest.raises(wire.MessageError):
         wire.decode_run(json.dumps(job("j-1") | changes).encode())
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{", b"null", b'{"ref": NaN}', b"\xff\xfe", b"[" * 5000])
 def test_what_is_no_submission(body: bytes) -> None:
-    with pytest.raises(wire.BadMessage):
+    with pytest.raises(wire.MessageError):
         wire.decode_run(body)
 
 
