--- a/src/ramptide/cloud.py
+++ b/src/ramptide/cloud.py
@@ -8,7 +8,7 @@
 
 from ramptide import wire
 from ramptide.context import JSON, Context, Reply
-from ramptide.limits import Bucket, Gate, Rank
+from ramptide.limits import Priority, RateLimiter, TokenBucket
 from ramptide.records import RentalRecord
 
 log = logging.getLogger(__name__)
@@ -25,16 +25,18 @@
         self._address = address
         # Only the leader rents and lists; the others ask for the machine types now and then.
         rate = limits.rps * (0.9 if nodes == 1 else 0.7)
-        self._gate = Gate(context, Bucket(rate, rate))
+        self._rate_limiter = RateLimiter(context, TokenBucket(rate, rate))
 
-    def _call(self, rank: Rank, method: str, target: str, body: bytes, done: Callable[[Reply | None], None]) -> None:
+    def _call(
+        self, priority: Priority, method: str, target: str, body: bytes, done: Callable[[Reply | None], None]
+    ) -> None:
         def answered(reply: Reply | None) -> None:
             if reply is not None and reply.status == 429:
-                self._gate.overloaded()
+                self._rate_limiter.overloaded()
             done(reply)
 
-        self._gate.ask(
-            rank,
+        self._rate_limiter.ask(
+            priority,
             0,
             PATIENCE,
             lambda: self._context.call(self._address, method, target, body, JSON, TIMEOUT, answered),
@@ -42,7 +44,7 @@
         )
 
     def flavors(self, done: Callable[[list[wire.Flavor] | None], None]) -> None:
-        self._call(Rank.READ, "GET", wire.FLAVORS, b"", lambda reply: done(_read(wire.decode_flavors, reply)))
+        self._call(Priority.READ, "GET", wire.FLAVORS, b"", lambda reply: done(_read(wire.decode_flavors, reply)))
 
     def rent(self, name: str, rental: RentalRecord, done: Callable[[list[str] | None, bool], None]) -> None:
         """`done(hosts, refused)`: hosts is None when there is no answer; refused when there is no capacity."""
@@ -54,12 +56,12 @@
             done(_read(wire.decode_hired, reply), refused)
 
         body = wire.encode_hire(name, rental.flavor, rental.yard, rental.spot, rental.count)
-        self._call(Rank.COMMIT, "POST", wire.RENTALS, body, answered)
+        self._call(Priority.COMMIT, "POST", wire.RENTALS, body, answered)
 
     def give_back(self, hosts: list[str], done: Callable[[bool], None]) -> None:
         """`done(True)` proves that the machines and all on them are gone."""
         self._call(
-            Rank.COMMIT,
+            Priority.COMMIT,
             "POST",
             wire.RETURN,
             wire.encode_return(hosts),
@@ -87,7 +89,7 @@
                 else:
                     done(found)
 
-            self._call(Rank.HOUSEKEEPING, "GET", f"{wire.RENTALS}?{urlencode(query)}", b"", answered)
+            self._call(Priority.HOUSEKEEPING, "GET", f"{wire.RENTALS}?{urlencode(query)}", b"", answered)
 
         page(None)
 
--- a/src/ramptide/commits.py
+++ b/src/ramptide/commits.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from ramptide import wire
-from ramptide.limits import Rank
+from ramptide.limits import Priority
 from ramptide.store import PATIENCE, Outcome, Store, Txn
 
 BYTES = 56 * 1024
@@ -29,12 +29,16 @@
     go on. What is common to all (the view) is added when a group leaves."""
 
     def __init__(
-        self, store: Store, common: Callable[[], dict[str, int]], rank: Rank = Rank.COMMIT, most: int | None = None
+        self,
+        store: Store,
+        common: Callable[[], dict[str, int]],
+        priority: Priority = Priority.COMMIT,
+        most: int | None = None,
     ) -> None:
         self._store = store
         self._most = min(most or store.limits.txn_ops, store.limits.txn_ops)
         self._common = common
-        self._rank = rank
+        self._priority = priority
         self._waiting: deque[_Change] = deque()
         self._keys: set[str] = set()
         self._flying = 0
@@ -42,13 +46,13 @@
 
     def add(self, txn: Txn, done: Callable[[Outcome], None]) -> None:
         size = len(wire.encode_txn(txn.when, txn.puts, txn.drops))
-        self._waiting.append(_Change(txn, size, self._store.context.now + PATIENCE[self._rank], done))
+        self._waiting.append(_Change(txn, size, self._store.context.now + PATIENCE[self._priority], done))
         self._plan()
 
     def delay(self) -> timedelta:
         """How long a change that is added now would wait for its turn."""
         behind = sum(change.txn.size for change in self._waiting)
-        return self._store.gate.backlog(self._rank) + timedelta(seconds=behind / self._store.writes.rate)
+        return self._store.rate_limiter.backlog(self._priority) + timedelta(seconds=behind / self._store.writes.rate)
 
     def _plan(self) -> None:
         if not self._planned and self._waiting and self._flying < AT_ONCE:
@@ -109,4 +113,4 @@
             self._waiting.extendleft(reversed(again))
             self._plan()
 
-        self._store.txn(whole, done, self._rank)
+        self._store.txn(whole, done, self._priority)
--- a/src/ramptide/leader.py
+++ b/src/ramptide/leader.py
@@ -10,7 +10,7 @@
 from ramptide.cloud import RETURN_MOST
 from ramptide.context import Handle
 from ramptide.fleet import Fleet, Plan
-from ramptide.limits import Rank
+from ramptide.limits import Priority
 from ramptide.membership import VIEW
 from ramptide.records import FLAVORS, RENTAL, HostRecord, RentalRecord, to_value
 from ramptide.store import Outcome, Txn
@@ -158,7 +158,7 @@
             self._ask_again()
 
         # A few changes a second that all else waits for: they do not queue behind the users' commits.
-        self._c.store.txn(txn, done, Rank.LEASE)
+        self._c.store.txn(txn, done, Priority.LEASE)
 
     # Rentals.
 
--- a/src/ramptide/limits.py
+++ b/src/ramptide/limits.py
@@ -14,7 +14,7 @@
 RISE = 0.2
 
 
-class Rank(IntEnum):
+class Priority(IntEnum):
     """Who goes first when tokens are short."""
 
     LEASE = 0
@@ -23,7 +23,7 @@
     HOUSEKEEPING = 3
 
 
-class Bucket:
+class TokenBucket:
     """Tokens come at `rate` a second up to `burst`; an amount above the burst waits for a full bucket.
 
     With `most`, the rate is a share of what all callers have together: it rises from there while nothing is
@@ -72,20 +72,20 @@
     refuse: Callable[[], None]
 
 
-class Gate:
+class RateLimiter:
     """Lets calls through as the buckets allow; what waits past its patience is refused."""
 
-    def __init__(self, context: Context, calls: Bucket, writes: Bucket | None = None) -> None:
+    def __init__(self, context: Context, calls: TokenBucket, writes: TokenBucket | None = None) -> None:
         self._context = context
         self._calls = calls
         self._writes = writes
-        self._queues: dict[Rank, deque[_Waiting]] = {rank: deque() for rank in Rank}
+        self._queues: dict[Priority, deque[_Waiting]] = {priority: deque() for priority in Priority}
         self._timer: Handle | None = None
 
     def ask(
-        self, rank: Rank, writes: int, patience: timedelta, go: Callable[[], None], refuse: Callable[[], None]
+        self, priority: Priority, writes: int, patience: timedelta, go: Callable[[], None], refuse: Callable[[], None]
     ) -> None:
-        self._queues[rank].append(_Waiting(self._context.now + patience, writes, go, refuse))
+        self._queues[priority].append(_Waiting(self._context.now + patience, writes, go, refuse))
         self._drain()
 
     def overloaded(self) -> None:
@@ -93,11 +93,11 @@
         if self._writes is not None:
             self._writes.drain()
 
-    def backlog(self, rank: Rank) -> timedelta:
+    def backlog(self, priority: Priority) -> timedelta:
         """How long a change that is asked for now would wait, by what waits already in its class and above."""
         if self._writes is None:
             return ZERO
-        ahead = sum(item.writes for one in Rank if one <= rank for item in self._queues[one])
+        ahead = sum(item.writes for one in Priority if one <= priority for item in self._queues[one])
         return self._writes.wait_unbounded(self._context.now, ahead + 1)
 
     def _wait(self, item: _Waiting) -> timedelta:
--- a/src/ramptide/results.py
+++ b/src/ramptide/results.py
@@ -8,7 +8,7 @@
 from ramptide import wire
 from ramptide.commits import Commits
 from ramptide.jobs import Home, Work
-from ramptide.limits import Rank
+from ramptide.limits import Priority
 from ramptide.records import ENDED, JOB, EndRecord, to_value
 from ramptide.store import Outcome, Txn
 
@@ -26,7 +26,7 @@
 
     def __init__(self, controller: "Controller") -> None:
         self._c = controller
-        self._progress = Commits(controller.store, controller.common, Rank.HOUSEKEEPING, AT_ONCE)
+        self._progress = Commits(controller.store, controller.common, Priority.HOUSEKEEPING, AT_ONCE)
         self._next: dict[str, timedelta] = {}
         self._flying: set[str] = set()
 
--- a/src/ramptide/store.py
+++ b/src/ramptide/store.py
@@ -9,15 +9,15 @@
 
 from ramptide import wire
 from ramptide.context import JSON, Context, Reply
-from ramptide.limits import Bucket, Gate, Rank
+from ramptide.limits import Priority, RateLimiter, TokenBucket
 
 log = logging.getLogger(__name__)
 
 PATIENCE = {
-    Rank.LEASE: timedelta(seconds=4),
-    Rank.COMMIT: timedelta(seconds=2),
-    Rank.READ: timedelta(seconds=1.2),
-    Rank.HOUSEKEEPING: timedelta(seconds=5),
+    Priority.LEASE: timedelta(seconds=4),
+    Priority.COMMIT: timedelta(seconds=2),
+    Priority.READ: timedelta(seconds=1.2),
+    Priority.HOUSEKEEPING: timedelta(seconds=5),
 }
 TIMEOUT = timedelta(seconds=2)
 
@@ -54,12 +54,12 @@
         calls, writes = limits.rps * 0.95, limits.write_rps * 0.95
         # The load is not the same on all: the leader writes more. One alone never takes more than half of all
         # changes, and what is refused for that was not carried out.
-        self.writes = Bucket(writes / nodes, writes / nodes, writes / 2)
-        self.gate = Gate(context, Bucket(calls / nodes, calls / nodes, calls / 2), self.writes)
+        self.writes = TokenBucket(writes / nodes, writes / nodes, writes / 2)
+        self.rate_limiter = RateLimiter(context, TokenBucket(calls / nodes, calls / nodes, calls / 2), self.writes)
 
     def _call(
         self,
-        rank: Rank,
+        priority: Priority,
         method: str,
         target: str,
         body: bytes,
@@ -71,7 +71,7 @@
     ) -> None:
         def answered(reply: Reply | None) -> None:
             if reply is not None and reply.status == 429:
-                self.gate.overloaded()
+                self.rate_limiter.overloaded()
             done(reply)
 
         def go() -> None:
@@ -79,7 +79,7 @@
                 sending()
             self.context.call(self.address, method, target, body, JSON, timeout, answered)
 
-        self.gate.ask(rank, writes, PATIENCE[rank], go, refuse or (lambda: done(None)))
+        self.rate_limiter.ask(priority, writes, PATIENCE[priority], go, refuse or (lambda: done(None)))
 
     def get(
         self, key: str, done: Callable[[wire.Row | None, bool], None], sending: Callable[[], None] | None = None
@@ -98,7 +98,7 @@
             else:
                 done(None, False)
 
-        self._call(Rank.READ, "GET", f"{wire.KV}/{quote(key, safe='/')}", b"", answered, sending=sending)
+        self._call(Priority.READ, "GET", f"{wire.KV}/{quote(key, safe='/')}", b"", answered, sending=sending)
 
     def list(self, prefix: str, done: Callable[[list[wire.Row] | None, int], None]) -> None:
         """All rows with a prefix, and the epoch of the first page (a watch from there misses nothing)."""
@@ -123,11 +123,11 @@
                 else:
                     done(rows, first[0])
 
-            self._call(Rank.LEASE, "GET", f"{wire.KV}?{urlencode(query)}", b"", answered)
+            self._call(Priority.LEASE, "GET", f"{wire.KV}?{urlencode(query)}", b"", answered)
 
         page(None)
 
-    def txn(self, txn: Txn, done: Callable[[Outcome], None], rank: Rank = Rank.COMMIT) -> None:
+    def txn(self, txn: Txn, done: Callable[[Outcome], None], priority: Priority = Priority.COMMIT) -> None:
         def answered(reply: Reply | None) -> None:
             if reply is None:
                 done(Outcome())
@@ -142,13 +142,15 @@
                 done(Outcome(sent=False, full=reply.status == 429))
 
         body = wire.encode_txn(txn.when, txn.puts, txn.drops)
-        self._call(rank, "POST", wire.TXN, body, answered, writes=txn.size, refuse=lambda: done(Outcome(sent=False)))
+        self._call(
+            priority, "POST", wire.TXN, body, answered, writes=txn.size, refuse=lambda: done(Outcome(sent=False))
+        )
 
     def grant(self, life: timedelta, done: Callable[[int | None], None]) -> None:
         def answered(reply: Reply | None) -> None:
             done(_read(wire.decode_grant, reply.body) if reply is not None and reply.status == 200 else None)
 
-        self._call(Rank.LEASE, "POST", wire.GRANTS, wire.encode_grant(life), answered)
+        self._call(Priority.LEASE, "POST", wire.GRANTS, wire.encode_grant(life), answered)
 
     def touch(self, grant: int, done: Callable[[bool | None], None]) -> None:
         """`done(alive)`: None when it is not known."""
@@ -157,11 +159,11 @@
             status = reply.status if reply is not None else 0
             done(True if status == 200 else False if status == 404 else None)
 
-        self._call(Rank.LEASE, "POST", f"{wire.GRANTS}/{grant}/touch", b"", answered, timeout=timedelta(seconds=1))
+        self._call(Priority.LEASE, "POST", f"{wire.GRANTS}/{grant}/touch", b"", answered, timeout=timedelta(seconds=1))
 
     def end(self, grant: int) -> None:
         """Gives a grant up at once; should this not arrive, it runs out."""
-        self._call(Rank.LEASE, "DELETE", f"{wire.GRANTS}/{grant}", b"", lambda reply: None)
+        self._call(Priority.LEASE, "DELETE", f"{wire.GRANTS}/{grant}", b"", lambda reply: None)
 
     def changes(
         self,
@@ -183,9 +185,9 @@
             else:
                 done(None, reply is not None and reply.status == 410)
 
-        rank = Rank.LEASE if block else Rank.READ
+        priority = Priority.LEASE if block else Priority.READ
         timeout = block + timedelta(seconds=1)
-        self._call(rank, "GET", f"{wire.CHANGES}?{query}", b"", answered, timeout=timeout, sending=sending)
+        self._call(priority, "GET", f"{wire.CHANGES}?{query}", b"", answered, timeout=timeout, sending=sending)
 
 
 def _read(decode: Callable[[bytes], Any], body: bytes) -> Any:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -16,7 +16,7 @@
 from ramptide.agents import Part, Phase
 from ramptide.commits import Commits
 from ramptide.delta import Inbox, Ledger
-from ramptide.limits import Bucket
+from ramptide.limits import TokenBucket
 from ramptide.mirror import Mirror
 from ramptide.peers import WIRE
 from ramptide.records import MachineRecord
@@ -171,7 +171,7 @@
 
 
 def test_a_share_rises_while_nothing_is_refused_and_falls_back_at_once() -> None:
-    bucket = Bucket(10.0, 10.0, 25.0)
+    bucket = TokenBucket(10.0, 10.0, 25.0)
     bucket.wait(20 * S, 1)
     assert bucket.rate == 25.0
     bucket.drain()
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -15,7 +15,7 @@
 from ramptide.allowances import Allowances
 from ramptide.fleet import Demand, Fleet, Machine, Trigger
 from ramptide.jobs import Job, Work
-from ramptide.limits import Bucket
+from ramptide.limits import TokenBucket
 from ramptide.membership import owner_of
 from ramptide.placement import Room
 from ramptide.records import WINDOW, JobRecord, MachineRecord, Progress, to_value
@@ -134,7 +134,7 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 700), st.integers(1, 5)), max_size=60))
 def test_a_bucket_lets_through_no_more_than_its_rate_and_burst(events: list[tuple[int, int]]) -> None:
-    bucket, now, taken = Bucket(10.0, 5.0), timedelta(0), []
+    bucket, now, taken = TokenBucket(10.0, 5.0), timedelta(0), []
     for pause, amount in events:
         now += timedelta(milliseconds=pause)
         if not bucket.wait(now, amount):
