--- a/src/ramptide/admin.py
+++ b/src/ramptide/admin.py
@@ -8,7 +8,7 @@
 from ramptide.desk import error
 from ramptide.records import SETTINGS
 from ramptide.settings import BOUNDS, SettingsError, Tuning
-from ramptide.store import Outcome, Txn
+from ramptide.store import Transaction, TransactionResult
 
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
@@ -68,9 +68,9 @@
             return
         defaults = Tuning().to_value()
         value = {name: one for name, one in tuning.to_value().items() if one != defaults[name]}
-        txn = Txn(when={SETTINGS: self._c.mirror.stamp(SETTINGS)}, puts=[(SETTINGS, value, None)])
+        txn = Transaction(when={SETTINGS: self._c.mirror.stamp(SETTINGS)}, puts=[(SETTINGS, value, None)])
 
-        def done(outcome: Outcome) -> None:
+        def done(outcome: TransactionResult) -> None:
             if outcome.epoch is not None:
                 self._c.mirror.applied(outcome.epoch, txn.puts, txn.drops)
                 self._settings(b"", answer)
--- a/src/ramptide/commits.py
+++ b/src/ramptide/commits.py
@@ -7,7 +7,7 @@
 
 from ramptide import wire
 from ramptide.limits import Priority
-from ramptide.store import PATIENCE, Outcome, Store, Txn
+from ramptide.store import PATIENCE, Store, Transaction, TransactionResult
 
 BYTES = 56 * 1024
 AT_ONCE = 2
@@ -18,10 +18,10 @@
 class _Change:
     """One of them, with the conditions that are its own."""
 
-    txn: Txn
+    txn: Transaction
     size: int
     until: timedelta
-    done: Callable[[Outcome], None]
+    done: Callable[[TransactionResult], None]
 
 
 class Commits:
@@ -44,7 +44,7 @@
         self._flying = 0
         self._planned = False
 
-    def add(self, txn: Txn, done: Callable[[Outcome], None]) -> None:
+    def add(self, txn: Transaction, done: Callable[[TransactionResult], None]) -> None:
         size = len(wire.encode_txn(txn.when, txn.puts, txn.drops))
         self._waiting.append(_Change(txn, size, self._store.context.now + PATIENCE[self._priority], done))
         self._plan()
@@ -88,7 +88,7 @@
             self._plan()
 
     def _commit(self, group: list[_Change], common: dict[str, int]) -> None:
-        whole = Txn(when=dict(common))
+        whole = Transaction(when=dict(common))
         for change in group:
             whole.when.update(change.txn.when)
             whole.puts += change.txn.puts
@@ -97,7 +97,7 @@
         self._keys |= keys
         self._flying += 1
 
-        def done(outcome: Outcome) -> None:
+        def done(outcome: TransactionResult) -> None:
             self._flying -= 1
             self._keys -= keys
             failed = set(outcome.failed or ())
--- a/src/ramptide/desk.py
+++ b/src/ramptide/desk.py
@@ -15,7 +15,7 @@
 from ramptide.mirror import Mirror
 from ramptide.placement import can_ever_run
 from ramptide.records import ENDED, JOB, EndRecord, JobRecord, Progress, to_value
-from ramptide.store import Outcome, Store, Txn
+from ramptide.store import Store, Transaction, TransactionResult
 
 log = logging.getLogger(__name__)
 
@@ -127,9 +127,9 @@
             answer(400, error("the description is too long"), {})
             return
         key, ended = JOB + run.ref, ENDED + run.ref
-        txn = Txn(when={key: 0, ended: 0}, puts=[(key, value, None)])
+        txn = Transaction(when={key: 0, ended: 0}, puts=[(key, value, None)])
 
-        def done(outcome: Outcome) -> None:
+        def done(outcome: TransactionResult) -> None:
             if outcome.epoch is not None:
                 self._mirror.applied(outcome.epoch, txn.puts, txn.drops)
                 answer(201, wire.encode_job(run.ref, wire.PENDING), {})
@@ -265,9 +265,9 @@
             return
         ref = job.ref
         end = EndRecord(wire.WITHDRAWN, job.run.pieces, job.progress.count)
-        txn = Txn(when={JOB + ref: job.stamp}, puts=[(ENDED + ref, to_value(end), None)], drops=[JOB + ref])
+        txn = Transaction(when={JOB + ref: job.stamp}, puts=[(ENDED + ref, to_value(end), None)], drops=[JOB + ref])
 
-        def done(outcome: Outcome) -> None:
+        def done(outcome: TransactionResult) -> None:
             if outcome.epoch is not None:
                 self.ended(ref, end)
                 self._mirror.applied(outcome.epoch, txn.puts, txn.drops)
--- a/src/ramptide/leader.py
+++ b/src/ramptide/leader.py
@@ -13,7 +13,7 @@
 from ramptide.limits import Priority
 from ramptide.membership import VIEW
 from ramptide.records import FLAVORS, RENTAL, HostRecord, RentalRecord, to_value
-from ramptide.store import Outcome, Txn
+from ramptide.store import Transaction, TransactionResult
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
@@ -105,7 +105,7 @@
             flavor, yard, spot = plan.rent
             edits[name] = RentalRecord(flavor, yard, spot, c.context.wall().timestamp(), plan.count)
         edits |= self._adoptions()
-        txn = Txn(when={VIEW: c.membership.view_stamp})
+        txn = Transaction(when={VIEW: c.membership.view_stamp})
         if self.flavors_read:
             self.flavors_read = False
             txn.puts.append((FLAVORS, [msgspec.to_builtins(flavor) for flavor in c.flavors.values()], None))
@@ -147,10 +147,10 @@
                 hosts[host] = change
             edits[name] = msgspec.structs.replace(rental, hosts=hosts) if hosts else None
 
-    def _commit(self, txn: Txn) -> None:
+    def _commit(self, txn: Transaction) -> None:
         self._writing = True
 
-        def done(outcome: Outcome) -> None:
+        def done(outcome: TransactionResult) -> None:
             self._writing = False
             if outcome.epoch is None:
                 return
--- a/src/ramptide/membership.py
+++ b/src/ramptide/membership.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ramptide.mirror import Mirror
-from ramptide.store import Outcome, Store, Txn
+from ramptide.store import Store, Transaction, TransactionResult
 
 log = logging.getLogger(__name__)
 
@@ -214,10 +214,10 @@
             self._lose_grant()
             self._store.end(grant)
 
-    def _commit(self, txn: Txn) -> None:
+    def _commit(self, txn: Transaction) -> None:
         self._busy = True
 
-        def done(outcome: Outcome) -> None:
+        def done(outcome: TransactionResult) -> None:
             self._busy = False
             if outcome.epoch is not None:
                 self._mirror.applied(outcome.epoch, txn.puts, txn.drops)
@@ -229,11 +229,13 @@
 
     def _stand(self) -> None:
         key = MEMBER + self.member
-        self._commit(Txn(when={key: self._mirror.stamp(key)}, puts=[(key, {"inc": self.incarnation}, self._grant)]))
+        self._commit(
+            Transaction(when={key: self._mirror.stamp(key)}, puts=[(key, {"inc": self.incarnation}, self._grant)])
+        )
 
     def _run_for_leader(self) -> None:
         value = {"member": self.member, "inc": self.incarnation}
-        self._commit(Txn(when={LEADER: self._mirror.stamp(LEADER)}, puts=[(LEADER, value, self._grant)]))
+        self._commit(Transaction(when={LEADER: self._mirror.stamp(LEADER)}, puts=[(LEADER, value, self._grant)]))
 
     def _review(self) -> None:
         """The leader writes a new view when members came, went or started anew."""
@@ -254,7 +256,7 @@
         lingering = {name: inc for name, inc in lingering.items() if name not in self._members}
         number = view.number + 1 if view is not None else 1
         new = View(number, self.member, dict(self._members), lingering)
-        txn = Txn(
+        txn = Transaction(
             when={LEADER: self._mirror.stamp(LEADER), VIEW: self.view_stamp},
             puts=[(VIEW, msgspec.to_builtins(new), None)],
         )
--- a/src/ramptide/results.py
+++ b/src/ramptide/results.py
@@ -10,7 +10,7 @@
 from ramptide.jobs import Home, Work
 from ramptide.limits import Priority
 from ramptide.records import ENDED, JOB, EndRecord, to_value
-from ramptide.store import Outcome, Txn
+from ramptide.store import Transaction, TransactionResult
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
@@ -49,9 +49,9 @@
     def _finish(self, work: Work, now: timedelta) -> None:
         job = work.job
         key, end = JOB + job.ref, EndRecord(wire.DONE, job.run.pieces, job.run.pieces)
-        txn = Txn(when={key: job.stamp}, puts=[(ENDED + job.ref, to_value(end), None)], drops=[key])
+        txn = Transaction(when={key: job.stamp}, puts=[(ENDED + job.ref, to_value(end), None)], drops=[key])
 
-        def done(outcome: Outcome) -> None:
+        def done(outcome: TransactionResult) -> None:
             self._landed(job.ref, outcome, txn)
             if outcome.epoch is not None:
                 self._c.desk.ended(job.ref, end)
@@ -63,7 +63,7 @@
         job = work.job
         key = JOB + job.ref
         record = msgspec.structs.replace(job.record, done=work.done.encode())
-        txn = Txn(when={key: job.stamp}, puts=[(key, to_value(record), None)])
+        txn = Transaction(when={key: job.stamp}, puts=[(key, to_value(record), None)])
         self._fly(job.ref, now + FLUSH_EVERY)
         self._progress.add(txn, lambda outcome: self._landed(job.ref, outcome, txn))
 
@@ -71,7 +71,7 @@
         self._flying.add(ref)
         self._next[ref] = again
 
-    def _landed(self, ref: str, outcome: Outcome, txn: Txn) -> None:
+    def _landed(self, ref: str, outcome: TransactionResult, txn: Transaction) -> None:
         self._flying.discard(ref)
         if outcome.epoch is not None:
             self._c.mirror.applied(outcome.epoch, txn.puts, txn.drops)
--- a/src/ramptide/starts.py
+++ b/src/ramptide/starts.py
@@ -22,7 +22,7 @@
 from ramptide.placement import EPSILON, Reach, Room, admits, choose, choose_many, fill, needs, usable
 from ramptide.preemption import OnMachine, may_claim, victims
 from ramptide.records import JOB, Handover, to_value
-from ramptide.store import Outcome, Txn
+from ramptide.store import Transaction, TransactionResult
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
@@ -378,15 +378,15 @@
             work.job.record, home=view.leader, hand=Handover(view.number, self._c.member, home.seq + 1)
         )
         key = JOB + work.job.ref
-        txn = Txn(when={key: work.job.stamp}, puts=[(key, to_value(record), None)])
+        txn = Transaction(when={key: work.job.stamp}, puts=[(key, to_value(record), None)])
         self._commit_handover(work, view, txn, unsure=False)
 
-    def _commit_handover(self, work: Work, view: View, txn: Txn, unsure: bool) -> None:
+    def _commit_handover(self, work: Work, view: View, txn: Transaction, unsure: bool) -> None:
         """`unsure`: a copy without an answer may have been carried out, or may be yet. Its new home counts on nothing
         being started here after it, so the same is asked again until it is known what became of it."""
         c = self._c
 
-        def done(outcome: Outcome) -> None:
+        def done(outcome: TransactionResult) -> None:
             if outcome.epoch is not None:
                 log.debug("%s goes to %s", work.job.ref, view.leader)
                 c.mirror.applied(outcome.epoch, txn.puts, txn.drops)
--- a/src/ramptide/store.py
+++ b/src/ramptide/store.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Txn:
+class Transaction:
     """Conditions (key and the stamp it must have) and changes that go through together."""
 
     when: dict[str, int] = field(default_factory=dict)
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class TransactionResult:
     """What became of a transaction: `epoch` when it went through, `failed` when a condition did not hold;
     neither when nobody knows (`sent`) or it was not carried out (not `sent`; `full`: for want of a free rate)."""
 
@@ -127,23 +127,31 @@
 
         page(None)
 
-    def txn(self, txn: Txn, done: Callable[[Outcome], None], priority: Priority = Priority.COMMIT) -> None:
+    def txn(
+        self, txn: Transaction, done: Callable[[TransactionResult], None], priority: Priority = Priority.COMMIT
+    ) -> None:
         def answered(reply: Reply | None) -> None:
             if reply is None:
-                done(Outcome())
+                done(TransactionResult())
             elif reply.status == 200:
                 # Broken, it leaves both None: nobody knows.
-                done(Outcome(epoch=_read(wire.decode_committed, reply.body)))
+                done(TransactionResult(epoch=_read(wire.decode_committed, reply.body)))
             elif reply.status == 409:
-                done(Outcome(failed=_read(wire.decode_failed, reply.body)))
+                done(TransactionResult(failed=_read(wire.decode_failed, reply.body)))
             else:
                 if reply.status not in (429, 503):
                     log.error("transaction refused with %d: %r", reply.status, reply.body[:200])
-                done(Outcome(sent=False, full=reply.status == 429))
+                done(TransactionResult(sent=False, full=reply.status == 429))
 
         body = wire.encode_txn(txn.when, txn.puts, txn.drops)
         self._call(
-            priority, "POST", wire.TXN, body, answered, writes=txn.size, refuse=lambda: done(Outcome(sent=False))
+            priority,
+            "POST",
+            wire.TXN,
+            body,
+            answered,
+            writes=txn.size,
+            refuse=lambda: done(TransactionResult(sent=False)),
         )
 
     def grant(self, life: timedelta, done: Callable[[int | None], None]) -> None:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -20,7 +20,7 @@
 from ramptide.mirror import Mirror
 from ramptide.peers import WIRE
 from ramptide.records import MachineRecord
-from ramptide.store import Outcome, Store, Txn
+from ramptide.store import Store, Transaction, TransactionResult
 
 EVENTS = st.lists(
     st.tuples(st.sampled_from(["set", "drop", "send", "deliver", "late", "answer"]), st.integers(0, 9)), max_size=120
@@ -130,9 +130,9 @@
 def test_only_the_change_at_fault_is_refused() -> None:
     state = Postponed()
     commits = Commits(state.store, lambda: {"live/view": 7})
-    outcomes: dict[str, Outcome] = {}
+    outcomes: dict[str, TransactionResult] = {}
     for name in ("a", "b", "c"):
-        txn = Txn(when={name: 0}, puts=[(name, 1, None)])
+        txn = Transaction(when={name: 0}, puts=[(name, 1, None)])
         commits.add(txn, lambda outcome, name=name: outcomes.update({name: outcome}))  # type: ignore[misc]
     state.world.run(0.1)
     assert len(state.calls) == 1 and len(json.loads(state.calls[0][1])["then"]) == 3
@@ -152,7 +152,7 @@
     done: list[int] = []
     for number, (key, ops, wait) in enumerate(changes):
         puts = [(f"{key}{n}", number, None) for n in range(ops)]
-        commits.add(Txn(when={key: 0}, puts=puts), lambda outcome, number=number: done.append(number))  # type: ignore[misc]
+        commits.add(Transaction(when={key: 0}, puts=puts), lambda outcome, number=number: done.append(number))  # type: ignore[misc]
         state.world.run(wait * 0.01)
     answered = 0
     while len(done) < len(changes):
