--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -12,7 +12,7 @@
 from ramptide.allowances import Grants, limited
 from ramptide.cloud import Cloud
 from ramptide.commits import Commits
-from ramptide.context import JSON, Context, Reply
+from ramptide.context import JSON, Reply, Runtime
 from ramptide.desk import Desk
 from ramptide.fleet import SICK
 from ramptide.floor import SILENT, UNTOLD, Floor
@@ -53,7 +53,7 @@
 
 
 class Controller:
-    def __init__(self, context: Context, settings: wire.Settings, incarnation: str) -> None:
+    def __init__(self, context: Runtime, settings: wire.Settings, incarnation: str) -> None:
         self.context = context
         self.settings = settings
         cluster = settings.cluster
--- a/src/ramptide/cloud.py
+++ b/src/ramptide/cloud.py
@@ -7,7 +7,7 @@
 from urllib.parse import urlencode
 
 from ramptide import wire
-from ramptide.context import JSON, Context, Reply
+from ramptide.context import JSON, Reply, Runtime
 from ramptide.limits import Priority, RateLimiter, TokenBucket
 from ramptide.records import RentalRecord
 
@@ -20,7 +20,7 @@
 
 
 class Cloud:
-    def __init__(self, context: Context, address: str, limits: wire.CloudLimits, nodes: int) -> None:
+    def __init__(self, context: Runtime, address: str, limits: wire.CloudLimits, nodes: int) -> None:
         self._context = context
         self._address = address
         # Only the leader rents and lists; the others ask for the machine types now and then.
--- a/src/ramptide/context.py
+++ b/src/ramptide/context.py
@@ -15,14 +15,14 @@
     body: bytes
 
 
-class Handle(Protocol):
+class TimerHandle(Protocol):
     def cancel(self) -> None: ...
 
 
-Done = Callable[[Reply | None], None]
+ResponseCallback = Callable[[Reply | None], None]
 
 
-class Context(Protocol):
+class Runtime(Protocol):
     """Time and calls. `now` is steady time and stands still during an event."""
 
     @property
@@ -30,8 +30,8 @@
 
     def wall(self) -> datetime: ...
 
-    def after(self, delay: timedelta, action: Callable[[], None]) -> Handle: ...
+    def after(self, delay: timedelta, action: Callable[[], None]) -> TimerHandle: ...
 
     def call(
-        self, address: str, method: str, target: str, body: bytes, kind: str, timeout: timedelta, done: Done
+        self, address: str, method: str, target: str, body: bytes, kind: str, timeout: timedelta, done: ResponseCallback
     ) -> None: ...
--- a/src/ramptide/http.py
+++ b/src/ramptide/http.py
@@ -495,7 +495,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-Done = Callable[[Message | None], None]
+ResponseCallback = Callable[[Message | None], None]
 
 
 class _ClientConnection(_Channel):
@@ -509,7 +509,7 @@
         self.client = client
         self.address = address
         self.parser = Parser(response=True, max_body=MAX_RESPONSE_BODY)
-        self.done: Done | None = None
+        self.done: ResponseCallback | None = None
         self.timer: Timer | None = None
         self.connected = False
         code = sock.connect_ex(parse_address(address))
@@ -517,7 +517,7 @@
             raise OSError(code, "connect failed")
         self.loop.watch(sock, selectors.EVENT_WRITE, self.on_ready)
 
-    def send(self, data: bytes, timeout: timedelta, done: Done) -> None:
+    def send(self, data: bytes, timeout: timedelta, done: ResponseCallback) -> None:
         self.done = done
         self.out += data
         self.timer = self.loop.after(timeout, self.close)
@@ -589,7 +589,7 @@
         self._idle: dict[str, deque[_ClientConnection]] = {}
 
     def call(
-        self, address: str, method: str, target: str, body: bytes, kind: str, timeout: timedelta, done: Done
+        self, address: str, method: str, target: str, body: bytes, kind: str, timeout: timedelta, done: ResponseCallback
     ) -> None:
         idle = self._idle.get(address)
         try:
--- a/src/ramptide/leader.py
+++ b/src/ramptide/leader.py
@@ -8,7 +8,7 @@
 
 from ramptide import wire
 from ramptide.cloud import RETURN_MOST
-from ramptide.context import Handle
+from ramptide.context import TimerHandle
 from ramptide.fleet import Fleet, Plan
 from ramptide.limits import Priority
 from ramptide.membership import VIEW
@@ -45,7 +45,7 @@
         self._listed_since: dict[str, timedelta] = {}
         self._missing: set[str] = set()
         self._writing = False
-        self._timer: Handle | None = controller.context.after(controller.tuning.step, self._step)
+        self._timer: TimerHandle | None = controller.context.after(controller.tuning.step, self._step)
 
     def new_view(self) -> None:
         """A new view rebuilds: nothing is rented before a list that is younger than it."""
--- a/src/ramptide/limits.py
+++ b/src/ramptide/limits.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from enum import IntEnum
 
-from ramptide.context import Context, Handle
+from ramptide.context import Runtime, TimerHandle
 
 ZERO = timedelta(0)
 SECOND = timedelta(seconds=1)
@@ -75,12 +75,12 @@
 class RateLimiter:
     """Lets calls through as the buckets allow; what waits past its patience is refused."""
 
-    def __init__(self, context: Context, calls: TokenBucket, writes: TokenBucket | None = None) -> None:
+    def __init__(self, context: Runtime, calls: TokenBucket, writes: TokenBucket | None = None) -> None:
         self._context = context
         self._calls = calls
         self._writes = writes
         self._queues: dict[Priority, deque[_Waiting]] = {priority: deque() for priority in Priority}
-        self._timer: Handle | None = None
+        self._timer: TimerHandle | None = None
 
     def ask(
         self, priority: Priority, writes: int, patience: timedelta, go: Callable[[], None], refuse: Callable[[], None]
--- a/src/ramptide/peers.py
+++ b/src/ramptide/peers.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ramptide.agents import HostRow, WishRow
-from ramptide.context import CBOR, Context, Reply
+from ramptide.context import CBOR, Reply, Runtime
 from ramptide.delta import Inbox
 from ramptide.wire import Amount, Count
 
@@ -103,7 +103,7 @@
 class Peers:
     def __init__(
         self,
-        context: Context,
+        context: Runtime,
         siblings: dict[str, str],
         belongs: Callable[[Sync], bool],
         receive: Callable[[Sync, Peer], None],
--- a/src/ramptide/service.py
+++ b/src/ramptide/service.py
@@ -8,7 +8,7 @@
 from ramptide import peers, wire
 from ramptide.admin import Admin
 from ramptide.app import Controller
-from ramptide.context import CBOR, JSON, Done
+from ramptide.context import CBOR, JSON, ResponseCallback
 from ramptide.desk import error
 from ramptide.http import Client, Exchange, Server
 from ramptide.loop import Loop, Timer
@@ -21,7 +21,7 @@
 PEER_BODY = 8 * 1024 * 1024
 
 
-class LoopContext:
+class LoopRuntime:
     """The real world: time from the loop, calls through the client."""
 
     def __init__(self, loop: Loop, client: Client) -> None:
@@ -39,7 +39,7 @@
         return self._loop.after(delay, action)
 
     def call(
-        self, address: str, method: str, target: str, body: bytes, kind: str, timeout: timedelta, done: Done
+        self, address: str, method: str, target: str, body: bytes, kind: str, timeout: timedelta, done: ResponseCallback
     ) -> None:
         self._client.call(address, method, target, body, kind, timeout, done)
 
@@ -57,7 +57,7 @@
         calls = min(OWN_CALLS + OWN_CALLS_EACH * settings.cluster.nodes, room // 5)
         between = min(PEERS_EACH * settings.cluster.nodes, room // 5)
         client = Client(self.loop, calls)
-        context = LoopContext(self.loop, client)
+        context = LoopRuntime(self.loop, client)
         self.controller = Controller(context, settings, secrets.token_hex(6))
         self.admin = Admin(self.controller)
         self.users = Server(self.loop, settings.listen, self._users, room - calls - between, IDLE_USERS)
--- a/src/ramptide/store.py
+++ b/src/ramptide/store.py
@@ -8,7 +8,7 @@
 from urllib.parse import quote, urlencode
 
 from ramptide import wire
-from ramptide.context import JSON, Context, Reply
+from ramptide.context import JSON, Reply, Runtime
 from ramptide.limits import Priority, RateLimiter, TokenBucket
 
 log = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
 
 
 class Store:
-    def __init__(self, context: Context, address: str, limits: wire.StateLimits, nodes: int) -> None:
+    def __init__(self, context: Runtime, address: str, limits: wire.StateLimits, nodes: int) -> None:
         self.context = context
         self.address = address
         self.limits = limits
