--- a/src/ramptide/delta.py
+++ b/src/ramptide/delta.py
@@ -6,7 +6,7 @@
 K = TypeVar("K", bound=Hashable)
 
 
-class Ledger(Generic[K]):
+class ChangeLog(Generic[K]):
     """Holds keys only; values are read when a message is made, so a message is never older than its number."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self._at = {key: at for key, at in self._at.items() if at > base or key in alive}
 
 
-class Inbox:
+class ReceivedSequence:
     """How far one sender's table was taken. A message holds all that changed after its `base` up to its `seq`,
     so it may be taken when nothing up to `base` is missing here; an older one, or a copy, says nothing new."""
 
--- a/src/ramptide/peers.py
+++ b/src/ramptide/peers.py
@@ -12,7 +12,7 @@
 
 from ramptide.agents import HostRow, WishRow
 from ramptide.context import CBOR, Reply, Runtime
-from ramptide.delta import Inbox
+from ramptide.delta import ReceivedSequence
 from ramptide.wire import Amount, Count
 
 log = logging.getLogger(__name__)
@@ -89,7 +89,7 @@
     address: str
     busy: bool = False
     sent: timedelta | None = None
-    inbox: Inbox = field(default_factory=Inbox)
+    inbox: ReceivedSequence = field(default_factory=ReceivedSequence)
     taken: int = 0
     due: timedelta = ZERO
     heard: timedelta | None = None
@@ -121,7 +121,7 @@
         self._generation += 1
         for peer in self.all.values():
             peer.said = None
-            peer.inbox = Inbox()
+            peer.inbox = ReceivedSequence()
             peer.taken = 0
             peer.due = ZERO
 
--- a/src/ramptide/syncing.py
+++ b/src/ramptide/syncing.py
@@ -9,7 +9,7 @@
 
 from ramptide.agents import Agent, HostRow, Part, TaskRow, WishRow
 from ramptide.allowances import Allowances, Grants, add_amounts
-from ramptide.delta import Ledger
+from ramptide.delta import ChangeLog
 from ramptide.jobs import Home
 from ramptide.membership import View
 from ramptide.peers import EVERY, WIRE, Answer, Peer, Sync
@@ -36,8 +36,8 @@
         self._c = controller
         self.allowances: Allowances | None = None
         self.grants_ack = 0
-        self._rows: Ledger[str] = Ledger()
-        self._wishes: dict[str, Ledger[str]] = {}
+        self._rows: ChangeLog[str] = ChangeLog()
+        self._wishes: dict[str, ChangeLog[str]] = {}
         # The last split, and what it takes as taken over by us: always told together.
         self._granted: dict[str, Grants] = {}
         self._took: list[str] = []
@@ -47,8 +47,8 @@
     def new_view(self, view: View | None) -> None:
         c = self._c
         self.grants_ack = 0
-        self._rows = Ledger()
-        self._wishes = {name: Ledger() for name in c.peers.all}
+        self._rows = ChangeLog()
+        self._wishes = {name: ChangeLog() for name in c.peers.all}
         self._granted, self._took = {}, []
         self.allowances = Allowances(c.teams, sorted(view.members)) if view is not None else None
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -15,7 +15,7 @@
 from ramptide import wire
 from ramptide.agents import Part, Phase
 from ramptide.commits import Commits
-from ramptide.delta import Inbox, Ledger
+from ramptide.delta import ChangeLog, ReceivedSequence
 from ramptide.limits import TokenBucket
 from ramptide.mirror import Mirror
 from ramptide.peers import WIRE
@@ -31,10 +31,10 @@
 @given(EVENTS)
 def test_changes_since_an_acknowledged_number_build_the_whole_table(events: list[tuple[str, int]]) -> None:
     """The plain model is a copy of the sender's whole table at each number; messages get lost, late and repeated."""
-    ledger: Ledger[int] = Ledger()
+    ledger: ChangeLog[int] = ChangeLog()
     table: dict[int, int] = {}
     whole: dict[int, dict[int, int]] = {0: {}}
-    inbox, copy = Inbox(), dict[int, int]()
+    inbox, copy = ReceivedSequence(), dict[int, int]()
     seq = taken = 0
     sent: list[tuple[int, int, dict[int, int | None]]] = []
     for kind, number in events:
@@ -62,7 +62,7 @@
 
 
 def test_a_message_after_a_gap_is_not_taken() -> None:
-    inbox = Inbox()
+    inbox = ReceivedSequence()
     assert inbox.takes(0, 3) and not inbox.takes(5, 6), "what changed from 3 to 5 is missing here"
     assert inbox.takes(3, 6) and not inbox.takes(0, 4), "an older one says nothing new"
 
