--- a/src/ramptide/cloud.py
+++ b/src/ramptide/cloud.py
@@ -13,10 +13,10 @@
 
 log = logging.getLogger(__name__)
 
-PATIENCE = timedelta(seconds=10)
-TIMEOUT = timedelta(seconds=5)
-PAGE = 500
-RETURN_MOST = 100
+MAX_QUEUE_TIME = timedelta(seconds=10)
+CALL_TIMEOUT = timedelta(seconds=5)
+RENTALS_PAGE_SIZE = 500
+MAX_RETURNS_PER_CALL = 100
 
 
 class Cloud:
@@ -38,8 +38,8 @@
         self._rate_limiter.ask(
             priority,
             0,
-            PATIENCE,
-            lambda: self._context.call(self._address, method, target, body, JSON, TIMEOUT, answered),
+            MAX_QUEUE_TIME,
+            lambda: self._context.call(self._address, method, target, body, JSON, CALL_TIMEOUT, answered),
             lambda: done(None),
         )
 
@@ -73,7 +73,7 @@
         found: list[wire.Rented] = []
 
         def page(since: str | None) -> None:
-            query = {"limit": str(PAGE)} | ({"since": since} if since else {})
+            query = {"limit": str(RENTALS_PAGE_SIZE)} | ({"since": since} if since else {})
 
             def answered(reply: Reply | None) -> None:
                 answer = _read(wire.decode_rented, reply)
--- a/src/ramptide/commits.py
+++ b/src/ramptide/commits.py
@@ -7,11 +7,11 @@
 
 from ramptide import wire
 from ramptide.limits import Priority
-from ramptide.store import PATIENCE, Store, Transaction, TransactionResult
+from ramptide.store import MAX_QUEUE_TIME, Store, Transaction, TransactionResult
 
-BYTES = 56 * 1024
-AT_ONCE = 2
-GATHER = timedelta(milliseconds=20)
+MAX_TRANSACTION_BYTES = 56 * 1024
+MAX_CONCURRENT_TRANSACTIONS = 2
+BATCH_DELAY = timedelta(milliseconds=20)
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
 
     def add(self, txn: Transaction, done: Callable[[TransactionResult], None]) -> None:
         size = len(wire.encode_txn(txn.when, txn.puts, txn.drops))
-        self._waiting.append(_Change(txn, size, self._store.context.now + PATIENCE[self._priority], done))
+        self._waiting.append(_Change(txn, size, self._store.context.now + MAX_QUEUE_TIME[self._priority], done))
         self._plan()
 
     def delay(self) -> timedelta:
@@ -55,9 +55,9 @@
         return self._store.rate_limiter.backlog(self._priority) + timedelta(seconds=behind / self._store.writes.rate)
 
     def _plan(self) -> None:
-        if not self._planned and self._waiting and self._flying < AT_ONCE:
+        if not self._planned and self._waiting and self._flying < MAX_CONCURRENT_TRANSACTIONS:
             self._planned = True
-            self._store.context.after(GATHER, self._send)
+            self._store.context.after(BATCH_DELAY, self._send)
 
     def _send(self) -> None:
         self._planned = False
@@ -72,7 +72,7 @@
             fits = (
                 ops + change.txn.size <= limit
                 and conditions + len(change.txn.when) <= self._store.limits.txn_ops * 4
-                and size + change.size <= BYTES
+                and size + change.size <= MAX_TRANSACTION_BYTES
             )
             if group and not fits or keys & touched:
                 # Two changes of one key go one after the other: the second has conditions the first would break.
--- a/src/ramptide/http.py
+++ b/src/ramptide/http.py
@@ -17,12 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_HEAD = 16 * 1024
-MAX_REQUEST_BODY = 64 * 1024
-MAX_RESPONSE_BODY = 64 * 1024 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_REQUEST_BODY_BYTES = 64 * 1024
+MAX_RESPONSE_BODY_BYTES = 64 * 1024 * 1024
 READ_SIZE = 256 * 1024
-TOLD_FULL = timedelta(seconds=60)
-HEADS_KEPT, KEPT_HEAD = 1000, 512
+FULL_LOG_INTERVAL = timedelta(seconds=60)
+HEAD_CACHE_SIZE, MAX_CACHED_HEAD_BYTES = 1000, 512
 
 
 class HttpError(Exception):
@@ -82,7 +82,7 @@
 
 
 #: A client sends the same head again and again, and reading it costs more than all the rest.
-_known_head = functools.lru_cache(HEADS_KEPT)(_read_head)
+_known_head = functools.lru_cache(HEAD_CACHE_SIZE)(_read_head)
 
 
 class _State(Enum):
@@ -97,7 +97,7 @@
 class Parser:
     """Bytes in, whole messages out, however the bytes were split."""
 
-    def __init__(self, response: bool = False, max_body: int = MAX_REQUEST_BODY) -> None:
+    def __init__(self, response: bool = False, max_body: int = MAX_REQUEST_BODY_BYTES) -> None:
         self._response = response
         self._max_body = max_body
         self._buffer = bytearray()
@@ -155,14 +155,14 @@
             del self._buffer[:2]
         end = self._buffer.find(b"\r\n\r\n")
         if end < 0:
-            if len(self._buffer) > MAX_HEAD:
+            if len(self._buffer) > MAX_HEAD_BYTES:
                 raise HttpError(431, "headers too long")
             return False
-        if end > MAX_HEAD:
+        if end > MAX_HEAD_BYTES:
             raise HttpError(431, "headers too long")
         raw = bytes(self._buffer[:end])
         del self._buffer[: end + 4]
-        message = (_known_head if len(raw) <= KEPT_HEAD else _read_head)(raw, self._response).copy()
+        message = (_known_head if len(raw) <= MAX_CACHED_HEAD_BYTES else _read_head)(raw, self._response).copy()
         headers = message.headers
         length, coding = headers.get("content-length"), headers.get("transfer-encoding")
         self._body.clear()
@@ -222,7 +222,7 @@
         return True
 
     def _trailer(self) -> Message | bool:
-        line = self._line(MAX_HEAD)
+        line = self._line(MAX_HEAD_BYTES)
         if line is None:
             return False
         return self._finish() if line == "" else True
@@ -434,7 +434,7 @@
         handler: Callable[[Exchange], None],
         room: int,
         idle: timedelta,
-        max_body: int = MAX_REQUEST_BODY,
+        max_body: int = MAX_REQUEST_BODY_BYTES,
     ) -> None:
         self.loop = loop
         self.handler = handler
@@ -443,7 +443,7 @@
         self.max_body = max_body
         #: The one that was used longest ago comes first.
         self.connections: dict[_ServerConnection, None] = {}
-        self._told_full: timedelta | None = None
+        self._full_logged_at: timedelta | None = None
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
@@ -471,8 +471,8 @@
 
     def _make_room(self) -> None:
         """Over the cap the connection that has been quiet longest goes, so that slow clients cannot hold all."""
-        if self._told_full is None or self.loop.now - self._told_full > TOLD_FULL:
-            self._told_full = self.loop.now
+        if self._full_logged_at is None or self.loop.now - self._full_logged_at > FULL_LOG_INTERVAL:
+            self._full_logged_at = self.loop.now
             log.error("all %d connections are in use: fd_limit is too small for those who call here", self.room)
         quiet = next((connection for connection in self.connections if not connection.busy), None)
         if quiet is not None:
@@ -508,7 +508,7 @@
         super().__init__(client.loop, sock)
         self.client = client
         self.address = address
-        self.parser = Parser(response=True, max_body=MAX_RESPONSE_BODY)
+        self.parser = Parser(response=True, max_body=MAX_RESPONSE_BODY_BYTES)
         self.done: ResponseCallback | None = None
         self.timer: Timer | None = None
         self.connected = False
--- a/src/ramptide/jobs.py
+++ b/src/ramptide/jobs.py
@@ -12,7 +12,7 @@
 from ramptide import wire
 from ramptide.agents import OVER, EntryId, Phase, TaskRow, Wish, WishRow
 from ramptide.allowances import Amounts, add_amounts
-from ramptide.records import WINDOW, JobRecord, Progress
+from ramptide.records import PROGRESS_WINDOW, JobRecord, Progress
 
 log = logging.getLogger(__name__)
 
@@ -148,7 +148,7 @@
                 return self.again[0]
         while self.cursor < self.job.run.pieces and (self.cursor in self.done or self.cursor in self.placed):
             self.cursor += 1
-        if self.cursor < min(self.job.run.pieces, self.done.low + WINDOW):
+        if self.cursor < min(self.job.run.pieces, self.done.low + PROGRESS_WINDOW):
             return self.cursor
         return None
 
--- a/src/ramptide/leader.py
+++ b/src/ramptide/leader.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ramptide import wire
-from ramptide.cloud import RETURN_MOST
+from ramptide.cloud import MAX_RETURNS_PER_CALL
 from ramptide.context import TimerHandle
 from ramptide.fleet import Fleet, Plan
 from ramptide.limits import Priority
@@ -233,7 +233,7 @@
 
     def _return(self, plan: Plan) -> None:
         hosts = [host for host in plan.give_back if host not in self._returning and host not in self._gone]
-        hosts = hosts[:RETURN_MOST]
+        hosts = hosts[:MAX_RETURNS_PER_CALL]
         if not hosts:
             return
         self._returning.update(hosts)
--- a/src/ramptide/limits.py
+++ b/src/ramptide/limits.py
@@ -8,10 +8,10 @@
 
 from ramptide.context import Runtime, TimerHandle
 
-ZERO = timedelta(0)
+NO_TIME = timedelta(0)
 SECOND = timedelta(seconds=1)
 #: A share rises by a fifth of itself a second.
-RISE = 0.2
+RATE_GROWTH_PER_SECOND = 0.2
 
 
 class Priority(IntEnum):
@@ -36,18 +36,18 @@
         self._most = max(most or rate, rate)
         self.burst = max(burst, 1.0)
         self._level = self.burst
-        self._at = ZERO
+        self._at = NO_TIME
 
     def wait(self, now: timedelta, amount: float) -> timedelta:
         """How long until `amount` can be taken."""
         self._refill(now)
         short = min(amount, self.burst) - self._level
-        return ZERO if short <= 1e-9 else SECOND * (short / self.rate)
+        return NO_TIME if short <= 1e-9 else SECOND * (short / self.rate)
 
     def _refill(self, now: timedelta) -> None:
         passed = (now - self._at) / SECOND
         self._level = min(self.burst, self._level + self.rate * passed)
-        self.rate = min(self._most, self.rate + self._share * RISE * passed)
+        self.rate = min(self._most, self.rate + self._share * RATE_GROWTH_PER_SECOND * passed)
         self._at = now
 
     def wait_unbounded(self, now: timedelta, amount: float) -> timedelta:
@@ -96,7 +96,7 @@
     def backlog(self, priority: Priority) -> timedelta:
         """How long a change that is asked for now would wait, by what waits already in its class and above."""
         if self._writes is None:
-            return ZERO
+            return NO_TIME
         ahead = sum(item.writes for one in Priority if one <= priority for item in self._queues[one])
         return self._writes.wait_unbounded(self._context.now, ahead + 1)
 
@@ -121,7 +121,7 @@
                     item.refuse()
                     continue
                 wait = self._wait(item)
-                if wait > ZERO or writes_short and item.writes:
+                if wait > NO_TIME or writes_short and item.writes:
                     # Changes of a lower class must not use up what a higher one saves for.
                     writes_short = writes_short or bool(item.writes)
                     soonest = wait if soonest is None else min(soonest, wait)
--- a/src/ramptide/loop.py
+++ b/src/ramptide/loop.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-ZERO = timedelta(0)
+NO_DELAY = timedelta(0)
 
 
 class Timer:
@@ -41,7 +41,7 @@
 
     def after(self, delay: timedelta, action: Callable[[], None]) -> Timer:
         timer = Timer(action)
-        heapq.heappush(self._timers, (self.now + max(delay, ZERO), next(self._order), timer))
+        heapq.heappush(self._timers, (self.now + max(delay, NO_DELAY), next(self._order), timer))
         return timer
 
     def watch(self, sock: socket.socket, events: int, ready: Callable[[int], None]) -> None:
--- a/src/ramptide/records.py
+++ b/src/ramptide/records.py
@@ -15,13 +15,13 @@
 FLAVORS = "live/flavors"
 SETTINGS = "live/settings"
 
-WINDOW = 8192
+PROGRESS_WINDOW = 8192
 
 
 class Progress:
     """The set of done tasks, compact: all below `low`, and a bitmap of what is done above it.
 
-    No task at or past `low + WINDOW` may start, so the record keeps within the size of a value
+    No task at or past `low + PROGRESS_WINDOW` may start, so the record keeps within the size of a value
     however many tasks the job has.
     """
 
@@ -54,7 +54,7 @@
         """ValidationError or ValueError when it is not what `encode` makes."""
         low, bits = msgspec.convert(value, tuple[wire.Count, str])
         raw = base64.b64decode(bits, validate=True)
-        if low > wire.MAX_PIECES or len(raw) > WINDOW // 8:
+        if low > wire.MAX_PIECES or len(raw) > PROGRESS_WINDOW // 8:
             raise ValueError("more done tasks than a job can have")
         return cls(low, int.from_bytes(raw, "little"))
 
--- a/src/ramptide/results.py
+++ b/src/ramptide/results.py
@@ -15,10 +15,10 @@
 if TYPE_CHECKING:
     from ramptide.app import Controller
 
-FLUSH_EVERY = timedelta(seconds=4)
-AGAIN = timedelta(milliseconds=500)
+PROGRESS_INTERVAL = timedelta(seconds=4)
+RETRY_DELAY = timedelta(milliseconds=500)
 #: Few at a time, so that what people wait for finds tokens left.
-AT_ONCE = 3
+MAX_PROGRESS_OPERATIONS = 3
 
 
 class Results:
@@ -26,7 +26,7 @@
 
     def __init__(self, controller: "Controller") -> None:
         self._c = controller
-        self._progress = Commits(controller.store, controller.common, Priority.HOUSEKEEPING, AT_ONCE)
+        self._progress = Commits(controller.store, controller.common, Priority.HOUSEKEEPING, MAX_PROGRESS_OPERATIONS)
         self._next: dict[str, timedelta] = {}
         self._flying: set[str] = set()
 
@@ -43,7 +43,7 @@
             elif not work.frozen and ref not in self._flying:
                 if work.complete and now >= self._next.get(ref, now):
                     self._finish(work, now)
-                elif not work.complete and now >= self._next.setdefault(ref, now + FLUSH_EVERY):
+                elif not work.complete and now >= self._next.setdefault(ref, now + PROGRESS_INTERVAL):
                     self._record(work, now)
 
     def _finish(self, work: Work, now: timedelta) -> None:
@@ -56,7 +56,7 @@
             if outcome.epoch is not None:
                 self._c.desk.ended(job.ref, end)
 
-        self._fly(job.ref, now + AGAIN)
+        self._fly(job.ref, now + RETRY_DELAY)
         self._c.commits.add(txn, done)
 
     def _record(self, work: Work, now: timedelta) -> None:
@@ -64,7 +64,7 @@
         key = JOB + job.ref
         record = msgspec.structs.replace(job.record, done=work.done.encode())
         txn = Transaction(when={key: job.stamp}, puts=[(key, to_value(record), None)])
-        self._fly(job.ref, now + FLUSH_EVERY)
+        self._fly(job.ref, now + PROGRESS_INTERVAL)
         self._progress.add(txn, lambda outcome: self._landed(job.ref, outcome, txn))
 
     def _fly(self, ref: str, again: timedelta) -> None:
--- a/src/ramptide/service.py
+++ b/src/ramptide/service.py
@@ -13,12 +13,12 @@
 from ramptide.http import Client, Exchange, Server
 from ramptide.loop import Loop, Timer
 
-IDLE_USERS = timedelta(seconds=60)
-IDLE_PEERS = timedelta(seconds=60)
-OWN_FILES = 24
-OWN_CALLS, OWN_CALLS_EACH, PEERS_EACH = 80, 4, 30
+CLIENT_IDLE_TIMEOUT = timedelta(seconds=60)
+PEER_IDLE_TIMEOUT = timedelta(seconds=60)
+RESERVED_FILE_DESCRIPTORS = 24
+BASE_OUTBOUND_CONNECTIONS, OUTBOUND_CONNECTIONS_PER_NODE, PEER_CONNECTIONS_PER_NODE = 80, 4, 30
 #: The whole state of a part of several hundred machines is well below this.
-PEER_BODY = 8 * 1024 * 1024
+MAX_PEER_BODY_BYTES = 8 * 1024 * 1024
 
 
 class LoopRuntime:
@@ -53,15 +53,17 @@
         _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if hard != resource.RLIM_INFINITY:
             limit = min(limit, hard)
-        room = max(limit - OWN_FILES, 8)
-        calls = min(OWN_CALLS + OWN_CALLS_EACH * settings.cluster.nodes, room // 5)
-        between = min(PEERS_EACH * settings.cluster.nodes, room // 5)
+        room = max(limit - RESERVED_FILE_DESCRIPTORS, 8)
+        calls = min(BASE_OUTBOUND_CONNECTIONS + OUTBOUND_CONNECTIONS_PER_NODE * settings.cluster.nodes, room // 5)
+        between = min(PEER_CONNECTIONS_PER_NODE * settings.cluster.nodes, room // 5)
         client = Client(self.loop, calls)
         context = LoopRuntime(self.loop, client)
         self.controller = Controller(context, settings, secrets.token_hex(6))
         self.admin = Admin(self.controller)
-        self.users = Server(self.loop, settings.listen, self._users, room - calls - between, IDLE_USERS)
-        self.peers = Server(self.loop, settings.peer_listen, self._peers, between, IDLE_PEERS, PEER_BODY)
+        self.users = Server(self.loop, settings.listen, self._users, room - calls - between, CLIENT_IDLE_TIMEOUT)
+        self.peers = Server(
+            self.loop, settings.peer_listen, self._peers, between, PEER_IDLE_TIMEOUT, MAX_PEER_BODY_BYTES
+        )
 
     def run(self) -> None:
         self.controller.start()
--- a/src/ramptide/store.py
+++ b/src/ramptide/store.py
@@ -13,13 +13,13 @@
 
 log = logging.getLogger(__name__)
 
-PATIENCE = {
+MAX_QUEUE_TIME = {
     Priority.LEASE: timedelta(seconds=4),
     Priority.COMMIT: timedelta(seconds=2),
     Priority.READ: timedelta(seconds=1.2),
     Priority.HOUSEKEEPING: timedelta(seconds=5),
 }
-TIMEOUT = timedelta(seconds=2)
+CALL_TIMEOUT = timedelta(seconds=2)
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
         body: bytes,
         done: Callable[[Reply | None], None],
         writes: int = 0,
-        timeout: timedelta = TIMEOUT,
+        timeout: timedelta = CALL_TIMEOUT,
         refuse: Callable[[], None] | None = None,
         sending: Callable[[], None] | None = None,
     ) -> None:
@@ -79,7 +79,7 @@
                 sending()
             self.context.call(self.address, method, target, body, JSON, timeout, answered)
 
-        self.rate_limiter.ask(priority, writes, PATIENCE[priority], go, refuse or (lambda: done(None)))
+        self.rate_limiter.ask(priority, writes, MAX_QUEUE_TIME[priority], go, refuse or (lambda: done(None)))
 
     def get(
         self, key: str, done: Callable[[wire.Row | None, bool], None], sending: Callable[[], None] | None = None
--- a/src/ramptide/wire.py
+++ b/src/ramptide/wire.py
@@ -27,7 +27,7 @@
 RANKS = get_args(Rank)
 BATCH: Shape = "batch"
 SERVICE: Shape = "service"
-COUNTS = 2**64
+COUNT_LIMIT = 2**64
 
 # Paths of the users', workers', cloud's and state service's interfaces.
 RUNS, HEALTH, BEAT, INSPECT = "/v2/runs", "/healthz", "/agent/beat", "/inspect"
@@ -132,7 +132,7 @@
 
 def _check_counts(*counts: int) -> None:
     """Larger ones would make all true reports look old; msgspec's own bounds end at 2^63."""
-    if max(counts) >= COUNTS:
+    if max(counts) >= COUNT_LIMIT:
         raise ValueError("a count of 2^64 or more")
 
 
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -18,7 +18,7 @@
 from ramptide.limits import TokenBucket
 from ramptide.membership import owner_of
 from ramptide.placement import Room
-from ramptide.records import WINDOW, JobRecord, MachineRecord, Progress, to_value
+from ramptide.records import PROGRESS_WINDOW, JobRecord, MachineRecord, Progress, to_value
 from ramptide.settings import Tuning
 
 
@@ -48,20 +48,20 @@
             record = JobRecord(run, "c0", 1, 0.0, work.done.encode())
             largest = max(largest, len(msgspec.json.encode(to_value(record))))
     assert work.next_task() is None and work.complete
-    holes = Progress(0, sum(1 << task for task in range(1, WINDOW, 2)))
+    holes = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW, 2)))
     assert len(msgspec.json.encode(to_value(JobRecord(run, "c0", 1, 0.0, holes.encode())))) < 2.5 * 1024 > largest
 
 
 def test_tasks_past_the_window_wait_for_the_oldest() -> None:
     run = wire.decode_run(json.dumps(job("j-1", pieces=100_000)).encode())
-    done = Progress(0, sum(1 << task for task in range(1, WINDOW)))
+    done = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW)))
     work = Work(Job("j-1", JobRecord(run, "c0", 1, 0.0, done.encode()), 1), done, timedelta(0))
     assert work.next_task() == 0
     work.placed[0] = None  # type: ignore[assignment]
     assert work.next_task() is None
     del work.placed[0]
     done.add(0)
-    assert work.next_task() == WINDOW
+    assert work.next_task() == PROGRESS_WINDOW
 
 
 MEMBERS = ["a", "b", "c"]
