--- a/src/ramptide/cli.py
+++ b/src/ramptide/cli.py
@@ -11,7 +11,8 @@
 from ramptide import __version__, settings
 from ramptide.admin import METRICS_PATH, SETTINGS_PATH, STATUS_PATH
 from ramptide.context import JSON, Reply
-from ramptide.http import Client, parse_address
+from ramptide.http.address import parse_address
+from ramptide.http.client import Client
 from ramptide.loop import Loop
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
--- a/src/ramptide/service.py
+++ b/src/ramptide/service.py
@@ -10,7 +10,8 @@
 from ramptide.app import Controller
 from ramptide.context import CBOR, JSON, ResponseCallback
 from ramptide.desk import error
-from ramptide.http import Client, Exchange, Server
+from ramptide.http.client import Client
+from ramptide.http.server import Exchange, Server
 from ramptide.loop import Loop, Timer
 
 CLIENT_IDLE_TIMEOUT = timedelta(seconds=60)
--- a/src/ramptide/settings.py
+++ b/src/ramptide/settings.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ramptide import wire
-from ramptide.http import parse_address
+from ramptide.http.address import parse_address
 
 
 class SettingsError(ValueError):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,7 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ramptide.http import HttpError, Message, Parser, Server, encode_request, encode_response
+from ramptide.http.messages import HttpError, Message, encode_request, encode_response
+from ramptide.http.parser import Parser
+from ramptide.http.server import Server
 from ramptide.loop import Loop
 
 BODIES = st.binary(max_size=300)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -17,7 +17,8 @@
 from world import Reply, World, job
 
 from ramptide.context import JSON
-from ramptide.http import Client, Exchange, Server
+from ramptide.http.client import Client
+from ramptide.http.server import Exchange, Server
 from ramptide.loop import Loop
 
 ROOT = Path(__file__).resolve().parent.parent
