--- a/src/ramptide/http/client.py
+++ b/src/ramptide/http/client.py
@@ -17,12 +17,14 @@
 log = logging.getLogger(__name__)
 
 MAX_RESPONSE_BODY_BYTES = 64 * 1024 * 1024
+#: Delay until a call that could not be started is reported as failed, so that callers do not spin.
+FAILED_CALL_DELAY = timedelta(milliseconds=50)
 
 ResponseCallback = Callable[[Message | None], None]
 
 
 class _ClientConnection(Connection):
-    """Carries one request at a time to one address; idle ones wait in the client's pool."""
+    """Carries one request at a time to one address; idle connections wait in the client's pool."""
 
     def __init__(self, client: "Client", address: str) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -41,19 +43,21 @@
         self.loop.watch(sock, selectors.EVENT_WRITE, self.on_ready)
 
     def send(self, data: bytes, timeout: timedelta, done: ResponseCallback) -> None:
+        """Send an encoded request, as soon as the connection is established."""
         self.done = done
-        self.out += data
+        self.output += data
         self.timer = self.loop.after(timeout, self.close)
         if self.connected:
             self.flush()
 
     def on_ready(self, mask: int) -> None:
+        """Complete the connect, send buffered output and process received bytes."""
         if not self.connected:
             if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 self.close()
                 return
             self.connected = True
-            self._listen()
+            self._watch()
         if mask & selectors.EVENT_WRITE:
             self.flush()
         if mask & selectors.EVENT_READ and self.open:
@@ -74,66 +78,86 @@
             self.close()
             return
         if message is not None and self.done is not None:
-            self._settle(message, keep=message.keep and data != b"" and self.parser.idle)
+            self._complete(message, reuse=message.keep_alive and data != b"" and self.parser.idle)
         elif data == b"" or not self.parser.idle and self.done is None:
             self.close()
 
-    def _settle(self, message: Message, keep: bool) -> None:
+    def _complete(self, message: Message, reuse: bool) -> None:
+        """Report the response after the connection went back to the pool or was closed."""
         done, self.done = self.done, None
         if self.timer is not None:
             self.timer.cancel()
-        if keep:
-            self.client.park(self)
+        if reuse:
+            self.client.release(self)
         else:
             super().close()
-            self.client.dropped(self)
+            self.client.discard(self)
         if done is not None:
             done(message)
 
     def close(self) -> None:
+        """Close the connection; a request that is under way fails."""
         if not self.open:
             return
         super().close()
         if self.timer is not None:
             self.timer.cancel()
-        self.client.dropped(self)
+        self.client.discard(self)
         done, self.done = self.done, None
         if done is not None:
             done(None)
 
 
 class Client:
-    """Calls to other services. `done` gets the response, or None when none came in time."""
+    """Sends requests to other services over connections that are kept open.
 
-    def __init__(self, loop: Loop, room: int) -> None:
+    Parameters
+    ----------
+    loop
+        The event loop to run on.
+    max_connections
+        Calls that need more connections than this fail.
+    """
+
+    def __init__(self, loop: Loop, max_connections: int) -> None:
         self.loop = loop
-        self.room = room
-        self.open = 0
+        self.max_connections = max_connections
+        self.open_connections = 0
         self._idle: dict[str, deque[_ClientConnection]] = {}
 
     def call(
-        self, address: str, method: str, target: str, body: bytes, kind: str, timeout: timedelta, done: ResponseCallback
+        self,
+        address: str,
+        method: str,
+        target: str,
+        body: bytes,
+        content_type: str,
+        timeout: timedelta,
+        done: ResponseCallback,
     ) -> None:
+        """Send a request; `done` gets the response, or None when none came in time."""
         idle = self._idle.get(address)
         try:
             if idle:
                 connection = idle.pop()
-            elif self.open >= self.room:
+            elif self.open_connections >= self.max_connections:
                 raise OSError(errno.EMFILE, "no room for another connection")
             else:
                 connection = _ClientConnection(self, address)
-                self.open += 1
+                self.open_connections += 1
         except OSError as error:
             log.debug("call to %s: %s", address, error)
-            self.loop.after(timedelta(milliseconds=50), lambda: done(None))
+            self.loop.after(FAILED_CALL_DELAY, lambda: done(None))
             return
-        connection.send(encode_request(method, target, address, body, kind), timeout, done)
+        connection.send(encode_request(method, target, address, body, content_type), timeout, done)
 
-    def park(self, connection: _ClientConnection) -> None:
+    def release(self, connection: _ClientConnection) -> None:
+        """Keep an idle connection for later calls."""
         self._idle.setdefault(connection.address, deque()).append(connection)
 
-    def dropped(self, connection: _ClientConnection) -> None:
-        self.open -= 1
+    def discard(self, connection: _ClientConnection) -> None:
+        """Forget a connection that was closed."""
+        self.open_connections -= 1
         idle = self._idle.get(connection.address)
         if idle and connection in idle:
             idle.remove(connection)
--- a/src/ramptide/http/connection.py
+++ b/src/ramptide/http/connection.py
@@ -1,4 +1,4 @@
-"""What connections of the server and of the client have in common."""
+"""The part that server and client connections have in common."""
 
 import contextlib
 import selectors
@@ -6,54 +6,59 @@
 
 from ramptide.loop import Loop
 
-READ_SIZE = 256 * 1024
+READ_SIZE_BYTES = 256 * 1024
 
 
 class Connection:
-    """A non-blocking socket with an output buffer, tied to the loop."""
+    """A non-blocking socket with an output buffer, registered with the event loop."""
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         self.loop = loop
         self.sock = sock
-        self.out = bytearray()
+        self.output = bytearray()
         self.open = True
 
-    def _listen(self) -> None:
-        events = selectors.EVENT_READ | (selectors.EVENT_WRITE if self.out else 0)
+    def _watch(self) -> None:
+        """Wait for input, and for room to write while output is buffered."""
+        events = selectors.EVENT_READ | (selectors.EVENT_WRITE if self.output else 0)
         self.loop.watch(self.sock, events, self.on_ready)
 
     def write(self, data: bytes) -> None:
-        self.out += data
+        """Send data, now as far as the socket takes it and the rest later."""
+        self.output += data
         self.flush()
 
     def flush(self) -> None:
+        """Send buffered output as far as the socket takes it."""
         if not self.open:
             return
-        had = bool(self.out)
+        had_output = bool(self.output)
         try:
-            while self.out:
-                del self.out[: self.sock.send(self.out)]
+            while self.output:
+                del self.output[: self.sock.send(self.output)]
         except (BlockingIOError, InterruptedError):
             pass
         except OSError:
             self.close()
             return
-        if had:
-            self._listen()
+        if had_output:
+            self._watch()
 
     def read(self) -> bytes | None:
-        """Bytes, b"" at the end of the stream, None when there is nothing now."""
+        """Return received bytes, b"" at the end of the stream, or None when there is no input now."""
         try:
-            return self.sock.recv(READ_SIZE)
+            return self.sock.recv(READ_SIZE_BYTES)
         except (BlockingIOError, InterruptedError):
             return None
         except OSError:
             return b""
 
     def on_ready(self, mask: int) -> None:
+        """Handle the socket events in `mask`."""
         raise NotImplementedError
 
     def close(self) -> None:
+        """Close the socket; a second call does nothing."""
         if self.open:
             self.open = False
             self.loop.unwatch(self.sock)
@@ -61,5 +66,6 @@
 
 
 def disable_nagle(sock: socket.socket) -> None:
+    """Send small messages at once instead of gathering them."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/src/ramptide/http/messages.py
+++ b/src/ramptide/http/messages.py
@@ -1,10 +1,16 @@
-"""HTTP messages: what a parser makes, and how requests and responses are written."""
+"""HTTP messages: what the parser returns, and how requests and responses are encoded."""
 
 from http import HTTPStatus
 
 
 class HttpError(Exception):
-    """The peer's bytes are not HTTP that we take; `status` is what a server answers."""
+    """The peer sent bytes that are not acceptable HTTP.
+
+    Attributes
+    ----------
+    status
+        The status code that a server answers with.
+    """
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -12,59 +18,75 @@
 
 
 class Message:
-    """A request (method, target) or a response (status) with its headers in lower case and its body."""
+    """A request (method, target) or a response (status) with its headers and body.
+
+    Header names are in lower case; the headers are shared between copies and must not be changed.
+    """
 
-    __slots__ = ("method", "target", "status", "headers", "body", "keep")
+    __slots__ = ("method", "target", "status", "headers", "body", "keep_alive")
 
-    def __init__(self, first: str, headers: dict[str, str], response: bool) -> None:
+    def __init__(self, start_line: str, headers: dict[str, str], response: bool) -> None:
         self.method, self.target, self.status = "", "", 0
-        parts = first.split(" ", 2)
         if response:
-            if (
-                len(parts) < 2
-                or not parts[0].startswith("HTTP/1.")
-                or not is_ascii_digits(parts[1])
-                or len(parts[1]) != 3
-            ):
-                raise HttpError(400, "bad status line")
-            self.status, version = int(parts[1]), parts[0]
+            self.status, version = _parse_status_line(start_line)
         else:
-            if len(parts) != 3 or not parts[0].isalpha() or parts[2] not in ("HTTP/1.1", "HTTP/1.0"):
-                raise HttpError(400, "bad request line")
-            self.method, self.target, version = parts
-            if not self.target.startswith("/"):
-                raise HttpError(400, "bad request target")
+            self.method, self.target, version = _parse_request_line(start_line)
         self.headers = headers
         self.body = b""
-        wish = headers.get("connection", "").lower()
-        self.keep = wish != "close" if version == "HTTP/1.1" else wish == "keep-alive"
+        option = headers.get("connection", "").lower()
+        self.keep_alive = option != "close" if version == "HTTP/1.1" else option == "keep-alive"
 
     def copy(self) -> "Message":
-        """Another with the same head, and no body yet; nobody changes the headers."""
+        """Return a message with the same head and an empty body."""
         other = Message.__new__(Message)
         other.method, other.target, other.status = self.method, self.target, self.status
-        other.headers, other.body, other.keep = self.headers, b"", self.keep
+        other.headers, other.body, other.keep_alive = self.headers, b"", self.keep_alive
         return other
 
 
-def encode_request(method: str, target: str, host: str, body: bytes, kind: str) -> bytes:
+def _parse_status_line(line: str) -> tuple[int, str]:
+    """Return the status and the HTTP version of a response."""
+    parts = line.split(" ", 2)
+    if len(parts) < 2 or not parts[0].startswith("HTTP/1."):
+        raise HttpError(400, "bad status line")
+    version, status = parts[0], parts[1]
+    if not is_ascii_digits(status) or len(status) != 3:
+        raise HttpError(400, "bad status line")
+    return int(status), version
+
+
+def _parse_request_line(line: str) -> tuple[str, str, str]:
+    """Return the method, the target and the HTTP version of a request."""
+    parts = line.split(" ", 2)
+    if len(parts) != 3 or not parts[0].isalpha() or parts[2] not in ("HTTP/1.1", "HTTP/1.0"):
+        raise HttpError(400, "bad request line")
+    method, target, version = parts
+    if not target.startswith("/"):
+        raise HttpError(400, "bad request target")
+    return method, target, version
+
+
+def encode_request(method: str, target: str, host: str, body: bytes, content_type: str) -> bytes:
+    """Return the bytes of a request."""
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n"
     if body or method != "GET":
-        head += f"Content-Type: {kind}\r\nContent-Length: {len(body)}\r\n"
+        head += f"Content-Type: {content_type}\r\nContent-Length: {len(body)}\r\n"
     return head.encode("latin-1") + b"\r\n" + body
 
 
-def encode_response(status: int, body: bytes, kind: str, headers: dict[str, str], keep: bool) -> bytes:
+def encode_response(status: int, body: bytes, content_type: str, headers: dict[str, str], keep_alive: bool) -> bytes:
+    """Return the bytes of a response; without `keep_alive` it announces that the connection is closed."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
         phrase = "Unknown"
-    head = [f"HTTP/1.1 {status} {phrase}", f"Content-Type: {kind}", f"Content-Length: {len(body)}"]
+    head = [f"HTTP/1.1 {status} {phrase}", f"Content-Type: {content_type}", f"Content-Length: {len(body)}"]
     head += [f"{name}: {value}" for name, value in headers.items()]
-    if not keep:
+    if not keep_alive:
         head.append("Connection: close")
     return ("\r\n".join(head) + "\r\n\r\n").encode("latin-1") + body
 
 
 def is_ascii_digits(text: str) -> bool:
+    """Tell whether the text consists of ASCII digits only, at least one."""
     return text.isascii() and text.isdigit()
--- a/src/ramptide/http/parser.py
+++ b/src/ramptide/http/parser.py
@@ -8,10 +8,18 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_REQUEST_BODY_BYTES = 64 * 1024
-HEAD_CACHE_SIZE, MAX_CACHED_HEAD_BYTES = 1000, 512
-
-
-def _read_head(raw: bytes, response: bool) -> Message:
+MAX_CHUNK_SIZE_LINE_BYTES = 1024
+MAX_CONTENT_LENGTH_DIGITS = 15
+MAX_CHUNK_SIZE_DIGITS = 8
+HEX_DIGITS = "0123456789abcdefABCDEF"
+#: Number of parsed heads that are kept, and the longest one that is.
+HEAD_CACHE_SIZE = 1000
+MAX_CACHED_HEAD_BYTES = 512
+UNREPEATABLE_HEADERS = ("content-length", "transfer-encoding", "host")
+
+
+def _parse_head(raw: bytes, response: bool) -> Message:
+    """Parse the start line and the headers."""
     lines = raw.decode("latin-1").split("\r\n")
     headers: dict[str, str] = {}
     for line in lines[1:]:
@@ -19,7 +27,7 @@
         name, value = name.lower(), value.strip(" \t")
         if not colon or not name or name.strip() != name or "\n" in line or "\0" in line:
             raise HttpError(400, "bad header")
-        if name in headers and name in ("content-length", "transfer-encoding", "host"):
+        if name in headers and name in UNREPEATABLE_HEADERS:
             raise HttpError(400, f"repeated {name}")
         headers[name] = value
     message = Message(lines[0], headers, response)
@@ -28,8 +36,8 @@
     return message
 
 
-#: A client sends the same head again and again, and reading it costs more than all the rest.
-_known_head = functools.lru_cache(HEAD_CACHE_SIZE)(_read_head)
+#: Clients repeat the same head, and parsing it costs more than all the rest of a request.
+_parse_head_cached = functools.lru_cache(HEAD_CACHE_SIZE)(_parse_head)
 
 
 class _State(Enum):
@@ -42,7 +50,15 @@
 
 
 class Parser:
-    """Bytes in, whole messages out, however the bytes were split."""
+    """Turns a stream of bytes into whole messages, however the bytes were split.
+
+    Parameters
+    ----------
+    response
+        Whether the stream holds responses instead of requests.
+    max_body
+        The largest body in bytes that is accepted.
+    """
 
     def __init__(self, response: bool = False, max_body: int = MAX_REQUEST_BODY_BYTES) -> None:
         self._response = response
@@ -50,28 +66,37 @@
         self._buffer = bytearray()
         self._state = _State.HEAD
         self._message: Message | None = None
-        self._need = 0
+        self._missing = 0
         self._body = bytearray()
+        #: Whether the client waits for an interim response before it sends the body.
         self.expects_continue = False
+        # Each step returns a whole message, True when it made progress, or False when it needs more bytes.
         self._steps: dict[_State, Callable[[], Message | bool]] = {
-            _State.HEAD: self._head,
-            _State.BODY: self._body_done,
-            _State.CHUNK_SIZE: self._chunk_size,
-            _State.CHUNK: self._chunk,
-            _State.TRAILER: self._trailer,
-            _State.UNTIL_CLOSE: self._until_close,
+            _State.HEAD: self._read_head,
+            _State.BODY: self._read_body,
+            _State.CHUNK_SIZE: self._read_chunk_size,
+            _State.CHUNK: self._read_chunk,
+            _State.TRAILER: self._read_trailer,
+            _State.UNTIL_CLOSE: self._read_until_close,
         }
 
     @property
     def idle(self) -> bool:
-        """No part of a message has come yet."""
+        """Whether no part of the next message has arrived."""
         return self._state is _State.HEAD and not self._buffer
 
     def feed(self, data: bytes) -> None:
+        """Append received bytes."""
         self._buffer += data
 
     def next(self) -> Message | None:
-        """The next whole message, or None until more bytes come; raises HttpError."""
+        """Return the next whole message, or None if more bytes are needed.
+
+        Raises
+        ------
+        HttpError
+            If the bytes are not acceptable HTTP.
+        """
         while True:
             step = self._steps[self._state]()
             if isinstance(step, Message):
@@ -80,14 +105,14 @@
                 return None
 
     def closed(self) -> Message | None:
-        """The peer closed: a body without length ends here."""
+        """Return the message that the end of the stream completes: a response without a length."""
         if self._state is _State.UNTIL_CLOSE:
             self._body += self._buffer
             self._buffer.clear()
             return self._finish()
         return None
 
-    def _line(self, limit: int) -> str | None:
+    def _read_line(self, limit: int) -> str | None:
         end = self._buffer.find(b"\n")
         if end < 0:
             if len(self._buffer) > limit:
@@ -97,34 +122,38 @@
         del self._buffer[: end + 1]
         return line.rstrip(b"\r").decode("latin-1")
 
-    def _head(self) -> Message | bool:
+    def _read_head(self) -> Message | bool:
         while self._buffer[:2] == b"\r\n":
             del self._buffer[:2]
         end = self._buffer.find(b"\r\n\r\n")
+        if (end if end >= 0 else len(self._buffer)) > MAX_HEAD_BYTES:
+            raise HttpError(431, "headers too long")
         if end < 0:
-            if len(self._buffer) > MAX_HEAD_BYTES:
-                raise HttpError(431, "headers too long")
             return False
-        if end > MAX_HEAD_BYTES:
-            raise HttpError(431, "headers too long")
         raw = bytes(self._buffer[:end])
         del self._buffer[: end + 4]
-        message = (_known_head if len(raw) <= MAX_CACHED_HEAD_BYTES else _read_head)(raw, self._response).copy()
-        headers = message.headers
-        length, coding = headers.get("content-length"), headers.get("transfer-encoding")
+        parse = _parse_head_cached if len(raw) <= MAX_CACHED_HEAD_BYTES else _parse_head
+        message = parse(raw, self._response).copy()
         self._body.clear()
         if self._response and (message.status < 200 or message.status in (204, 304)):
+            # Interim responses are skipped; the others have no body.
             return message if message.status >= 200 else True
         self._message = message
+        return self._select_framing(message)
+
+    def _select_framing(self, message: Message) -> Message | bool:
+        """Decide from the headers how the end of the body is found."""
+        headers = message.headers
+        length, coding = headers.get("content-length"), headers.get("transfer-encoding")
         if coding is not None:
             if coding.lower() != "chunked":
                 raise HttpError(400, "unknown transfer coding")
             self._state = _State.CHUNK_SIZE
         elif length is not None:
-            if not is_ascii_digits(length) or len(length) > 15:
+            if not is_ascii_digits(length) or len(length) > MAX_CONTENT_LENGTH_DIGITS:
                 raise HttpError(400, "bad content length")
-            self._need = int(length)
-            self._check_size(self._need)
+            self._missing = int(length)
+            self._check_body_size(self._missing)
             self._state = _State.BODY
         elif self._response:
             self._state = _State.UNTIL_CLOSE
@@ -133,34 +162,35 @@
         self.expects_continue = headers.get("expect", "").lower() == "100-continue"
         return True
 
-    def _check_size(self, size: int) -> None:
+    def _check_body_size(self, size: int) -> None:
         if size > self._max_body:
             raise HttpError(413, "body too long")
 
-    def _body_left(self) -> bool:
-        take = min(self._need, len(self._buffer))
+    def _take_missing(self) -> bool:
+        """Move bytes to the body; return whether none is missing any more."""
+        take = min(self._missing, len(self._buffer))
         self._body += self._buffer[:take]
         del self._buffer[:take]
-        self._need -= take
-        return self._need == 0
+        self._missing -= take
+        return self._missing == 0
 
-    def _body_done(self) -> Message | bool:
-        return self._finish() if self._body_left() else False
+    def _read_body(self) -> Message | bool:
+        return self._finish() if self._take_missing() else False
 
-    def _chunk_size(self) -> bool:
-        line = self._line(1024)
+    def _read_chunk_size(self) -> bool:
+        line = self._read_line(MAX_CHUNK_SIZE_LINE_BYTES)
         if line is None:
             return False
         size = line.partition(";")[0].strip()
-        if not size or len(size) > 8 or any(c not in "0123456789abcdefABCDEF" for c in size):
+        if not size or len(size) > MAX_CHUNK_SIZE_DIGITS or any(digit not in HEX_DIGITS for digit in size):
             raise HttpError(400, "bad chunk size")
-        self._need = int(size, 16)
-        self._check_size(len(self._body) + self._need)
-        self._state = _State.CHUNK if self._need else _State.TRAILER
+        self._missing = int(size, 16)
+        self._check_body_size(len(self._body) + self._missing)
+        self._state = _State.CHUNK if self._missing else _State.TRAILER
         return True
 
-    def _chunk(self) -> bool:
-        if not self._body_left() or len(self._buffer) < 2:
+    def _read_chunk(self) -> bool:
+        if not self._take_missing() or len(self._buffer) < 2:
             return False
         if self._buffer[:2] != b"\r\n":
             raise HttpError(400, "bad chunk end")
@@ -168,16 +198,16 @@
         self._state = _State.CHUNK_SIZE
         return True
 
-    def _trailer(self) -> Message | bool:
-        line = self._line(MAX_HEAD_BYTES)
+    def _read_trailer(self) -> Message | bool:
+        line = self._read_line(MAX_HEAD_BYTES)
         if line is None:
             return False
         return self._finish() if line == "" else True
 
-    def _until_close(self) -> bool:
+    def _read_until_close(self) -> bool:
         self._body += self._buffer
         self._buffer.clear()
-        self._check_size(len(self._body))
+        self._check_body_size(len(self._body))
         return False
 
     def _finish(self) -> Message:
--- a/src/ramptide/http/server.py
+++ b/src/ramptide/http/server.py
@@ -17,7 +17,11 @@
 
 log = logging.getLogger(__name__)
 
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 FULL_LOG_INTERVAL = timedelta(seconds=60)
+MAX_ACCEPTS_PER_EVENT = 64
+#: Idle connections are looked for this many times per idle timeout; half a request may take one such period.
+SWEEPS_PER_IDLE_TIMEOUT = 6
 
 
 class Exchange:
@@ -28,56 +32,64 @@
         self.request = request
 
     def respond(
-        self, status: int, body: bytes, kind: str = "application/json", headers: dict[str, str] | None = None
+        self, status: int, body: bytes, content_type: str = "application/json", headers: dict[str, str] | None = None
     ) -> None:
+        """Send the response; any call after the first does nothing."""
         connection, self._connection = self._connection, None  # type: ignore[assignment]
         if connection is not None:
-            connection.answer(self.request, status, body, kind, headers or {})
+            connection.answer(self.request, status, body, content_type, headers or {})
 
 
 class _ServerConnection(Connection):
+    """Reads one request after the other and hands each to the server's handler."""
+
     def __init__(self, server: "Server", sock: socket.socket) -> None:
         super().__init__(server.loop, sock)
         self.server = server
         self.parser = Parser(max_body=server.max_body)
+        #: Whether a request has been handed to the handler and is not answered yet.
         self.busy = False
-        self.ending = False
-        self.since = self.loop.now
-        self._listen()
+        #: Whether the last response is written or being written.
+        self.closing = False
+        self.last_used = self.loop.now
+        self._watch()
 
     def on_ready(self, mask: int) -> None:
+        """Send buffered output and process received requests."""
         if mask & selectors.EVENT_WRITE:
             self.flush()
-            self._half_close()
+            self._shut_down_writing()
         if mask & selectors.EVENT_READ and self.open:
             data = self.read()
             if data == b"":
                 self.close()
-            elif data and not self.ending:
+            elif data and not self.closing:
                 if self.parser.idle:
-                    self._seen()
+                    self._mark_used()
                 self.parser.feed(data)
-                self.advance()
+                self.process_next()
 
-    def _seen(self) -> None:
-        """Keeps the server's connections in the order of their last use."""
-        self.since = self.loop.now
+    def _mark_used(self) -> None:
+        """Keep the server's connections in the order of their last use."""
+        self.last_used = self.loop.now
         connections = self.server.connections
         if connections.pop(self, False) is None:
             connections[self] = None
 
-    def advance(self) -> None:
+    def process_next(self) -> None:
+        """Hand the next request to the handler unless the one before is not answered yet."""
         if self.busy or not self.open:
             return
         try:
             request = self.parser.next()
         except HttpError as error:
-            self._end_with(encode_response(error.status, _error(str(error)), "application/json", {}, False))
+            body = _encode_error(str(error))
+            self._send_last(encode_response(error.status, body, "application/json", {}, keep_alive=False))
             return
         if request is None:
             if self.parser.expects_continue:
                 self.parser.expects_continue = False
-                self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+                self.write(CONTINUE_RESPONSE)
             return
         self.busy = True
         exchange = Exchange(self, request)
@@ -86,69 +98,91 @@
         except Exception:
             # The client gets an answer whatever went wrong here.
             log.exception("%s %s failed", request.method, request.target)
-            exchange.respond(500, _error("internal error"))
+            exchange.respond(500, _encode_error("internal error"))
+
+    def _send_last(self, data: bytes) -> None:
+        """Send the last response.
 
-    def _end_with(self, data: bytes) -> None:
-        """The last answer: what the peer still sends is read and dropped, or the close would destroy the answer."""
-        self.ending = True
+        Input is still read, and dropped: closing a socket with unread input would destroy the response.
+        """
+        self.closing = True
         self.write(data)
-        self._half_close()
+        self._shut_down_writing()
 
-    def _half_close(self) -> None:
-        if self.ending and self.open and not self.out:
+    def _shut_down_writing(self) -> None:
+        """Tell the client that nothing more follows, once the last response has been sent."""
+        if self.closing and self.open and not self.output:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
 
-    def answer(self, request: Message, status: int, body: bytes, kind: str, headers: dict[str, str]) -> None:
+    def answer(self, request: Message, status: int, body: bytes, content_type: str, headers: dict[str, str]) -> None:
+        """Send the response to `request` and go on with the next one."""
         if not self.open:
             return
         self.busy = False
-        self._seen()
+        self._mark_used()
         if request.method == "HEAD":
             body = b""
-        data = encode_response(status, body, kind, headers, request.keep)
-        if not request.keep:
-            self._end_with(data)
+        data = encode_response(status, body, content_type, headers, request.keep_alive)
+        if not request.keep_alive:
+            self._send_last(data)
         else:
             self.write(data)
-            self.advance()
+            self.process_next()
 
     def close(self) -> None:
+        """Close the socket and leave the server's connections."""
         super().close()
         self.server.connections.pop(self, None)
 
 
 class Server:
-    """Listens on an address and hands each request to `handler` as an Exchange."""
+    """Listens on an address and hands each request to a handler.
+
+    Parameters
+    ----------
+    loop
+        The event loop to run on.
+    address
+        The `host:port` to listen on.
+    handler
+        Called with an `Exchange` for each request.
+    max_connections
+        Above this number the connection that has been quiet longest is closed.
+    idle_timeout
+        How long a connection may stay open without a request.
+    max_body
+        The largest request body in bytes that is accepted.
+    """
 
     def __init__(
         self,
         loop: Loop,
         address: str,
         handler: Callable[[Exchange], None],
-        room: int,
-        idle: timedelta,
+        max_connections: int,
+        idle_timeout: timedelta,
         max_body: int = MAX_REQUEST_BODY_BYTES,
     ) -> None:
         self.loop = loop
         self.handler = handler
-        self.room = room
-        self.idle = idle
+        self.max_connections = max_connections
+        self.idle_timeout = idle_timeout
         self.max_body = max_body
-        #: The one that was used longest ago comes first.
+        #: An ordered set; the least recently used connection comes first.
         self.connections: dict[_ServerConnection, None] = {}
         self._full_logged_at: timedelta | None = None
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
         self.sock.bind(parse_address(address))
-        # All workers of a controller that is gone may come at once.
-        self.sock.listen(room)
+        # When a controller fails, all its workers may connect here at once.
+        self.sock.listen(max_connections)
         loop.watch(self.sock, selectors.EVENT_READ, self._accept)
-        self._sweep()
+        self._close_idle()
 
     def _accept(self, mask: int) -> None:
-        for _ in range(64):
+        for _ in range(MAX_ACCEPTS_PER_EVENT):
             try:
                 sock, _peer = self.sock.accept()
             except (BlockingIOError, InterruptedError):
@@ -157,28 +191,33 @@
                 if error.errno in (errno.EMFILE, errno.ENFILE):
                     self._make_room()
                 return
-            if len(self.connections) >= self.room:
+            if len(self.connections) >= self.max_connections:
                 self._make_room()
             sock.setblocking(False)
             disable_nagle(sock)
             self.connections[_ServerConnection(self, sock)] = None
 
     def _make_room(self) -> None:
-        """Over the cap the connection that has been quiet longest goes, so that slow clients cannot hold all."""
+        """Close the connection that has been quiet longest, so that slow clients cannot hold all."""
         if self._full_logged_at is None or self.loop.now - self._full_logged_at > FULL_LOG_INTERVAL:
             self._full_logged_at = self.loop.now
-            log.error("all %d connections are in use: fd_limit is too small for those who call here", self.room)
+            log.error(
+                "all %d connections are in use: fd_limit is too small for those who call here", self.max_connections
+            )
         quiet = next((connection for connection in self.connections if not connection.busy), None)
         if quiet is not None:
             quiet.close()
 
-    def _sweep(self) -> None:
+    def _close_idle(self) -> None:
+        """Close the connections that are over their time limit; repeats itself."""
+        sweep_interval = self.idle_timeout / SWEEPS_PER_IDLE_TIMEOUT
         for connection in list(self.connections):
-            limit = self.idle if connection.parser.idle and not connection.ending else self.idle / 6
-            if not connection.busy and self.loop.now - connection.since > limit:
+            between_requests = connection.parser.idle and not connection.closing
+            limit = self.idle_timeout if between_requests else sweep_interval
+            if not connection.busy and self.loop.now - connection.last_used > limit:
                 connection.close()
-        self.loop.after(self.idle / 6, self._sweep)
+        self.loop.after(sweep_interval, self._close_idle)
 
 
-def _error(text: str) -> bytes:
+def _encode_error(text: str) -> bytes:
     return json.dumps({"error": text}).encode()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -54,7 +54,7 @@
 def test_responses_split_anywhere(body: bytes, cuts: list[int]) -> None:
     data = encode_response(409, body, "application/json", {"Retry-After": "1"}, True)
     (message,) = parse(Parser(response=True), b"HTTP/1.1 100 Continue\r\n\r\n" + data, cuts)
-    assert (message.status, message.body, message.keep) == (409, body, True)
+    assert (message.status, message.body, message.keep_alive) == (409, body, True)
     assert message.headers["retry-after"] == "1"
 
 
