--- a/src/ramptide/context.py
+++ b/src/ramptide/context.py
@@ -1,4 +1,4 @@
-"""What the cores may ask of the world. The real one stands on the loop; tests bring a virtual one."""
+"""The interface between controllers and their environment; tests implement it with a virtual clock and network."""
 
 from collections.abc import Callable
 from datetime import datetime, timedelta
@@ -9,29 +9,44 @@
 
 
 class Reply(Protocol):
-    """What is read of a response."""
+    """The parts of an HTTP response that callers read."""
 
     status: int
     body: bytes
 
 
 class TimerHandle(Protocol):
-    def cancel(self) -> None: ...
+    """A scheduled call."""
 
+    def cancel(self) -> None:
+        """Prevent the call; without effect once it was made."""
 
+
+#: Gets the response, or None when there was none.
 ResponseCallback = Callable[[Reply | None], None]
 
 
 class Runtime(Protocol):
-    """Time and calls. `now` is steady time and stands still during an event."""
+    """Clock, timers and HTTP calls."""
 
     @property
-    def now(self) -> timedelta: ...
+    def now(self) -> timedelta:
+        """The monotonic time; it does not advance during an event."""
 
-    def wall(self) -> datetime: ...
+    def wall(self) -> datetime:
+        """Return the wall-clock time."""
 
-    def after(self, delay: timedelta, action: Callable[[], None]) -> TimerHandle: ...
+    def after(self, delay: timedelta, action: Callable[[], None]) -> TimerHandle:
+        """Schedule a call."""
 
     def call(
-        self, address: str, method: str, target: str, body: bytes, kind: str, timeout: timedelta, done: ResponseCallback
-    ) -> None: ...
+        self,
+        address: str,
+        method: str,
+        target: str,
+        body: bytes,
+        content_type: str,
+        timeout: timedelta,
+        done: ResponseCallback,
+    ) -> None:
+        """Send a request; `done` gets the response, or None when none came in time."""
--- a/src/ramptide/loop.py
+++ b/src/ramptide/loop.py
@@ -1,4 +1,4 @@
-"""The event loop: sockets through `selectors`, and timers. The only reader of the steady clock."""
+"""The event loop: sockets through `selectors`, and timers. The only module that reads the monotonic clock."""
 
 import contextlib
 import functools
@@ -17,7 +17,7 @@
 
 
 class Timer:
-    """A call planned for a moment; `cancel` before then undoes it."""
+    """A call scheduled for a point in time."""
 
     __slots__ = ("action",)
 
@@ -25,10 +25,19 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
+        """Prevent the call; without effect once it was made."""
         self.action = None
 
 
 class Loop:
+    """Calls back when a socket is ready or a timer is due, on one thread.
+
+    Attributes
+    ----------
+    now
+        The monotonic time at which the current turn's events were collected.
+    """
+
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
         self._timers: list[tuple[timedelta, int, Timer]] = []
@@ -37,51 +46,56 @@
         self.now = timedelta(seconds=time.monotonic())
 
     def wall(self) -> datetime:
+        """Return the wall-clock time."""
         return datetime.now(UTC)
 
     def after(self, delay: timedelta, action: Callable[[], None]) -> Timer:
+        """Schedule a call; equal times keep the order in which they were scheduled."""
         timer = Timer(action)
         heapq.heappush(self._timers, (self.now + max(delay, NO_DELAY), next(self._order), timer))
         return timer
 
     def watch(self, sock: socket.socket, events: int, ready: Callable[[int], None]) -> None:
-        """Calls `ready` with the event mask; a second call for the same socket replaces the first."""
+        """Call `ready` with the event mask; a second call for the same socket replaces the first."""
         try:
             self._selector.modify(sock, events, ready)
         except KeyError:
             self._selector.register(sock, events, ready)
 
     def unwatch(self, sock: socket.socket) -> None:
+        """Stop watching a socket; one that is not watched is ignored."""
         with contextlib.suppress(KeyError, ValueError):
             self._selector.unregister(sock)
 
     def stop(self) -> None:
+        """Let `run` return after the current turn."""
         self._running = False
 
     def run(self) -> None:
+        """Process events until `stop` is called."""
         self._running = True
         while self._running:
             self.turn()
 
     def turn(self) -> None:
-        """One wait for sockets or the next timer, and all that became due."""
+        """Wait for sockets or the next timer, then process everything that is due."""
         while self._timers and self._timers[0][2].action is None:
             heapq.heappop(self._timers)
-        wait: float | None = None
+        wait_s: float | None = None
         if self._timers:
-            wait = max(0.0, (self._timers[0][0] - timedelta(seconds=time.monotonic())).total_seconds())
-        ready = self._selector.select(wait)
+            wait_s = max(0.0, (self._timers[0][0] - timedelta(seconds=time.monotonic())).total_seconds())
+        ready = self._selector.select(wait_s)
         self.now = timedelta(seconds=time.monotonic())
         for key, mask in ready:
-            self._guarded(functools.partial(key.data, mask))
+            self._run_guarded(functools.partial(key.data, mask))
         while self._timers and self._timers[0][0] <= self.now:
             timer = heapq.heappop(self._timers)[2]
             action, timer.action = timer.action, None
             if action is not None:
-                self._guarded(action)
+                self._run_guarded(action)
 
-    def _guarded(self, action: Callable[[], None]) -> None:
-        # One bad event must not end the process: the rules are kept by the others' proofs, not by luck here.
+    def _run_guarded(self, action: Callable[[], None]) -> None:
+        # One failing event must not end the process: safety rests on the leases and conditions that others check.
         try:
             action()
         except Exception:
