--- a/src/ramptide/cloud.py
+++ b/src/ramptide/cloud.py
@@ -32,10 +32,10 @@
     ) -> None:
         def answered(reply: Reply | None) -> None:
             if reply is not None and reply.status == 429:
-                self._rate_limiter.overloaded()
+                self._rate_limiter.report_overload()
             done(reply)
 
-        self._rate_limiter.ask(
+        self._rate_limiter.submit(
             priority,
             0,
             MAX_QUEUE_TIME,
--- a/src/ramptide/commits.py
+++ b/src/ramptide/commits.py
@@ -52,7 +52,9 @@
     def delay(self) -> timedelta:
         """How long a change that is added now would wait for its turn."""
         behind = sum(change.txn.size for change in self._waiting)
-        return self._store.rate_limiter.backlog(self._priority) + timedelta(seconds=behind / self._store.writes.rate)
+        return self._store.rate_limiter.write_delay(self._priority) + timedelta(
+            seconds=behind / self._store.writes.rate
+        )
 
     def _plan(self) -> None:
         if not self._planned and self._waiting and self._flying < MAX_CONCURRENT_TRANSACTIONS:
--- a/src/ramptide/limits.py
+++ b/src/ramptide/limits.py
@@ -1,4 +1,4 @@
-"""Token buckets for calls to the state service and the cloud, with classes that go first."""
+"""Client-side rate limits, with priorities, for calls to the state service and the cloud."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,12 +10,15 @@
 
 NO_TIME = timedelta(0)
 SECOND = timedelta(seconds=1)
-#: A share rises by a fifth of itself a second.
+#: While nothing is rejected a rate grows each second by this part of its initial value.
 RATE_GROWTH_PER_SECOND = 0.2
+#: A smaller lack of tokens is a rounding error.
+TOKEN_EPSILON = 1e-9
+MIN_TIMER_DELAY = timedelta(milliseconds=2)
 
 
 class Priority(IntEnum):
-    """Who goes first when tokens are short."""
+    """The order in which waiting calls are sent; the lowest number goes first."""
 
     LEASE = 0
     COMMIT = 1
@@ -24,112 +27,140 @@
 
 
 class TokenBucket:
-    """Tokens come at `rate` a second up to `burst`; an amount above the burst waits for a full bucket.
-
-    With `most`, the rate is a share of what all callers have together: it rises from there while nothing is
-    refused, as long as others leave their shares unused, and falls back at the first refusal.
+    """A token bucket whose rate may grow beyond its initial value.
+
+    The service's limit applies to all controllers together, so each starts with its share. With `max_rate`, a
+    controller uses more than its share as long as nothing is rejected, that is, while others leave theirs unused;
+    at the first rejection it falls back to its share.
+
+    Parameters
+    ----------
+    rate
+        Tokens per second at the start.
+    burst
+        The most tokens the bucket holds.
+    max_rate
+        Tokens per second up to which the rate grows.
     """
 
-    def __init__(self, rate: float, burst: float, most: float | None = None) -> None:
+    def __init__(self, rate: float, burst: float, max_rate: float | None = None) -> None:
         self.rate = rate
-        self._share = rate
-        self._most = max(most or rate, rate)
+        self._initial_rate = rate
+        self._max_rate = max(max_rate or rate, rate)
         self.burst = max(burst, 1.0)
-        self._level = self.burst
-        self._at = NO_TIME
+        self._tokens = self.burst
+        self._refilled_at = NO_TIME
 
     def wait(self, now: timedelta, amount: float) -> timedelta:
-        """How long until `amount` can be taken."""
+        """Return the time until `amount` can be taken; an amount above the burst needs a full bucket."""
         self._refill(now)
-        short = min(amount, self.burst) - self._level
-        return NO_TIME if short <= 1e-9 else SECOND * (short / self.rate)
+        lacking = min(amount, self.burst) - self._tokens
+        return NO_TIME if lacking <= TOKEN_EPSILON else SECOND * (lacking / self.rate)
 
     def _refill(self, now: timedelta) -> None:
-        passed = (now - self._at) / SECOND
-        self._level = min(self.burst, self._level + self.rate * passed)
-        self.rate = min(self._most, self.rate + self._share * RATE_GROWTH_PER_SECOND * passed)
-        self._at = now
+        passed = (now - self._refilled_at) / SECOND
+        self._tokens = min(self.burst, self._tokens + self.rate * passed)
+        self.rate = min(self._max_rate, self.rate + self._initial_rate * RATE_GROWTH_PER_SECOND * passed)
+        self._refilled_at = now
 
     def wait_unbounded(self, now: timedelta, amount: float) -> timedelta:
-        """How long until `amount` has come in, even when it is more than the burst."""
+        """Return the time until `amount` tokens have come in, even if they are more than the burst."""
         self._refill(now)
-        return SECOND * (max(amount - self._level, 0.0) / self.rate)
+        return SECOND * (max(amount - self._tokens, 0.0) / self.rate)
 
     def take(self, amount: float) -> None:
-        self._level -= amount
+        """Remove tokens; the level may become negative."""
+        self._tokens -= amount
 
     def drain(self) -> None:
-        """The service says that it had too much."""
-        self._level = min(self._level, 0.0)
-        self.rate = self._share
+        """Empty the bucket and return to the initial rate, after the service rejected a call."""
+        self._tokens = min(self._tokens, 0.0)
+        self.rate = self._initial_rate
 
 
 @dataclass(slots=True)
-class _Waiting:
-    until: timedelta
+class _QueuedCall:
+    deadline: timedelta
     writes: int
-    go: Callable[[], None]
-    refuse: Callable[[], None]
+    send: Callable[[], None]
+    reject: Callable[[], None]
 
 
 class RateLimiter:
-    """Lets calls through as the buckets allow; what waits past its patience is refused."""
+    """Queues calls and sends them, by priority, as the token buckets allow.
+
+    Parameters
+    ----------
+    runtime
+        The clock and timers.
+    calls
+        The bucket from which every call takes one token.
+    writes
+        The bucket from which a call takes one token for each key that it changes.
+    """
 
-    def __init__(self, context: Runtime, calls: TokenBucket, writes: TokenBucket | None = None) -> None:
-        self._context = context
+    def __init__(self, runtime: Runtime, calls: TokenBucket, writes: TokenBucket | None = None) -> None:
+        self._runtime = runtime
         self._calls = calls
         self._writes = writes
-        self._queues: dict[Priority, deque[_Waiting]] = {priority: deque() for priority in Priority}
+        self._queues: dict[Priority, deque[_QueuedCall]] = {priority: deque() for priority in Priority}
         self._timer: TimerHandle | None = None
 
-    def ask(
-        self, priority: Priority, writes: int, patience: timedelta, go: Callable[[], None], refuse: Callable[[], None]
+    def submit(
+        self,
+        priority: Priority,
+        writes: int,
+        max_wait: timedelta,
+        send: Callable[[], None],
+        reject: Callable[[], None],
     ) -> None:
-        self._queues[priority].append(_Waiting(self._context.now + patience, writes, go, refuse))
-        self._drain()
+        """Queue a call: `send` runs when its turn comes, `reject` if that is not within `max_wait`."""
+        self._queues[priority].append(_QueuedCall(self._runtime.now + max_wait, writes, send, reject))
+        self._send_ready()
 
-    def overloaded(self) -> None:
+    def report_overload(self) -> None:
+        """Slow down, after the service rejected a call for its rate."""
         self._calls.drain()
         if self._writes is not None:
             self._writes.drain()
 
-    def backlog(self, priority: Priority) -> timedelta:
-        """How long a change that is asked for now would wait, by what waits already in its class and above."""
+    def write_delay(self, priority: Priority) -> timedelta:
+        """Return how long a single write submitted now would wait behind those of its priority and above."""
         if self._writes is None:
             return NO_TIME
-        ahead = sum(item.writes for one in Priority if one <= priority for item in self._queues[one])
-        return self._writes.wait_unbounded(self._context.now, ahead + 1)
+        ahead = sum(call.writes for other in Priority if other <= priority for call in self._queues[other])
+        return self._writes.wait_unbounded(self._runtime.now, ahead + 1)
 
-    def _wait(self, item: _Waiting) -> timedelta:
-        now = self._context.now
+    def _wait(self, call: _QueuedCall) -> timedelta:
+        now = self._runtime.now
         wait = self._calls.wait(now, 1)
-        if item.writes and self._writes is not None:
-            wait = max(wait, self._writes.wait(now, item.writes))
+        if call.writes and self._writes is not None:
+            wait = max(wait, self._writes.wait(now, call.writes))
         return wait
 
-    def _drain(self) -> None:
+    def _send_ready(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        soonest: timedelta | None = None
+        next_wait: timedelta | None = None
         writes_short = False
         for queue in self._queues.values():
             while queue:
-                item = queue[0]
-                if item.until < self._context.now:
+                call = queue[0]
+                if call.deadline < self._runtime.now:
                     queue.popleft()
-                    item.refuse()
+                    call.reject()
                     continue
-                wait = self._wait(item)
-                if wait > NO_TIME or writes_short and item.writes:
-                    # Changes of a lower class must not use up what a higher one saves for.
-                    writes_short = writes_short or bool(item.writes)
-                    soonest = wait if soonest is None else min(soonest, wait)
+                wait = self._wait(call)
+                if wait > NO_TIME or writes_short and call.writes:
+                    # Writes of a lower priority must not use up the tokens that a higher one waits for.
+                    writes_short = writes_short or bool(call.writes)
+                    next_wait = wait if next_wait is None else min(next_wait, wait)
                     break
                 queue.popleft()
                 self._calls.take(1)
                 if self._writes is not None:
-                    self._writes.take(item.writes)
-                item.go()
-        if soonest is not None:
-            self._timer = self._context.after(max(soonest, timedelta(milliseconds=2)), self._drain)
+                    self._writes.take(call.writes)
+                call.send()
+        if next_wait is not None:
+            self._timer = self._runtime.after(max(next_wait, MIN_TIMER_DELAY), self._send_ready)
--- a/src/ramptide/store.py
+++ b/src/ramptide/store.py
@@ -71,7 +71,7 @@
     ) -> None:
         def answered(reply: Reply | None) -> None:
             if reply is not None and reply.status == 429:
-                self.rate_limiter.overloaded()
+                self.rate_limiter.report_overload()
             done(reply)
 
         def go() -> None:
@@ -79,7 +79,7 @@
                 sending()
             self.context.call(self.address, method, target, body, JSON, timeout, answered)
 
-        self.rate_limiter.ask(priority, writes, MAX_QUEUE_TIME[priority], go, refuse or (lambda: done(None)))
+        self.rate_limiter.submit(priority, writes, MAX_QUEUE_TIME[priority], go, refuse or (lambda: done(None)))
 
     def get(
         self, key: str, done: Callable[[wire.Row | None, bool], None], sending: Callable[[], None] | None = None
