--- a/src/ramptide/admin.py
+++ b/src/ramptide/admin.py
@@ -79,7 +79,7 @@
             else:
                 answer(503, error("the state service does not answer"), JSON)
 
-        self._c.store.txn(txn, done)
+        self._c.store.commit(txn, done)
 
     def _status(self, body: bytes, answer: Answer) -> None:
         c = self._c
--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -11,7 +11,7 @@
 from ramptide.agents import DRIFT, SILENT_REPORTS, HostRow, Part
 from ramptide.allowances import Grants, limited
 from ramptide.cloud import Cloud
-from ramptide.commits import Commits
+from ramptide.commits import CommitBatcher
 from ramptide.context import JSON, Reply, Runtime
 from ramptide.desk import Desk
 from ramptide.fleet import SICK
@@ -109,7 +109,7 @@
         self.cloud = Cloud(context, settings.outside.cloud, cluster.cloud, cluster.nodes)
         self.mirror = Mirror(self.store, "live/", self._on_change, self._on_loaded)
         self.membership = Membership(self.store, self.mirror, self.member, incarnation, cluster.nodes, self._on_view)
-        self.commits = Commits(self.store, self.common)
+        self.commits = CommitBatcher(self.store, self.common)
         self.starter = Starter(self)
         self.syncing = Syncing(self)
         self.peers = Peers(
--- a/src/ramptide/cloud.py
+++ b/src/ramptide/cloud.py
@@ -20,12 +20,12 @@
 
 
 class Cloud:
-    def __init__(self, context: Runtime, address: str, limits: wire.CloudLimits, nodes: int) -> None:
-        self._context = context
+    def __init__(self, runtime: Runtime, address: str, limits: wire.CloudLimits, nodes: int) -> None:
+        self._runtime = runtime
         self._address = address
         # Only the leader rents and lists; the others ask for the machine types now and then.
         rate = limits.rps * (0.9 if nodes == 1 else 0.7)
-        self._rate_limiter = RateLimiter(context, TokenBucket(rate, rate))
+        self._rate_limiter = RateLimiter(runtime, TokenBucket(rate, rate))
 
     def _call(
         self, priority: Priority, method: str, target: str, body: bytes, done: Callable[[Reply | None], None]
@@ -39,7 +39,7 @@
             priority,
             0,
             MAX_QUEUE_TIME,
-            lambda: self._context.call(self._address, method, target, body, JSON, CALL_TIMEOUT, answered),
+            lambda: self._runtime.call(self._address, method, target, body, JSON, CALL_TIMEOUT, answered),
             lambda: done(None),
         )
 
@@ -58,7 +58,7 @@
         body = wire.encode_hire(name, rental.flavor, rental.yard, rental.spot, rental.count)
         self._call(Priority.COMMIT, "POST", wire.RENTALS, body, answered)
 
-    def give_back(self, hosts: list[str], done: Callable[[bool], None]) -> None:
+    def return_machines(self, hosts: list[str], done: Callable[[bool], None]) -> None:
         """`done(True)` proves that the machines and all on them are gone."""
         self._call(
             Priority.COMMIT,
@@ -68,7 +68,7 @@
             lambda reply: done(reply is not None and reply.status == 200),
         )
 
-    def rented(self, done: Callable[[list[wire.Rented] | None], None]) -> None:
+    def list_machines(self, done: Callable[[list[wire.Rented] | None], None]) -> None:
         """The whole list, or None when a page of it could not be read."""
         found: list[wire.Rented] = []
 
--- a/src/ramptide/commits.py
+++ b/src/ramptide/commits.py
@@ -24,7 +24,7 @@
     done: Callable[[TransactionResult], None]
 
 
-class Commits:
+class CommitBatcher:
     """Each change keeps its own conditions: when one of them fails, that change alone is refused and the others
     go on. What is common to all (the view) is added when a group leaves."""
 
@@ -46,7 +46,7 @@
 
     def add(self, txn: Transaction, done: Callable[[TransactionResult], None]) -> None:
         size = len(wire.encode_txn(txn.when, txn.puts, txn.drops))
-        self._waiting.append(_Change(txn, size, self._store.context.now + MAX_QUEUE_TIME[self._priority], done))
+        self._waiting.append(_Change(txn, size, self._store.runtime.now + MAX_QUEUE_TIME[self._priority], done))
         self._plan()
 
     def delay(self) -> timedelta:
@@ -59,7 +59,7 @@
     def _plan(self) -> None:
         if not self._planned and self._waiting and self._flying < MAX_CONCURRENT_TRANSACTIONS:
             self._planned = True
-            self._store.context.after(BATCH_DELAY, self._send)
+            self._store.runtime.after(BATCH_DELAY, self._send)
 
     def _send(self) -> None:
         self._planned = False
@@ -104,7 +104,7 @@
             self._keys -= keys
             failed = set(outcome.failed or ())
             again = []
-            now = self._store.context.now
+            now = self._store.runtime.now
             for change in group:
                 if outcome.full and now < change.until:
                     again.append(change)
@@ -115,4 +115,4 @@
             self._waiting.extendleft(reversed(again))
             self._plan()
 
-        self._store.txn(whole, done, self._priority)
+        self._store.commit(whole, done, self._priority)
--- a/src/ramptide/desk.py
+++ b/src/ramptide/desk.py
@@ -9,7 +9,7 @@
 
 from ramptide import wire
 from ramptide.allowances import limits_of
-from ramptide.commits import Commits
+from ramptide.commits import CommitBatcher
 from ramptide.jobs import Job
 from ramptide.membership import Membership
 from ramptide.mirror import Mirror
@@ -38,7 +38,7 @@
         store: Store,
         mirror: Mirror,
         membership: Membership,
-        commits: Commits,
+        commits: CommitBatcher,
         jobs: dict[str, Job],
         flavors: dict[str, wire.Flavor],
         teams: dict[str, wire.Team],
@@ -119,7 +119,7 @@
             run=run,
             home=self._home_for(run),
             born=view.number,
-            at=self._store.context.wall().timestamp(),
+            at=self._store.runtime.wall().timestamp(),
             done=Progress().encode(),
         )
         value = to_value(record)
@@ -137,7 +137,7 @@
                 self._known(run.ref, answer, None)
             elif outcome.failed is not None and tries > 1:
                 # Only the view moved on; the mirror will have the new one in a moment.
-                self._store.context.after(AGAIN, lambda: self._accept(run, answer, tries - 1))
+                self._store.runtime.after(AGAIN, lambda: self._accept(run, answer, tries - 1))
             elif outcome.sent and outcome.failed is None and tries > 1 and not self._mirror.lacking:
                 self._accept(run, answer, min(tries - 1, 1))
             else:
--- a/src/ramptide/leader.py
+++ b/src/ramptide/leader.py
@@ -158,7 +158,7 @@
             self._ask_again()
 
         # A few changes a second that all else waits for: they do not queue behind the users' commits.
-        self._c.store.txn(txn, done, Priority.LEASE)
+        self._c.store.commit(txn, done, Priority.LEASE)
 
     # Rentals.
 
@@ -248,7 +248,7 @@
                     del self._returned[next(iter(self._returned))]
                 self._c.counters["returns"] += len(hosts)
 
-        self._c.cloud.give_back(hosts, done)
+        self._c.cloud.return_machines(hosts, done)
 
     # The list.
 
@@ -268,7 +268,7 @@
             self._list_at = sent
             self._take_list({rented.ref: rented for rented in found})
 
-        c.cloud.rented(done)
+        c.cloud.list_machines(done)
 
     def _take_list(self, listed: dict[str, wire.Rented]) -> None:
         now = self._c.context.now
--- a/src/ramptide/membership.py
+++ b/src/ramptide/membership.py
@@ -66,7 +66,7 @@
     ) -> None:
         self._store = store
         self._mirror = mirror
-        self._context = store.context
+        self._context = store.runtime
         self.member = member
         self.incarnation = incarnation
         self._process = incarnation
@@ -179,7 +179,7 @@
             self._touched = self._context.now
             self._judge()
 
-        self._store.grant(LIFE, done)
+        self._store.create_grant(LIFE, done)
 
     def _touch(self) -> None:
         sent = self._touched = self._context.now
@@ -194,7 +194,7 @@
             elif alive is None:
                 self._touched = min(self._touched, self._context.now - TOUCH + STEP)
 
-        self._store.touch(grant, done)
+        self._store.renew_grant(grant, done)
 
     def _lose_grant(self) -> None:
         """Our key is gone, so any leader may leave us out from now on: what we were ends here, and we stand anew as
@@ -212,7 +212,7 @@
         if grant is not None:
             self.resting = True
             self._lose_grant()
-            self._store.end(grant)
+            self._store.revoke_grant(grant)
 
     def _commit(self, txn: Transaction) -> None:
         self._busy = True
@@ -225,7 +225,7 @@
                 # Perhaps for want of a grant: the next touch tells.
                 self._touched = min(self._touched, self._context.now - TOUCH)
 
-        self._store.txn(txn, done)
+        self._store.commit(txn, done)
 
     def _stand(self) -> None:
         key = MEMBER + self.member
--- a/src/ramptide/mirror.py
+++ b/src/ramptide/mirror.py
@@ -95,17 +95,17 @@
     def _plan_read(self) -> None:
         if self._asking and not self._reading and not self._planned:
             self._planned = True
-            self._store.context.after(GATHER, self._read_on)
+            self._store.runtime.after(GATHER, self._read_on)
 
     def _read_on(self) -> None:
         self._planned = False
         self._reading = True
         asked: list[Callable[[bool], None]] = []
-        sent = self._store.context.now
+        sent = self._store.runtime.now
 
         def sending() -> None:
             nonlocal sent
-            sent = self._store.context.now
+            sent = self._store.runtime.now
             asked.extend(self._asking)
             self._asking.clear()
 
@@ -169,12 +169,12 @@
             self.state = State.LACKING
 
     def _load(self) -> None:
-        sent = self._store.context.now
+        sent = self._store.runtime.now
 
         def done(rows: list[wire.Row] | None, epoch: int) -> None:
             if rows is None:
                 self._become_lacking()
-                self._store.context.after(RETRY, self._load)
+                self._store.runtime.after(RETRY, self._load)
                 return
             listed = {row.path for row in rows}
             self._epoch = self._drops_from = epoch
@@ -190,7 +190,7 @@
         self._store.list(self._prefix, done)
 
     def _watch(self) -> None:
-        context = self._store.context
+        context = self._store.runtime
         sent = context.now
 
         def done(changes: wire.Changes | None, gone: bool) -> None:
--- a/src/ramptide/results.py
+++ b/src/ramptide/results.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from ramptide import wire
-from ramptide.commits import Commits
+from ramptide.commits import CommitBatcher
 from ramptide.jobs import Home, Work
 from ramptide.limits import Priority
 from ramptide.records import ENDED, JOB, EndRecord, to_value
@@ -26,7 +26,9 @@
 
     def __init__(self, controller: "Controller") -> None:
         self._c = controller
-        self._progress = Commits(controller.store, controller.common, Priority.HOUSEKEEPING, MAX_PROGRESS_OPERATIONS)
+        self._progress = CommitBatcher(
+            controller.store, controller.common, Priority.HOUSEKEEPING, MAX_PROGRESS_OPERATIONS
+        )
         self._next: dict[str, timedelta] = {}
         self._flying: set[str] = set()
 
--- a/src/ramptide/store.py
+++ b/src/ramptide/store.py
@@ -47,15 +47,15 @@
 
 
 class Store:
-    def __init__(self, context: Runtime, address: str, limits: wire.StateLimits, nodes: int) -> None:
-        self.context = context
+    def __init__(self, runtime: Runtime, address: str, limits: wire.StateLimits, nodes: int) -> None:
+        self.runtime = runtime
         self.address = address
         self.limits = limits
         calls, writes = limits.rps * 0.95, limits.write_rps * 0.95
         # The load is not the same on all: the leader writes more. One alone never takes more than half of all
         # changes, and what is refused for that was not carried out.
         self.writes = TokenBucket(writes / nodes, writes / nodes, writes / 2)
-        self.rate_limiter = RateLimiter(context, TokenBucket(calls / nodes, calls / nodes, calls / 2), self.writes)
+        self.rate_limiter = RateLimiter(runtime, TokenBucket(calls / nodes, calls / nodes, calls / 2), self.writes)
 
     def _call(
         self,
@@ -77,7 +77,7 @@
         def go() -> None:
             if sending is not None:
                 sending()
-            self.context.call(self.address, method, target, body, JSON, timeout, answered)
+            self.runtime.call(self.address, method, target, body, JSON, timeout, answered)
 
         self.rate_limiter.submit(priority, writes, MAX_QUEUE_TIME[priority], go, refuse or (lambda: done(None)))
 
@@ -127,7 +127,7 @@
 
         page(None)
 
-    def txn(
+    def commit(
         self, txn: Transaction, done: Callable[[TransactionResult], None], priority: Priority = Priority.COMMIT
     ) -> None:
         def answered(reply: Reply | None) -> None:
@@ -154,13 +154,13 @@
             refuse=lambda: done(TransactionResult(sent=False)),
         )
 
-    def grant(self, life: timedelta, done: Callable[[int | None], None]) -> None:
+    def create_grant(self, life: timedelta, done: Callable[[int | None], None]) -> None:
         def answered(reply: Reply | None) -> None:
             done(_read(wire.decode_grant, reply.body) if reply is not None and reply.status == 200 else None)
 
         self._call(Priority.LEASE, "POST", wire.GRANTS, wire.encode_grant(life), answered)
 
-    def touch(self, grant: int, done: Callable[[bool | None], None]) -> None:
+    def renew_grant(self, grant: int, done: Callable[[bool | None], None]) -> None:
         """`done(alive)`: None when it is not known."""
 
         def answered(reply: Reply | None) -> None:
@@ -169,7 +169,7 @@
 
         self._call(Priority.LEASE, "POST", f"{wire.GRANTS}/{grant}/touch", b"", answered, timeout=timedelta(seconds=1))
 
-    def end(self, grant: int) -> None:
+    def revoke_grant(self, grant: int) -> None:
         """Gives a grant up at once; should this not arrive, it runs out."""
         self._call(Priority.LEASE, "DELETE", f"{wire.GRANTS}/{grant}", b"", lambda reply: None)
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -14,7 +14,7 @@
 
 from ramptide import wire
 from ramptide.agents import Part, Phase
-from ramptide.commits import Commits
+from ramptide.commits import CommitBatcher
 from ramptide.delta import ChangeLog, ReceivedSequence
 from ramptide.limits import TokenBucket
 from ramptide.mirror import Mirror
@@ -129,7 +129,7 @@
 
 def test_only_the_change_at_fault_is_refused() -> None:
     state = Postponed()
-    commits = Commits(state.store, lambda: {"live/view": 7})
+    commits = CommitBatcher(state.store, lambda: {"live/view": 7})
     outcomes: dict[str, TransactionResult] = {}
     for name in ("a", "b", "c"):
         txn = Transaction(when={name: 0}, puts=[(name, 1, None)])
@@ -148,7 +148,7 @@
 def test_groups_keep_the_limits_and_the_order_of_a_key(changes: list[tuple[str, int, int]]) -> None:
     """Against a plain list of what was asked: each change goes out once, one key never twice in a group."""
     state = Postponed()
-    commits = Commits(state.store, lambda: {"live/view": 7})
+    commits = CommitBatcher(state.store, lambda: {"live/view": 7})
     done: list[int] = []
     for number, (key, ops, wait) in enumerate(changes):
         puts = [(f"{key}{n}", number, None) for n in range(ops)]
