--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ramptide import wire
-from ramptide.agents import DRIFT, SILENT_REPORTS, HostRow, Part
+from ramptide.agents import CLOCK_DRIFT, MISSED_REPORTS, MachineStatus, Shard
 from ramptide.allowances import Grants, limited
 from ramptide.cloud import Cloud
 from ramptide.commits import CommitBatcher
@@ -16,7 +16,7 @@
 from ramptide.desk import Desk
 from ramptide.fleet import SICK
 from ramptide.floor import SILENT, UNTOLD, Floor
-from ramptide.jobs import Home, Job, Work
+from ramptide.jobs import Job, JobScheduler, JobState
 from ramptide.leader import Leader
 from ramptide.membership import LIFE, VIEW, Membership, View, owner_of
 from ramptide.mirror import Mirror
@@ -62,7 +62,7 @@
         self.report_every = timedelta(seconds=cluster.workers.report_s)
         # A member without proof of its view may renew leases only so long that they end in time for any
         # cancellation that others may have promised since; and not for long, since others wait for its end.
-        in_time = timedelta(seconds=cluster.workers.cancel_s) - self.lease * DRIFT - ANSWER_MARGIN
+        in_time = timedelta(seconds=cluster.workers.cancel_s) - self.lease * CLOCK_DRIFT - ANSWER_MARGIN
         self.answer_for = min(in_time, ANSWER_MOST)
         self.cancel_within = timedelta(seconds=cluster.workers.cancel_s)
         self.prove_within = self.cancel_within * PROVE_WITHIN
@@ -77,8 +77,8 @@
         self.flavors: dict[str, wire.Flavor] = {}
         self.counters: Counter[str] = Counter()
 
-        self.part: Part | None = None
-        self.home: Home | None = None
+        self.part: Shard | None = None
+        self.home: JobScheduler | None = None
         self.view: View | None = None
         self.view_at = ZERO
         self.latched = False
@@ -206,8 +206,8 @@
         for name, peer in self.peers.all.items():
             if peer.answered is None or now - peer.answered > PEER_SILENT:
                 found.append(f"controller {name}")
-        up = [agent for agent in self.part.agents.values() if agent.up] if self.part is not None else []
-        if up and self.may_answer() and all(agent.quiet for agent in up):
+        up = [agent for agent in self.part.machines.values() if agent.up] if self.part is not None else []
+        if up and self.may_answer() and all(agent.silent for agent in up):
             found.append("all its machines")
         return found
 
@@ -287,27 +287,27 @@
         if self.home is None:
             return
         if self._home_of(job) == self.member:
-            known = job.ref in self.home.works
+            known = job.ref in self.home.jobs
             self.home.take_job(job, self.context.now, self.floor.failed_on(job.ref))
             if known:
-                self.home.recorded(job.ref)
+                self.home.results_recorded(job.ref)
             else:
                 # The others' lists that we have may be from before we became its home, yet satisfy all that a
                 # handover waits for: what they show of the job is taken over before anything is started.
                 self._read_again(self.home, job.ref)
         else:
-            self.home.leave_job(job.ref)
+            self.home.release_job(job.ref)
 
-    def _read_again(self, home: Home, ref: str) -> None:
+    def _read_again(self, home: JobScheduler, ref: str) -> None:
         for name in self.floor.where(ref):
             self._read_host(home, name)
 
-    def _read_host(self, home: Home, name: str) -> None:
+    def _read_host(self, home: JobScheduler, name: str) -> None:
         host, record = self.floor.hosts.get(name), self.machines.get(name)
         if host is not None and record is not None and host.known and host.settled:
-            home.read(name, record.yard, host.tasks, self.context.now)
+            home.apply_status(name, record.yard, host.tasks, self.context.now)
 
-    def read_row(self, name: str, row: HostRow | None) -> None:
+    def read_row(self, name: str, row: MachineStatus | None) -> None:
         """A machine's state as its owner tells it."""
         self.floor.show(name, row, self.context.now)
         if self.home is not None and row is not None:
@@ -338,7 +338,7 @@
         """Since when a task of a job that is over may be on a machine that was in use before this process started. What
         was cancelled before may be due soon, so a silent machine has one lease; none when nobody is left who knows."""
         alone = self._witnesses is not None and not self._witnesses
-        before = self.prove_within if alone else max(self.prove_within - self.lease * DRIFT, ZERO)
+        before = self.prove_within if alone else max(self.prove_within - self.lease * CLOCK_DRIFT, ZERO)
         return self.context.now - before
 
     def _faulty(self, host: str) -> bool:
@@ -351,16 +351,16 @@
         self.floor.remove(host)
         self.leader.forget(host)
         if self.home is not None:
-            self.home.host_gone(host)
+            self.home.remove_machine(host)
         if self.part is not None:
-            self.part.disown(host)
+            self.part.remove_machine(host)
         self.reports.forget(host)
 
     def _own(self, host: str, record: MachineRecord) -> None:
         if self.part is not None and self.view is not None and self.owner(host) == self.member:
             images = self.floor.hosts[host].images if host in self.floor.hosts else []
             until = self._answerable.get(host)
-            self.part.own(host, record, self.flavors.get(record.flavor), self.context.now, images, until)
+            self.part.add_machine(host, record, self.flavors.get(record.flavor), self.context.now, images, until)
 
     def owner(self, host: str) -> str:
         assert self.view is not None
@@ -373,7 +373,7 @@
 
     def fresh_members(self) -> set[str]:
         """The members that we hear; of the others' machines nothing is known that could be used."""
-        now, silent, fresh = self.context.now, self.report_every * SILENT_REPORTS, {self.member}
+        now, silent, fresh = self.context.now, self.report_every * MISSED_REPORTS, {self.member}
         for name, peer in self.peers.all.items():
             if peer.said is not None and peer.heard is not None and now - peer.heard < silent:
                 fresh.add(name)
@@ -410,7 +410,9 @@
         assert view is not None
         # What we know of the view just before still holds; of one further back it need not.
         follows = self.view is not None and view.number == self.view.number + 1
-        self._answerable = self.part.answerable(self.others_end()) if follows and self.part is not None else {}
+        self._answerable = (
+            self.part.last_possible_answers(self.others_end()) if follows and self.part is not None else {}
+        )
         known = self._lingering_since if follows else {}
         self._lingering_since = {one: known.get(one, self.context.now) for one in view.lingering.items()}
         self.view = view
@@ -431,11 +433,11 @@
             self.reports.new_view()
             return
         index = sorted(view.members).index(self.member)
-        self.part = Part(
+        self.part = Shard(
             view.number, self.lease, self.report_every, lambda ref: job.run if (job := self.jobs.get(ref)) else None
         )
         # Attempts are numbered so that no two controllers and no two views ever use the same number.
-        self.home = Home(self.member, (view.number * 64 + index) << 24, self._faulty)
+        self.home = JobScheduler(self.member, (view.number * 64 + index) << 24, self._faulty)
         for name, record in self.machines.items():
             self._own(name, record)
         self._answerable = {}
@@ -460,7 +462,7 @@
         """The moment after which no member of an earlier view can have answered a report. One that was left out had
         lost its grant by then, so it was last found alive `LIFE` before."""
         assert self.view is not None
-        authority = self.answer_for - LIFE / DRIFT
+        authority = self.answer_for - LIFE / CLOCK_DRIFT
         ends = [self.view_at]
         for member, inc in self.view.lingering.items():
             proof = self.peers.ended(member, inc, self.view.number)
@@ -482,14 +484,14 @@
             self.syncing.send_outside()
             return
         slow = now - self._last_round >= QUIET_ROUND
-        news = self.home.touched or bool(self.part.dirty)
+        news = self.home.touched or bool(self.part.changed_hosts)
         self.context.after(ROUND if news else IDLE_ROUND, self._tick)
         self.reports.answer_held(now)
         if slow or news:
             self._round(self.home, self.part, now, slow)
         self.syncing.send(self.home, self.part, now)
 
-    def _round(self, home: Home, part: Part, now: timedelta, slow: bool) -> None:
+    def _round(self, home: JobScheduler, part: Shard, now: timedelta, slow: bool) -> None:
         """Work follows what changed; what only time changes is looked at in slow rounds."""
         home.touched = False
         if slow:
@@ -497,9 +499,9 @@
             part.expire(now, self.others_end())
             self._mind_workers(part, now)
             self.starter.clear_machines(home)
-        changed = part.take_dirty()
+        changed = part.take_changed()
         for host in changed:
-            self.read_row(host, part.row(host, now))
+            self.read_row(host, part.status(host, now))
         self.syncing.acknowledge(home, self.member, part.acks.get(self.member, 0))
         if not self.latched:
             self._settle(part, now)
@@ -511,13 +513,13 @@
         self.reports.answer_held(now)
         self.results.flush(home, now)
 
-    def _mind_workers(self, part: Part, now: timedelta) -> None:
+    def _mind_workers(self, part: Shard, now: timedelta) -> None:
         """Cut off from the workers alone, we would keep our machines until their leases end, and the fleet would return
         them as silent. So we give up our place when all of ours are silent while others hear theirs. When nobody hears
         any, it is not our link that is at fault."""
-        used = [agent for agent in part.agents.values() if agent.record.opened]
+        used = [agent for agent in part.machines.values() if agent.record.opened]
         others = (host for name, host in self.floor.hosts.items() if self.owner(name) != self.member)
-        cut_off = len(used) >= UNHEARD_LEAST and all(agent.quiet for agent in used)
+        cut_off = len(used) >= UNHEARD_LEAST and all(agent.silent for agent in used)
         if not cut_off or not any(host.known and host.up and not host.quiet for host in others):
             self._unheard_since = None
             return
@@ -560,7 +562,7 @@
                 found[name] = "runs a task of a job that was over"
         return found
 
-    def _settle(self, part: Part, now: timedelta) -> None:
+    def _settle(self, part: Shard, now: timedelta) -> None:
         left = self.unsettled()
         spent = (now - self.view_at).total_seconds()
         if not left:
@@ -572,7 +574,7 @@
             some = ", ".join(f"{name} ({why})" for name, why in list(left.items())[:3])
             log.info("view %d waits for %d machines after %.1f s: %s", part.number, len(left), spent, some)
 
-    def ready(self, work: Work) -> bool:
+    def ready(self, work: JobState) -> bool:
         """The job's tasks may be started: nothing of it can be on a machine without our knowing."""
         assert self.view is not None and self.part is not None
         record = work.job.record
--- a/src/ramptide/floor.py
+++ b/src/ramptide/floor.py
@@ -6,8 +6,8 @@
 from datetime import timedelta
 
 from ramptide import wire
-from ramptide.agents import OVER, OVER_NAMES, HostRow, TaskRow
-from ramptide.jobs import FAULTY_TOGETHER, Attempt, Job
+from ramptide.agents import FINISHED, FINISHED_NAMES, MachineStatus, TaskRow
+from ramptide.jobs import MAX_FAULTY_MACHINES, Attempt, Job
 from ramptide.placement import Room, empty_room
 from ramptide.records import MachineRecord
 from ramptide.settings import Tuning
@@ -95,7 +95,7 @@
         """All that was known of who runs what is rebuilt from the workers' reports; the images stay, and what has to be
         proven gone."""
         for name, host in self.hosts.items():
-            running = {row[0] for row in host.tasks if row[3] not in OVER_NAMES}
+            running = {row[0] for row in host.tasks if row[3] not in FINISHED_NAMES}
             if running:
                 self._ran.setdefault(name, set()).update(running)
         self.hosts = {name: Host(images=host.images, unproven=host.unproven) for name, host in self.hosts.items()}
@@ -112,7 +112,7 @@
             self._stale.update(self.pool, pool)
             self.pool = pool
 
-    def show(self, name: str, row: HostRow | None, now: timedelta) -> None:
+    def show(self, name: str, row: MachineStatus | None, now: timedelta) -> None:
         """Takes the row of the machine's owner."""
         host = self.hosts.get(name)
         if host is None:
@@ -128,9 +128,9 @@
         host.quiet = row.silent > 0
         host.heard = now - timedelta(seconds=row.silent)
         host.notice = None if row.notice is None else now + timedelta(seconds=row.notice)
-        host.deaf_since = None if row.deaf is None else now - timedelta(seconds=row.deaf)
+        host.deaf_since = None if row.unreachable is None else now - timedelta(seconds=row.unreachable)
         host.quick, host.images = row.quick, row.images
-        self._fail(name, row.failed, row.failing)
+        self._fail(name, row.failed_jobs, row.consecutive_failures)
         self._list(name, row.tasks)
         self._prove(name, host, now)
         self.clear(host)
@@ -155,7 +155,7 @@
         for ref in after - before:
             self._where.setdefault(ref, set()).add(name)
         host.tasks = tasks
-        host.busy = sum(row[3] not in OVER_NAMES for row in tasks)
+        host.busy = sum(row[3] not in FINISHED_NAMES for row in tasks)
         if not self._failed.keys().isdisjoint(before | after):
             for ref in self._failed.keys() & (before | after):
                 self._stale.update(self._failed[ref])
@@ -166,7 +166,7 @@
     def _prove(self, name: str, host: Host, now: timedelta) -> None:
         """A machine that hangs may go on with what it had. So what its owner gives up after a lease may run again, but
         what a report does not show is gone."""
-        if any(row[0] not in self._jobs and row[3] not in OVER_NAMES for row in host.tasks):
+        if any(row[0] not in self._jobs and row[3] not in FINISHED_NAMES for row in host.tasks):
             host.unproven = host.unproven or now
         elif host.settled and host.up and not host.quiet:
             host.unproven = None
@@ -214,7 +214,7 @@
         we know, so their home has counted them from then on. A task of a job that was over before has no home. What
         is cancelled later stays counted by its home until it is gone, so it does not matter here."""
         if not host.clear and host.settled:
-            host.clear = all(row[0] in self._jobs or row[3] in OVER_NAMES for row in host.tasks)
+            host.clear = all(row[0] in self._jobs or row[3] in FINISHED_NAMES for row in host.tasks)
         return host.clear
 
     # Whose fault a failure is.
@@ -254,7 +254,7 @@
 
     def _accuses(self, ref: str, name: str) -> bool:
         if ref in self._passed:
-            return len(self._failed[ref]) <= FAULTY_TOGETHER
+            return len(self._failed[ref]) <= MAX_FAULTY_MACHINES
         return len(self._failed[ref]) == 1 and any(
             row[3] == wire.RUNNING and other != name for other, row in self._shown(ref)
         )
@@ -308,7 +308,7 @@
             return None
         if host.quiet or host.deaf_since is not None or self.failing(name) >= self.tuning.sick_jobs:
             return None
-        here: Counter[str] = Counter(row[0] for row in host.tasks if row[3] not in OVER_NAMES)
+        here: Counter[str] = Counter(row[0] for row in host.tasks if row[3] not in FINISHED_NAMES)
         taken: list[tuple[wire.Run, int]] = []
         for ref, count in here.items():
             run = self._run(ref)
@@ -319,8 +319,8 @@
             taken.append((run, count))
         attempts = self._attempts(name)
         if attempts:
-            shown = {row[:3] for row in host.tasks if row[3] not in OVER_NAMES}
-            taken += [(a.run, 1) for a in attempts if a.phase not in OVER and a.key not in shown]
+            shown = {row[:3] for row in host.tasks if row[3] not in FINISHED_NAMES}
+            taken += [(a.run, 1) for a in attempts if a.phase not in FINISHED and a.key not in shown]
         room = empty_room(flavor, record.yard, record.spot, name)
         for run, count in taken:
             room.take(run, count)
--- a/src/ramptide/jobs.py
+++ b/src/ramptide/jobs.py
@@ -10,26 +10,26 @@
 from typing import Any
 
 from ramptide import wire
-from ramptide.agents import OVER, EntryId, Phase, TaskRow, Wish, WishRow
+from ramptide.agents import FINISHED, DesiredState, DesiredTaskRow, Phase, TaskKey, TaskRow
 from ramptide.allowances import Amounts, add_amounts
 from ramptide.records import PROGRESS_WINDOW, JobRecord, Progress
 
 log = logging.getLogger(__name__)
 
-ZERO = timedelta(0)
+NO_TIME = timedelta(0)
 BACKOFF_FIRST = timedelta(seconds=2)
-BACKOFF_MOST = timedelta(seconds=60)
-SHUN = timedelta(seconds=60)
+BACKOFF_MAX = timedelta(seconds=60)
+EXCLUDED_AFTER_FAILURE = timedelta(seconds=60)
 #: A task that runs for longer than others took to fail does well: twice as long, but at least the first; the second is
 #: enough for a service, which never shows success otherwise.
-STEADY, SERVES = timedelta(seconds=5), timedelta(seconds=60)
-REFUSED_PAUSE = timedelta(milliseconds=300)
-FAR = datetime.max.replace(tzinfo=UTC)
+RECOVERED_AFTER, SERVICE_RECOVERED_AFTER = timedelta(seconds=5), timedelta(seconds=60)
+EXCLUDED_AFTER_REFUSAL = timedelta(milliseconds=300)
+NO_DEADLINE = datetime.max.replace(tzinfo=UTC)
 #: Guesses are often too long by half; a job is given up as late only when even a shorter run would be.
-HOPEFUL = 0.7
+SHORTEST_RUN_SHARE = 0.7
 #: A job that failed on more machines than this was most likely at fault itself, even if it runs later.
-FAULTY_TOGETHER = 3
-PHASES = {phase.value: phase for phase in Phase}
+MAX_FAULTY_MACHINES = 3
+PHASE_BY_NAME = {phase.value: phase for phase in Phase}
 
 
 class Job:
@@ -59,38 +59,38 @@
     task: int
     number: int
     host: str
-    yard: str
-    wish: Wish
+    zone: str
+    desired: DesiredState
     seq: int
     since: timedelta
     phase: Phase = Phase.QUEUED
-    grace: timedelta = ZERO
+    grace: timedelta = NO_TIME
     counted: bool = False
-    ran_from: timedelta | None = None
+    running_since: timedelta | None = None
 
     @property
-    def key(self) -> EntryId:
+    def key(self) -> TaskKey:
         return (self.run.ref, self.task, self.number)
 
 
 @dataclass(slots=True)
-class Work:
+class JobState:
     """What the home keeps of a job in this view."""
 
     job: Job
     done: Progress
     since: timedelta
     placed: dict[int, Attempt] = field(default_factory=dict)
-    yards: Counter[str] = field(default_factory=Counter)
-    again: list[int] = field(default_factory=list)
-    cursor: int = 0
+    zones: Counter[str] = field(default_factory=Counter)
+    retry_tasks: list[int] = field(default_factory=list)
+    next_new_task: int = 0
     frozen: bool = False
-    shunned: dict[str, timedelta] = field(default_factory=dict)
+    excluded_until: dict[str, timedelta] = field(default_factory=dict)
     #: Machines on which it failed since a task of it did well, and the longest that a task ran before it failed.
     failed_on: set[str] = field(default_factory=set)
-    lasted: timedelta = ZERO
-    backoff: timedelta = ZERO
-    hold: timedelta = ZERO
+    longest_failed_run: timedelta = NO_TIME
+    backoff: timedelta = NO_TIME
+    retry_at: timedelta = NO_TIME
     probe: int | None = None
     waiting_since: timedelta | None = None
     #: Since when some of its tasks have found no room, though its team's limit lets them run.
@@ -116,7 +116,7 @@
     @property
     def avoids(self) -> set[str]:
         """Machines whose room is none for it, so that another is rented: while they may all be faulty."""
-        return self.failed_on if len(self.failed_on) < FAULTY_TOGETHER else set()
+        return self.failed_on if len(self.failed_on) < MAX_FAULTY_MACHINES else set()
 
     @property
     def claims_room(self) -> bool:
@@ -126,13 +126,13 @@
     def idle_for(self, now: timedelta, wall: datetime) -> timedelta:
         """How long nothing of it was started. While it fails it is idle by our own choice."""
         if self.failing:
-            return ZERO
+            return NO_TIME
         if self.started_at is None and not self.placed and not self.done.count:
             return wall - self.job.submitted
         return now - (self.started_at or self.since)
 
     @property
-    def dirty(self) -> bool:
+    def has_unrecorded_results(self) -> bool:
         return self.done.count != self.job.progress.count
 
     @property
@@ -141,195 +141,197 @@
 
     def next_task(self) -> int | None:
         """The next task that waits; it stays next until it is placed."""
-        while self.again:
-            if self.again[0] in self.done or self.again[0] in self.placed:
-                heapq.heappop(self.again)
+        while self.retry_tasks:
+            if self.retry_tasks[0] in self.done or self.retry_tasks[0] in self.placed:
+                heapq.heappop(self.retry_tasks)
             else:
-                return self.again[0]
-        while self.cursor < self.job.run.pieces and (self.cursor in self.done or self.cursor in self.placed):
-            self.cursor += 1
-        if self.cursor < min(self.job.run.pieces, self.done.low + PROGRESS_WINDOW):
-            return self.cursor
+                return self.retry_tasks[0]
+        while self.next_new_task < self.job.run.pieces and (
+            self.next_new_task in self.done or self.next_new_task in self.placed
+        ):
+            self.next_new_task += 1
+        if self.next_new_task < min(self.job.run.pieces, self.done.low + PROGRESS_WINDOW):
+            return self.next_new_task
         return None
 
 
-class Home:
+class JobScheduler:
     """The jobs whose starts we decide in one view, and every attempt of theirs that may be on a machine."""
 
     def __init__(self, member: str, first_attempt: int, faulty: Callable[[str], bool] = lambda host: False) -> None:
         self.member = member
         self._faulty = faulty
-        self.works: dict[str, Work] = {}
-        self.attempts: dict[str, dict[EntryId, Attempt]] = {}
-        self.limbo: dict[str, list[Attempt]] = {}
+        self.jobs: dict[str, JobState] = {}
+        self.attempts: dict[str, dict[TaskKey, Attempt]] = {}
+        self.in_transfer: dict[str, list[Attempt]] = {}
         self.seq = 0
         self.touched = True
         #: Machines of which we wish something else than before, and jobs with results that are not written.
-        self.wished: set[str] = set()
+        self.changed_hosts: set[str] = set()
         self.results: set[str] = set()
         #: Jobs of which some task is neither done nor placed.
-        self.hungry: dict[str, Work] = {}
+        self.with_pending_tasks: dict[str, JobState] = {}
         #: Jobs that fail wherever they run.
-        self.failing: dict[str, Work] = {}
+        self.failing: dict[str, JobState] = {}
         #: Attempts that their owners do not show; each is either on its way there or gone.
-        self.unshown: dict[EntryId, Attempt] = {}
+        self.unshown: dict[TaskKey, Attempt] = {}
         self._next_attempt = first_attempt
-        self._by_ref: dict[str, dict[EntryId, Attempt]] = {}
+        self._by_ref: dict[str, dict[TaskKey, Attempt]] = {}
         self._using: dict[str, Amounts] = {}
 
     # The indexes: one function adds an attempt, one removes it, one counts it.
 
-    def _add(self, attempt: Attempt) -> None:
+    def _index(self, attempt: Attempt) -> None:
         self.attempts.setdefault(attempt.host, {})[attempt.key] = attempt
         self._by_ref.setdefault(attempt.run.ref, {})[attempt.key] = attempt
         self.unshown[attempt.key] = attempt
-        self.wished.add(attempt.host)
+        self.changed_hosts.add(attempt.host)
         self._count(attempt)
         self.touched = True
 
-    def _remove(self, attempt: Attempt) -> None:
+    def _unindex(self, attempt: Attempt) -> None:
         for index, name in ((self.attempts, attempt.host), (self._by_ref, attempt.run.ref)):
             entries = index.get(name)
             if entries is not None and entries.pop(attempt.key, None) is not None and not entries:
                 del index[name]
         self.unshown.pop(attempt.key, None)
-        self.wished.add(attempt.host)
+        self.changed_hosts.add(attempt.host)
         self._count(attempt, gone=True)
         self.touched = True
 
     def _count(self, attempt: Attempt, gone: bool = False) -> None:
         """Whatever may possibly be on a machine counts against its team."""
-        counts = not gone and attempt.phase not in OVER
+        counts = not gone and attempt.phase not in FINISHED
         if counts is not attempt.counted:
             attempt.counted = counts
             sign = 1 if counts else -1
             add_amounts(self._using, attempt.run.team, attempt.run.cores * sign, attempt.run.cards * sign)
 
-    def _weigh(self, work: Work) -> None:
-        if work.waiting > 0 and work.job.ref in self.works:
-            self.hungry[work.job.ref] = work
+    def _index_pending(self, work: JobState) -> None:
+        if work.waiting > 0 and work.job.ref in self.jobs:
+            self.with_pending_tasks[work.job.ref] = work
         else:
-            self.hungry.pop(work.job.ref, None)
+            self.with_pending_tasks.pop(work.job.ref, None)
 
     # Which jobs are ours.
 
-    def take_job(self, job: Job, now: timedelta, failed_on: Collection[str] = ()) -> Work:
+    def take_job(self, job: Job, now: timedelta, failed_on: Collection[str] = ()) -> JobState:
         """`failed_on`: where it failed under its former home, should there be one."""
-        work = self.works.get(job.ref)
+        work = self.jobs.get(job.ref)
         if work is None:
-            work = Work(job, Progress(job.progress.low, job.progress.bits), now, failed_on=set(failed_on))
-            self.works[job.ref] = work
+            work = JobState(job, Progress(job.progress.low, job.progress.bits), now, failed_on=set(failed_on))
+            self.jobs[job.ref] = work
             self._back_off(work, now)
             self.touched = True
         elif work.job.progress.count > work.done.count:
             work.done = Progress(job.progress.low, job.progress.bits)
-        self._weigh(work)
+        self._index_pending(work)
         return work
 
-    def leave_job(self, ref: str) -> None:
+    def release_job(self, ref: str) -> None:
         """Another controller is the job's home now; the attempts are its affair."""
-        work = self.works.pop(ref, None)
+        work = self.jobs.pop(ref, None)
         if work is None:
             return
-        self._weigh(work)
+        self._index_pending(work)
         self.failing.pop(ref, None)
         for attempt in list(self._by_ref.get(ref, {}).values()):
             # Counted as ours until the new home says that it counts them, and lowers our allowance for it.
-            self._remove(attempt)
-            self.limbo.setdefault(ref, []).append(attempt)
+            self._unindex(attempt)
+            self.in_transfer.setdefault(ref, []).append(attempt)
         self.touched = True
 
-    def taken_over(self, ref: str) -> None:
-        self.limbo.pop(ref, None)
+    def transfer_confirmed(self, ref: str) -> None:
+        self.in_transfer.pop(ref, None)
 
     def job_over(self, ref: str) -> None:
         """No task of it may be started any more; what may be on a machine still counts until it is gone."""
-        work = self.works.pop(ref, None)
+        work = self.jobs.pop(ref, None)
         if work is None:
             return
-        self._weigh(work)
+        self._index_pending(work)
         self.failing.pop(ref, None)
         self.results.discard(ref)
         for attempt in list(self._by_ref.get(ref, {}).values()):
-            self._wish(attempt, Wish.REAP if attempt.phase in OVER else Wish.STOP, ZERO)
+            self._set_desired(attempt, DesiredState.REAP if attempt.phase in FINISHED else DesiredState.STOP, NO_TIME)
         self.touched = True
 
-    def recorded(self, ref: str) -> None:
+    def results_recorded(self, ref: str) -> None:
         """The state service has more of the job's results: the workers need not keep those any more."""
-        work = self.works.get(ref)
+        work = self.jobs.get(ref)
         for attempt in list(self._by_ref.get(ref, {}).values()):
             if attempt.phase is Phase.ENDED and work is not None and attempt.task in work.job.progress:
-                self._wish(attempt, Wish.REAP)
+                self._set_desired(attempt, DesiredState.REAP)
 
     # Starting and stopping.
 
-    def start(self, work: Work, task: int, host: str, yard: str, now: timedelta) -> Attempt:
+    def start(self, work: JobState, task: int, host: str, zone: str, now: timedelta) -> Attempt:
         self._next_attempt += 1
         work.started_at = now
         if work.failing:
             work.probe = task
-        attempt = Attempt(work.job.run, task, self._next_attempt, host, yard, Wish.RUN, self.seq + 1, now)
-        self._hold(work, attempt)
+        attempt = Attempt(work.job.run, task, self._next_attempt, host, zone, DesiredState.RUN, self.seq + 1, now)
+        self._place(work, attempt)
         return attempt
 
-    def _hold(self, work: Work, attempt: Attempt) -> None:
-        self._add(attempt)
+    def _place(self, work: JobState, attempt: Attempt) -> None:
+        self._index(attempt)
         work.placed[attempt.task] = attempt
-        work.yards[attempt.yard] += 1
-        self._weigh(work)
+        work.zones[attempt.zone] += 1
+        self._index_pending(work)
 
     def stop(self, attempt: Attempt, grace: timedelta) -> None:
-        if attempt.wish is Wish.RUN:
-            self._wish(attempt, Wish.STOP, grace)
+        if attempt.desired is DesiredState.RUN:
+            self._set_desired(attempt, DesiredState.STOP, grace)
 
-    def _wish(self, attempt: Attempt, wish: Wish, grace: timedelta = ZERO) -> None:
-        if attempt.wish is not wish:
-            attempt.wish, attempt.grace, attempt.seq = wish, grace, self.seq + 1
-            self.wished.add(attempt.host)
+    def _set_desired(self, attempt: Attempt, desired: DesiredState, grace: timedelta = NO_TIME) -> None:
+        if attempt.desired is not desired:
+            attempt.desired, attempt.grace, attempt.seq = desired, grace, self.seq + 1
+            self.changed_hosts.add(attempt.host)
             self.touched = True
 
-    def _release(self, attempt: Attempt) -> None:
+    def _free_task(self, attempt: Attempt) -> None:
         """The attempt is proven gone: its task may be started again."""
-        work = self.works.get(attempt.run.ref)
+        work = self.jobs.get(attempt.run.ref)
         if work is None or work.placed.get(attempt.task) is not attempt:
             return
         del work.placed[attempt.task]
-        work.yards[attempt.yard] -= 1
+        work.zones[attempt.zone] -= 1
         if attempt.task not in work.done:
-            heapq.heappush(work.again, attempt.task)
-        self._weigh(work)
+            heapq.heappush(work.retry_tasks, attempt.task)
+        self._index_pending(work)
         self.touched = True
 
-    def _drop(self, attempt: Attempt) -> None:
-        self._remove(attempt)
-        self._release(attempt)
+    def _discard(self, attempt: Attempt) -> None:
+        self._unindex(attempt)
+        self._free_task(attempt)
 
-    def host_gone(self, host: str) -> None:
+    def remove_machine(self, host: str) -> None:
         """The machine's return was answered: all on it is gone."""
         for attempt in list(self.attempts.get(host, {}).values()):
             attempt.phase = Phase.GONE
-            self._drop(attempt)
-        for attempts in self.limbo.values():
+            self._discard(attempt)
+        for attempts in self.in_transfer.values():
             attempts[:] = [attempt for attempt in attempts if attempt.host != host]
 
     # What owners show.
 
-    def read(self, host: str, yard: str, tasks: list[TaskRow], now: timedelta) -> None:
+    def apply_status(self, host: str, zone: str, tasks: list[TaskRow], now: timedelta) -> None:
         """Takes the owner's list for a machine."""
-        shown: set[EntryId] = set()
+        shown: set[TaskKey] = set()
         entries = self.attempts.get(host, {})
         for ref, task, number, name, cause in tasks:
             key = (ref, task, number)
             attempt = entries.get(key)
-            if attempt is None and (ref not in self.works or task >= self.works[ref].job.run.pieces):
+            if attempt is None and (ref not in self.jobs or task >= self.jobs[ref].job.run.pieces):
                 continue
             shown.add(key)
-            phase = PHASES[name]
+            phase = PHASE_BY_NAME[name]
             if attempt is None:
-                attempt = self._found(host, yard, key, phase, now)
+                attempt = self._adopt(host, zone, key, phase, now)
             self.unshown.pop(key, None)
-            if attempt.phase is not phase or phase in OVER:
-                self._advance(attempt, phase, cause, now)
+            if attempt.phase is not phase or phase in FINISHED:
+                self._change_phase(attempt, phase, cause, now)
         for key, attempt in self.attempts.get(host, {}).items():
             if key not in shown:
                 self.unshown[key] = attempt
@@ -340,13 +342,13 @@
         for attempt in list(self.unshown.values()):
             if ack < attempt.seq or answered(attempt.host) is None:
                 continue
-            if attempt.wish is Wish.RUN:
+            if attempt.desired is DesiredState.RUN:
                 # The owner did not know the machine when our wish came. A later message of ours may still
                 # carry the wish, so it is taken back first; only its answer proves the attempt gone.
-                self._wish(attempt, Wish.REAP)
+                self._set_desired(attempt, DesiredState.REAP)
             else:
-                self._drop(attempt)
-        for ref, attempts in list(self.limbo.items()):
+                self._discard(attempt)
+        for ref, attempts in list(self.in_transfer.items()):
             left = []
             for attempt in attempts:
                 tasks = answered(attempt.host)
@@ -354,121 +356,121 @@
                 if not gone:
                     left.append(attempt)
             if left:
-                self.limbo[ref] = left
+                self.in_transfer[ref] = left
             else:
-                del self.limbo[ref]
+                del self.in_transfer[ref]
 
-    def _found(self, host: str, yard: str, key: EntryId, phase: Phase, now: timedelta) -> Attempt:
+    def _adopt(self, host: str, zone: str, key: TaskKey, phase: Phase, now: timedelta) -> Attempt:
         """An attempt of a job of ours that an earlier home started."""
-        work = self.works[key[0]]
-        attempt = Attempt(work.job.run, key[1], key[2], host, yard, Wish.RUN, self.seq + 1, now, phase)
-        attempt.ran_from = now if phase is Phase.RUNNING else None
-        if phase not in OVER and (key[1] in work.done or key[1] in work.placed):
-            self._add(attempt)
-            self._wish(attempt, Wish.STOP)
-        elif phase not in OVER:
-            self._hold(work, attempt)
+        work = self.jobs[key[0]]
+        attempt = Attempt(work.job.run, key[1], key[2], host, zone, DesiredState.RUN, self.seq + 1, now, phase)
+        attempt.running_since = now if phase is Phase.RUNNING else None
+        if phase not in FINISHED and (key[1] in work.done or key[1] in work.placed):
+            self._index(attempt)
+            self._set_desired(attempt, DesiredState.STOP)
+        elif phase not in FINISHED:
+            self._place(work, attempt)
         else:
-            self._add(attempt)
+            self._index(attempt)
             attempt.phase = Phase.QUEUED
         return attempt
 
-    def _advance(self, attempt: Attempt, phase: Phase, cause: str | None, now: timedelta) -> None:
+    def _change_phase(self, attempt: Attempt, phase: Phase, cause: str | None, now: timedelta) -> None:
         before, attempt.phase = attempt.phase, phase
         self._count(attempt)
         if phase is Phase.RUNNING:
-            attempt.ran_from = now
-        if phase not in OVER:
+            attempt.running_since = now
+        if phase not in FINISHED:
             return
-        work = self.works.get(attempt.run.ref)
-        if before not in OVER and work is not None:
+        work = self.jobs.get(attempt.run.ref)
+        if before not in FINISHED and work is not None:
             if phase is Phase.ENDED and cause == wire.DONE:
                 self._task_done(work, attempt)
             elif phase is Phase.ENDED and cause == wire.ERROR:
                 self._task_failed(work, attempt, now)
             elif phase is Phase.REFUSED or phase is Phase.ENDED and cause in wire.REFUSED:
-                work.shunned[attempt.host] = now + REFUSED_PAUSE
+                work.excluded_until[attempt.host] = now + EXCLUDED_AFTER_REFUSAL
         # Reaped only once its result is in the state service: until then the worker keeps it for us.
         if phase is not Phase.ENDED or cause != wire.DONE or work is None or attempt.task in work.job.progress:
-            self._wish(attempt, Wish.REAP)
-        self._release(attempt)
+            self._set_desired(attempt, DesiredState.REAP)
+        self._free_task(attempt)
 
-    def _task_done(self, work: Work, attempt: Attempt) -> None:
-        work.lasted = ZERO
-        self._does_well(work)
+    def _task_done(self, work: JobState, attempt: Attempt) -> None:
+        work.longest_failed_run = NO_TIME
+        self._clear_failures(work)
         if work.job.run.shape == wire.BATCH and work.done.add(attempt.task):
             self.results.add(attempt.run.ref)
-            self._weigh(work)
+            self._index_pending(work)
             self.touched = True
 
-    def _task_failed(self, work: Work, attempt: Attempt, now: timedelta) -> None:
+    def _task_failed(self, work: JobState, attempt: Attempt, now: timedelta) -> None:
         """Failures on several machines speak against the job, unless the machines are known as faulty."""
         log.info("%s/%d failed on %s", attempt.run.ref, attempt.task, attempt.host)
-        work.shunned[attempt.host] = now + SHUN
+        work.excluded_until[attempt.host] = now + EXCLUDED_AFTER_FAILURE
         if self._faulty(attempt.host):
             return
         work.failed_on.add(attempt.host)
-        if attempt.ran_from is not None:
-            work.lasted = max(work.lasted, now - attempt.ran_from)
+        if attempt.running_since is not None:
+            work.longest_failed_run = max(work.longest_failed_run, now - attempt.running_since)
         self._back_off(work, now)
 
-    def _back_off(self, work: Work, now: timedelta) -> None:
+    def _back_off(self, work: JobState, now: timedelta) -> None:
         """What fails together counts once; the next probe that fails doubles the pause."""
         if not work.failing:
             return
         self.failing[work.job.ref] = work
         work.waiting_since = None
-        if work.hold <= now:
-            work.backoff = min(max(work.backoff * 2, BACKOFF_FIRST), BACKOFF_MOST)
-            work.hold = now + work.backoff
+        if work.retry_at <= now:
+            work.backoff = min(max(work.backoff * 2, BACKOFF_FIRST), BACKOFF_MAX)
+            work.retry_at = now + work.backoff
 
-    def _does_well(self, work: Work) -> None:
+    def _clear_failures(self, work: JobState) -> None:
         work.failed_on.clear()
-        work.backoff = work.hold = ZERO
+        work.backoff = work.retry_at = NO_TIME
         if self.failing.pop(work.job.ref, None) is not None:
             self.touched = True
 
-    def spare_survivors(self, now: timedelta) -> None:
+    def clear_recovered(self, now: timedelta) -> None:
         """Jobs of which a task has run for well over what others took to fail do not fail everywhere."""
         for work in list(self.failing.values()):
-            least = max(work.lasted * 2, STEADY)
+            least = max(work.longest_failed_run * 2, RECOVERED_AFTER)
             if work.job.run.shape == wire.SERVICE:
-                least = min(least, SERVES)
+                least = min(least, SERVICE_RECOVERED_AFTER)
             if any(
-                one.phase is Phase.RUNNING and one.ran_from is not None and now - one.ran_from > least
+                one.phase is Phase.RUNNING and one.running_since is not None and now - one.running_since > least
                 for one in work.placed.values()
             ):
-                self._does_well(work)
+                self._clear_failures(work)
 
     def machine_faulty(self, host: str) -> None:
         """The failures there were the machine's fault, not the jobs'."""
-        for work in self.works.values():
+        for work in self.jobs.values():
             if host in work.failed_on:
                 work.failed_on.discard(host)
                 if not work.failing and work.job.ref in self.failing:
-                    self._does_well(work)
+                    self._clear_failures(work)
 
     # What the others need to know.
 
-    def wishes(self, host: str) -> list[WishRow] | None:
+    def desired_tasks(self, host: str) -> list[DesiredTaskRow] | None:
         """All that we wish of a machine; None when that is nothing."""
         entries = self.attempts.get(host)
         if entries is None:
             return None
-        return [(a.run.ref, a.task, a.number, a.wish.value, a.grace.total_seconds()) for a in entries.values()]
+        return [(a.run.ref, a.task, a.number, a.desired.value, a.grace.total_seconds()) for a in entries.values()]
 
     def using(self) -> dict[str, Amounts]:
         """What each team's attempts hold: whatever may possibly be on a machine counts."""
         return dict(self._using)
 
-    def in_limbo(self) -> dict[str, dict[str, Amounts]]:
+    def amounts_in_transfer(self) -> dict[str, dict[str, Amounts]]:
         """The same for each job that was handed over and that its new home does not count yet."""
-        return {ref: sum_amounts(attempts) for ref, attempts in self.limbo.items()}
+        return {ref: sum_amounts(attempts) for ref, attempts in self.in_transfer.items()}
 
     def held(self) -> dict[str, Amounts]:
         """Both together: what our allowance has to cover."""
         total = self.using()
-        for attempts in self.limbo.values():
+        for attempts in self.in_transfer.values():
             for team, (cores, cards) in sum_amounts(attempts).items():
                 add_amounts(total, team, cores, cards)
         return total
@@ -477,7 +479,7 @@
 def sum_amounts(attempts: Iterable[Attempt]) -> dict[str, Amounts]:
     total: dict[str, Amounts] = {}
     for attempt in attempts:
-        if attempt.phase not in OVER:
+        if attempt.phase not in FINISHED:
             add_amounts(total, attempt.run.team, attempt.run.cores, attempt.run.cards)
     return total
 
@@ -500,7 +502,7 @@
         return Chance.STARVED
     if job.due is None:
         return Chance.IN_TIME
-    end = now + timedelta(seconds=job.run.guess_s * HOPEFUL)
+    end = now + timedelta(seconds=job.run.guess_s * SHORTEST_RUN_SHARE)
     if end <= job.due:
         return Chance.IN_TIME
     return Chance.LATE if end <= job.due + (job.due - job.submitted) / 2 else Chance.TOO_LATE
@@ -515,7 +517,7 @@
         run.job_class not in prompt,
         run.shape != wire.SERVICE,
         chance(job, idle, now, patience),
-        job.due or FAR,
+        job.due or NO_DEADLINE,
         job.submitted,
         run.ref,
     )
--- a/src/ramptide/peers.py
+++ b/src/ramptide/peers.py
@@ -10,7 +10,7 @@
 import cbor2
 import msgspec
 
-from ramptide.agents import HostRow, WishRow
+from ramptide.agents import DesiredTaskRow, MachineStatus
 from ramptide.context import CBOR, Reply, Runtime
 from ramptide.delta import ReceivedSequence
 from ramptide.wire import Amount, Count
@@ -51,8 +51,8 @@
     base: Count = 0
     latched: bool = False
     acks: dict[str, Count] = {}
-    wishes: dict[str, list[WishRow] | None] = {}
-    status: dict[str, HostRow | None] = {}
+    wishes: dict[str, list[DesiredTaskRow] | None] = {}
+    status: dict[str, MachineStatus | None] = {}
     using: dict[str, tuple[Taken, Taken]] = {}
     asking: dict[str, tuple[Taken, Taken]] = {}
     waiting: list[WaitingRow] = []
--- a/src/ramptide/placement.py
+++ b/src/ramptide/placement.py
@@ -9,7 +9,7 @@
 from ramptide import wire
 
 EPSILON = 1e-6
-OPEN_FOR = 4
+REPLICAS_TO_OPEN_FOR = 4
 
 
 class Reach(IntEnum):
@@ -30,7 +30,7 @@
 
     host: str
     flavor: str
-    yard: str
+    zone: str
     spot: bool
     cores: float
     cards: float
@@ -57,7 +57,7 @@
     def copy(self) -> "Room":
         """For trials. Written out, as `dataclasses.replace` takes ten times as long and hundreds are made a step."""
         return Room(
-            self.host, self.flavor, self.yard, self.spot, self.cores, self.cards, self.ram_gb, self.images,
+            self.host, self.flavor, self.zone, self.spot, self.cores, self.cards, self.ram_gb, self.images,
             self.idle, self.quick, self.kept, self.services, self.share,
         )  # fmt: skip
 
@@ -67,24 +67,24 @@
         self.ram_gb -= run.ram_gb * tasks
 
 
-def may_use(run: wire.Run, flavor: str, yard: str, spot: bool) -> bool:
+def may_use(run: wire.Run, flavor: str, zone: str, spot: bool) -> bool:
     """The job allows this type, zone and kind of machine."""
     return (
-        (run.rigs is None or flavor in run.rigs) and (run.yard is None or run.yard == yard) and (run.spot or not spot)
+        (run.rigs is None or flavor in run.rigs) and (run.yard is None or run.yard == zone) and (run.spot or not spot)
     )
 
 
 def admits(run: wire.Run, room: Room, reach: Reach = Reach.NONE) -> bool:
     """The job may use this machine, whatever room is left there."""
     kept_from = room.kept and run.shape != wire.SERVICE
-    return may_use(run, room.flavor, room.yard, room.spot) and (
+    return may_use(run, room.flavor, room.zone, room.spot) and (
         not kept_from or reach is Reach.ALL or room.idle and reach is Reach.POOL
     )
 
 
-def empty_room(flavor: wire.Flavor, yard: str, spot: bool, host: str = "") -> Room:
+def empty_room(flavor: wire.Flavor, zone: str, spot: bool, host: str = "") -> Room:
     """What a machine of the type has before anything runs there."""
-    return Room(host, flavor.name, yard, spot, flavor.cores, flavor.cards, flavor.ram_gb)
+    return Room(host, flavor.name, zone, spot, flavor.cores, flavor.cards, flavor.ram_gb)
 
 
 def holds(run: wire.Run, flavor: wire.Flavor) -> bool:
@@ -98,21 +98,21 @@
 
 def can_ever_run(run: wire.Run, flavors: Iterable[wire.Flavor]) -> bool:
     """Some allowed type and zone takes a task, and the zone rules can be met."""
-    yards: set[str] = set()
+    zones: set[str] = set()
     for flavor in flavors:
         if holds(run, flavor):
-            yards.update(yard for yard in flavor.yards if may_use(run, flavor.name, yard, False))
+            zones.update(zone for zone in flavor.yards if may_use(run, flavor.name, zone, False))
     if run.spread and run.pieces > 1:
-        return len(yards) > 1 and not run.one_zone
-    return bool(yards)
+        return len(zones) > 1 and not run.one_zone
+    return bool(zones)
 
 
-def zone_room(run: wire.Run, yard: str, placed: Mapping[str, int]) -> int:
+def zone_room(run: wire.Run, zone: str, placed: Mapping[str, int]) -> int:
     """How many more tasks the zone rules allow in a zone, given where the job's tasks are now."""
-    if run.one_zone and any(count for other, count in placed.items() if other != yard):
+    if run.one_zone and any(count for other, count in placed.items() if other != zone):
         return 0
     if run.spread:
-        return max(0, (run.pieces + 1) // 2 - placed.get(yard, 0))
+        return max(0, (run.pieces + 1) // 2 - placed.get(zone, 0))
     return run.pieces
 
 
@@ -125,16 +125,16 @@
         and room.ram_gb + EPSILON >= run.ram_gb
         and admits(run, room, reach)
         and room.fits(run, reach) > 0
-        and zone_room(run, room.yard, placed)
+        and zone_room(run, room.zone, placed)
     ]
     if run.one_zone and not any(placed.values()):
         # The first task decides the zone of all: it goes where most of them fit.
         capacity: Counter[str] = Counter()
         for room in found:
-            capacity[room.yard] += room.fits(run)
+            capacity[room.zone] += room.fits(run)
         if capacity:
-            best = min(capacity, key=lambda yard: (-min(capacity[yard], run.pieces), yard))
-            found = [room for room in found if room.yard == best]
+            best = min(capacity, key=lambda zone: (-min(capacity[zone], run.pieces), zone))
+            found = [room for room in found if room.zone == best]
     return found
 
 
@@ -149,9 +149,9 @@
     """Machines for many tasks of an array, each filled before the next: one walk of the rooms for all tasks."""
     here = Counter(placed)
     for room in sorted(usable(run, rooms, placed, reach), key=lambda one: _preference(run, one)):
-        count = min(room.fits(run, reach), tasks, zone_room(run, room.yard, here))
+        count = min(room.fits(run, reach), tasks, zone_room(run, room.zone, here))
         if count > 0:
-            here[room.yard] += count
+            here[room.zone] += count
             tasks -= count
             yield room, count
         if tasks <= 0:
@@ -177,7 +177,7 @@
     missing = run.image not in room.images
     if run.shape == wire.SERVICE:
         opens = not room.services
-        small = opens and room.fits(run) < OPEN_FOR
+        small = opens and room.fits(run) < REPLICAS_TO_OPEN_FOR
         return (opens, small, missing, not room.quick, room.spot, room.idle, -room.services, room.cores, room.host)
     return (run.spot and not room.spot, room.quick and not room.idle, missing, room.idle, room.host)
 
@@ -191,10 +191,10 @@
             break
         if not admits(run, room):
             continue
-        count = min(room.fits(run), tasks - found, zone_room(run, room.yard, placed))
+        count = min(room.fits(run), tasks - found, zone_room(run, room.zone, placed))
         if count:
             if take:
                 room.take(run, count)
-            placed[room.yard] += count
+            placed[room.zone] += count
             found += count
     return found
--- a/src/ramptide/preemption.py
+++ b/src/ramptide/preemption.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OnMachine:
+class RunningTask:
     """A task that holds room."""
 
     run: wire.Run
@@ -29,7 +29,7 @@
 ) -> bool:
     """A task of `victim` may be stopped for one of `run`.
 
-    Lower ranks give way to higher ones. Work of any rank that another team runs beyond its own
+    Lower ranks give way to higher ones. JobState of any rank that another team runs beyond its own
     guarantee gives way to what a team may run within its guarantee. Nothing else does.
     """
     if wire.RANKS.index(victim.rank) < wire.RANKS.index(run.rank):
@@ -46,13 +46,13 @@
 def victims(
     run: wire.Run,
     room: Room,
-    tasks: Iterable[OnMachine],
+    tasks: Iterable[RunningTask],
     claimable: Callable[[wire.Run], bool],
     placed: Mapping[str, int],
-) -> tuple[float, list[OnMachine]] | None:
+) -> tuple[float, list[RunningTask]] | None:
     """Who goes on this machine to make room for one task of the job, and what is lost by it; None when that
     can't be done, or need not."""
-    if not admits(run, room) or not zone_room(run, room.yard, placed):
+    if not admits(run, room) or not zone_room(run, room.zone, placed):
         return None
     trial, lost, going = room.copy(), 0.0, []
     for task in sorted((t for t in tasks if claimable(t.run)), key=_loss):
@@ -64,7 +64,7 @@
     return (lost, going) if going and trial.fits(run) else None
 
 
-def _loss(task: OnMachine) -> tuple[float, str, int]:
+def _loss(task: RunningTask) -> tuple[float, str, int]:
     """What stopping a task costs: little if it saves, more the longer it runs, most for a replica."""
     run = task.run
     if run.shape == wire.SERVICE:
--- a/src/ramptide/results.py
+++ b/src/ramptide/results.py
@@ -7,7 +7,7 @@
 
 from ramptide import wire
 from ramptide.commits import CommitBatcher
-from ramptide.jobs import Home, Work
+from ramptide.jobs import JobScheduler, JobState
 from ramptide.limits import Priority
 from ramptide.records import ENDED, JOB, EndRecord, to_value
 from ramptide.store import Transaction, TransactionResult
@@ -35,12 +35,12 @@
     def forget(self, ref: str) -> None:
         self._next.pop(ref, None)
 
-    def flush(self, home: Home, now: timedelta) -> None:
+    def flush(self, home: JobScheduler, now: timedelta) -> None:
         if self._c.mirror.lacking:
             return
         for ref in list(home.results):
-            work = home.works.get(ref)
-            if work is None or not work.dirty:
+            work = home.jobs.get(ref)
+            if work is None or not work.has_unrecorded_results:
                 home.results.discard(ref)
             elif not work.frozen and ref not in self._flying:
                 if work.complete and now >= self._next.get(ref, now):
@@ -48,7 +48,7 @@
                 elif not work.complete and now >= self._next.setdefault(ref, now + PROGRESS_INTERVAL):
                     self._record(work, now)
 
-    def _finish(self, work: Work, now: timedelta) -> None:
+    def _finish(self, work: JobState, now: timedelta) -> None:
         job = work.job
         key, end = JOB + job.ref, EndRecord(wire.DONE, job.run.pieces, job.run.pieces)
         txn = Transaction(when={key: job.stamp}, puts=[(ENDED + job.ref, to_value(end), None)], drops=[key])
@@ -61,7 +61,7 @@
         self._fly(job.ref, now + RETRY_DELAY)
         self._c.commits.add(txn, done)
 
-    def _record(self, work: Work, now: timedelta) -> None:
+    def _record(self, work: JobState, now: timedelta) -> None:
         job = work.job
         key = JOB + job.ref
         record = msgspec.structs.replace(job.record, done=work.done.encode())
--- a/src/ramptide/starts.py
+++ b/src/ramptide/starts.py
@@ -12,15 +12,15 @@
 import msgspec
 
 from ramptide import wire
-from ramptide.agents import OVER_NAMES
+from ramptide.agents import FINISHED_NAMES
 from ramptide.allowances import NO_LIMIT, NOTHING, Amounts, add_amounts, limited, limits_of
 from ramptide.fleet import Demand, Machine
 from ramptide.floor import SILENT, UNTOLD, Host
-from ramptide.jobs import Chance, Home, Job, Work, chance, urgency
+from ramptide.jobs import Chance, Job, JobScheduler, JobState, chance, urgency
 from ramptide.membership import View
 from ramptide.peers import WaitingRow
 from ramptide.placement import EPSILON, Reach, Room, admits, choose, choose_many, fill, needs, usable
-from ramptide.preemption import OnMachine, may_claim, victims
+from ramptide.preemption import RunningTask, may_claim, victims
 from ramptide.records import JOB, Handover, to_value
 from ramptide.store import Transaction, TransactionResult
 
@@ -69,7 +69,7 @@
         """What is free on machines that take tasks now, and whose owners are heard."""
         c = self._c
         if ours_only:
-            return list(c.floor.free(c.part.agents)) if c.part is not None else []
+            return list(c.floor.free(c.part.machines)) if c.part is not None else []
         fresh = c.fresh_members()
         if c.view is not None and len(fresh) >= len(c.view.members):
             return list(c.floor.free())
@@ -92,12 +92,16 @@
 
     # Starts.
 
-    def place(self, home: Home, now: timedelta) -> None:
+    def place(self, home: JobScheduler, now: timedelta) -> None:
         """Starts what finds room, the most urgent first. Where one job of some needs found none, no other of the
         same needs is tried in this round."""
         c = self._c
-        home.spare_survivors(now)
-        works = [w for w in home.hungry.values() if not w.frozen and w.hold <= now and w.startable and c.ready(w)]
+        home.clear_recovered(now)
+        works = [
+            w
+            for w in home.with_pending_tasks.values()
+            if not w.frozen and w.retry_at <= now and w.startable and c.ready(w)
+        ]
         if not works:
             return
         c.floor.refresh()
@@ -113,7 +117,7 @@
             left = key in hopeless
             if not left:
                 left = self._place_work(home, work, rooms, using, reach, now)
-                if left and not work.shunned and not work.job.run.one_zone and not work.job.run.spread:
+                if left and not work.excluded_until and not work.job.run.one_zone and not work.job.run.spread:
                     hopeless.add(key)
             work.waiting_since = (work.waiting_since or now) if work.startable else None
             work.short_since = (work.short_since or now) if left else None
@@ -121,7 +125,7 @@
     def _urgency(self, job: Job, idle: timedelta, wall: datetime) -> tuple[Any, ...]:
         return urgency(job, idle, wall, self._c.prompt, self._c.tuning.patience)
 
-    def _reach(self, work: Work, now: timedelta, wall: datetime) -> Reach:
+    def _reach(self, work: JobState, now: timedelta, wall: datetime) -> Reach:
         """With no capacity to be had an idle pool helps nobody; the room on the services' own machines is given up
         last, but no job is left waiting for long beside room that nobody uses."""
         idle = work.idle_for(now, wall)
@@ -133,7 +137,13 @@
         return Reach.POOL if work.failing or waited > self._c.tuning.long_wait else Reach.NONE
 
     def _place_work(
-        self, home: Home, work: Work, rooms: list[Room], using: dict[str, Amounts], reach: Reach, now: timedelta
+        self,
+        home: JobScheduler,
+        work: JobState,
+        rooms: list[Room],
+        using: dict[str, Amounts],
+        reach: Reach,
+        now: timedelta,
     ) -> bool:
         """Starts what it can of one job; True when that failed for want of room."""
         run = work.job.run
@@ -143,7 +153,7 @@
         before, short = work.waiting, False
         if run.shape == wire.SERVICE:
             while allowed > 0 and work.next_task() is not None:
-                room = choose(run, rooms, work.yards, reach)
+                room = choose(run, rooms, work.zones, reach)
                 if room is None:
                     short = True
                     break
@@ -153,7 +163,7 @@
             want = allowed
             if reach is Reach.ALL:
                 want = min(want, math.ceil(run.pieces * SLICE))
-            for room, count in choose_many(run, rooms, work.yards, want, reach) if want > 0 else ():
+            for room, count in choose_many(run, rooms, work.zones, want, reach) if want > 0 else ():
                 for _ in range(count):
                     if work.next_task() is None:
                         break
@@ -165,23 +175,23 @@
             self._c.counters["starts"] += started
         return short
 
-    def _open_to(self, work: Work, rooms: list[Room], reach: Reach, now: timedelta) -> list[Room]:
+    def _open_to(self, work: JobState, rooms: list[Room], reach: Reach, now: timedelta) -> list[Room]:
         """The rooms without those that the job shuns. One that fails goes where it has not failed yet, of the whole
         fleet: a part whose own machines are at fault must not keep it. When it failed on many, and no such room is
         left, any will do rather than that one is rented for it."""
-        if work.shunned:
-            work.shunned = {host: until for host, until in work.shunned.items() if until > now}
-        others = [room for room in rooms if room.host not in work.shunned] if work.shunned else rooms
+        if work.excluded_until:
+            work.excluded_until = {host: until for host, until in work.excluded_until.items() if until > now}
+        others = [room for room in rooms if room.host not in work.excluded_until] if work.excluded_until else rooms
         if not work.failing:
             return others
         fresh = [room for room in others if room.host not in work.failed_on]
         picky = work.avoids or not self._c.membership.leading
-        return fresh if picky or usable(work.job.run, fresh, work.yards, reach) else rooms
+        return fresh if picky or usable(work.job.run, fresh, work.zones, reach) else rooms
 
-    def _start(self, home: Home, work: Work, room: Room, now: timedelta) -> None:
+    def _start(self, home: JobScheduler, work: JobState, room: Room, now: timedelta) -> None:
         task = work.next_task()
         assert task is not None
-        home.start(work, task, room.host, room.yard, now)
+        home.start(work, task, room.host, room.zone, now)
         room.take(work.job.run)
         if work.job.run.shape == wire.SERVICE:
             room.services += work.job.run.cores
@@ -199,7 +209,7 @@
         ]
         return max(0, min(counts)) if counts else MANY
 
-    def clear_machines(self, home: Home) -> None:
+    def clear_machines(self, home: JobScheduler) -> None:
         """Tasks leave machines that are drained or about to be taken."""
         c = self._c
         for name in list(home.attempts):
@@ -216,7 +226,7 @@
 
     # Who gives way.
 
-    def preempt(self, home: Home, now: timedelta) -> None:
+    def preempt(self, home: JobScheduler, now: timedelta) -> None:
         """The leader makes room for jobs that may claim it: by rank, or within their team's guarantee.
 
         Only jobs that found no room for `preempt_after` claim any, most urgent first; the homes of the
@@ -232,7 +242,7 @@
         self._preempted_at = now
         claims = [
             work
-            for work in home.hungry.values()
+            for work in home.with_pending_tasks.values()
             if work.waiting_since is not None
             and now - work.waiting_since >= c.tuning.preempt_after
             and work.claims_room
@@ -243,7 +253,7 @@
         wall = c.context.wall()
         c.floor.refresh()
         rooms = {room.host: room.copy() for room in self.rooms()}
-        tasks: dict[str, list[OnMachine]] = {}
+        tasks: dict[str, list[RunningTask]] = {}
         using = self.team_use()
         held = home.held()
         hopeless: set[tuple[object, ...]] = set()
@@ -262,10 +272,10 @@
 
     def _claim(
         self,
-        work: Work,
+        work: JobState,
         left: int,
         rooms: dict[str, Room],
-        tasks: dict[str, list[OnMachine]],
+        tasks: dict[str, list[RunningTask]],
         using: dict[str, Amounts],
         now: timedelta,
     ) -> bool:
@@ -286,20 +296,20 @@
                 continue
             if host not in tasks:
                 tasks[host] = self._stoppable(host)
-            found = victims(run, room, tasks[host], claimable, work.yards)
+            found = victims(run, room, tasks[host], claimable, work.zones)
             if found is not None:
                 heap.append((found[0], host))
         heapq.heapify(heap)
         while left > 0 and heap and len(self.evictions) < EVICTIONS_AT_ONCE:
             _, host = heapq.heappop(heap)
             # What went before may have changed who may be stopped, so it is looked at again.
-            found = victims(run, rooms[host], tasks[host], claimable, work.yards)
+            found = victims(run, rooms[host], tasks[host], claimable, work.zones)
             if found is None:
                 continue
             self._stop_for(run, rooms[host], found[1], tasks[host], using, now)
             known.clear()
             left -= 1
-            found = victims(run, rooms[host], tasks[host], claimable, work.yards)
+            found = victims(run, rooms[host], tasks[host], claimable, work.zones)
             if found is not None:
                 heapq.heappush(heap, (found[0], host))
         return left <= 0
@@ -308,8 +318,8 @@
         self,
         run: wire.Run,
         room: Room,
-        going: list[OnMachine],
-        tasks: list[OnMachine],
+        going: list[RunningTask],
+        tasks: list[RunningTask],
         using: dict[str, Amounts],
         now: timedelta,
     ) -> None:
@@ -329,20 +339,20 @@
         """An attempt of ours gives way, by the leader's word."""
         home = self._c.home
         assert home is not None
-        work = home.works.get(ref)
+        work = home.jobs.get(ref)
         attempt = work.placed.get(task) if work is not None else None
         if work is not None and attempt is not None and attempt.number == number:
             # The room is for another job: this one looks elsewhere for a while.
-            work.shunned[attempt.host] = self._c.context.now + EVICTION_KEPT
+            work.excluded_until[attempt.host] = self._c.context.now + EVICTION_KEPT
             home.stop(attempt, grace)
 
-    def _stoppable(self, name: str) -> list[OnMachine]:
+    def _stoppable(self, name: str) -> list[RunningTask]:
         found = []
         for ref, task, number, phase, _cause in self._c.floor.hosts[name].tasks:
             job = self._c.jobs.get(ref)
             going = (ref, task, number) in self.evictions
             if job is not None and phase in (wire.FETCHING, wire.RUNNING) and not going:
-                found.append(OnMachine(job.run, task, number))
+                found.append(RunningTask(job.run, task, number))
         return found
 
     def team_use(self) -> dict[str, Amounts]:
@@ -357,21 +367,21 @@
 
     # What goes to the leader.
 
-    def hand_over(self, home: Home, now: timedelta) -> None:
+    def hand_over(self, home: JobScheduler, now: timedelta) -> None:
         """A job whose part has no room for it any more goes to the leader, who may use all the others'."""
         c = self._c
         view = c.view
         assert view is not None
         if c.membership.leading or view.leader not in c.fresh_members():
             return
-        for work in list(home.hungry.values()):
+        for work in list(home.with_pending_tasks.values()):
             if self._moving >= c.store.limits.txn_ops:
                 return
             waited = work.waiting_since is not None and now - work.waiting_since > c.tuning.hand_over
-            if waited and not work.frozen and work.hold <= now and c.ready(work):
+            if waited and not work.frozen and work.retry_at <= now and c.ready(work):
                 self._hand_over_job(work, view, home)
 
-    def _hand_over_job(self, work: Work, view: View, home: Home) -> None:
+    def _hand_over_job(self, work: JobState, view: View, home: JobScheduler) -> None:
         work.frozen = True
         self._moving += 1
         record = msgspec.structs.replace(
@@ -381,7 +391,7 @@
         txn = Transaction(when={key: work.job.stamp}, puts=[(key, to_value(record), None)])
         self._commit_handover(work, view, txn, unsure=False)
 
-    def _commit_handover(self, work: Work, view: View, txn: Transaction, unsure: bool) -> None:
+    def _commit_handover(self, work: JobState, view: View, txn: Transaction, unsure: bool) -> None:
         """`unsure`: a copy without an answer may have been carried out, or may be yet. Its new home counts on nothing
         being started here after it, so the same is asked again until it is known what became of it."""
         c = self._c
@@ -406,14 +416,14 @@
 
         c.commits.add(txn, done)
 
-    def _thaw(self, work: Work, view: View) -> None:
+    def _thaw(self, work: JobState, view: View) -> None:
         if self._c.view is view:
             self._moving -= 1
             work.frozen = False
 
     # What the leader counts.
 
-    def waiting_rows(self, home: Home, now: timedelta) -> list[WaitingRow]:
+    def waiting_rows(self, home: JobScheduler, now: timedelta) -> list[WaitingRow]:
         return [
             (
                 w.job.ref,
@@ -421,15 +431,15 @@
                 (now - w.waiting_since).total_seconds() if w.waiting_since is not None else 0.0,
                 sorted(w.avoids),
             )
-            for w in home.hungry.values()
-            if w.hold <= now and w.startable
+            for w in home.with_pending_tasks.values()
+            if w.retry_at <= now and w.startable
         ]
 
-    def asking(self, home: Home) -> dict[str, Amounts]:
+    def asking(self, home: JobScheduler) -> dict[str, Amounts]:
         """What our waiting tasks would use of each team's limit."""
         asking: dict[str, Amounts] = {}
-        for work in home.hungry.values():
-            if work.hold <= self._c.context.now:
+        for work in home.with_pending_tasks.values():
+            if work.retry_at <= self._c.context.now:
                 run = work.job.run
                 add_amounts(asking, run.team, run.cores * work.startable, run.cards * work.startable)
         return asking
@@ -442,11 +452,11 @@
         now, wall = c.context.now, c.context.wall()
         using = self.team_use()
         rows: list[tuple[WaitingRow, Counter[str]]] = [
-            (row, home.works[row[0]].yards) for row in self.waiting_rows(home, now)
+            (row, home.jobs[row[0]].zones) for row in self.waiting_rows(home, now)
         ]
         for said in c.peers.messages():
             # A job that was handed over to us may still be in its old home's last message.
-            rows += [(row, Counter()) for row in said.waiting if row[0] not in home.works]
+            rows += [(row, Counter()) for row in said.waiting if row[0] not in home.jobs]
         found = [(c.jobs[row[0]], row, placed) for row, placed in rows if row[0] in c.jobs]
         found.sort(key=lambda one: self._urgency(one[0], timedelta(seconds=one[1][2]), wall))
         demands = []
@@ -512,6 +522,6 @@
 
     def _serving(self, host: Host) -> list[wire.Run]:
         """What runs there, when that is services only; what is over is on its way out."""
-        jobs = (self._c.jobs.get(row[0]) for row in host.tasks if row[3] not in OVER_NAMES)
+        jobs = (self._c.jobs.get(row[0]) for row in host.tasks if row[3] not in FINISHED_NAMES)
         found = [job.run for job in jobs if job is not None]
         return found if all(run.shape == wire.SERVICE for run in found) else []
--- a/src/ramptide/syncing.py
+++ b/src/ramptide/syncing.py
@@ -7,10 +7,10 @@
 import cbor2
 import msgspec
 
-from ramptide.agents import Agent, HostRow, Part, TaskRow, WishRow
+from ramptide.agents import DesiredTaskRow, MachineStatus, OwnedMachine, Shard, TaskRow
 from ramptide.allowances import Allowances, Grants, add_amounts
 from ramptide.delta import ChangeLog
-from ramptide.jobs import Home
+from ramptide.jobs import JobScheduler
 from ramptide.membership import View
 from ramptide.peers import EVERY, WIRE, Answer, Peer, Sync
 from ramptide.records import JOB
@@ -99,7 +99,7 @@
         now = c.context.now
         c.others_heard.setdefault(sync.member, now)
         c.call_off(sync.cancelled)
-        part.wish(sync.member, sync.seq, sync.wishes, self.takes_tasks)
+        part.apply_desired(sync.member, sync.seq, sync.wishes, self.takes_tasks)
         if sync.wishes:
             c.peers.hurry(peer, AT_ONCE)
         if sync.member == view.leader:
@@ -108,7 +108,7 @@
                 # Both at once: the new grants leave out what the leader took over.
                 c.grants, self.grants_ack = sync.grants, sync.seq
                 for ref in sync.took:
-                    home.taken_over(ref)
+                    home.transfer_confirmed(ref)
             for ref, task, number, grace in sync.evict:
                 c.starter.evict(ref, task, number, timedelta(seconds=grace))
         for name, row in sync.status.items():
@@ -120,7 +120,7 @@
         c.floor.recall(sync.unproven, now)
         home.touched = True
 
-    def acknowledge(self, home: Home, owner: str, ack: int) -> None:
+    def acknowledge(self, home: JobScheduler, owner: str, ack: int) -> None:
         """The owner has processed our messages up to `ack`, and its rows are as of then."""
         c = self._c
 
@@ -134,37 +134,37 @@
 
         home.acknowledged(ack, answered)
 
-    def takes_tasks(self, agent: Agent) -> bool:
+    def takes_tasks(self, agent: OwnedMachine) -> bool:
         record = agent.record
         return (
             agent.settled
             and record.opened
             and record.leaving is None
-            and agent.taken_at is None
+            and agent.reclaimed_at is None
             and self._c.may_start()
         )
 
     # What goes out.
 
-    def mark(self, home: Home, part: Part, changed: set[str]) -> None:
+    def mark(self, home: JobScheduler, part: Shard, changed: set[str]) -> None:
         """Enters what changed since the last round into the tables, and says who has to hear of it how soon."""
         c = self._c
         view = c.view
         assert view is not None
-        if not changed and not home.wished:
+        if not changed and not home.changed_hosts:
             return
         home.seq += 1
-        ours: dict[str, list[WishRow] | None] = {}
-        wished, home.wished = home.wished, set()
+        ours: dict[str, list[DesiredTaskRow] | None] = {}
+        wished, home.changed_hosts = home.changed_hosts, set()
         for host in wished:
             c.floor.touch(host)
             owner = c.owner(host)
             if owner == c.member:
-                ours[host] = home.wishes(host)
+                ours[host] = home.desired_tasks(host)
             elif owner in self._wishes:
                 self._wishes[owner].mark(host, home.seq)
                 c.peers.hurry(c.peers.all[owner], AT_ONCE)
-        part.wish(c.member, home.seq, ours, self.takes_tasks)
+        part.apply_desired(c.member, home.seq, ours, self.takes_tasks)
         for host in ours:
             # The next message says that we have processed our own wishes, so it has to show what came of them: who
             # takes over one of our jobs relies on that.
@@ -172,7 +172,7 @@
         waiting_for: set[str] = set()
         for host in changed:
             self._rows.mark(host, home.seq)
-            waiting_for |= part.homes(host)
+            waiting_for |= part.waiting_schedulers(host)
         for peer in c.peers.all.values():
             if peer.name in waiting_for:
                 c.peers.hurry(peer, AT_ONCE)
@@ -181,15 +181,15 @@
         if home.seq % PRUNE_EVERY == 0:
             self._prune(part)
 
-    def _prune(self, part: Part) -> None:
+    def _prune(self, part: Shard) -> None:
         c = self._c
         assert c.view is not None
         taken = [peer.taken for name, peer in c.peers.all.items() if name in c.view.members]
-        self._rows.prune(min(taken, default=0), part.agents)
+        self._rows.prune(min(taken, default=0), part.machines)
         for name, ledger in self._wishes.items():
             ledger.prune(c.peers.all[name].taken, c.home.attempts if c.home is not None else ())
 
-    def send(self, home: Home, part: Part, now: timedelta) -> None:
+    def send(self, home: JobScheduler, part: Shard, now: timedelta) -> None:
         """Messages to those that are due one."""
         c = self._c
         view = c.view
@@ -219,14 +219,14 @@
             latched=c.latched,
             acks=part.acks,
             using=home.using(),
-            limbo=home.in_limbo(),
+            limbo=home.amounts_in_transfer(),
             grants_ack=self.grants_ack,
             took=self._took,
             pool=c.floor.pool if leads else [],
             evict=[(*key, one.grace) for key, one in c.starter.evictions.items()] if leads else [],
             cancelled=[ref for _, ref in self._cancelled],
         )
-        rows: dict[str, HostRow | None] = {}
+        rows: dict[str, MachineStatus | None] = {}
         for peer in due:
             # Those outside the view hear of it too, so that they stop to act under an older one.
             inside = peer.name in view.members
@@ -234,17 +234,17 @@
             status = {}
             for host in self._rows.since(peer.taken) if inside else ():
                 if host not in rows:
-                    rows[host] = part.row(host, now)
+                    rows[host] = part.status(host, now)
                 status[host] = rows[host]
             sync = msgspec.structs.replace(
                 base,
                 base=peer.taken,
                 status=status,
-                wishes={host: home.wishes(host) for host in self._wishes[peer.name].since(peer.taken)},
+                wishes={host: home.desired_tasks(host) for host in self._wishes[peer.name].since(peer.taken)},
                 grants=self._granted.get(peer.name),
                 asking=c.starter.asking(home) if first else {},
                 waiting=c.starter.waiting_rows(home, now) if first else [],
-                strangers=part.strangers_known() if first else {},
+                strangers=part.unrecorded_machines() if first else {},
                 unproven=c.floor.all_unproven(now),
             )
             calm = c.latched and not c.mirror.lacking and not first
@@ -257,11 +257,11 @@
             lacks, epoch = c.mirror.lacking, c.mirror.epoch
             c.peers.send(peer, Sync(c.member, c.membership.incarnation, 0, 0, lacks, epoch, WIRE))
 
-    def _taken(self, home: Home, view: View) -> list[str]:
+    def _taken(self, home: JobScheduler, view: View) -> list[str]:
         """Jobs that were handed to us and that we count now. Only those that their old home's last message shows as let
         go: in an older one it counts them among its own, and the grant told with this would cover them once more."""
         found = []
-        for work in home.works.values():
+        for work in home.jobs.values():
             hand = work.job.record.hand
             if hand is not None and hand.view == view.number:
                 said = self._c.peers.said(hand.member)
@@ -269,7 +269,7 @@
                     found.append(work.job.ref)
         return found
 
-    def _divide(self, home: Home, took: list[str]) -> dict[str, Grants]:
+    def _divide(self, home: JobScheduler, took: list[str]) -> dict[str, Grants]:
         """The leader's split of the team limits, once every member knows all that it has to count."""
         c = self._c
         view = c.view
@@ -296,7 +296,7 @@
     def strangers(self) -> dict[str, tuple[str, str, bool]]:
         """Machines that report and that the fleet record lacks."""
         c = self._c
-        found = c.part.strangers_known() if c.part is not None else {}
+        found = c.part.unrecorded_machines() if c.part is not None else {}
         for said in c.peers.messages():
             found |= said.strangers
         return {host: kind for host, kind in found.items() if host not in c.machines}
--- a/src/ramptide/workers.py
+++ b/src/ramptide/workers.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ramptide import wire
-from ramptide.agents import Agent
+from ramptide.agents import OwnedMachine
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
@@ -63,7 +63,7 @@
             answer(503, b"{}")
             return
         try:
-            fresh = c.part.report(beat, c.context.now)
+            fresh = c.part.take_report(beat, c.context.now)
         except wire.MessageError as error:
             answer(400, wire.encode({"error": str(error)}))
             return
@@ -74,8 +74,8 @@
         self.forget(beat.host)
         if beat.addr is not None and beat.host in c.machines:
             c.addresses[beat.host] = beat.addr
-        agent = c.part.agents.get(beat.host)
-        if agent is not None and self._worth_holding(agent) and not c.part.pending(beat.host):
+        agent = c.part.machines.get(beat.host)
+        if agent is not None and self._worth_holding(agent) and not c.part.has_commands(beat.host):
             self._held[beat.host] = Held(answer, c.context.now + c.tuning.hold)
             return
         self._reply(beat.host, answer)
@@ -86,15 +86,15 @@
         else:
             answer(421, wire.encode_foreman(owner))
 
-    def _worth_holding(self, agent: Agent) -> bool:
+    def _worth_holding(self, agent: OwnedMachine) -> bool:
         """The answer may wait for a launch where no news is expected: no array's task is there to end."""
         return (
             self._c.tuning.hold > ZERO
-            and agent.current
-            and not agent.deaf
+            and agent.has_current_token
+            and not agent.unreachable
             and agent.record.leaving is None
-            and agent.taken_at is None
-            and agent.serves_only()
+            and agent.reclaimed_at is None
+            and agent.runs_only_services()
         )
 
     def _reply(self, host: str, answer: BeatAnswer) -> None:
@@ -102,17 +102,17 @@
         if c.part is None or c.view is None or not c.may_answer():
             answer(503, b"{}")
             return
-        agent = c.part.agents.get(host)
-        orders = c.part.orders(host, c.context.now, c.may_start())
+        agent = c.part.machines.get(host)
+        orders = c.part.take_commands(host, c.context.now, c.may_start())
         if agent is not None:
-            agent.answered = c.context.now
+            agent.last_answer = c.context.now
         answer(200, wire.encode_beat_answer(c.view.number, orders))
 
     def answer_held(self, now: timedelta) -> None:
         part = self._c.part
         for host, held in list(self._held.items()):
-            if held.until <= now or part is not None and host in part.news and part.pending(host):
+            if held.until <= now or part is not None and host in part.hosts_with_commands and part.has_commands(host):
                 del self._held[host]
                 self._reply(host, held.answer)
         if part is not None:
-            part.news.clear()
+            part.hosts_with_commands.clear()
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -18,8 +18,8 @@
 from world import S, World, job, owner, started
 
 from ramptide import peers, wire
-from ramptide.agents import Part
-from ramptide.jobs import Home
+from ramptide.agents import Shard
+from ramptide.jobs import JobScheduler
 from ramptide.records import Progress
 from ramptide.settings import SettingsError, Tuning, load
 from ramptide.syncing import Syncing
@@ -254,10 +254,18 @@
     return json.dumps(value).encode()
 
 
-def shown(part: Part, host: str) -> Any:
-    agent = part.agents[host]
+def shown(part: Shard, host: str) -> Any:
+    agent = part.machines[host]
     entries = [(key, entry.phase, entry.cause) for key, entry in sorted(agent.entries.items())]
-    return agent.order, agent.heard, agent.taken_at, entries, agent.failed, agent.failing, agent.deaf_since
+    return (
+        agent.last_report_id,
+        agent.last_report,
+        agent.reclaimed_at,
+        entries,
+        agent.failed_jobs,
+        agent.consecutive_failures,
+        agent.unreachable_since,
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -368,10 +376,14 @@
         value = cbor2.loads(body) | {"base": 0, "seq": 10**6 + taken}
         controller = world.nodes[name].controller
         assert controller is not None and controller.home is not None
-        before = (dict(controller.home.works), sorted(controller.home.wished), controller.peers.newest)
+        before = (dict(controller.home.jobs), sorted(controller.home.changed_hosts), controller.peers.newest)
         if controller.syncing.take(broken(rng, value, cbor2.dumps)) is None:
             refused += 1
-            assert (dict(controller.home.works), sorted(controller.home.wished), controller.peers.newest) == before
+            assert (
+                dict(controller.home.jobs),
+                sorted(controller.home.changed_hosts),
+                controller.peers.newest,
+            ) == before
         else:
             taken += 1
     assert refused > 700 and taken > 50
@@ -583,13 +595,13 @@
 def test_a_task_that_the_job_does_not_have_is_not_counted() -> None:
     world = busy_world(guessS=60.0)
     controller = next(
-        c for node in world.nodes.values() if (c := node.controller) is not None and c.home and "j-1" in c.home.works
+        c for node in world.nodes.values() if (c := node.controller) is not None and c.home and "j-1" in c.home.jobs
     )
-    home: Home = controller.home  # type: ignore[assignment]
+    home: JobScheduler = controller.home  # type: ignore[assignment]
     host = world.rules.on_machines()[0][0].host
     rows = list(controller.floor.hosts[host].tasks)
-    home.read(host, "a", [*rows, ("j-1", 99_999, 7, "ended", "done")], world.now)
-    assert home.works["j-1"].done.count == 0 and 99_999 not in home.works["j-1"].placed
+    home.apply_status(host, "a", [*rows, ("j-1", 99_999, 7, "ended", "done")], world.now)
+    assert home.jobs["j-1"].done.count == 0 and 99_999 not in home.jobs["j-1"].placed
 
 
 # The operators' settings and the settings file.
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -13,7 +13,7 @@
 from world import Reply, S, VirtualContext, World, job, leader, started
 
 from ramptide import wire
-from ramptide.agents import Part, Phase
+from ramptide.agents import Phase, Shard
 from ramptide.commits import CommitBatcher
 from ramptide.delta import ChangeLog, ReceivedSequence
 from ramptide.limits import TokenBucket
@@ -178,11 +178,11 @@
     assert bucket.rate == 10.0 and bucket.wait(20 * S, 1) > timedelta(0)
 
 
-def a_part() -> Part:
+def a_part() -> Shard:
     run = wire.decode_run(json.dumps(job("j-1", cores=1.0, pieces=100)).encode())
-    part = Part(5, 8 * S, 1 * S, lambda ref: run if ref == "j-1" else None)
+    part = Shard(5, 8 * S, 1 * S, lambda ref: run if ref == "j-1" else None)
     record = MachineRecord("m", "a", False, 1, 0.0, None, True, "r")
-    part.own("vm-1", record, wire.Flavor(name="m", cores=8.0, ram_gb=32.0, yards=["a"]), timedelta(0), [])
+    part.add_machine("vm-1", record, wire.Flavor(name="m", cores=8.0, ram_gb=32.0, yards=["a"]), timedelta(0), [])
     return part
 
 
@@ -196,56 +196,60 @@
 def test_late_copies_of_reports_change_nothing() -> None:
     """Within a tenure, over tenures, from before the view, and after the lease has certainly run out."""
     part, plain = a_part(), dict[tuple[int, int], wire.Beat]()
-    agent = part.agents["vm-1"]
-    assert part.report(beat(1, 1, 4, 1, 2), 0 * S) and not agent.settled, "it may be from before the token was seen"
+    agent = part.machines["vm-1"]
+    assert part.take_report(beat(1, 1, 4, 1, 2), 0 * S) and not agent.settled, (
+        "it may be from before the token was seen"
+    )
     assert not agent.entries
     rng, now = random.Random(4), 0 * S
     for tally in range(2, 40):
         now += 1 * S
         tenure = 1 + tally // 10
         report = beat(tenure, tally, 5, *rng.sample(range(8), 3))
-        assert part.report(report, now)
-        agent.answered = now
+        assert part.take_report(report, now)
+        agent.last_answer = now
         shown = {key: entry.phase for key, entry in agent.entries.items()}
-        heard, answered = agent.heard, agent.answered
+        heard, answered = agent.last_report, agent.last_answer
         plain[tenure, tally] = report
         for copy in rng.sample(sorted(plain), min(3, len(plain))):
-            assert not part.report(plain[copy], now + 0.3 * S)
+            assert not part.take_report(plain[copy], now + 0.3 * S)
         assert shown == {key: entry.phase for key, entry in agent.entries.items()}
-        assert (agent.heard, agent.answered) == (heard, answered), "they extend no lease in our reckoning"
+        assert (agent.last_report, agent.last_answer) == (heard, answered), "they extend no lease in our reckoning"
     assert agent.settled
     part.expire(now + 9.2 * S, 0 * S)
     assert all(entry.phase is Phase.GONE for entry in agent.entries.values())
-    assert not part.report(beat(4, 99, 5, 1, 2, 3), now + 10 * S), "a late one of the tenure that ended revives nothing"
-    assert part.report(beat(5, 100, 5), now + 11 * S)
+    assert not part.take_report(beat(4, 99, 5, 1, 2, 3), now + 10 * S), (
+        "a late one of the tenure that ended revives nothing"
+    )
+    assert part.take_report(beat(5, 100, 5), now + 11 * S)
 
 
 def test_without_the_later_tenure_a_late_report_revives_what_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
     part = a_part()
-    agent = part.agents["vm-1"]
-    assert part.report(beat(1, 1, 5, 1), 0 * S)
-    agent.answered = 0 * S
+    agent = part.machines["vm-1"]
+    assert part.take_report(beat(1, 1, 5, 1), 0 * S)
+    agent.last_answer = 0 * S
     part.expire(10 * S, 0 * S)
-    agent.order = (1, 1)
-    assert part.report(beat(1, 2, 5, 1), 11 * S)
+    agent.last_report_id = (1, 1)
+    assert part.take_report(beat(1, 2, 5, 1), 11 * S)
     assert any(entry.phase is Phase.RUNNING for entry in agent.entries.values())
 
 
 def test_a_late_report_of_a_returned_machine_brings_nothing_back() -> None:
     part = a_part()
-    assert part.report(beat(1, 1, 5), 0 * S)
-    part.disown("vm-1")
-    assert part.report(beat(1, 1, 4), 20 * S) and not part.strangers_known(), "from before this view"
-    assert part.report(beat(1, 2, 5), 21 * S) and part.strangers_known(), "the leader knows what it returned"
+    assert part.take_report(beat(1, 1, 5), 0 * S)
+    part.remove_machine("vm-1")
+    assert part.take_report(beat(1, 1, 4), 20 * S) and not part.unrecorded_machines(), "from before this view"
+    assert part.take_report(beat(1, 2, 5), 21 * S) and part.unrecorded_machines(), "the leader knows what it returned"
     world = started(5)
     controller = world.nodes[leader(world)].controller
     assert controller is not None and controller.part is not None
     controller.leader._returned["vm-1"] = None
-    controller.part.strangers["vm-1"] = beat(1, 2, 99)
+    controller.part.unrecorded["vm-1"] = beat(1, 2, 99)
     world.run(30)
     assert "vm-1" not in controller.machines
-    controller.part.strangers["vm-2"] = beat(1, 2, 99)
-    controller.part.strangers["vm-2"].host = "vm-2"
+    controller.part.unrecorded["vm-2"] = beat(1, 2, 99)
+    controller.part.unrecorded["vm-2"].host = "vm-2"
     assert world.run_until(lambda: "vm-2" in controller.machines, 10), "one that nobody returned is taken over"
 
 
@@ -321,7 +325,7 @@
     assert survivor is not None
     assert world.run_until(lambda: survivor.view is not None and list(survivor.view.members) == ["c3"], 10)
     assert world.run_until(lambda: survivor.latched, 12), "the lease is 8 s"
-    assert survivor.part is not None and len(survivor.part.agents) > 700
+    assert survivor.part is not None and len(survivor.part.machines) > 700
     world.calls.clear()
     world.run(6)
     assert sum(world.done(f"j-{number}") for number in range(100, 122)) > 0
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -14,11 +14,11 @@
 from world import S, World, leader, owner, started
 
 from ramptide import fleet
-from ramptide.agents import FAILED_KEPT, Agent, Part
+from ramptide.agents import FAILED_JOBS_KEPT, OwnedMachine, Shard
 from ramptide.app import Controller
 from ramptide.fleet import SICK
 from ramptide.floor import Floor
-from ramptide.jobs import Home, Work
+from ramptide.jobs import JobScheduler, JobState
 from ramptide.records import MachineRecord
 from ramptide.starts import Starter
 
@@ -27,9 +27,9 @@
     return [node.controller for node in world.nodes.values() if node.controller is not None]
 
 
-def work_of(world: World, ref: str) -> Work:
+def work_of(world: World, ref: str) -> JobState:
     """What the job's home keeps of it."""
-    return next(c.home.works[ref] for c in controllers(world) if c.home is not None and ref in c.home.works)
+    return next(c.home.jobs[ref] for c in controllers(world) if c.home is not None and ref in c.home.jobs)
 
 
 def submit_bad(world: World, count: int, after: float = 0.5, **fields: object) -> list[str]:
@@ -247,7 +247,7 @@
 
 
 def test_when_that_machine_counts_as_room_it_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Work, "avoids", property(lambda self: set()))
+    monkeypatch.setattr(JobState, "avoids", property(lambda self: set()))
     assert not done_off_the_only_machine(started(2, members=1))
 
 
@@ -289,19 +289,19 @@
 
 
 def test_without_probes_all_its_tasks_start_every_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Work, "startable", property(lambda self: self.waiting))
+    monkeypatch.setattr(JobState, "startable", property(lambda self: self.waiting))
     assert starts_of_a_bad_job() > 50
 
 
 def test_without_the_pause_probes_follow_each_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    back_off = Home._back_off
+    back_off = JobScheduler._back_off
 
-    def at_once(home: Home, work: Work, now: timedelta) -> None:
+    def at_once(home: JobScheduler, work: JobState, now: timedelta) -> None:
         back_off(home, work, now)
-        work.hold = 0 * S
-        work.shunned.clear()
+        work.retry_at = 0 * S
+        work.excluded_until.clear()
 
-    monkeypatch.setattr(Home, "_back_off", at_once)
+    monkeypatch.setattr(JobScheduler, "_back_off", at_once)
     assert starts_of_a_bad_job() > 50
 
 
@@ -335,7 +335,7 @@
 
 
 def test_without_that_it_waits_for_one_to_be_done(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Home, "spare_survivors", lambda self, now: None)
+    monkeypatch.setattr(JobScheduler, "clear_recovered", lambda self, now: None)
     assert not all_run_again(started(3))
 
 
@@ -363,7 +363,7 @@
 
 
 def test_without_that_it_is(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Home, "machine_faulty", lambda self, host: None)
+    monkeypatch.setattr(JobScheduler, "machine_faulty", lambda self, host: None)
     assert blamed_for_machines(started(3))
 
 
@@ -383,7 +383,7 @@
 
 
 def test_when_they_count_in_full_they_rent_many(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Work, "startable", property(lambda self: self.waiting))
+    monkeypatch.setattr(JobState, "startable", property(lambda self: self.waiting))
     assert rented_for_bad_jobs()[0] > 10
 
 
@@ -404,7 +404,7 @@
 
 
 def test_without_that_guard_it_claims_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Work, "claims_room", property(lambda self: True))
+    monkeypatch.setattr(JobState, "claims_room", property(lambda self: True))
     assert preemptions_for_a_bad_job() > 0
 
 
@@ -426,7 +426,7 @@
 
 
 def test_when_a_bad_job_asks_for_all_its_tasks_they_are(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Work, "failing", property(lambda self: False))
+    monkeypatch.setattr(JobState, "failing", property(lambda self: False))
     assert not others_done()
 
 
@@ -471,19 +471,23 @@
     submit_bad(world, 12, 0.3, pieces=1, cores=0.5)
     world.run(20)
     hosts = [host for controller in controllers(world) for host in controller.floor.hosts.values()]
-    assert max(len(host.failed) for host in hosts) == FAILED_KEPT
+    assert max(len(host.failed) for host in hosts) == FAILED_JOBS_KEPT
     agree(world)
 
 
 def test_what_a_machine_tells_of_failures() -> None:
-    agent = Agent("vm-1", MachineRecord("m", "a", False, 1, 0.0), None, True, 0 * S)
+    agent = OwnedMachine("vm-1", MachineRecord("m", "a", False, 1, 0.0), None, True, 0 * S)
     for ref in ("j-1", "j-2", "j-1"):
-        Part._judge(agent, ref, "error")
-    assert (agent.failed, agent.failing) == (["j-1", "j-2"], 2)
-    Part._judge(agent, "j-3", "done")
-    assert (agent.failed, agent.failing) == (["j-1", "j-2"], 0)
-    Part._judge(agent, "j-1", "error")
-    assert (agent.failed, agent.failing) == (["j-2", "j-1"], 1)
+        Shard._record_outcome(agent, ref, "error")
+    assert (agent.failed_jobs, agent.consecutive_failures) == (["j-1", "j-2"], 2)
+    Shard._record_outcome(agent, "j-3", "done")
+    assert (agent.failed_jobs, agent.consecutive_failures) == (["j-1", "j-2"], 0)
+    Shard._record_outcome(agent, "j-1", "error")
+    assert (agent.failed_jobs, agent.consecutive_failures) == (["j-2", "j-1"], 1)
     for number in range(20):
-        Part._judge(agent, f"j-{number + 10}", "error")
-    assert (len(agent.failed), agent.failing, agent.failed[-1]) == (FAILED_KEPT, FAILED_KEPT, "j-29")
+        Shard._record_outcome(agent, f"j-{number + 10}", "error")
+    assert (len(agent.failed_jobs), agent.consecutive_failures, agent.failed_jobs[-1]) == (
+        FAILED_JOBS_KEPT,
+        FAILED_JOBS_KEPT,
+        "j-29",
+    )
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -10,10 +10,10 @@
 from world import Answer, S, Task, Worker, World, leader, owner, started
 
 from ramptide import wire
-from ramptide.agents import Part, Wish
+from ramptide.agents import DesiredState, Shard
 from ramptide.app import Controller
 from ramptide.floor import Floor, Host
-from ramptide.jobs import Home
+from ramptide.jobs import JobScheduler
 from ramptide.membership import View
 from ramptide.mirror import Mirror
 from ramptide.peers import Peer, Peers, Sync
@@ -377,8 +377,8 @@
 
 
 def test_when_it_counts_before_its_team_uses_its_limit_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    def taken(syncing: Syncing, home: Home, view: View) -> list[str]:
-        return [w.job.ref for w in home.works.values() if w.job.record.hand is not None and syncing._c.ready(w)]
+    def taken(syncing: Syncing, home: JobScheduler, view: View) -> list[str]:
+        return [w.job.ref for w in home.jobs.values() if w.job.record.hand is not None and syncing._c.ready(w)]
 
     monkeypatch.setattr(Syncing, "_taken", taken)
     world = few_world()
@@ -399,8 +399,12 @@
         ) -> None:
             for host, row in sync.status.items():
                 told[peer.name, host] = {task[:3] for task in row.tasks} if row is not None else set()
-            for host, agent in c.part.agents.items() if c.part is not None and sync.view else ():
-                ours = {key for key, one in agent.entries.items() if one.home == c.member and one.wish is Wish.RUN}
+            for host, agent in c.part.machines.items() if c.part is not None and sync.view else ():
+                ours = {
+                    key
+                    for key, one in agent.entries.items()
+                    if one.home == c.member and one.desired is DesiredState.RUN
+                }
                 if ours - told.get((peer.name, host), set()):
                     found.append(f"{sync.member} to {peer.name}: {host}")
             Peers.send(c.peers, peer, sync, every)
@@ -420,7 +424,7 @@
 def test_without_that_a_new_home_would_miss_a_start(monkeypatch: pytest.MonkeyPatch) -> None:
     mark = Syncing.mark
 
-    def late(syncing: Syncing, home: Home, part: Part, changed: set[str]) -> None:
+    def late(syncing: Syncing, home: JobScheduler, part: Shard, changed: set[str]) -> None:
         mark(syncing, home, part, changed)
         for host in {one for one, at in syncing._rows._at.items() if at == home.seq} - changed:
             del syncing._rows._at[host]
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -14,7 +14,7 @@
 from ramptide import wire
 from ramptide.allowances import Allowances
 from ramptide.fleet import Demand, Fleet, Machine, Trigger
-from ramptide.jobs import Job, Work
+from ramptide.jobs import Job, JobState
 from ramptide.limits import TokenBucket
 from ramptide.membership import owner_of
 from ramptide.placement import Room
@@ -37,7 +37,7 @@
 
 def test_a_job_of_100000_tasks_fits_a_small_value_and_is_walked_once() -> None:
     run = wire.decode_run(json.dumps(job("j-1", pieces=100_000)).encode())
-    work = Work(Job("j-1", JobRecord(run, "c0", 1, 0.0, Progress().encode()), 1), Progress(), timedelta(0))
+    work = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, Progress().encode()), 1), Progress(), timedelta(0))
     largest = 0
     for _ in range(100_000):
         task = work.next_task()
@@ -55,7 +55,7 @@
 def test_tasks_past_the_window_wait_for_the_oldest() -> None:
     run = wire.decode_run(json.dumps(job("j-1", pieces=100_000)).encode())
     done = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW)))
-    work = Work(Job("j-1", JobRecord(run, "c0", 1, 0.0, done.encode()), 1), done, timedelta(0))
+    work = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, done.encode()), 1), done, timedelta(0))
     assert work.next_task() == 0
     work.placed[0] = None  # type: ignore[assignment]
     assert work.next_task() is None
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,7 +12,7 @@
 from ramptide import wire
 from ramptide.jobs import Job, urgency
 from ramptide.placement import Reach, Room, can_ever_run, choose, fill, may_use, zone_room
-from ramptide.preemption import OnMachine, may_claim, victims
+from ramptide.preemption import RunningTask, may_claim, victims
 from ramptide.records import JobRecord, Progress
 
 
@@ -50,10 +50,10 @@
 
 def allowed(run: wire.Run, rooms: list[Room], where: tuple[int, ...]) -> bool:
     """The rules, task by task: may these rooms hold one task each in this order?"""
-    zones = [rooms[index].yard for index in where]
+    zones = [rooms[index].zone for index in where]
     for index in set(where):
         room, count = rooms[index], where.count(index)
-        if run.rigs is not None and room.flavor not in run.rigs or run.yard not in (None, room.yard):
+        if run.rigs is not None and room.flavor not in run.rigs or run.yard not in (None, room.zone):
             return False
         if room.spot and not run.spot:
             return False
@@ -69,7 +69,7 @@
     placed: dict[str, int] = {}
     while len(where) < run.pieces and (room := choose(run, rooms, placed)) is not None:
         room.take(run)
-        placed[room.yard] = placed.get(room.yard, 0) + 1
+        placed[room.zone] = placed.get(room.zone, 0) + 1
         where.append(rooms.index(room))
     return where
 
@@ -78,7 +78,7 @@
 @given(RUNS, ROOMS)
 def test_placement_keeps_the_rules_and_starts_as_many_as_can_be(run: wire.Run, rooms: list[Room]) -> None:
     before = named(rooms)
-    copies = [Room(r.host, r.flavor, r.yard, r.spot, r.cores, r.cards, r.ram_gb) for r in before]
+    copies = [Room(r.host, r.flavor, r.zone, r.spot, r.cores, r.cards, r.ram_gb) for r in before]
     where = greedy(run, copies)
     assert allowed(run, before, tuple(where))
     best = max(
@@ -93,13 +93,13 @@
 @given(RUNS, ROOMS)
 def test_counting_finds_no_more_room_than_there_is(run: wire.Run, rooms: list[Room]) -> None:
     before = named(rooms)
-    copies = [Room(r.host, r.flavor, r.yard, r.spot, r.cores, r.cards, r.ram_gb) for r in before]
+    copies = [Room(r.host, r.flavor, r.zone, r.spot, r.cores, r.cards, r.ram_gb) for r in before]
     found = fill(run, run.pieces, copies, Counter())
     assert found <= run.pieces
     for room, copy in zip(before, copies, strict=True):
         used = round((room.cores - copy.cores) / run.cores)
-        assert used == 0 or may_use(run, room.flavor, room.yard, room.spot)
-        assert used <= zone_room(run, room.yard, {}) and copy.cores >= -1e-6
+        assert used == 0 or may_use(run, room.flavor, room.zone, room.spot)
+        assert used <= zone_room(run, room.zone, {}) and copy.cores >= -1e-6
 
 
 def flavor(**fields: object) -> wire.Flavor:
@@ -154,10 +154,10 @@
 def test_victims_are_few_and_cheap() -> None:
     room = Room("vm-0", "m", "a", False, 0.0, 0.0, 32.0)
     long, short, saves = run_of(guessS=60.0), run_of(guessS=5.0), run_of(guessS=60.0, markEveryS=10.0, markCostS=1.0)
-    tasks = [OnMachine(long, 0, 1), OnMachine(short, 1, 2)]
+    tasks = [RunningTask(long, 0, 1), RunningTask(short, 1, 2)]
     found = victims(run_of(rank="high"), room, tasks, lambda run: True, {})
     assert found is not None and [task.attempt for task in found[1]] == [2]
-    cheaper = victims(run_of(rank="high"), room, [*tasks, OnMachine(saves, 3, 4)], lambda run: True, {})
+    cheaper = victims(run_of(rank="high"), room, [*tasks, RunningTask(saves, 3, 4)], lambda run: True, {})
     assert cheaper is not None and [task.attempt for task in cheaper[1]] == [4] and cheaper[0] < found[0]
     assert victims(run_of(rank="high"), room, tasks, lambda run: False, {}) is None
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,7 +8,7 @@
 from chaos import longest_beside_room, play, submit, withdraw
 from world import S, Worker, World, job, leader, owner, started
 
-from ramptide.agents import OVER_NAMES, Part
+from ramptide.agents import FINISHED_NAMES, Shard
 from ramptide.app import Controller
 from ramptide.floor import Floor, Host
 from ramptide.jobs import sum_amounts
@@ -72,8 +72,8 @@
         done = {ref for ref, _ in told if ref in c.jobs and c.jobs[ref].progress.count}
         done |= {row[0] for host in floor.hosts.values() for row in host.tasks if row[4] == "done"}
         assert done & floor._failed.keys() <= floor._passed <= floor._failed.keys()
-        assert home.failing == {ref: work for ref, work in home.works.items() if work.failing}
-        assert home.hungry == {ref: work for ref, work in home.works.items() if work.waiting > 0}
+        assert home.failing == {ref: work for ref, work in home.jobs.items() if work.failing}
+        assert home.with_pending_tasks == {ref: work for ref, work in home.jobs.items() if work.waiting > 0}
         attempts = [attempt for entries in home.attempts.values() for attempt in entries.values()]
         using = sum_amounts(attempts)
         for team in using | home.using():
@@ -205,7 +205,7 @@
     controller = world.nodes[leader(world)].controller
     assert controller is not None
     works = [w for node in world.nodes.values() if node.controller is not None and node.controller.home is not None
-             for w in node.controller.home.works.values()]  # fmt: skip
+             for w in node.controller.home.jobs.values()]  # fmt: skip
     assert any(work.backoff > 0 * S for work in works)
 
 
@@ -393,7 +393,7 @@
     assert world.accepted("j-2", "c0")
     controller = world.nodes["c0"].controller
     assert controller is not None and controller.part is not None
-    agent, most = controller.part.agents[worker.host], 0
+    agent, most = controller.part.machines[worker.host], 0
     for _ in range(200):
         world.run(0.1)
         most = max(most, sum(entry.phase.value == "sent" for entry in agent.entries.values()))
@@ -410,7 +410,7 @@
 
 
 def test_without_that_guard_launches_go_where_nobody_hears(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Part, "_become_deaf", lambda self, agent, now: None)
+    monkeypatch.setattr(Shard, "_mark_unreachable", lambda self, agent, now: None)
     assert launches_while_deaf(busy_world(members=1, guessS=60.0)) > 0
 
 
@@ -472,7 +472,7 @@
 
 def test_without_the_memory_of_what_was_clear_it_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
     def forgetful(floor: Floor, host: Host) -> bool:
-        return host.settled and all(row[0] in floor._jobs or row[3] in OVER_NAMES for row in host.tasks)
+        return host.settled and all(row[0] in floor._jobs or row[3] in FINISHED_NAMES for row in host.tasks)
 
     monkeypatch.setattr(Floor, "clear", forgetful)
     assert seconds_to_settle(started(9, teams={"team": 300.0})) > 8
@@ -518,7 +518,7 @@
 
 
 def test_without_that_knowledge_each_view_waits_a_whole_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Part, "answerable", lambda self, others_end: {})
+    monkeypatch.setattr(Shard, "last_possible_answers", lambda self, others_end: {})
     assert seconds_to_settle_over_views(busy_world(guessS=200.0)) > 13
 
 
