--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -8,7 +8,6 @@
 import msgspec
 
 from ramptide import wire
-from ramptide.agents import CLOCK_DRIFT, MISSED_REPORTS, MachineStatus, Shard
 from ramptide.allowances import Grants, limited
 from ramptide.cloud import Cloud
 from ramptide.commits import CommitBatcher
@@ -18,12 +17,15 @@
 from ramptide.floor import SILENT, UNTOLD, Floor
 from ramptide.jobs import Job, JobScheduler, JobState
 from ramptide.leader import Leader
+from ramptide.lease_expiry import CLOCK_DRIFT, MISSED_REPORTS
+from ramptide.machine_status import MachineStatus
 from ramptide.membership import LIFE, VIEW, Membership, View, owner_of
 from ramptide.mirror import Mirror
 from ramptide.peers import Peers
 from ramptide.records import FLAVORS, JOB, RENTAL, SETTINGS, JobRecord, MachineRecord, RentalRecord
 from ramptide.results import Results
 from ramptide.settings import Tuning
+from ramptide.shard import Shard
 from ramptide.starts import Starter
 from ramptide.store import Store
 from ramptide.syncing import Syncing
@@ -496,7 +498,7 @@
         home.touched = False
         if slow:
             self._last_round = now
-            part.expire(now, self.others_end())
+            part.leases.expire(now, self.others_end())
             self._mind_workers(part, now)
             self.starter.clear_machines(home)
         changed = part.take_changed()
@@ -567,12 +569,12 @@
         spent = (now - self.view_at).total_seconds()
         if not left:
             self.latched = True
-            log.info("all machines are settled in view %d after %.1f s", part.number, spent)
+            log.info("all machines are settled in view %d after %.1f s", part.view, spent)
             self.peers.hurry_all()
         elif now - max(self.view_at, self._told_unsettled) > UNSETTLED_LONG:
             self._told_unsettled = now
             some = ", ".join(f"{name} ({why})" for name, why in list(left.items())[:3])
-            log.info("view %d waits for %d machines after %.1f s: %s", part.number, len(left), spent, some)
+            log.info("view %d waits for %d machines after %.1f s: %s", part.view, len(left), spent, some)
 
     def ready(self, work: JobState) -> bool:
         """The job's tasks may be started: nothing of it can be on a machine without our knowing."""
--- a/src/ramptide/floor.py
+++ b/src/ramptide/floor.py
@@ -6,11 +6,12 @@
 from datetime import timedelta
 
 from ramptide import wire
-from ramptide.agents import FINISHED, FINISHED_NAMES, MachineStatus, TaskRow
 from ramptide.jobs import MAX_FAULTY_MACHINES, Attempt, Job
+from ramptide.machine_status import MachineStatus
 from ramptide.placement import Room, empty_room
 from ramptide.records import MachineRecord
 from ramptide.settings import Tuning
+from ramptide.task_state import FINISHED, FINISHED_NAMES, TaskRow
 
 ZERO = timedelta(0)
 SILENT, UNTOLD = "silent", "not told our token"
--- a/src/ramptide/jobs.py
+++ b/src/ramptide/jobs.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from ramptide import wire
-from ramptide.agents import FINISHED, DesiredState, DesiredTaskRow, Phase, TaskKey, TaskRow
 from ramptide.allowances import Amounts, add_amounts
 from ramptide.records import PROGRESS_WINDOW, JobRecord, Progress
+from ramptide.task_state import FINISHED, DesiredState, DesiredTaskRow, Phase, TaskKey, TaskRow
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/src/ramptide/machine_table.py
@@ -0,0 +1,43 @@
+"""The machines that one controller owns, and which of them the other controllers have to hear of."""
+
+from collections.abc import Callable
+
+from ramptide import wire
+from ramptide.owned_machine import OwnedMachine
+from ramptide.task_state import TaskEntry
+
+RunLookup = Callable[[str], wire.Run | None]
+
+
+class MachineTable:
+    """The machines of one controller in one view, with an index of the hosts on which a job has tasks."""
+
+    def __init__(self, view: int, find_run: RunLookup) -> None:
+        self.view = view
+        self.find_run = find_run
+        self.machines: dict[str, OwnedMachine] = {}
+        #: The last reports of machines that the fleet record lacks.
+        self.unrecorded: dict[str, wire.Beat] = {}
+        #: Machines of which the others do not know the present state yet.
+        self.changed_hosts: set[str] = set()
+        #: Machines for whose workers there may be something new to say.
+        self.hosts_to_notify: set[str] = set()
+        self.hosts_by_job: dict[str, set[str]] = {}
+
+    def mark_changed(self, host: str) -> None:
+        """Have the machine's status sent anew, as something in it that the others see has changed."""
+        self.changed_hosts.add(host)
+
+    def take_changed(self) -> set[str]:
+        """Return the machines that have changed since the last call."""
+        changed, self.changed_hosts = self.changed_hosts, set()
+        return changed
+
+    def add_entry(self, machine: OwnedMachine, entry: TaskEntry) -> None:
+        """Add an attempt to a machine and to the index of jobs."""
+        machine.entries[(entry.ref, entry.task, entry.attempt)] = entry
+        self.hosts_by_job.setdefault(entry.ref, set()).add(machine.host)
+
+    def unrecorded_machines(self) -> dict[str, tuple[str, str, bool]]:
+        """Return type, zone and kind (spot or not) of the machines that report and that the fleet record lacks."""
+        return {beat.host: (beat.rig, beat.yard, beat.spot) for beat in self.unrecorded.values()}
--- a/src/ramptide/peers.py
+++ b/src/ramptide/peers.py
@@ -10,9 +10,10 @@
 import cbor2
 import msgspec
 
-from ramptide.agents import DesiredTaskRow, MachineStatus
 from ramptide.context import CBOR, Reply, Runtime
 from ramptide.delta import ReceivedSequence
+from ramptide.machine_status import MachineStatus
+from ramptide.task_state import DesiredTaskRow
 from ramptide.wire import Amount, Count
 
 log = logging.getLogger(__name__)
--- a/src/ramptide/placement.py
+++ b/src/ramptide/placement.py
@@ -169,7 +169,7 @@
     """Lowest is best. A busy machine goes before an idle one, so that machines empty.
 
     Services go together, on machines where their images are soon all cached and which empty one after the other when
-    services end: there to one that holds the image, then one whose worker waits for our answer (see `agents`), then
+    services end: there to one that holds the image, then one whose worker waits for our answer (see `workers`), then
     the one with most services, so that the others empty. Another machine is opened where several more will fit. Arrays
     keep off the quick machines, take spot ones where they may, and fill machines in one fixed order, so that the last
     ones empty.
--- /dev/null
+++ b/src/ramptide/report_intake.py
@@ -0,0 +1,159 @@
+"""The workers' reports: whether they are new, whether our answers arrive, and what runs on the machine."""
+
+import logging
+from datetime import timedelta
+
+from ramptide import wire
+from ramptide.failure_history import record_outcome
+from ramptide.machine_table import MachineTable
+from ramptide.owned_machine import OwnedMachine
+from ramptide.task_state import FINISHED, REPORTED, DesiredState, Phase, TaskEntry, TaskKey
+
+log = logging.getLogger(__name__)
+
+#: A worker waits 4 s for an answer and another before it reports again.
+ANSWER_MISSED_AFTER = timedelta(seconds=4.5)
+#: The moment at which the cloud takes a machine is reckoned anew from each report, so it always moves a little.
+RECLAIM_TIME_TOLERANCE = timedelta(seconds=1)
+
+
+class ReportIntake:
+    """Takes the reports of the machines in a table."""
+
+    def __init__(self, table: MachineTable) -> None:
+        self._table = table
+        self._view = table.view
+        self._find_run = table.find_run
+        self._mark_changed = table.mark_changed
+
+    def take(self, beat: wire.Beat, now: timedelta) -> bool:
+        """Take a report; return False when it is an old one, which changes nothing.
+
+        Raises `wire.MessageError` when it names a task that its job does not have.
+        """
+        machine = self._table.machines.get(beat.host)
+        current = beat.baton >= self._view
+        if machine is None:
+            # A late copy of what a machine said before it was returned bears an older token.
+            if current:
+                self._table.unrecorded[beat.host] = beat
+            return True
+        if (beat.tenure, beat.tally) <= machine.last_report_id:
+            return False
+        tasks = None
+        raw = bytes(beat.pieces)
+        if raw != machine.raw_tasks or any(entry.phase is Phase.SENT for entry in machine.entries.values()):
+            tasks = self._decode_tasks(raw)
+        self._track_arrival(machine, beat, now)
+        if current is not machine.has_current_token or current and not machine.settled:
+            self._note_token(machine, current)
+        if current and tasks is not None:
+            machine.raw_tasks = raw
+            self._reconcile(machine, tasks)
+        return True
+
+    def _decode_tasks(self, raw: bytes) -> dict[TaskKey, wire.Piece]:
+        tasks = {}
+        for piece in wire.decode_pieces(raw):
+            ref, task = wire.split_piece(piece.piece)
+            run = self._find_run(ref)
+            if run is not None and task >= run.pieces:
+                raise wire.MessageError(f"piece: {piece.piece!r} is not of the job")
+            tasks[(ref, task, piece.attempt)] = piece
+        return tasks
+
+    def _note_token(self, machine: OwnedMachine, current: bool) -> None:
+        """Note whether the report was made after the worker saw our token.
+
+        If so the machine is settled: no reply of an older view can be carried out any more. Reports with an older
+        token may be stale.
+        """
+        machine.has_current_token = current
+        if current:
+            machine.settled = True
+        self._mark_changed(machine.host)
+
+    # Whether our answers arrive.
+
+    def _track_arrival(self, machine: OwnedMachine, beat: wire.Beat, now: timedelta) -> None:
+        if machine.last_report is not None:
+            # A worker whose report was not answered goes to another controller with the next: a gap in the tally,
+            # or a new tenure, says that our last answer did not reach it.
+            tenure, tally = machine.last_report_id
+            if beat.tenure != tenure or beat.tally != tally + 1:
+                self._mark_unreachable(machine, now)
+            elif machine.unreachable_since is not None and now - machine.last_report < ANSWER_MISSED_AFTER:
+                self._mark_reachable(machine)
+        machine.last_report_id = (beat.tenure, beat.tally)
+        machine.last_report = now
+        if not machine.up or machine.silent:
+            machine.up, machine.silent = True, False
+            self._mark_changed(machine.host)
+        reclaimed_at = None if beat.notice_s is None else now + timedelta(seconds=max(beat.notice_s, 0.0))
+        moved = reclaimed_at is not machine.reclaimed_at and (
+            reclaimed_at is None
+            or machine.reclaimed_at is None
+            or abs(reclaimed_at - machine.reclaimed_at) > RECLAIM_TIME_TOLERANCE
+        )
+        if moved:
+            machine.reclaimed_at = reclaimed_at
+            self._mark_changed(machine.host)
+
+    def _mark_unreachable(self, machine: OwnedMachine, now: timedelta) -> None:
+        """Start nothing there any more.
+
+        What was not sent yet is refused, so that its scheduler looks elsewhere; what may be there runs again only when
+        a report or the machine's return proves it gone.
+        """
+        if machine.unreachable_since is None:
+            log.debug("%s does not hear our answers", machine.host)
+            machine.unreachable_since = now
+        for entry in machine.entries.values():
+            if entry.phase is Phase.QUEUED:
+                entry.phase = Phase.REFUSED
+        self._mark_changed(machine.host)
+
+    def _mark_reachable(self, machine: OwnedMachine) -> None:
+        log.debug("%s hears our answers again", machine.host)
+        machine.unreachable_since = None
+        self._mark_changed(machine.host)
+
+    # What runs there.
+
+    def _reconcile(self, machine: OwnedMachine, tasks: dict[TaskKey, wire.Piece]) -> None:
+        """Bring the machine's entries in line with what the report shows."""
+        for key, piece in tasks.items():
+            entry = machine.entries.get(key)
+            if entry is None:
+                entry = TaskEntry(key[0], key[1], key[2], Phase.QUEUED, self._find_run(key[0]))
+                self._table.add_entry(machine, entry)
+            self._update_entry(machine, entry, piece)
+        for key, entry in list(machine.entries.items()):
+            if key not in tasks:
+                self._handle_absent(machine, key, entry)
+        self._mark_changed(machine.host)
+
+    def _update_entry(self, machine: OwnedMachine, entry: TaskEntry, piece: wire.Piece) -> None:
+        try:
+            phase = Phase(piece.status)
+        except ValueError:
+            phase = Phase.RUNNING
+        if phase not in REPORTED:
+            phase = Phase.RUNNING
+        if entry.phase is not phase:
+            log.debug("%s/%d try %d on %s: %s", entry.ref, entry.task, entry.attempt, machine.host, phase.value)
+        if phase is Phase.ENDED and entry.phase is not Phase.ENDED:
+            record_outcome(machine, entry.ref, piece.cause)
+        entry.phase = phase
+        entry.cause = piece.cause
+        if entry.run is not None and phase is not Phase.ENDED:
+            machine.record_image_use(entry.run.image)
+
+    def _handle_absent(self, machine: OwnedMachine, key: TaskKey, entry: TaskEntry) -> None:
+        """Take note that a newer report lacks the attempt, so it is not on the machine."""
+        if entry.desired is DesiredState.RUN and entry.phase is Phase.SENT:
+            entry.phase = Phase.REFUSED if machine.unreachable else Phase.QUEUED
+        elif entry.phase is Phase.SENT or entry.phase in REPORTED:
+            entry.phase = Phase.GONE
+        if entry.phase in FINISHED and entry.desired in (None, DesiredState.REAP):
+            del machine.entries[key]
--- /dev/null
+++ b/src/ramptide/shard.py
@@ -0,0 +1,153 @@
+"""The machines that a controller owns in one view: what joins and leaves, and what the jobs' schedulers ask for.
+
+The owner of a machine alone answers its worker's reports in a view, so commands go only in these replies.
+"""
+
+from collections.abc import Callable, Mapping
+from datetime import timedelta
+
+from ramptide import wire
+from ramptide.command_delivery import CommandDelivery
+from ramptide.lease_expiry import LeaseExpiry
+from ramptide.machine_status import MachineStatus, status_of
+from ramptide.machine_table import MachineTable, RunLookup
+from ramptide.owned_machine import OwnedMachine
+from ramptide.records import MachineRecord
+from ramptide.report_intake import ReportIntake
+from ramptide.task_state import DesiredState, DesiredTaskRow, Phase, TaskEntry, TaskKey
+
+
+class Shard(MachineTable):
+    """All machines that a controller owns in one view."""
+
+    def __init__(self, view: int, lease: timedelta, report_every: timedelta, find_run: RunLookup) -> None:
+        super().__init__(view, find_run)
+        #: For each controller, the number of its last message whose desired states were taken.
+        self.acks: dict[str, int] = {}
+        self.reports = ReportIntake(self)
+        self.commands = CommandDelivery(self)
+        self.leases = LeaseExpiry(self, lease, report_every)
+
+    # The fleet record.
+
+    def add_machine(
+        self,
+        host: str,
+        record: MachineRecord,
+        flavor: wire.Flavor | None,
+        now: timedelta,
+        images: list[str],
+        until: timedelta | None = None,
+    ) -> None:
+        """Add a machine of the fleet record, or take its changed record.
+
+        `until`: the last moment at which anybody may have answered it, where we know from the view before.
+        """
+        machine = self.machines.get(host)
+        if machine is None:
+            # Nobody starts on a machine that is not recorded as opened, so this one may be empty for sure.
+            machine = OwnedMachine(host, record, flavor, record.untouched(self.view), now if until is None else until)
+            machine.bounded = until is not None
+            machine.images = dict.fromkeys(images)
+            self.machines[host] = machine
+            self.unrecorded.pop(host, None)
+        machine.record = record
+        machine.flavor = flavor or machine.flavor
+        self.mark_changed(host)
+
+    def remove_machine(self, host: str) -> None:
+        """Drop a machine that left the fleet record: its return was answered, so it and all on it are gone."""
+        if self.machines.pop(host, None) is not None:
+            self.mark_changed(host)
+
+    def last_possible_answers(self, others_end: timedelta | None) -> dict[str, timedelta]:
+        """Return the last moment at which anybody may have answered each machine, for the owner in the next view.
+
+        When that is us again, only we could answer in between, so a machine that has been silent over several views
+        need not be counted anew in each.
+        """
+        found = {}
+        for host, machine in self.machines.items():
+            last = machine.latest_answer()
+            if machine.settled or machine.bounded:
+                found[host] = last
+            elif others_end is not None:
+                found[host] = max(last, others_end)
+        return found
+
+    # What the jobs' schedulers ask for.
+
+    def apply_desired(
+        self,
+        home: str,
+        seq: int,
+        changes: Mapping[str, list[DesiredTaskRow] | None],
+        allowed: Callable[[OwnedMachine], bool],
+    ) -> None:
+        """Take what changed of a scheduler's desired states: each machine's list in full.
+
+        A copy of a message that was taken before, or an older one, changes nothing.
+        """
+        if seq <= self.acks.get(home, 0):
+            return
+        self.acks[home] = seq
+        for host, rows in changes.items():
+            machine = self.machines.get(host)
+            if machine is None:
+                continue
+            for ref, task, attempt, name, grace in rows or ():
+                key, desired = (ref, task, attempt), DesiredState(name)
+                self._apply_desired_state(machine, home, key, desired, timedelta(seconds=grace), allowed)
+            self.hosts_to_notify.add(host)
+            self.mark_changed(host)
+
+    def _apply_desired_state(
+        self,
+        machine: OwnedMachine,
+        home: str,
+        key: TaskKey,
+        desired: DesiredState,
+        grace: timedelta,
+        allowed: Callable[[OwnedMachine], bool],
+    ) -> None:
+        entry = machine.entries.get(key)
+        if entry is None:
+            if desired is not DesiredState.RUN:
+                return
+            run = self.find_run(key[0])
+            entry = TaskEntry(key[0], key[1], key[2], Phase.QUEUED, run, home=home)
+            if run is None or machine.unreachable or not allowed(machine) or not machine.has_room_for(run):
+                entry.phase = Phase.REFUSED
+            self.add_entry(machine, entry)
+        if entry.desired is DesiredState.REAP or entry.desired is DesiredState.STOP and desired is DesiredState.RUN:
+            return
+        entry.desired, entry.home, entry.grace = desired, home, grace
+        if desired is not DesiredState.RUN and entry.phase is Phase.QUEUED:
+            entry.phase = Phase.GONE
+        if desired is DesiredState.REAP and entry.phase in (Phase.REFUSED, Phase.GONE):
+            del machine.entries[key]
+
+    def job_over(self, ref: str) -> None:
+        """Stop the tasks of a job that is no longer live, whoever asked for them."""
+        for host in self.hosts_by_job.pop(ref, ()):
+            machine = self.machines.get(host)
+            if machine is not None:
+                for key, entry in list(machine.entries.items()):
+                    if entry.ref == ref:
+                        machine.clear_away(key, entry)
+            self.hosts_to_notify.add(host)
+            self.mark_changed(host)
+
+    # What the other controllers are told.
+
+    def status(self, host: str, now: timedelta) -> MachineStatus | None:
+        """Return a machine's state as it is sent to the other controllers; None when we have no such machine."""
+        machine = self.machines.get(host)
+        return status_of(machine, now) if machine is not None else None
+
+    def waiting_schedulers(self, host: str) -> set[str]:
+        """Return the controllers that wait for news of what they started there."""
+        machine = self.machines.get(host)
+        if machine is None:
+            return set()
+        return {entry.home for entry in machine.entries.values() if entry.home is not None}
--- a/src/ramptide/starts.py
+++ b/src/ramptide/starts.py
@@ -12,7 +12,6 @@
 import msgspec
 
 from ramptide import wire
-from ramptide.agents import FINISHED_NAMES
 from ramptide.allowances import NO_LIMIT, NOTHING, Amounts, add_amounts, limited, limits_of
 from ramptide.fleet import Demand, Machine
 from ramptide.floor import SILENT, UNTOLD, Host
@@ -23,6 +22,7 @@
 from ramptide.preemption import RunningTask, may_claim, victims
 from ramptide.records import JOB, Handover, to_value
 from ramptide.store import Transaction, TransactionResult
+from ramptide.task_state import FINISHED_NAMES
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
--- a/src/ramptide/syncing.py
+++ b/src/ramptide/syncing.py
@@ -7,13 +7,16 @@
 import cbor2
 import msgspec
 
-from ramptide.agents import DesiredTaskRow, MachineStatus, OwnedMachine, Shard, TaskRow
 from ramptide.allowances import Allowances, Grants, add_amounts
 from ramptide.delta import ChangeLog
 from ramptide.jobs import JobScheduler
+from ramptide.machine_status import MachineStatus
 from ramptide.membership import View
+from ramptide.owned_machine import OwnedMachine
 from ramptide.peers import EVERY, WIRE, Answer, Peer, Sync
 from ramptide.records import JOB
+from ramptide.shard import Shard
+from ramptide.task_state import DesiredTaskRow, TaskRow
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
--- /dev/null
+++ b/src/ramptide/task_state.py
@@ -0,0 +1,70 @@
+"""The phases of a task's attempts, what may be asked for them, and how both are written in messages."""
+
+from dataclasses import dataclass
+from datetime import timedelta
+from enum import Enum
+from typing import Literal
+
+from ramptide import wire
+
+NO_TIME = timedelta(0)
+
+#: Job reference, task number and attempt number.
+TaskKey = tuple[str, int, int]
+# Typed closely, so that a broken message between controllers is refused as a whole before anything of it is taken.
+PhaseName = Literal["queued", "sent", "fetching", "running", "flushing", "ended", "refused", "gone"]
+DesiredStateName = Literal["run", "stop", "reap"]
+#: Job, task, attempt, phase and the cause of an end, as an owner tells the other controllers.
+TaskRow = tuple[str, wire.Count, wire.Count, PhaseName, str | None]
+#: Job, task, attempt, desired state and the seconds of grace, as a scheduler asks an owner for it.
+DesiredTaskRow = tuple[str, wire.Count, wire.Count, DesiredStateName, wire.Amount]
+
+
+class Phase(Enum):
+    """Where one attempt of a task is, as its machine's owner knows."""
+
+    # Members are single objects; Enum's own hash, of the name, shows in profiles.
+    __hash__ = object.__hash__
+
+    QUEUED = "queued"
+    SENT = "sent"
+    FETCHING = wire.FETCHING
+    RUNNING = wire.RUNNING
+    FLUSHING = wire.FLUSHING
+    ENDED = wire.ENDED
+    REFUSED = "refused"
+    GONE = "gone"
+
+
+#: The attempt holds no room and is certainly not running on the machine.
+FINISHED = frozenset({Phase.ENDED, Phase.REFUSED, Phase.GONE})
+FINISHED_NAMES = frozenset(phase.value for phase in FINISHED)
+#: A report of the worker has shown the attempt.
+REPORTED = frozenset({Phase.FETCHING, Phase.RUNNING, Phase.FLUSHING, Phase.ENDED})
+
+
+class DesiredState(Enum):
+    """What the scheduler of the job asks for."""
+
+    RUN = "run"
+    STOP = "stop"
+    REAP = "reap"
+
+
+@dataclass(slots=True)
+class TaskEntry:
+    """One attempt of a task on a machine, as the machine's owner keeps it.
+
+    `run` is None while the job is not known; `home` is the controller whose scheduler asked for the attempt.
+    """
+
+    ref: str
+    task: int
+    attempt: int
+    phase: Phase
+    run: wire.Run | None
+    desired: DesiredState | None = None
+    home: str | None = None
+    grace: timedelta = NO_TIME
+    cause: str | None = None
+    kill_sent_at: timedelta | None = None
--- a/src/ramptide/workers.py
+++ b/src/ramptide/workers.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ramptide import wire
-from ramptide.agents import OwnedMachine
+from ramptide.owned_machine import OwnedMachine
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
@@ -63,7 +63,7 @@
             answer(503, b"{}")
             return
         try:
-            fresh = c.part.take_report(beat, c.context.now)
+            fresh = c.part.reports.take(beat, c.context.now)
         except wire.MessageError as error:
             answer(400, wire.encode({"error": str(error)}))
             return
@@ -75,7 +75,7 @@
         if beat.addr is not None and beat.host in c.machines:
             c.addresses[beat.host] = beat.addr
         agent = c.part.machines.get(beat.host)
-        if agent is not None and self._worth_holding(agent) and not c.part.has_commands(beat.host):
+        if agent is not None and self._worth_holding(agent) and not c.part.commands.pending(beat.host):
             self._held[beat.host] = Held(answer, c.context.now + c.tuning.hold)
             return
         self._reply(beat.host, answer)
@@ -103,7 +103,7 @@
             answer(503, b"{}")
             return
         agent = c.part.machines.get(host)
-        orders = c.part.take_commands(host, c.context.now, c.may_start())
+        orders = c.part.commands.take(host, c.context.now, c.may_start())
         if agent is not None:
             agent.last_answer = c.context.now
         answer(200, wire.encode_beat_answer(c.view.number, orders))
@@ -111,8 +111,8 @@
     def answer_held(self, now: timedelta) -> None:
         part = self._c.part
         for host, held in list(self._held.items()):
-            if held.until <= now or part is not None and host in part.hosts_with_commands and part.has_commands(host):
+            if held.until <= now or part is not None and host in part.hosts_to_notify and part.commands.pending(host):
                 del self._held[host]
                 self._reply(host, held.answer)
         if part is not None:
-            part.hosts_with_commands.clear()
+            part.hosts_to_notify.clear()
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -18,10 +18,10 @@
 from world import S, World, job, owner, started
 
 from ramptide import peers, wire
-from ramptide.agents import Shard
 from ramptide.jobs import JobScheduler
 from ramptide.records import Progress
 from ramptide.settings import SettingsError, Tuning, load
+from ramptide.shard import Shard
 from ramptide.syncing import Syncing
 
 NULLABLE = {"rigs", "yard", "dueS"}
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -13,14 +13,15 @@
 from world import Reply, S, VirtualContext, World, job, leader, started
 
 from ramptide import wire
-from ramptide.agents import Phase, Shard
 from ramptide.commits import CommitBatcher
 from ramptide.delta import ChangeLog, ReceivedSequence
 from ramptide.limits import TokenBucket
 from ramptide.mirror import Mirror
 from ramptide.peers import WIRE
 from ramptide.records import MachineRecord
+from ramptide.shard import Shard
 from ramptide.store import Store, Transaction, TransactionResult
+from ramptide.task_state import Phase
 
 EVENTS = st.lists(
     st.tuples(st.sampled_from(["set", "drop", "send", "deliver", "late", "answer"]), st.integers(0, 9)), max_size=120
@@ -197,7 +198,7 @@
     """Within a tenure, over tenures, from before the view, and after the lease has certainly run out."""
     part, plain = a_part(), dict[tuple[int, int], wire.Beat]()
     agent = part.machines["vm-1"]
-    assert part.take_report(beat(1, 1, 4, 1, 2), 0 * S) and not agent.settled, (
+    assert part.reports.take(beat(1, 1, 4, 1, 2), 0 * S) and not agent.settled, (
         "it may be from before the token was seen"
     )
     assert not agent.entries
@@ -206,41 +207,41 @@
         now += 1 * S
         tenure = 1 + tally // 10
         report = beat(tenure, tally, 5, *rng.sample(range(8), 3))
-        assert part.take_report(report, now)
+        assert part.reports.take(report, now)
         agent.last_answer = now
         shown = {key: entry.phase for key, entry in agent.entries.items()}
         heard, answered = agent.last_report, agent.last_answer
         plain[tenure, tally] = report
         for copy in rng.sample(sorted(plain), min(3, len(plain))):
-            assert not part.take_report(plain[copy], now + 0.3 * S)
+            assert not part.reports.take(plain[copy], now + 0.3 * S)
         assert shown == {key: entry.phase for key, entry in agent.entries.items()}
         assert (agent.last_report, agent.last_answer) == (heard, answered), "they extend no lease in our reckoning"
     assert agent.settled
-    part.expire(now + 9.2 * S, 0 * S)
+    part.leases.expire(now + 9.2 * S, 0 * S)
     assert all(entry.phase is Phase.GONE for entry in agent.entries.values())
-    assert not part.take_report(beat(4, 99, 5, 1, 2, 3), now + 10 * S), (
+    assert not part.reports.take(beat(4, 99, 5, 1, 2, 3), now + 10 * S), (
         "a late one of the tenure that ended revives nothing"
     )
-    assert part.take_report(beat(5, 100, 5), now + 11 * S)
+    assert part.reports.take(beat(5, 100, 5), now + 11 * S)
 
 
 def test_without_the_later_tenure_a_late_report_revives_what_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
     part = a_part()
     agent = part.machines["vm-1"]
-    assert part.take_report(beat(1, 1, 5, 1), 0 * S)
+    assert part.reports.take(beat(1, 1, 5, 1), 0 * S)
     agent.last_answer = 0 * S
-    part.expire(10 * S, 0 * S)
+    part.leases.expire(10 * S, 0 * S)
     agent.last_report_id = (1, 1)
-    assert part.take_report(beat(1, 2, 5, 1), 11 * S)
+    assert part.reports.take(beat(1, 2, 5, 1), 11 * S)
     assert any(entry.phase is Phase.RUNNING for entry in agent.entries.values())
 
 
 def test_a_late_report_of_a_returned_machine_brings_nothing_back() -> None:
     part = a_part()
-    assert part.take_report(beat(1, 1, 5), 0 * S)
+    assert part.reports.take(beat(1, 1, 5), 0 * S)
     part.remove_machine("vm-1")
-    assert part.take_report(beat(1, 1, 4), 20 * S) and not part.unrecorded_machines(), "from before this view"
-    assert part.take_report(beat(1, 2, 5), 21 * S) and part.unrecorded_machines(), "the leader knows what it returned"
+    assert part.reports.take(beat(1, 1, 4), 20 * S) and not part.unrecorded_machines(), "from before this view"
+    assert part.reports.take(beat(1, 2, 5), 21 * S) and part.unrecorded_machines(), "the leader knows what it returned"
     world = started(5)
     controller = world.nodes[leader(world)].controller
     assert controller is not None and controller.part is not None
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -14,11 +14,12 @@
 from world import S, World, leader, owner, started
 
 from ramptide import fleet
-from ramptide.agents import FAILED_JOBS_KEPT, OwnedMachine, Shard
 from ramptide.app import Controller
+from ramptide.failure_history import FAILED_JOBS_KEPT, record_outcome
 from ramptide.fleet import SICK
 from ramptide.floor import Floor
 from ramptide.jobs import JobScheduler, JobState
+from ramptide.owned_machine import OwnedMachine
 from ramptide.records import MachineRecord
 from ramptide.starts import Starter
 
@@ -478,14 +479,14 @@
 def test_what_a_machine_tells_of_failures() -> None:
     agent = OwnedMachine("vm-1", MachineRecord("m", "a", False, 1, 0.0), None, True, 0 * S)
     for ref in ("j-1", "j-2", "j-1"):
-        Shard._record_outcome(agent, ref, "error")
+        record_outcome(agent, ref, "error")
     assert (agent.failed_jobs, agent.consecutive_failures) == (["j-1", "j-2"], 2)
-    Shard._record_outcome(agent, "j-3", "done")
+    record_outcome(agent, "j-3", "done")
     assert (agent.failed_jobs, agent.consecutive_failures) == (["j-1", "j-2"], 0)
-    Shard._record_outcome(agent, "j-1", "error")
+    record_outcome(agent, "j-1", "error")
     assert (agent.failed_jobs, agent.consecutive_failures) == (["j-2", "j-1"], 1)
     for number in range(20):
-        Shard._record_outcome(agent, f"j-{number + 10}", "error")
+        record_outcome(agent, f"j-{number + 10}", "error")
     assert (len(agent.failed_jobs), agent.consecutive_failures, agent.failed_jobs[-1]) == (
         FAILED_JOBS_KEPT,
         FAILED_JOBS_KEPT,
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -10,7 +10,6 @@
 from world import Answer, S, Task, Worker, World, leader, owner, started
 
 from ramptide import wire
-from ramptide.agents import DesiredState, Shard
 from ramptide.app import Controller
 from ramptide.floor import Floor, Host
 from ramptide.jobs import JobScheduler
@@ -19,7 +18,9 @@
 from ramptide.peers import Peer, Peers, Sync
 from ramptide.records import Handover
 from ramptide.settings import Tuning
+from ramptide.shard import Shard
 from ramptide.syncing import Syncing
+from ramptide.task_state import DesiredState
 
 
 def watch(world: World, seconds: float) -> None:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,12 +8,14 @@
 from chaos import longest_beside_room, play, submit, withdraw
 from world import S, Worker, World, job, leader, owner, started
 
-from ramptide.agents import FINISHED_NAMES, Shard
 from ramptide.app import Controller
 from ramptide.floor import Floor, Host
 from ramptide.jobs import sum_amounts
 from ramptide.membership import LIFE
 from ramptide.peers import Peers
+from ramptide.report_intake import ReportIntake
+from ramptide.shard import Shard
+from ramptide.task_state import FINISHED_NAMES
 
 
 @pytest.mark.parametrize("seed", range(28))
@@ -410,7 +412,7 @@
 
 
 def test_without_that_guard_launches_go_where_nobody_hears(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Shard, "_mark_unreachable", lambda self, agent, now: None)
+    monkeypatch.setattr(ReportIntake, "_mark_unreachable", lambda self, agent, now: None)
     assert launches_while_deaf(busy_world(members=1, guessS=60.0)) > 0
 
 
@@ -618,7 +620,7 @@
     world = busy_world(guessS=500.0)
     for node in world.nodes.values():
         assert node.controller is not None and node.controller.part is not None
-        monkeypatch.setattr(node.controller.part, "_lease", 2 * S)
+        monkeypatch.setattr(node.controller.part.leases, "_lease", 2 * S)
     hang_half(world, 12)
     assert any("ran_twice" in rule for rule in world.rules.broken)
 
