--- a/src/ramptide/admin.py
+++ b/src/ramptide/admin.py
@@ -3,12 +3,15 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING, Any
 
+import msgspec
+
 from ramptide import __version__, wire
 from ramptide.context import JSON
 from ramptide.desk import error
 from ramptide.records import SETTINGS
 from ramptide.settings import BOUNDS, SettingsError, Tuning
 from ramptide.store import Transaction, TransactionResult
+from ramptide.team_usage import team_usage
 
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
@@ -95,6 +98,11 @@
             "view": None
             if view is None
             else {"number": view.number, "leader": view.leader, "members": sorted(view.members), "settled": c.latched},
+            "view_changes": {
+                "count": c.telemetry.view_changes,
+                "last": msgspec.to_builtins(list(c.telemetry.last_changes)),
+            },
+            "teams": msgspec.to_builtins(team_usage(c)),
             "counts": {
                 "trigger": fleet.trigger.name.lower(),
                 "waiting": fleet.waiting,
@@ -139,6 +147,8 @@
         """The metrics as they stand (called by the registry)."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
+        from ramptide.metrics import membership_metrics, team_metrics
+
         c = self._c
         gauges = {
             "view": (c.view.number if c.view is not None else 0, "number of the view"),
@@ -170,3 +180,5 @@
         }
         for name, text in texts.items():
             yield CounterMetricFamily(f"ramptide_{name}", text, value=c.counters[name])
+        yield from team_metrics(c)
+        yield from membership_metrics(c.telemetry)
--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -29,6 +29,7 @@
 from ramptide.starts import Starter
 from ramptide.store import Store
 from ramptide.syncing import Syncing
+from ramptide.telemetry import Telemetry
 from ramptide.workers import Reports
 
 log = logging.getLogger(__name__)
@@ -78,6 +79,7 @@
         self.rentals: dict[str, RentalRecord] = {}
         self.flavors: dict[str, wire.Flavor] = {}
         self.counters: Counter[str] = Counter()
+        self.telemetry = Telemetry()
 
         self.part: Shard | None = None
         self.home: JobScheduler | None = None
@@ -410,6 +412,8 @@
         """A new view: all that was known of who runs what is rebuilt from the workers' reports."""
         view = self.membership.view
         assert view is not None
+        if self.view is None or view.number != self.view.number:
+            self.telemetry.view_changed(view.number)
         # What we know of the view just before still holds; of one further back it need not.
         follows = self.view is not None and view.number == self.view.number + 1
         self._answerable = (
@@ -569,6 +573,7 @@
         spent = (now - self.view_at).total_seconds()
         if not left:
             self.latched = True
+            self.telemetry.settled(now - self.view_at)
             log.info("all machines are settled in view %d after %.1f s", part.view, spent)
             self.peers.hurry_all()
         elif now - max(self.view_at, self._told_unsettled) > UNSETTLED_LONG:
--- /dev/null
+++ b/src/ramptide/metrics.py
@@ -0,0 +1,56 @@
+"""The telemetry in the form that Prometheus reads."""
+
+from collections.abc import Iterator
+from typing import TYPE_CHECKING
+
+from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
+
+from ramptide.team_usage import ResourceUsage, team_usage
+from ramptide.telemetry import Telemetry
+
+if TYPE_CHECKING:
+    from prometheus_client.core import Metric
+
+    from ramptide.app import Controller
+
+TEAM_GAUGES = {
+    "limit": "limit of the team; absent where there is none",
+    "used": "what the team's tasks hold, by all controllers that are heard",
+    "share": "this controller's share of the limit; absent where there is none",
+    "share_used": "what the team's tasks hold that this controller counts against its share",
+    "waiting_for_limit": "what waiting tasks need of jobs of which the share lets none run",
+}
+
+
+def team_metrics(controller: "Controller") -> "Iterator[Metric]":
+    """The team limits; the labels are the teams of the settings."""
+    teams = team_usage(controller)
+    for field, text in TEAM_GAUGES.items():
+        family = GaugeMetricFamily(f"ramptide_team_{field}", text, labels=("team", "resource"))
+        for name, usage in teams.items():
+            resources: dict[str, ResourceUsage] = {"cores": usage.cores, "gpus": usage.gpus}
+            for resource, amounts in resources.items():
+                value = getattr(amounts, field)
+                if value is not None:
+                    family.add_metric((name, resource), value)
+        yield family
+
+
+def membership_metrics(telemetry: Telemetry) -> "Iterator[Metric]":
+    """How often the view changed, and how long work rested for it."""
+    yield CounterMetricFamily("ramptide_view_changes", "changes of the view", value=telemetry.view_changes)
+    yield CounterMetricFamily(
+        "ramptide_settled_view_changes",
+        "changes of the view after which all machines were settled",
+        value=telemetry.settled_changes,
+    )
+    yield CounterMetricFamily(
+        "ramptide_settling_seconds",
+        "time from changes of the view until all machines were settled",
+        value=telemetry.settling_total.total_seconds(),
+    )
+    yield GaugeMetricFamily(
+        "ramptide_last_settling_seconds",
+        "time from the last settled change of the view until all machines were settled",
+        value=telemetry.settling_last.total_seconds(),
+    )
--- /dev/null
+++ b/src/ramptide/team_usage.py
@@ -0,0 +1,81 @@
+"""How the team limits are used and split, as this controller knows it."""
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from ramptide.allowances import NO_LIMIT, NOTHING, Amounts, Grants, add_amounts, limits_of
+from ramptide.jobs import JobScheduler
+
+if TYPE_CHECKING:
+    from ramptide.app import Controller
+
+
+class ResourceUsage(msgspec.Struct, frozen=True):
+    """One resource of a team. `limit` and `share` are None where there is no limit."""
+
+    limit: float | None
+    #: By all controllers, as far as they are heard.
+    used: float
+    #: What this controller may use of the limit, and what it uses of that.
+    share: float | None
+    share_used: float
+    #: What the tasks here need that wait because the share lets none of their job run.
+    waiting_for_limit: float
+
+
+class TeamUsage(msgspec.Struct, frozen=True):
+    """Both resources that a team's limits are on."""
+
+    cores: ResourceUsage
+    gpus: ResourceUsage
+
+
+@dataclass(frozen=True, slots=True)
+class _Totals:
+    """Amounts by team."""
+
+    used: Grants
+    share_used: Grants
+    waiting: Grants
+
+
+def team_usage(controller: "Controller") -> dict[str, TeamUsage]:
+    """By the teams of the settings; empty on a controller without a place in the view, which decides no starts."""
+    home = controller.home
+    if home is None:
+        return {}
+    totals = _Totals(controller.starter.team_use(), home.held(), waiting_for_limits(controller, home))
+    return {name: _usage_of(controller, name, totals) for name in controller.teams}
+
+
+def _usage_of(controller: "Controller", team: str, totals: _Totals) -> TeamUsage:
+    limit = limits_of(controller.teams[team])
+    share = controller.grants.get(team, NOTHING)
+
+    def resource(side: int) -> ResourceUsage:
+        limited = limit[side] != NO_LIMIT
+        return ResourceUsage(
+            limit=limit[side] if limited else None,
+            used=totals.used.get(team, NOTHING)[side],
+            share=share[side] if limited else None,
+            share_used=totals.share_used.get(team, NOTHING)[side],
+            waiting_for_limit=totals.waiting.get(team, NOTHING)[side],
+        )
+
+    return TeamUsage(cores=resource(0), gpus=resource(1))
+
+
+def waiting_for_limits(controller: "Controller", home: JobScheduler) -> dict[str, Amounts]:
+    """What the waiting tasks need of jobs of which the team's share lets no task run."""
+    now, held = controller.context.now, home.held()
+    waiting: Grants = {}
+    for work in home.with_pending_tasks.values():
+        run = work.job.run
+        if work.retry_at > now or not work.startable:
+            continue
+        share = controller.grants.get(run.team, NOTHING)
+        if controller.starter.headroom(run, held.get(run.team, NOTHING), share) == 0:
+            add_amounts(waiting, run.team, run.cores * work.startable, run.cards * work.startable)
+    return waiting
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -3,13 +3,15 @@
 import json
 import logging
 from collections.abc import Callable
+from typing import Any
 
 import pytest
 from chaos import longest_beside_room
+from prometheus_client.parser import text_string_to_metric_families
 from test_world import busy_world, calm
 from world import CLOUD, STATE, S, World, leader, owner, started
 
-from ramptide.admin import STATUS_PATH, Admin
+from ramptide.admin import METRICS_PATH, STATUS_PATH, Admin
 from ramptide.app import Controller
 from ramptide.membership import Membership
 
@@ -20,18 +22,32 @@
     return controller
 
 
-def status(world: World, name: str) -> dict[str, object]:
+def ask_admin(world: World, name: str, path: str) -> bytes:
     got: list[bytes] = []
 
     def look(controller: Controller) -> None:
-        Admin(controller).handle("GET", STATUS_PATH, b"", lambda code, said, kind: got.append(said))
+        Admin(controller).handle("GET", path, b"", lambda code, said, kind: got.append(said))
 
     world.ask(name, look)
     world.run(0.1)
-    found: dict[str, object] = json.loads(got[0])
+    return got[0]
+
+
+def status(world: World, name: str) -> dict[str, Any]:
+    found: dict[str, Any] = json.loads(ask_admin(world, name, STATUS_PATH))
     return found
 
 
+def metrics(world: World, name: str) -> dict[tuple[str, ...], float]:
+    """The samples by name (without the prefix) and the values of their labels, these in the order of their names."""
+    families = text_string_to_metric_families(ask_admin(world, name, METRICS_PATH).decode())
+    return {
+        (sample.name.removeprefix("ramptide_"), *(value for _, value in sorted(sample.labels.items()))): sample.value
+        for family in families
+        for sample in family.samples
+    }
+
+
 def cut_from_all(world: World, name: str) -> None:
     world.isolate(name)
 
@@ -194,3 +210,64 @@
     assert isinstance(failing, dict) and list(failing) == ["j-9"] and failing["j-9"] > 1
     assert isinstance(machines, dict) and machines[worker.host]["out_of_use"] == "silent"
     assert sum(row["out_of_use"] is not None for row in machines.values()) == 1
+
+
+def test_what_waits_for_a_teams_limit_is_told_by_team() -> None:
+    world = started(5, teams={"team": 0.0, "few": 8.0})
+    world.submit("j-1", owner="few", pieces=10, cores=2.0, guessS=300.0)
+    world.submit("j-2", owner="team", pieces=2, cores=2.0, guessS=300.0)
+    assert world.accepted("j-1", "c0") and world.accepted("j-2", "c0")
+    assert world.run_until(lambda: len(world.rules.on_machines()) == 6, 40)
+    world.run(4)
+    said = {name: status(world, name)["teams"] for name in world.names}
+    assert all(set(teams) == {"team", "few"} for teams in said.values())
+    few = [teams["few"]["cores"] for teams in said.values()]
+    assert all(row["limit"] == 8.0 and row["used"] == 8.0 for row in few)
+    assert sum(row["share"] for row in few) == sum(row["share_used"] for row in few) == 8.0
+    assert sum(row["waiting_for_limit"] for row in few) == 12.0
+    assert all(row["share_used"] <= row["share"] + 1e-6 for row in few)
+    unlimited = said["c0"]["team"]["cores"]
+    assert unlimited["limit"] is None and unlimited["share"] is None and unlimited["used"] == 4.0
+    assert sum(teams["team"]["cores"]["waiting_for_limit"] for teams in said.values()) == 0.0
+    samples = metrics(world, "c0")
+    assert samples["team_limit", "cores", "few"] == samples["team_used", "cores", "few"] == 8.0
+    assert ("team_limit", "cores", "team") not in samples and ("team_limit", "gpus", "few") not in samples
+    waiting = [metrics(world, name)["team_waiting_for_limit", "cores", "few"] for name in world.names]
+    assert sum(waiting) == 12.0
+
+
+def test_what_waits_for_machines_does_not_wait_for_a_limit() -> None:
+    world = started(5, teams={"few": 100.0}, capacity=1)
+    world.submit("j-1", owner="few", pieces=10, cores=2.0, guessS=300.0)
+    assert world.accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.rules.on_machines()) == 4, 40)
+    world.run(4)
+    assert all(status(world, name)["teams"]["few"]["cores"]["waiting_for_limit"] == 0.0 for name in world.names)
+
+
+def test_changes_of_membership_are_counted_and_timed() -> None:
+    world = busy_world(guessS=300.0)
+    name = leader(world)
+    other = next(one for one in world.names if one != name)
+    before = status(world, name)["view_changes"]
+    world.nodes[other].kill()
+    world.run(6)
+    after = status(world, name)["view_changes"]
+    assert after["count"] == before["count"] + 1
+    spent = after["last"][-1]["settled_s"]
+    assert after["last"][-1]["view"] == status(world, name)["view"]["number"] and 0 < spent < 6
+    samples = metrics(world, name)
+    assert samples["view_changes_total",] == after["count"]
+    assert samples["last_settling_seconds",] == pytest.approx(spent, abs=0.001)
+    assert samples["settling_seconds_total",] >= samples["last_settling_seconds",]
+
+
+def test_a_change_that_waits_for_a_machine_has_no_time_yet() -> None:
+    world = busy_world(guessS=300.0)
+    name = leader(world)
+    other = next(one for one in world.names if one != name)
+    world.cloud.down = True
+    world.rules.on_machines()[0][0].hang(60)
+    world.nodes[other].kill()
+    world.run(6)
+    assert status(world, name)["view_changes"]["last"][-1]["settled_s"] is None
