--- a/src/ramptide/admin.py
+++ b/src/ramptide/admin.py
@@ -102,6 +102,8 @@
                 "count": c.telemetry.view_changes,
                 "last": msgspec.to_builtins(list(c.telemetry.last_changes)),
             },
+            "answers": c.telemetry.answers_by_route(),
+            "unavailable": {reason.value: count for reason, count in c.telemetry.unavailable.items()},
             "teams": msgspec.to_builtins(team_usage(c)),
             "counts": {
                 "trigger": fleet.trigger.name.lower(),
@@ -147,7 +149,7 @@
         """The metrics as they stand (called by the registry)."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-        from ramptide.metrics import membership_metrics, team_metrics
+        from ramptide.metrics import answer_metrics, membership_metrics, team_metrics
 
         c = self._c
         gauges = {
@@ -182,3 +184,4 @@
             yield CounterMetricFamily(f"ramptide_{name}", text, value=c.counters[name])
         yield from team_metrics(c)
         yield from membership_metrics(c.telemetry)
+        yield from answer_metrics(c.telemetry)
--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -136,6 +136,7 @@
             self.starter.home_for,
             lambda ref: self.floor.running[ref],
             self.syncing.cancelled,
+            self.telemetry,
         )
         self.leader = Leader(self)
 
--- a/src/ramptide/desk.py
+++ b/src/ramptide/desk.py
@@ -16,11 +16,10 @@
 from ramptide.placement import can_ever_run
 from ramptide.records import ENDED, JOB, EndRecord, JobRecord, Progress, to_value
 from ramptide.store import Store, Transaction, TransactionResult
+from ramptide.telemetry import Answer, Route, Telemetry, Unavailable
 
 log = logging.getLogger(__name__)
 
-Answer = Callable[[int, bytes, dict[str, str]], None]
-
 TRIES = 5
 PATIENCE = timedelta(seconds=1)
 LATEST = 30
@@ -45,6 +44,7 @@
         home_for: Callable[[wire.Run], str],
         running: Callable[[str], int],
         cancelled: Callable[[str], None],
+        telemetry: Telemetry,
     ) -> None:
         self._store = store
         self._mirror = mirror
@@ -56,20 +56,27 @@
         self._home_for = home_for
         self._running = running
         self._cancelled = cancelled
+        self._telemetry = telemetry
         # Final states never change, so one that was read or committed here need not be read again.
         self._ended: dict[str, EndRecord] = {}
         self._asking: dict[str, list[Callable[[EndRecord | None, bool], None]]] = {}
 
-    @staticmethod
-    def _busy(answer: Answer, text: str, wait: timedelta = timedelta(0)) -> None:
+    def _busy(self, answer: Answer, reason: Unavailable, wait: timedelta = timedelta(0)) -> None:
+        self._telemetry.unavailable[reason] += 1
         seconds = min(max(math.ceil(wait.total_seconds()), 1), LATEST)
-        answer(503, error(text), {"Retry-After": str(seconds)})
+        answer(503, error(reason.text), {"Retry-After": str(seconds)})
+
+    def _cannot_commit(self) -> Unavailable | None:
+        """Why no change can be written just now."""
+        if self._mirror.lacking:
+            return Unavailable.STATE_SERVICE
+        return Unavailable.VIEW if self._membership.view is None else None
 
     def _overloaded(self, answer: Answer) -> bool:
         """More is asked than the state service takes, so this is answered at once with the time to come back."""
         delay = self._commits.delay()
         if delay > PATIENCE:
-            self._busy(answer, "more is asked than the state service takes", delay)
+            self._busy(answer, Unavailable.OVERLOADED, delay)
         return delay > PATIENCE
 
     def ended(self, ref: str, record: EndRecord) -> None:
@@ -81,6 +88,7 @@
     # Submissions.
 
     def submit(self, body: bytes, answer: Answer) -> None:
+        answer = self._telemetry.counting(Route.SUBMIT, answer)
         try:
             run = wire.decode_run(body)
         except wire.MessageError as bad:
@@ -88,10 +96,10 @@
             return
         if run.ref in self._jobs:
             self._known(run.ref, answer, None)
-        elif self._mirror.lacking or self._membership.view is None:
-            self._busy(answer, "the state service does not answer")
+        elif (reason := self._cannot_commit()) is not None:
+            self._busy(answer, reason)
         elif not self._flavors:
-            self._busy(answer, "the machine types are not known yet")
+            self._busy(answer, Unavailable.MACHINE_TYPES)
         elif (problem := self._never(run)) is not None:
             # A job that was accepted is never refused later, whatever the types or teams are by now.
             self._known(run.ref, answer, problem)
@@ -141,7 +149,7 @@
             elif outcome.sent and outcome.failed is None and tries > 1 and not self._mirror.lacking:
                 self._accept(run, answer, min(tries - 1, 1))
             else:
-                self._busy(answer, "the state service does not answer")
+                self._busy(answer, Unavailable.STATE_SERVICE)
 
         self._commits.add(txn, done)
 
@@ -150,7 +158,7 @@
 
         def missing() -> None:
             if problem is None:
-                self._busy(answer, "the job is being accepted")
+                self._busy(answer, Unavailable.BEING_ACCEPTED)
             else:
                 answer(422, error(problem), {})
 
@@ -159,6 +167,7 @@
     # Polls.
 
     def poll(self, ref: str, answer: Answer) -> None:
+        answer = self._telemetry.counting(Route.POLL, answer)
         if not wire.is_ref(ref):
             answer(404, error("no such job"), {})
             return
@@ -170,7 +179,7 @@
 
         def found(state: Job | EndRecord | None, known: bool) -> None:
             if not known:
-                self._busy(answer, "the state service does not answer")
+                self._busy(answer, Unavailable.STATE_SERVICE)
             elif isinstance(state, EndRecord):
                 answer(200, wire.encode_job(ref, state.status, state.done, 0), {})
             elif state is not None:
@@ -235,17 +244,22 @@
 
     # Cancellations.
 
-    def cancel(self, ref: str, answer: Answer, tries: int = TRIES) -> None:
+    def cancel(self, ref: str, answer: Answer) -> None:
+        answer = self._telemetry.counting(Route.CANCEL, answer)
         if not wire.is_ref(ref):
             answer(404, error("no such job"), {})
             return
-        if self._mirror.lacking or self._membership.view is None:
-            self._busy(answer, "the state service does not answer")
+        self._cancel(ref, answer, TRIES)
+
+    def _cancel(self, ref: str, answer: Answer, tries: int) -> None:
+        reason = self._cannot_commit()
+        if reason is not None:
+            self._busy(answer, reason)
             return
 
         def found(state: Job | EndRecord | None, known: bool) -> None:
             if not known:
-                self._busy(answer, "the state service does not answer")
+                self._busy(answer, Unavailable.STATE_SERVICE)
             elif state is None:
                 answer(404, error("no such job"), {})
             elif isinstance(state, EndRecord):
@@ -275,8 +289,8 @@
                 answer(200, wire.encode_job(ref, wire.WITHDRAWN), {})
             elif tries > 1 and not self._mirror.lacking and (outcome.failed is not None or outcome.sent):
                 # The record or the view moved on, or nobody knows: read again and see.
-                self._mirror.catch_up(lambda fresh: self.cancel(ref, answer, tries - 1))
+                self._mirror.catch_up(lambda fresh: self._cancel(ref, answer, tries - 1))
             else:
-                self._busy(answer, "the state service does not answer")
+                self._busy(answer, Unavailable.STATE_SERVICE)
 
         self._commits.add(txn, done)
--- a/src/ramptide/metrics.py
+++ b/src/ramptide/metrics.py
@@ -6,7 +6,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
 from ramptide.team_usage import ResourceUsage, team_usage
-from ramptide.telemetry import Telemetry
+from ramptide.telemetry import Telemetry, Unavailable
 
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
@@ -54,3 +54,15 @@
         "time from the last settled change of the view until all machines were settled",
         value=telemetry.settling_last.total_seconds(),
     )
+
+
+def answer_metrics(telemetry: Telemetry) -> "Iterator[Metric]":
+    """Answers to users, and why those of status 503 were given."""
+    answers = CounterMetricFamily("ramptide_answers", "answers to users", labels=("route", "status"))
+    for (route, status), count in telemetry.answers.items():
+        answers.add_metric((route.value, str(status)), count)
+    yield answers
+    reasons = CounterMetricFamily("ramptide_unavailable", "answers of status 503 to users", labels=("reason",))
+    for reason in Unavailable:
+        reasons.add_metric((reason.value,), telemetry.unavailable[reason])
+    yield reasons
--- a/src/ramptide/service.py
+++ b/src/ramptide/service.py
@@ -13,6 +13,7 @@
 from ramptide.http.client import Client
 from ramptide.http.server import Exchange, Server
 from ramptide.loop import Loop, Timer
+from ramptide.telemetry import Route
 
 CLIENT_IDLE_TIMEOUT = timedelta(seconds=60)
 PEER_IDLE_TIMEOUT = timedelta(seconds=60)
@@ -99,22 +100,28 @@
     def _runs(self, exchange: Exchange, rest: str, answer: Callable[..., None]) -> None:
         request, desk = exchange.request, self.controller.desk
         parts = rest.split("/") if rest else []
+
+        def refuse(allowed: str) -> None:
+            self.controller.telemetry.answered(Route.OTHER, 405)
+            self._not_allowed(exchange, allowed)
+
         if not parts:
             if request.method != "POST":
-                self._not_allowed(exchange, "POST")
+                refuse("POST")
             else:
                 desk.submit(request.body, answer)
         elif len(parts) == 1:
             if request.method != "GET":
-                self._not_allowed(exchange, "GET")
+                refuse("GET")
             else:
                 desk.poll(parts[0], answer)
         elif len(parts) == 2 and parts[1] == "cancel":
             if request.method != "POST":
-                self._not_allowed(exchange, "POST")
+                refuse("POST")
             else:
                 desk.cancel(parts[0], answer)
         else:
+            self.controller.telemetry.answered(Route.OTHER, 404)
             answer(404, error("no such path"))
 
     @staticmethod
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -9,7 +9,7 @@
 from chaos import longest_beside_room
 from prometheus_client.parser import text_string_to_metric_families
 from test_world import busy_world, calm
-from world import CLOUD, STATE, S, World, leader, owner, started
+from world import CLOUD, STATE, S, World, job, leader, owner, started
 
 from ramptide.admin import METRICS_PATH, STATUS_PATH, Admin
 from ramptide.app import Controller
@@ -271,3 +271,76 @@
     world.nodes[other].kill()
     world.run(6)
     assert status(world, name)["view_changes"]["last"][-1]["settled_s"] is None
+
+
+def counts(controller: Controller) -> tuple[dict[tuple[str, int], int], dict[str, int]]:
+    telemetry = controller.telemetry
+    answers = {(route.value, code): count for (route, code), count in telemetry.answers.items()}
+    return answers, {reason.value: count for reason, count in telemetry.unavailable.items()}
+
+
+def test_answers_to_users_are_counted_by_route_and_status() -> None:
+    world = started(6)
+    world.submit("j-1", guessS=300.0)
+    assert world.accepted("j-1", "c0") and world.accepted("j-1", "c0")
+    world.ask("c0", lambda c: c.desk.submit(b"{}", lambda *said: None))
+    for ref in ("j-1", "j-77", "nonsense"):
+        world.poll(ref, "c0")
+        world.cancel(ref, "c0")
+    assert counts(of(world, "c0")) == (
+        {
+            ("submit", 201): 1, ("submit", 200): 1, ("submit", 400): 1, ("poll", 200): 1, ("poll", 404): 2,
+            ("cancel", 200): 1, ("cancel", 404): 2,
+        },
+        {},
+    )  # fmt: skip
+    samples = metrics(world, "c0")
+    assert samples["answers_total", "cancel", "404"] == 2 and samples["unavailable_total", "overloaded"] == 0
+    assert status(world, "c0")["answers"]["poll"] == {"200": 1, "404": 2}
+
+
+def test_why_users_are_answered_503_is_counted() -> None:
+    world = World(6)
+    body = json.dumps(job("j-5")).encode()
+
+    def submit(name: str) -> None:
+        world.ask(name, lambda c: c.desk.submit(body, lambda *said: None))
+
+    world.cloud.down = True
+    world.nodes["c0"].start()
+    submit("c0")
+    while of(world, "c0").mirror.lacking:
+        world.run(0.001)
+    submit("c0")
+    assert counts(of(world, "c0"))[1] == {"state_service": 1, "view": 1}
+    for name in ("c1", "c2"):
+        world.nodes[name].start()
+    world.run(8)
+    submit("c1")
+    assert counts(of(world, "c1")) == ({("submit", 503): 1}, {"machine_types": 1})
+    world.cloud.down = False
+    world.run(8)
+    of(world, "c1").commits.delay = lambda: 9 * S  # type: ignore[method-assign]
+    submit("c1")
+    assert counts(of(world, "c1"))[1] == {"machine_types": 1, "overloaded": 1}
+    world.state.down = True
+    world.run(4)
+    submit("c1")
+    world.cancel("j-6", "c1")
+    world.ask("c1", lambda c: c.desk.poll("j-6", lambda *said: None))
+    world.run(4)
+    answers, reasons = counts(of(world, "c1"))
+    assert reasons == {"machine_types": 1, "overloaded": 1, "state_service": 3}
+    assert answers == {("submit", 503): 3, ("cancel", 503): 1, ("poll", 503): 1}
+    assert status(world, "c1")["unavailable"]["state_service"] == 3
+
+
+def test_a_cancellation_that_is_tried_again_is_one_answer() -> None:
+    world = busy_world(guessS=300.0)
+    controller = of(world, "c0")
+    known = controller.jobs["j-1"]
+    right, known.stamp = known.stamp, known.stamp - 1
+    world.ask("c0", lambda c: c.desk.cancel("j-1", lambda *said: None))
+    known.stamp = right
+    world.run(3)
+    assert {key: count for key, count in counts(controller)[0].items() if key[0] == "cancel"} == {("cancel", 200): 1}
