--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -334,6 +334,7 @@
         for host, machine in new.items():
             if machine != old.get(host):
                 self.machines[host] = machine
+                self.leader.recorded(host)
                 self.floor.add(host, self._unproven_since() if machine.opened else None)
                 self._own(host, machine)
                 if self.home is not None and self._faulty(host):
--- a/src/ramptide/leader.py
+++ b/src/ramptide/leader.py
@@ -22,6 +22,8 @@
 
 ZERO = timedelta(0)
 RETURNED_KEPT = 10_000
+#: Added to twice the lag of the cloud's list, for the answer's own time on its way.
+LIST_MARGIN = timedelta(seconds=2)
 
 
 class Leader:
@@ -43,6 +45,7 @@
         self._listing = False
         self._listed: dict[str, wire.Rented] = {}
         self._listed_since: dict[str, timedelta] = {}
+        self._recorded_since: dict[str, timedelta] = {}
         self._missing: set[str] = set()
         self._writing = False
         self._timer: TimerHandle | None = controller.context.after(controller.tuning.step, self._step)
@@ -52,7 +55,12 @@
         self._list_at = None
         self._listing = False
 
+    def recorded(self, host: str) -> None:
+        """The machine is in the fleet record, which every controller follows: a new leader knows since when."""
+        self._recorded_since.setdefault(host, self._c.context.now)
+
     def forget(self, host: str) -> None:
+        self._recorded_since.pop(host, None)
         self._gone.discard(host)
         self._listed_since.pop(host, None)
         self._missing.discard(host)
@@ -212,7 +220,7 @@
         for host, rented in self._listed.items() if self._list_at is not None else ():
             # A list may show what is gone, so only what stays listed longer than its lag is taken: as of the
             # moment the list was read, since it may be the last one before an outage.
-            old = read - self._listed_since.get(host, read) > self._lag * 2 + timedelta(seconds=2)
+            old = read - self._listed_since.get(host, read) > self._lag * 2 + LIST_MARGIN
             if old and rented.status != "failed" and self._unexpected(host, asked):
                 adopt(host, rented.rig, rented.yard, rented.spot, wall - rented.age_s)
         return found
@@ -275,13 +283,13 @@
         self._listed = listed
         for host in listed:
             self._listed_since.setdefault(host, now)
-        self._missing = set()
-        for host, since in list(self._listed_since.items()):
-            if host in listed:
-                continue
-            # Once listed, a machine stays listed until it is gone; a list may be twice the lag old.
-            if now - since > self._lag * 2 + timedelta(seconds=1):
-                self._missing.add(host)
-            if host not in self._c.machines:
-                del self._listed_since[host]
-                self._missing.discard(host)
+        for host in [host for host in self._listed_since if host not in listed and host not in self._c.machines]:
+            del self._listed_since[host]
+        # A list may be twice the lag old. One that is younger than a machine and lacks it says that it is gone, whether
+        # we saw it listed or a leader before us did.
+        oldest = now - self._lag * 2 - LIST_MARGIN
+        self._missing = {
+            host
+            for host in self._c.machines
+            if host not in listed and min(self._recorded_since[host], self._listed_since.get(host, now)) < oldest
+        }
