--- a/src/ramptide/fleet.py
+++ b/src/ramptide/fleet.py
@@ -190,7 +190,7 @@
                 plan.count = self._how_many(plan.rent, uncovered, flavors)
             elif self.trigger is Trigger.QUIET and self._pool_short(machines):
                 plan.rent, plan.count = self._pool_kind(now, flavors), 1
-            self._cool_down(now, machines, plan)
+            self._cool_down(now, machines, uncovered, plan)
             self._gather(now, machines, plan)
         return plan
 
@@ -261,14 +261,17 @@
         booting = sum(not m.up and not m.record.spot and m.record.leaving is None for m in machines)
         return len(self.pool) + booting < self.pool_wanted
 
-    def _cool_down(self, now: timedelta, machines: list[Machine], plan: Plan) -> None:
-        if self.trigger is not Trigger.QUIET or now - self._quiet_since < self.tuning.cooldown:
+    def _cool_down(self, now: timedelta, machines: list[Machine], uncovered: list[Demand], plan: Plan) -> None:
+        """Machines idle for the cooldown leave while the trigger has been quiet for as long. While it is not, only
+        those leave that no waiting task can use: a job that waits in vain must not keep all others rented."""
+        quiet = self.trigger is Trigger.QUIET and now - self._quiet_since >= self.tuning.cooldown
+        if self.trigger is Trigger.QUIET and not quiet:
             return
         for machine in machines:
             since = self._idle_since.get(machine.host)
             if since is None or machine.host in self.pool or now - since < self.tuning.cooldown:
                 continue
-            if machine.host not in plan.leave:
+            if machine.host not in plan.leave and (quiet or not _useful(machine, uncovered)):
                 plan.leave[machine.host] = "idle"
 
     def _note_serving(self, now: timedelta, machines: list[Machine]) -> None:
@@ -371,6 +374,23 @@
         return min(kinds)[1] if kinds else None
 
 
+def _useful(machine: Machine, demands: list[Demand]) -> bool:
+    """Some waiting task could run on the machine, were its room not kept for others."""
+    if machine.flavor is None:
+        return False
+    record = machine.record
+    return any(
+        machine.host not in demand.avoids
+        and fill(
+            demand.run,
+            1,
+            [empty_room(machine.flavor, record.yard, record.spot, machine.host)],
+            Counter(demand.placed),
+        )
+        for demand in demands
+    )
+
+
 def _alike(demands: list[Demand]) -> Iterable[list[Demand]]:
     """Demands that any room serves alike, the most urgent first; zone rules look at each job's own tasks."""
     groups: dict[Any, list[Demand]] = {}
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -213,6 +213,28 @@
     assert list(left.values()) == ["idle"] and fleet.pool == [host for host in ("vm-0", "vm-1") if host not in left]
 
 
+def test_idle_machines_that_no_waiting_task_can_use_leave_though_the_trigger_is_high() -> None:
+    """A job bound to a zone without capacity kept the trigger high for good, and with it every idle machine."""
+
+    def left(zone: str) -> dict[str, str]:
+        fleet = Fleet(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S), S, 10 * S, 30 * S)
+        run = wire.decode_run(json.dumps(job("j-1", pieces=4, cores=4.0, yard=zone)).encode())
+        kept = machine("vm-0")
+        assert kept.room is not None and kept.record.yard == "a"
+        # What is kept for services is no room for an array, yet of use to it before long.
+        kept.room.kept = True
+        found: dict[str, str] = {}
+        for second in range(30):
+            plan = fleet.step(second * S, [Demand(run, 4, 1 * S, Counter())], [kept], [], True)
+            assert second >= 10 or plan.leave == {}
+            found |= plan.leave
+        assert fleet.trigger is Trigger.HIGH
+        return found
+
+    assert left("b") == {"vm-0": "idle"}
+    assert left("a") == {}
+
+
 def test_a_machine_with_few_services_is_emptied_when_they_find_room_with_others() -> None:
     def serving(host: str, services: int, **fields: object) -> Machine:
         runs = [
