--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -15,7 +15,9 @@
 from ramptide.desk import Desk
 from ramptide.fleet import SICK
 from ramptide.floor import SILENT, UNTOLD, Floor
-from ramptide.jobs import Job, JobScheduler, JobState
+from ramptide.job_scheduler import JobScheduler
+from ramptide.job_state import JobState
+from ramptide.jobs import Job
 from ramptide.leader import Leader
 from ramptide.lease_expiry import CLOCK_DRIFT, MISSED_REPORTS
 from ramptide.machine_status import MachineStatus
--- a/src/ramptide/floor.py
+++ b/src/ramptide/floor.py
@@ -6,7 +6,9 @@
 from datetime import timedelta
 
 from ramptide import wire
-from ramptide.jobs import MAX_FAULTY_MACHINES, Attempt, Job
+from ramptide.attempts import Attempt
+from ramptide.job_state import MAX_FAULTY_MACHINES
+from ramptide.jobs import Job
 from ramptide.machine_status import MachineStatus
 from ramptide.placement import Room, empty_room
 from ramptide.records import MachineRecord
--- /dev/null
+++ b/src/ramptide/job_scheduler.py
@@ -0,0 +1,332 @@
+"""The jobs whose starts this controller alone decides, and the attempts of their tasks."""
+
+import heapq
+import logging
+from collections.abc import Callable, Collection
+from datetime import timedelta
+
+from ramptide import wire
+from ramptide.allowances import Amounts, add_amounts
+from ramptide.attempts import Attempt, AttemptIndex, sum_amounts
+from ramptide.job_state import JobState
+from ramptide.jobs import Job
+from ramptide.records import Progress
+from ramptide.task_state import FINISHED, NO_TIME, DesiredState, DesiredTaskRow, Phase, TaskKey, TaskRow
+
+log = logging.getLogger(__name__)
+
+#: A job stays away so long from a machine on which a task of it failed.
+EXCLUDED_AFTER_FAILURE = timedelta(seconds=60)
+#: A job stays away so long from a machine that refused a task of it, as the refusal may pass at once.
+EXCLUDED_AFTER_REFUSAL = timedelta(milliseconds=300)
+PHASE_BY_NAME = {phase.value: phase for phase in Phase}
+
+
+class JobScheduler:
+    """The jobs whose starts we decide in one view, and every attempt of theirs that may be on a machine."""
+
+    def __init__(self, member: str, first_attempt: int, faulty: Callable[[str], bool] = lambda host: False) -> None:
+        self.member = member
+        self._faulty = faulty
+        self.jobs: dict[str, JobState] = {}
+        #: Attempts of jobs that were handed over, until the new home counts them.
+        self.in_transfer: dict[str, list[Attempt]] = {}
+        #: The number of our last message to the other controllers.
+        self.seq = 0
+        self.touched = True
+        #: Machines of which we desire something else than before, and jobs with results that are not written.
+        self.changed_hosts: set[str] = set()
+        self.results: set[str] = set()
+        #: Jobs of which some task is neither done nor placed.
+        self.with_pending_tasks: dict[str, JobState] = {}
+        #: Jobs that fail wherever they run.
+        self.failing: dict[str, JobState] = {}
+        self._next_attempt = first_attempt
+        self.index = AttemptIndex()
+        #: The index's own view of the attempts on each machine.
+        self.attempts = self.index.by_host
+
+    def _add(self, attempt: Attempt) -> None:
+        self.index.add(attempt)
+        self.changed_hosts.add(attempt.host)
+        self.touched = True
+
+    def _remove(self, attempt: Attempt) -> None:
+        self.index.remove(attempt)
+        self.changed_hosts.add(attempt.host)
+        self.touched = True
+
+    def _update_pending(self, state: JobState) -> None:
+        if state.waiting > 0 and state.job.ref in self.jobs:
+            self.with_pending_tasks[state.job.ref] = state
+        else:
+            self.with_pending_tasks.pop(state.job.ref, None)
+
+    # Which jobs are ours.
+
+    def take_job(self, job: Job, now: timedelta, failed_on: Collection[str] = ()) -> JobState:
+        """Take a job, or its changed record.
+
+        `failed_on`: where it failed under its former home, should there be one.
+        """
+        state = self.jobs.get(job.ref)
+        if state is None:
+            state = JobState(job, Progress(job.progress.low, job.progress.bits), now, failed_on=set(failed_on))
+            self.jobs[job.ref] = state
+            self._back_off(state, now)
+            self.touched = True
+        elif state.job.progress.count > state.done.count:
+            state.done = Progress(job.progress.low, job.progress.bits)
+        self._update_pending(state)
+        return state
+
+    def release_job(self, ref: str) -> None:
+        """Let go of a job that has another home now, which decides about the attempts from then on."""
+        state = self.jobs.pop(ref, None)
+        if state is None:
+            return
+        self._update_pending(state)
+        self.failing.pop(ref, None)
+        for attempt in self.index.of_job(ref):
+            # Counted as ours until the new home says that it counts them, and lowers our allowance for it.
+            self._remove(attempt)
+            self.in_transfer.setdefault(ref, []).append(attempt)
+        self.touched = True
+
+    def transfer_confirmed(self, ref: str) -> None:
+        """Stop counting the attempts of a job that was handed over, as its new home counts them."""
+        self.in_transfer.pop(ref, None)
+
+    def job_over(self, ref: str) -> None:
+        """Start no task of the job any more; what may be on a machine still counts until it is gone."""
+        state = self.jobs.pop(ref, None)
+        if state is None:
+            return
+        self._update_pending(state)
+        self.failing.pop(ref, None)
+        self.results.discard(ref)
+        for attempt in self.index.of_job(ref):
+            self._set_desired(attempt, DesiredState.REAP if attempt.phase in FINISHED else DesiredState.STOP)
+        self.touched = True
+
+    def results_recorded(self, ref: str) -> None:
+        """Let workers forget the results of the job that the state service has now."""
+        state = self.jobs.get(ref)
+        for attempt in self.index.of_job(ref):
+            if attempt.phase is Phase.ENDED and state is not None and attempt.task in state.job.progress:
+                self._set_desired(attempt, DesiredState.REAP)
+
+    # Starting and stopping.
+
+    def start(self, state: JobState, task: int, host: str, zone: str, now: timedelta) -> Attempt:
+        """Start a task on a machine."""
+        self._next_attempt += 1
+        state.started_at = now
+        if state.failing:
+            state.probe = task
+        run = state.job.run
+        attempt = Attempt(run, task, self._next_attempt, host, zone, DesiredState.RUN, self.seq + 1, now)
+        self._place(state, attempt)
+        return attempt
+
+    def _place(self, state: JobState, attempt: Attempt) -> None:
+        self._add(attempt)
+        state.placed[attempt.task] = attempt
+        state.zones[attempt.zone] += 1
+        self._update_pending(state)
+
+    def stop(self, attempt: Attempt, grace: timedelta) -> None:
+        """Have an attempt stopped; it may save its work for as long as the grace."""
+        if attempt.desired is DesiredState.RUN:
+            self._set_desired(attempt, DesiredState.STOP, grace)
+
+    def _set_desired(self, attempt: Attempt, desired: DesiredState, grace: timedelta = NO_TIME) -> None:
+        if attempt.desired is not desired:
+            attempt.desired, attempt.grace, attempt.seq = desired, grace, self.seq + 1
+            self.changed_hosts.add(attempt.host)
+            self.touched = True
+
+    def _free_task(self, attempt: Attempt) -> None:
+        """Let the task of an attempt that is proven gone be started again."""
+        state = self.jobs.get(attempt.run.ref)
+        if state is None or state.placed.get(attempt.task) is not attempt:
+            return
+        del state.placed[attempt.task]
+        state.zones[attempt.zone] -= 1
+        if attempt.task not in state.done:
+            heapq.heappush(state.retry_tasks, attempt.task)
+        self._update_pending(state)
+        self.touched = True
+
+    def _discard(self, attempt: Attempt) -> None:
+        self._remove(attempt)
+        self._free_task(attempt)
+
+    def remove_machine(self, host: str) -> None:
+        """Drop a machine whose return was answered: all on it is gone."""
+        for attempt in list(self.attempts.get(host, {}).values()):
+            attempt.phase = Phase.GONE
+            self._discard(attempt)
+        for attempts in self.in_transfer.values():
+            attempts[:] = [attempt for attempt in attempts if attempt.host != host]
+
+    # What owners show.
+
+    def apply_status(self, host: str, zone: str, tasks: list[TaskRow], now: timedelta) -> None:
+        """Take the owner's list of the tasks on a machine."""
+        shown: set[TaskKey] = set()
+        entries = self.attempts.get(host, {})
+        for ref, task, number, name, cause in tasks:
+            key = (ref, task, number)
+            attempt = entries.get(key)
+            if attempt is None and (ref not in self.jobs or task >= self.jobs[ref].job.run.pieces):
+                continue
+            shown.add(key)
+            phase = PHASE_BY_NAME[name]
+            if attempt is None:
+                attempt = self._adopt(host, zone, key, phase, now)
+            self.index.unshown.pop(key, None)
+            if attempt.phase is not phase or phase in FINISHED:
+                self._change_phase(attempt, phase, cause, now)
+        for key, attempt in self.attempts.get(host, {}).items():
+            if key not in shown:
+                self.index.unshown[key] = attempt
+
+    def acknowledged(self, ack: int, answered: Callable[[str], list[TaskRow] | None]) -> None:
+        """Note that an owner has processed our messages up to `ack`: what it does not show is not there.
+
+        `answered` gives its list for a machine, None while that proves nothing.
+        """
+        for attempt in list(self.index.unshown.values()):
+            if ack < attempt.seq or answered(attempt.host) is None:
+                continue
+            if attempt.desired is DesiredState.RUN:
+                # The owner did not know the machine when our desired state came. A later message of ours may still
+                # carry it, so it is taken back first; only its answer proves the attempt gone.
+                self._set_desired(attempt, DesiredState.REAP)
+            else:
+                self._discard(attempt)
+        if self.in_transfer:
+            self._prune_transfers(ack, answered)
+
+    def _prune_transfers(self, ack: int, answered: Callable[[str], list[TaskRow] | None]) -> None:
+        for ref, attempts in list(self.in_transfer.items()):
+            left = []
+            for attempt in attempts:
+                tasks = answered(attempt.host)
+                gone = tasks is not None and ack >= attempt.seq and all(row[:3] != attempt.key for row in tasks)
+                if not gone:
+                    left.append(attempt)
+            if left:
+                self.in_transfer[ref] = left
+            else:
+                del self.in_transfer[ref]
+
+    def _adopt(self, host: str, zone: str, key: TaskKey, phase: Phase, now: timedelta) -> Attempt:
+        """Take over an attempt of a job of ours that an earlier home started."""
+        ref, task, number = key
+        state = self.jobs[ref]
+        attempt = Attempt(state.job.run, task, number, host, zone, DesiredState.RUN, self.seq + 1, now, phase)
+        attempt.running_since = now if phase is Phase.RUNNING else None
+        if phase not in FINISHED and (task in state.done or task in state.placed):
+            self._add(attempt)
+            self._set_desired(attempt, DesiredState.STOP)
+        elif phase not in FINISHED:
+            self._place(state, attempt)
+        else:
+            self._add(attempt)
+            attempt.phase = Phase.QUEUED
+        return attempt
+
+    def _change_phase(self, attempt: Attempt, phase: Phase, cause: str | None, now: timedelta) -> None:
+        before, attempt.phase = attempt.phase, phase
+        self.index.count(attempt)
+        if phase is Phase.RUNNING:
+            attempt.running_since = now
+        if phase not in FINISHED:
+            return
+        state = self.jobs.get(attempt.run.ref)
+        if before not in FINISHED and state is not None:
+            self._take_outcome(state, attempt, cause, now)
+        # Reaped only once its result is in the state service: until then the worker keeps it for us.
+        if phase is not Phase.ENDED or cause != wire.DONE or state is None or attempt.task in state.job.progress:
+            self._set_desired(attempt, DesiredState.REAP)
+        self._free_task(attempt)
+
+    # How tasks end.
+
+    def _take_outcome(self, state: JobState, attempt: Attempt, cause: str | None, now: timedelta) -> None:
+        if attempt.phase is Phase.ENDED and cause == wire.DONE:
+            self._task_done(state, attempt)
+        elif attempt.phase is Phase.ENDED and cause == wire.ERROR:
+            self._task_failed(state, attempt, now)
+        elif attempt.phase is Phase.REFUSED or attempt.phase is Phase.ENDED and cause in wire.REFUSED:
+            state.excluded_until[attempt.host] = now + EXCLUDED_AFTER_REFUSAL
+
+    def _task_done(self, state: JobState, attempt: Attempt) -> None:
+        state.longest_failed_run = NO_TIME
+        self._clear_failures(state)
+        if state.job.run.shape == wire.BATCH and state.done.add(attempt.task):
+            self.results.add(attempt.run.ref)
+            self._update_pending(state)
+            self.touched = True
+
+    def _task_failed(self, state: JobState, attempt: Attempt, now: timedelta) -> None:
+        """Hold the failure against the job, unless the machine is known as faulty."""
+        log.info("%s/%d failed on %s", attempt.run.ref, attempt.task, attempt.host)
+        state.excluded_until[attempt.host] = now + EXCLUDED_AFTER_FAILURE
+        if self._faulty(attempt.host):
+            return
+        state.failed_on.add(attempt.host)
+        if attempt.running_since is not None:
+            state.longest_failed_run = max(state.longest_failed_run, now - attempt.running_since)
+        self._back_off(state, now)
+
+    def _back_off(self, state: JobState, now: timedelta) -> None:
+        if state.failing:
+            self.failing[state.job.ref] = state
+            state.back_off(now)
+
+    def _clear_failures(self, state: JobState) -> None:
+        state.forget_failures()
+        if self.failing.pop(state.job.ref, None) is not None:
+            self.touched = True
+
+    def clear_recovered(self, now: timedelta) -> None:
+        """Forget the failures of jobs of which a task has run for well over what others took to fail."""
+        for state in list(self.failing.values()):
+            if state.has_recovered(now):
+                self._clear_failures(state)
+
+    def machine_faulty(self, host: str) -> None:
+        """Take back what failed on a machine: it was the machine's fault, not the jobs'."""
+        for state in self.jobs.values():
+            if host in state.failed_on:
+                state.failed_on.discard(host)
+                if not state.failing and state.job.ref in self.failing:
+                    self._clear_failures(state)
+
+    # What the others need to know.
+
+    def desired_tasks(self, host: str) -> list[DesiredTaskRow] | None:
+        """Return all that we desire of a machine; None when that is nothing."""
+        entries = self.attempts.get(host)
+        if entries is None:
+            return None
+        return [(a.run.ref, a.task, a.number, a.desired.value, a.grace.total_seconds()) for a in entries.values()]
+
+    def using(self) -> dict[str, Amounts]:
+        """Return what each team's attempts hold: whatever may possibly be on a machine counts."""
+        return dict(self.index.usage)
+
+    def amounts_in_transfer(self) -> dict[str, dict[str, Amounts]]:
+        """Return the same for each job that was handed over and that its new home does not count yet."""
+        return {ref: sum_amounts(attempts) for ref, attempts in self.in_transfer.items()}
+
+    def held(self) -> dict[str, Amounts]:
+        """Return both together: what our allowance has to cover."""
+        total = self.using()
+        for attempts in self.in_transfer.values():
+            for team, (cores, cards) in sum_amounts(attempts).items():
+                add_amounts(total, team, cores, cards)
+        return total
--- a/src/ramptide/results.py
+++ b/src/ramptide/results.py
@@ -7,7 +7,8 @@
 
 from ramptide import wire
 from ramptide.commits import CommitBatcher
-from ramptide.jobs import JobScheduler, JobState
+from ramptide.job_scheduler import JobScheduler
+from ramptide.job_state import JobState
 from ramptide.limits import Priority
 from ramptide.records import ENDED, JOB, EndRecord, to_value
 from ramptide.store import Transaction, TransactionResult
--- a/src/ramptide/starts.py
+++ b/src/ramptide/starts.py
@@ -15,7 +15,9 @@
 from ramptide.allowances import NO_LIMIT, NOTHING, Amounts, add_amounts, limited, limits_of
 from ramptide.fleet import Demand, Machine
 from ramptide.floor import SILENT, UNTOLD, Host
-from ramptide.jobs import Chance, Job, JobScheduler, JobState, chance, urgency
+from ramptide.job_scheduler import JobScheduler
+from ramptide.job_state import JobState
+from ramptide.jobs import Job
 from ramptide.membership import View
 from ramptide.peers import WaitingRow
 from ramptide.placement import EPSILON, Reach, Room, admits, choose, choose_many, fill, needs, usable
@@ -23,6 +25,7 @@
 from ramptide.records import JOB, Handover, to_value
 from ramptide.store import Transaction, TransactionResult
 from ramptide.task_state import FINISHED_NAMES
+from ramptide.urgency import Chance, chance, urgency
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
--- a/src/ramptide/syncing.py
+++ b/src/ramptide/syncing.py
@@ -9,7 +9,7 @@
 
 from ramptide.allowances import Allowances, Grants, add_amounts
 from ramptide.delta import ChangeLog
-from ramptide.jobs import JobScheduler
+from ramptide.job_scheduler import JobScheduler
 from ramptide.machine_status import MachineStatus
 from ramptide.membership import View
 from ramptide.owned_machine import OwnedMachine
--- a/src/ramptide/team_usage.py
+++ b/src/ramptide/team_usage.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from ramptide.allowances import NO_LIMIT, NOTHING, Amounts, Grants, add_amounts, limits_of
-from ramptide.jobs import JobScheduler
+from ramptide.job_scheduler import JobScheduler
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
--- /dev/null
+++ b/src/ramptide/urgency.py
@@ -0,0 +1,59 @@
+"""Which of the jobs that wait comes first. Pure."""
+
+from collections.abc import Container
+from datetime import UTC, datetime, timedelta
+from enum import IntEnum
+from typing import Any
+
+from ramptide import wire
+from ramptide.jobs import Job
+
+#: Sorts jobs without a deadline after all others.
+NO_DEADLINE = datetime.max.replace(tzinfo=UTC)
+#: Guesses are often too long by half; a job is given up as late only when even a run this much shorter would be.
+SHORTEST_RUN_SHARE = 0.7
+
+
+class Chance(IntEnum):
+    """What a job that waits can still make, going by its owner's guess of a task's run time."""
+
+    STARVED = 0
+    IN_TIME = 1
+    LATE = 2
+    TOO_LATE = 3
+
+
+def chance(job: Job, idle: timedelta, now: datetime, patience: timedelta) -> Chance:
+    """Return what a job can still make.
+
+    Room goes first to what can still be in time: under pressure, what is lost already must not take others along.
+    A job of which nothing was started for long goes before all with a few tasks, so that none waits for ever.
+    """
+    if job.run.shape == wire.SERVICE:
+        return Chance.IN_TIME
+    if idle > patience:
+        return Chance.STARVED
+    if job.due is None:
+        return Chance.IN_TIME
+    end = now + timedelta(seconds=job.run.guess_s * SHORTEST_RUN_SHARE)
+    if end <= job.due:
+        return Chance.IN_TIME
+    return Chance.LATE if end <= job.due + (job.due - job.submitted) / 2 else Chance.TOO_LATE
+
+
+def urgency(job: Job, idle: timedelta, now: datetime, prompt: Container[str], patience: timedelta) -> tuple[Any, ...]:
+    """Return the sort key of a job, the most urgent lowest.
+
+    Priority goes first, then the classes that are to start promptly, then what can still be made, each by its deadline,
+    then the order of submission.
+    """
+    run = job.run
+    return (
+        -wire.RANKS.index(run.rank),
+        run.job_class not in prompt,
+        run.shape != wire.SERVICE,
+        chance(job, idle, now, patience),
+        job.due or NO_DEADLINE,
+        job.submitted,
+        run.ref,
+    )
--- a/src/ramptide/wire.py
+++ b/src/ramptide/wire.py
@@ -21,10 +21,10 @@
 _REF = re.compile(r"\Aj-[0-9]{1,30}\Z")
 Ref = Annotated[str, Meta(pattern=_REF.pattern)]
 Shape = Literal["batch", "service"]
-Rank = Literal["low", "normal", "high", "production"]
+Priority = Literal["low", "normal", "high", "production"]
 
 MAX_PIECES = 100_000
-RANKS = get_args(Rank)
+RANKS = get_args(Priority)
 BATCH: Shape = "batch"
 SERVICE: Shape = "service"
 COUNT_LIMIT = 2**64
@@ -72,7 +72,7 @@
     job_class: Name
     team: Name
     shape: Shape
-    rank: Rank
+    rank: Priority
     pieces: Annotated[int, Meta(ge=1, le=MAX_PIECES)]
     cores: Amount
     cards: Amount
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -18,7 +18,7 @@
 from world import S, World, job, owner, started
 
 from ramptide import peers, wire
-from ramptide.jobs import JobScheduler
+from ramptide.job_scheduler import JobScheduler
 from ramptide.records import Progress
 from ramptide.settings import SettingsError, Tuning, load
 from ramptide.shard import Shard
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -18,7 +18,8 @@
 from ramptide.failure_history import FAILED_JOBS_KEPT, record_outcome
 from ramptide.fleet import SICK
 from ramptide.floor import Floor
-from ramptide.jobs import JobScheduler, JobState
+from ramptide.job_scheduler import JobScheduler
+from ramptide.job_state import JobState
 from ramptide.owned_machine import OwnedMachine
 from ramptide.records import MachineRecord
 from ramptide.starts import Starter
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,7 +12,7 @@
 from ramptide import wire
 from ramptide.app import Controller
 from ramptide.floor import Floor, Host
-from ramptide.jobs import JobScheduler
+from ramptide.job_scheduler import JobScheduler
 from ramptide.membership import View
 from ramptide.mirror import Mirror
 from ramptide.peers import Peer, Peers, Sync
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -14,7 +14,8 @@
 from ramptide import wire
 from ramptide.allowances import Allowances
 from ramptide.fleet import Demand, Fleet, Machine, Trigger
-from ramptide.jobs import Job, JobState
+from ramptide.job_state import JobState
+from ramptide.jobs import Job
 from ramptide.limits import TokenBucket
 from ramptide.membership import owner_of
 from ramptide.placement import Room
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -10,10 +10,11 @@
 from world import job
 
 from ramptide import wire
-from ramptide.jobs import Job, urgency
+from ramptide.jobs import Job
 from ramptide.placement import Reach, Room, can_ever_run, choose, fill, may_use, zone_room
 from ramptide.preemption import RunningTask, may_claim, victims
 from ramptide.records import JobRecord, Progress
+from ramptide.urgency import urgency
 
 
 def run_of(**fields: object) -> wire.Run:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -9,8 +9,8 @@
 from world import S, Worker, World, job, leader, owner, started
 
 from ramptide.app import Controller
+from ramptide.attempts import sum_amounts
 from ramptide.floor import Floor, Host
-from ramptide.jobs import sum_amounts
 from ramptide.membership import LIFE
 from ramptide.peers import Peers
 from ramptide.report_intake import ReportIntake
@@ -80,10 +80,10 @@
         using = sum_amounts(attempts)
         for team in using | home.using():
             assert home.using().get(team, (0.0, 0.0)) == pytest.approx(using.get(team, (0.0, 0.0)))
-        by_ref = [attempt for entries in home._by_ref.values() for attempt in entries.values()]
+        by_ref = [attempt for entries in home.index.by_job.values() for attempt in entries.values()]
         assert sorted(a.key for a in by_ref) == sorted(a.key for a in attempts)
         shown = {tuple(row[:3]) for host in floor.hosts.values() if host.settled for row in host.tasks}
-        assert all(attempt.key in home.unshown or attempt.key in shown for attempt in attempts)
+        assert all(attempt.key in home.index.unshown or attempt.key in shown for attempt in attempts)
 
 
 def busy_world(seed: int = 3, members: int = 3, **fields: object) -> World:
