--- a/src/ramptide/floor.py
+++ b/src/ramptide/floor.py
@@ -132,7 +132,7 @@
         host.heard = now - timedelta(seconds=row.silent)
         host.notice = None if row.notice is None else now + timedelta(seconds=row.notice)
         host.deaf_since = None if row.unreachable is None else now - timedelta(seconds=row.unreachable)
-        host.quick, host.images = row.quick, row.images
+        host.quick, host.images = row.worker_waiting, row.images
         self._fail(name, row.failed_jobs, row.consecutive_failures)
         self._list(name, row.tasks)
         self._prove(name, host, now)
@@ -329,11 +329,11 @@
             room.take(run, count)
         room.images = frozenset(host.images)
         room.idle = not taken
-        room.quick = host.quick
+        room.worker_waiting = host.quick
         # Services are what people wait for: the pool is theirs, and part of the machines that run some.
-        room.kept = not record.spot and name in self.pool
-        room.services = sum((run.cores * count for run, count in taken if run.shape == wire.SERVICE), 0.0)
-        room.share = (flavor.cores * self.tuning.service_share, flavor.ram_gb * self.tuning.service_share)
+        room.in_pool = not record.spot and name in self.pool
+        room.service_cores = sum((run.cores * count for run, count in taken if run.shape == wire.SERVICE), 0.0)
+        room.service_reserve = (flavor.cores * self.tuning.service_share, flavor.ram_gb * self.tuning.service_share)
         return room
 
     def free(self, names: Iterable[str] | None = None) -> Iterator[Room]:
--- a/src/ramptide/machine_status.py
+++ b/src/ramptide/machine_status.py
@@ -26,7 +26,7 @@
     failed_jobs: Annotated[list[str], msgspec.Meta(max_length=FAILED_JOBS_KEPT)]
     consecutive_failures: wire.Count
     unreachable: wire.Seconds | None
-    quick: bool
+    worker_waiting: bool
     images: list[str]
     tasks: list[TaskRow]
 
@@ -43,7 +43,7 @@
         failed_jobs=machine.failed_jobs,
         consecutive_failures=machine.consecutive_failures,
         unreachable=None if machine.unreachable_since is None else (now - machine.unreachable_since).total_seconds(),
-        quick=machine.has_current_token and machine.runs_only_services(),
+        worker_waiting=machine.has_current_token and machine.runs_only_services(),
         images=list(machine.images),
         tasks=[(e.ref, e.task, e.attempt, cast(PhaseName, e.phase.value), e.cause) for e in machine.entries.values()],
     )
--- a/src/ramptide/owned_machine.py
+++ b/src/ramptide/owned_machine.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from ramptide import wire
-from ramptide.placement import EPSILON
+from ramptide.placement import ROUNDING
 from ramptide.records import MachineRecord
 from ramptide.task_state import FINISHED, NO_TIME, DesiredState, Phase, TaskEntry, TaskKey
 
@@ -63,7 +63,7 @@
     def has_room_for(self, run: wire.Run) -> bool:
         """Tell whether one more task of the job fits."""
         cores, cards, ram = self.free()
-        return run.cores <= cores + EPSILON and run.cards <= cards + EPSILON and run.ram_gb <= ram + EPSILON
+        return run.cores <= cores + ROUNDING and run.cards <= cards + ROUNDING and run.ram_gb <= ram + ROUNDING
 
     def runs_only_services(self) -> bool:
         """Tell whether nothing runs here that ends by itself, so that nobody waits for news in the reports."""
--- a/src/ramptide/preemption.py
+++ b/src/ramptide/preemption.py
@@ -4,8 +4,14 @@
 from dataclasses import dataclass
 
 from ramptide import wire
-from ramptide.allowances import Amounts
-from ramptide.placement import Room, admits, zone_room
+from ramptide.allowances import NOTHING, Amounts
+from ramptide.placement import ROUNDING, Room, admits, zone_room
+from ramptide.task_state import TaskKey
+
+#: Far above what other tasks cost: a replica is stopped last, as people wait for its answers.
+SERVICE_LOSS = 1e6
+#: Above what most tasks of a rank cost, so that a lower rank goes first on the same machine.
+RANK_LOSS = 1e3
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,7 +23,8 @@
     attempt: int
 
     @property
-    def key(self) -> tuple[str, int, int]:
+    def key(self) -> TaskKey:
+        """The job, the task and the number of the attempt."""
         return (self.run.ref, self.task, self.attempt)
 
 
@@ -27,20 +34,25 @@
     using: Mapping[str, Amounts],
     guarantees: Mapping[str, Amounts],
 ) -> bool:
-    """A task of `victim` may be stopped for one of `run`.
+    """Tell whether a task of `victim` may be stopped for one of `run`.
 
-    Lower ranks give way to higher ones. JobState of any rank that another team runs beyond its own
+    Lower ranks give way to higher ones. Work of any rank that another team runs beyond its own
     guarantee gives way to what a team may run within its guarantee. Nothing else does.
     """
     if wire.RANKS.index(victim.rank) < wire.RANKS.index(run.rank):
         return True
     if victim.team == run.team or run.team not in guarantees:
         return False
-    mine, theirs = using.get(run.team, (0.0, 0.0)), using.get(victim.team, (0.0, 0.0))
-    own, other = guarantees[run.team], guarantees.get(victim.team, (0.0, 0.0))
-    within = mine[0] + run.cores <= own[0] + 1e-6 and mine[1] + run.cards <= own[1] + 1e-6
-    beyond = theirs[0] - victim.cores >= other[0] - 1e-6 and theirs[1] - victim.cards >= other[1] - 1e-6
-    return within and beyond
+    cores, cards = using.get(run.team, NOTHING)
+    guaranteed_cores, guaranteed_cards = guarantees[run.team]
+    if cores + run.cores > guaranteed_cores + ROUNDING or cards + run.cards > guaranteed_cards + ROUNDING:
+        return False
+    victim_cores, victim_cards = using.get(victim.team, NOTHING)
+    guaranteed_cores, guaranteed_cards = guarantees.get(victim.team, NOTHING)
+    return (
+        victim_cores - victim.cores >= guaranteed_cores - ROUNDING
+        and victim_cards - victim.cards >= guaranteed_cards - ROUNDING
+    )
 
 
 def victims(
@@ -50,12 +62,14 @@
     claimable: Callable[[wire.Run], bool],
     placed: Mapping[str, int],
 ) -> tuple[float, list[RunningTask]] | None:
-    """Who goes on this machine to make room for one task of the job, and what is lost by it; None when that
-    can't be done, or need not."""
+    """Return what is lost when tasks on this machine make room for one of the job, and which tasks these are.
+
+    None when that can't be done, or need not.
+    """
     if not admits(run, room) or not zone_room(run, room.zone, placed):
         return None
     trial, lost, going = room.copy(), 0.0, []
-    for task in sorted((t for t in tasks if claimable(t.run)), key=_loss):
+    for task in sorted((task for task in tasks if claimable(task.run)), key=_loss):
         if trial.fits(run):
             break
         trial.take(task.run, -1)
@@ -65,12 +79,15 @@
 
 
 def _loss(task: RunningTask) -> tuple[float, str, int]:
-    """What stopping a task costs: little if it saves, more the longer it runs, most for a replica."""
+    """Return what stopping a task costs: little if it saves, more the longer it runs, most for a replica.
+
+    The job and the task make the order of equal ones a fixed one.
+    """
     run = task.run
     if run.shape == wire.SERVICE:
-        lost = 1e6
+        lost = SERVICE_LOSS
     elif run.mark_every_s > 0:
         lost = run.mark_cost_s
     else:
         lost = run.guess_s
-    return (lost * max(run.cores, 1.0) + 1e3 * wire.RANKS.index(run.rank), run.ref, task.task)
+    return (lost * max(run.cores, 1.0) + RANK_LOSS * wire.RANKS.index(run.rank), run.ref, task.task)
--- a/src/ramptide/starts.py
+++ b/src/ramptide/starts.py
@@ -20,7 +20,7 @@
 from ramptide.jobs import Job
 from ramptide.membership import View
 from ramptide.peers import WaitingRow
-from ramptide.placement import EPSILON, Reach, Room, admits, choose, choose_many, fill, needs, usable
+from ramptide.placement import ROUNDING, Reach, Room, admits, choose, choose_many, fill, needs, usable
 from ramptide.preemption import RunningTask, may_claim, victims
 from ramptide.records import JOB, Handover, to_value
 from ramptide.store import Transaction, TransactionResult
@@ -85,7 +85,7 @@
         c.floor.refresh()
         parts: dict[str, list[Room]] = {}
         for room in self.rooms():
-            if room.cores + EPSILON >= run.cores:
+            if room.cores + ROUNDING >= run.cores:
                 parts.setdefault(c.owner(room.host), []).append(room)
         free = {member: sum(room.cores for room in rooms) for member, rooms in parts.items()}
         for member in sorted(free, key=lambda name: (-free[name], name)):
@@ -109,7 +109,7 @@
             return
         c.floor.refresh()
         least = min(work.job.run.cores for work in works)
-        rooms = [room for room in self.rooms(not c.membership.leading) if room.cores + EPSILON >= least]
+        rooms = [room for room in self.rooms(not c.membership.leading) if room.cores + ROUNDING >= least]
         wall = c.context.wall()
         works.sort(key=lambda work: self._urgency(work.job, work.idle_for(now, wall), wall))
         using = home.held()
@@ -197,8 +197,8 @@
         home.start(work, task, room.host, room.zone, now)
         room.take(work.job.run)
         if work.job.run.shape == wire.SERVICE:
-            room.services += work.job.run.cores
-        room.idle = room.kept = False
+            room.service_cores += work.job.run.cores
+        room.idle = room.in_pool = False
         self._c.floor.touch(room.host)
 
     def headroom(self, run: wire.Run, using: Amounts, most: Amounts) -> int:
@@ -505,7 +505,7 @@
                     deaf=now - host.deaf_since if host.deaf_since is not None else ZERO,
                     unproven=c.floor.unproven(name, now),
                     owner=c.owner(name),
-                    serving=self._serving(host) if room is not None and room.services else [],
+                    serving=self._serving(host) if room is not None and room.service_cores else [],
                 )
             )
         return machines
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -245,7 +245,7 @@
         found = machine(host, tasks=services, serving=runs, **fields)
         for run in runs if found.room is not None else ():
             found.room.take(run)
-            found.room.services += run.cores
+            found.room.service_cores += run.cores
         return found
 
     def left(*machines: Machine, waiting: int = 0) -> dict[str, str]:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -122,10 +122,10 @@
     def room(host: str, **fields: object) -> Room:
         return Room(host, "m", "a", False, 8.0, 0.0, 32.0, **fields)  # type: ignore[arg-type]
 
-    cold = room("vm-0", quick=True, services=1.0, share=(7.0, 0.0))
-    warm = room("vm-1", quick=True, services=1.0, share=(7.0, 0.0), images=frozenset(["img"]))
+    cold = room("vm-0", worker_waiting=True, service_cores=1.0, service_reserve=(7.0, 0.0))
+    warm = room("vm-1", worker_waiting=True, service_cores=1.0, service_reserve=(7.0, 0.0), images=frozenset(["img"]))
     mixed = room("vm-2", images=frozenset(["img"]))
-    pool = room("vm-3", quick=True, kept=True, idle=True, images=frozenset(["img"]))
+    pool = room("vm-3", worker_waiting=True, in_pool=True, idle=True, images=frozenset(["img"]))
     assert choose(run_of(shape="service"), [cold, warm, mixed, pool], {}) is warm
     assert choose(run_of(shape="service"), [cold, mixed, pool], {}) is cold, "services go together"
     assert choose(run_of(shape="service"), [mixed, pool], {}) is pool
