--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -213,8 +213,8 @@
         for name, peer in self.peers.all.items():
             if peer.answered is None or now - peer.answered > PEER_SILENT:
                 found.append(f"controller {name}")
-        up = [agent for agent in self.part.machines.values() if agent.up] if self.part is not None else []
-        if up and self.may_answer() and all(agent.silent for agent in up):
+        up = [machine for machine in self.part.machines.values() if machine.up] if self.part is not None else []
+        if up and self.may_answer() and all(machine.silent for machine in up):
             found.append("all its machines")
         return found
 
@@ -494,7 +494,7 @@
             self.syncing.send_outside()
             return
         slow = now - self._last_round >= QUIET_ROUND
-        news = self.home.touched or bool(self.part.changed_hosts)
+        news = self.home.needs_round or bool(self.part.changed_hosts)
         self.context.after(ROUND if news else IDLE_ROUND, self._tick)
         self.reports.answer_held(now)
         if slow or news:
@@ -503,7 +503,7 @@
 
     def _round(self, home: JobScheduler, part: Shard, now: timedelta, slow: bool) -> None:
         """Work follows what changed; what only time changes is looked at in slow rounds."""
-        home.touched = False
+        home.needs_round = False
         if slow:
             self._last_round = now
             part.leases.expire(now, self.others_end())
@@ -527,9 +527,9 @@
         """Cut off from the workers alone, we would keep our machines until their leases end, and the fleet would return
         them as silent. So we give up our place when all of ours are silent while others hear theirs. When nobody hears
         any, it is not our link that is at fault."""
-        used = [agent for agent in part.machines.values() if agent.record.opened]
+        used = [machine for machine in part.machines.values() if machine.record.opened]
         others = (host for name, host in self.floor.hosts.items() if self.owner(name) != self.member)
-        cut_off = len(used) >= UNHEARD_LEAST and all(agent.silent for agent in used)
+        cut_off = len(used) >= UNHEARD_LEAST and all(machine.silent for machine in used)
         if not cut_off or not any(host.known and host.up and not host.quiet for host in others):
             self._unheard_since = None
             return
--- a/src/ramptide/command_delivery.py
+++ b/src/ramptide/command_delivery.py
@@ -28,7 +28,7 @@
         launches: list[dict[str, Any]] = []
         for key, entry in list(machine.entries.items()):
             ref, task, attempt = key
-            if entry.home is None and entry.desired is None and self._find_run(ref) is None:
+            if entry.requested_by is None and entry.desired is None and self._find_run(ref) is None:
                 # Found on the machine, and its job is over: nobody else would clear it away.
                 machine.clear_away(key, entry)
             if entry.desired is DesiredState.RUN and entry.phase is Phase.QUEUED and may_start:
--- a/src/ramptide/job_scheduler.py
+++ b/src/ramptide/job_scheduler.py
@@ -33,10 +33,12 @@
         self.in_transfer: dict[str, list[Attempt]] = {}
         #: The number of our last message to the other controllers.
         self.seq = 0
-        self.touched = True
-        #: Machines of which we desire something else than before, and jobs with results that are not written.
+        #: Something changed that the next round of decisions has to see.
+        self.needs_round = True
+        #: Machines of which we desire something else than before.
         self.changed_hosts: set[str] = set()
-        self.results: set[str] = set()
+        #: Jobs with results that are not written to the state service.
+        self.with_new_results: set[str] = set()
         #: Jobs of which some task is neither done nor placed.
         self.with_pending_tasks: dict[str, JobState] = {}
         #: Jobs that fail wherever they run.
@@ -49,12 +51,12 @@
     def _add(self, attempt: Attempt) -> None:
         self.index.add(attempt)
         self.changed_hosts.add(attempt.host)
-        self.touched = True
+        self.needs_round = True
 
     def _remove(self, attempt: Attempt) -> None:
         self.index.remove(attempt)
         self.changed_hosts.add(attempt.host)
-        self.touched = True
+        self.needs_round = True
 
     def _update_pending(self, state: JobState) -> None:
         if state.waiting > 0 and state.job.ref in self.jobs:
@@ -74,7 +76,7 @@
             state = JobState(job, Progress(job.progress.low, job.progress.bits), now, failed_on=set(failed_on))
             self.jobs[job.ref] = state
             self._back_off(state, now)
-            self.touched = True
+            self.needs_round = True
         elif state.job.progress.count > state.done.count:
             state.done = Progress(job.progress.low, job.progress.bits)
         self._update_pending(state)
@@ -91,7 +93,7 @@
             # Counted as ours until the new home says that it counts them, and lowers our allowance for it.
             self._remove(attempt)
             self.in_transfer.setdefault(ref, []).append(attempt)
-        self.touched = True
+        self.needs_round = True
 
     def transfer_confirmed(self, ref: str) -> None:
         """Stop counting the attempts of a job that was handed over, as its new home counts them."""
@@ -104,10 +106,10 @@
             return
         self._update_pending(state)
         self.failing.pop(ref, None)
-        self.results.discard(ref)
+        self.with_new_results.discard(ref)
         for attempt in self.index.of_job(ref):
             self._set_desired(attempt, DesiredState.REAP if attempt.phase in FINISHED else DesiredState.STOP)
-        self.touched = True
+        self.needs_round = True
 
     def results_recorded(self, ref: str) -> None:
         """Let workers forget the results of the job that the state service has now."""
@@ -144,7 +146,7 @@
         if attempt.desired is not desired:
             attempt.desired, attempt.grace, attempt.seq = desired, grace, self.seq + 1
             self.changed_hosts.add(attempt.host)
-            self.touched = True
+            self.needs_round = True
 
     def _free_task(self, attempt: Attempt) -> None:
         """Let the task of an attempt that is proven gone be started again."""
@@ -156,7 +158,7 @@
         if attempt.task not in state.done:
             heapq.heappush(state.retry_tasks, attempt.task)
         self._update_pending(state)
-        self.touched = True
+        self.needs_round = True
 
     def _discard(self, attempt: Attempt) -> None:
         self._remove(attempt)
@@ -267,9 +269,9 @@
         state.longest_failed_run = NO_TIME
         self._clear_failures(state)
         if state.job.run.shape == wire.BATCH and state.done.add(attempt.task):
-            self.results.add(attempt.run.ref)
+            self.with_new_results.add(attempt.run.ref)
             self._update_pending(state)
-            self.touched = True
+            self.needs_round = True
 
     def _task_failed(self, state: JobState, attempt: Attempt, now: timedelta) -> None:
         """Hold the failure against the job, unless the machine is known as faulty."""
@@ -290,7 +292,7 @@
     def _clear_failures(self, state: JobState) -> None:
         state.forget_failures()
         if self.failing.pop(state.job.ref, None) is not None:
-            self.touched = True
+            self.needs_round = True
 
     def clear_recovered(self, now: timedelta) -> None:
         """Forget the failures of jobs of which a task has run for well over what others took to fail."""
@@ -315,7 +317,7 @@
             return None
         return [(a.run.ref, a.task, a.number, a.desired.value, a.grace.total_seconds()) for a in entries.values()]
 
-    def using(self) -> dict[str, Amounts]:
+    def usage(self) -> dict[str, Amounts]:
         """Return what each team's attempts hold: whatever may possibly be on a machine counts."""
         return dict(self.index.usage)
 
@@ -323,9 +325,9 @@
         """Return the same for each job that was handed over and that its new home does not count yet."""
         return {ref: sum_amounts(attempts) for ref, attempts in self.in_transfer.items()}
 
-    def held(self) -> dict[str, Amounts]:
+    def usage_with_transfers(self) -> dict[str, Amounts]:
         """Return both together: what our allowance has to cover."""
-        total = self.using()
+        total = self.usage()
         for attempts in self.in_transfer.values():
             for team, (cores, cards) in sum_amounts(attempts).items():
                 add_amounts(total, team, cores, cards)
--- a/src/ramptide/job_state.py
+++ b/src/ramptide/job_state.py
@@ -47,7 +47,7 @@
     probe: int | None = None
     waiting_since: timedelta | None = None
     #: Since when some of its tasks have found no room, though its team's limit lets them run.
-    short_since: timedelta | None = None
+    without_room_since: timedelta | None = None
     started_at: timedelta | None = None
 
     @property
--- a/src/ramptide/owned_machine.py
+++ b/src/ramptide/owned_machine.py
@@ -16,14 +16,16 @@
     """A machine that this controller owns in the present view.
 
     `settled`: no reply of an earlier view can be carried out any more. `has_current_token`: the last report was made
-    after the worker saw the token of this view. `last_report_id`: tenure and tally of the last report.
+    after the worker saw the token of this view. `last_report_id`: tenure and tally of the last report. `raw_tasks`: the
+    encoded list of tasks of the last report that was compared with the entries. `reclaimed_at`: when the cloud takes
+    the machine back.
     """
 
     host: str
     record: MachineRecord
     flavor: wire.Flavor | None
     settled: bool
-    #: Nobody else has answered it after this moment; not `bounded`: nobody in this view.
+    #: No other controller of this view has answered it after this moment; if `bounded`, none of an earlier one either.
     since: timedelta
     bounded: bool = False
     entries: dict[TaskKey, TaskEntry] = field(default_factory=dict)
--- a/src/ramptide/results.py
+++ b/src/ramptide/results.py
@@ -39,10 +39,10 @@
     def flush(self, home: JobScheduler, now: timedelta) -> None:
         if self._c.mirror.lacking:
             return
-        for ref in list(home.results):
+        for ref in list(home.with_new_results):
             work = home.jobs.get(ref)
             if work is None or not work.has_unrecorded_results:
-                home.results.discard(ref)
+                home.with_new_results.discard(ref)
             elif not work.frozen and ref not in self._flying:
                 if work.complete and now >= self._next.get(ref, now):
                     self._finish(work, now)
--- a/src/ramptide/shard.py
+++ b/src/ramptide/shard.py
@@ -79,32 +79,32 @@
 
     def apply_desired(
         self,
-        home: str,
+        sender: str,
         seq: int,
         changes: Mapping[str, list[DesiredTaskRow] | None],
         allowed: Callable[[OwnedMachine], bool],
     ) -> None:
-        """Take what changed of a scheduler's desired states: each machine's list in full.
+        """Take what changed of the desired states of `sender`'s scheduler: each machine's list in full.
 
         A copy of a message that was taken before, or an older one, changes nothing.
         """
-        if seq <= self.acks.get(home, 0):
+        if seq <= self.acks.get(sender, 0):
             return
-        self.acks[home] = seq
+        self.acks[sender] = seq
         for host, rows in changes.items():
             machine = self.machines.get(host)
             if machine is None:
                 continue
             for ref, task, attempt, name, grace in rows or ():
                 key, desired = (ref, task, attempt), DesiredState(name)
-                self._apply_desired_state(machine, home, key, desired, timedelta(seconds=grace), allowed)
+                self._apply_desired_state(machine, sender, key, desired, timedelta(seconds=grace), allowed)
             self.hosts_to_notify.add(host)
             self.mark_changed(host)
 
     def _apply_desired_state(
         self,
         machine: OwnedMachine,
-        home: str,
+        sender: str,
         key: TaskKey,
         desired: DesiredState,
         grace: timedelta,
@@ -115,13 +115,13 @@
             if desired is not DesiredState.RUN:
                 return
             run = self.find_run(key[0])
-            entry = TaskEntry(key[0], key[1], key[2], Phase.QUEUED, run, home=home)
+            entry = TaskEntry(key[0], key[1], key[2], Phase.QUEUED, run, requested_by=sender)
             if run is None or machine.unreachable or not allowed(machine) or not machine.has_room_for(run):
                 entry.phase = Phase.REFUSED
             self.add_entry(machine, entry)
         if entry.desired is DesiredState.REAP or entry.desired is DesiredState.STOP and desired is DesiredState.RUN:
             return
-        entry.desired, entry.home, entry.grace = desired, home, grace
+        entry.desired, entry.requested_by, entry.grace = desired, sender, grace
         if desired is not DesiredState.RUN and entry.phase is Phase.QUEUED:
             entry.phase = Phase.GONE
         if desired is DesiredState.REAP and entry.phase in (Phase.REFUSED, Phase.GONE):
@@ -150,4 +150,4 @@
         machine = self.machines.get(host)
         if machine is None:
             return set()
-        return {entry.home for entry in machine.entries.values() if entry.home is not None}
+        return {entry.requested_by for entry in machine.entries.values() if entry.requested_by is not None}
--- a/src/ramptide/starts.py
+++ b/src/ramptide/starts.py
@@ -112,7 +112,7 @@
         rooms = [room for room in self.rooms(not c.membership.leading) if room.cores + ROUNDING >= least]
         wall = c.context.wall()
         works.sort(key=lambda work: self._urgency(work.job, work.idle_for(now, wall), wall))
-        using = home.held()
+        using = home.usage_with_transfers()
         hopeless: set[tuple[object, ...]] = set()
         for work in works:
             reach = self._reach(work, now, wall)
@@ -123,7 +123,7 @@
                 if left and not work.excluded_until and not work.job.run.one_zone and not work.job.run.spread:
                     hopeless.add(key)
             work.waiting_since = (work.waiting_since or now) if work.startable else None
-            work.short_since = (work.short_since or now) if left else None
+            work.without_room_since = (work.without_room_since or now) if left else None
 
     def _urgency(self, job: Job, idle: timedelta, wall: datetime) -> tuple[Any, ...]:
         return urgency(job, idle, wall, self._c.prompt, self._c.tuning.patience)
@@ -132,7 +132,7 @@
         """With no capacity to be had an idle pool helps nobody; the room on the services' own machines is given up
         last, but no job is left waiting for long beside room that nobody uses."""
         idle = work.idle_for(now, wall)
-        short = now - work.short_since if work.short_since is not None else ZERO
+        short = now - work.without_room_since if work.without_room_since is not None else ZERO
         starved = chance(work.job, idle, wall, self._c.tuning.patience) is Chance.STARVED
         if starved or min(idle, short) > self._c.tuning.share_wait:
             return Reach.ALL
@@ -258,7 +258,7 @@
         rooms = {room.host: room.copy() for room in self.rooms()}
         tasks: dict[str, list[RunningTask]] = {}
         using = self.team_use()
-        held = home.held()
+        held = home.usage_with_transfers()
         hopeless: set[tuple[object, ...]] = set()
         for work in sorted(claims, key=lambda one: self._urgency(one.job, one.idle_for(now, wall), wall)):
             run = work.job.run
@@ -362,7 +362,7 @@
         """What all homes' attempts hold, by team."""
         c = self._c
         assert c.home is not None
-        using = c.home.using()
+        using = c.home.usage()
         for said in c.peers.messages():
             for team, (cores, cards) in said.using.items():
                 add_amounts(using, team, cores, cards)
--- a/src/ramptide/syncing.py
+++ b/src/ramptide/syncing.py
@@ -121,7 +121,7 @@
         if self.allowances is not None and sync.grants_ack:
             self.allowances.acknowledged(sync.member, sync.grants_ack)
         c.floor.recall(sync.unproven, now)
-        home.touched = True
+        home.needs_round = True
 
     def acknowledge(self, home: JobScheduler, owner: str, ack: int) -> None:
         """The owner has processed our messages up to `ack`, and its rows are as of then."""
@@ -137,13 +137,13 @@
 
         home.acknowledged(ack, answered)
 
-    def takes_tasks(self, agent: OwnedMachine) -> bool:
-        record = agent.record
+    def takes_tasks(self, machine: OwnedMachine) -> bool:
+        record = machine.record
         return (
-            agent.settled
+            machine.settled
             and record.opened
             and record.leaving is None
-            and agent.reclaimed_at is None
+            and machine.reclaimed_at is None
             and self._c.may_start()
         )
 
@@ -221,7 +221,7 @@
             wire=WIRE,
             latched=c.latched,
             acks=part.acks,
-            using=home.using(),
+            using=home.usage(),
             limbo=home.amounts_in_transfer(),
             grants_ack=self.grants_ack,
             took=self._took,
@@ -279,7 +279,7 @@
         assert view is not None and self.allowances is not None
         if not c.membership.leading or not c.latched:
             return {}
-        using, asking = {c.member: home.using()}, {c.member: c.starter.asking(home)}
+        using, asking = {c.member: home.usage()}, {c.member: c.starter.asking(home)}
         for member in view.members:
             if member == c.member:
                 continue
--- a/src/ramptide/task_state.py
+++ b/src/ramptide/task_state.py
@@ -55,7 +55,7 @@
 class TaskEntry:
     """One attempt of a task on a machine, as the machine's owner keeps it.
 
-    `run` is None while the job is not known; `home` is the controller whose scheduler asked for the attempt.
+    `run` is None while the job is not known; `requested_by` is the controller whose scheduler asked for the attempt.
     """
 
     ref: str
@@ -64,7 +64,7 @@
     phase: Phase
     run: wire.Run | None
     desired: DesiredState | None = None
-    home: str | None = None
+    requested_by: str | None = None
     grace: timedelta = NO_TIME
     cause: str | None = None
     kill_sent_at: timedelta | None = None
--- a/src/ramptide/workers.py
+++ b/src/ramptide/workers.py
@@ -74,8 +74,8 @@
         self.forget(beat.host)
         if beat.addr is not None and beat.host in c.machines:
             c.addresses[beat.host] = beat.addr
-        agent = c.part.machines.get(beat.host)
-        if agent is not None and self._worth_holding(agent) and not c.part.commands.pending(beat.host):
+        machine = c.part.machines.get(beat.host)
+        if machine is not None and self._worth_holding(machine) and not c.part.commands.pending(beat.host):
             self._held[beat.host] = Held(answer, c.context.now + c.tuning.hold)
             return
         self._reply(beat.host, answer)
@@ -86,15 +86,15 @@
         else:
             answer(421, wire.encode_foreman(owner))
 
-    def _worth_holding(self, agent: OwnedMachine) -> bool:
+    def _worth_holding(self, machine: OwnedMachine) -> bool:
         """The answer may wait for a launch where no news is expected: no array's task is there to end."""
         return (
             self._c.tuning.hold > ZERO
-            and agent.has_current_token
-            and not agent.unreachable
-            and agent.record.leaving is None
-            and agent.reclaimed_at is None
-            and agent.runs_only_services()
+            and machine.has_current_token
+            and not machine.unreachable
+            and machine.record.leaving is None
+            and machine.reclaimed_at is None
+            and machine.runs_only_services()
         )
 
     def _reply(self, host: str, answer: BeatAnswer) -> None:
@@ -102,10 +102,10 @@
         if c.part is None or c.view is None or not c.may_answer():
             answer(503, b"{}")
             return
-        agent = c.part.machines.get(host)
+        machine = c.part.machines.get(host)
         orders = c.part.commands.take(host, c.context.now, c.may_start())
-        if agent is not None:
-            agent.last_answer = c.context.now
+        if machine is not None:
+            machine.last_answer = c.context.now
         answer(200, wire.encode_beat_answer(c.view.number, orders))
 
     def answer_held(self, now: timedelta) -> None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -255,16 +255,16 @@
 
 
 def shown(part: Shard, host: str) -> Any:
-    agent = part.machines[host]
-    entries = [(key, entry.phase, entry.cause) for key, entry in sorted(agent.entries.items())]
+    machine = part.machines[host]
+    entries = [(key, entry.phase, entry.cause) for key, entry in sorted(machine.entries.items())]
     return (
-        agent.last_report_id,
-        agent.last_report,
-        agent.reclaimed_at,
+        machine.last_report_id,
+        machine.last_report,
+        machine.reclaimed_at,
         entries,
-        agent.failed_jobs,
-        agent.consecutive_failures,
-        agent.unreachable_since,
+        machine.failed_jobs,
+        machine.consecutive_failures,
+        machine.unreachable_since,
     )
 
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -197,28 +197,28 @@
 def test_late_copies_of_reports_change_nothing() -> None:
     """Within a tenure, over tenures, from before the view, and after the lease has certainly run out."""
     part, plain = a_part(), dict[tuple[int, int], wire.Beat]()
-    agent = part.machines["vm-1"]
-    assert part.reports.take(beat(1, 1, 4, 1, 2), 0 * S) and not agent.settled, (
+    machine = part.machines["vm-1"]
+    assert part.reports.take(beat(1, 1, 4, 1, 2), 0 * S) and not machine.settled, (
         "it may be from before the token was seen"
     )
-    assert not agent.entries
+    assert not machine.entries
     rng, now = random.Random(4), 0 * S
     for tally in range(2, 40):
         now += 1 * S
         tenure = 1 + tally // 10
         report = beat(tenure, tally, 5, *rng.sample(range(8), 3))
         assert part.reports.take(report, now)
-        agent.last_answer = now
-        shown = {key: entry.phase for key, entry in agent.entries.items()}
-        heard, answered = agent.last_report, agent.last_answer
+        machine.last_answer = now
+        shown = {key: entry.phase for key, entry in machine.entries.items()}
+        heard, answered = machine.last_report, machine.last_answer
         plain[tenure, tally] = report
         for copy in rng.sample(sorted(plain), min(3, len(plain))):
             assert not part.reports.take(plain[copy], now + 0.3 * S)
-        assert shown == {key: entry.phase for key, entry in agent.entries.items()}
-        assert (agent.last_report, agent.last_answer) == (heard, answered), "they extend no lease in our reckoning"
-    assert agent.settled
+        assert shown == {key: entry.phase for key, entry in machine.entries.items()}
+        assert (machine.last_report, machine.last_answer) == (heard, answered), "they extend no lease in our reckoning"
+    assert machine.settled
     part.leases.expire(now + 9.2 * S, 0 * S)
-    assert all(entry.phase is Phase.GONE for entry in agent.entries.values())
+    assert all(entry.phase is Phase.GONE for entry in machine.entries.values())
     assert not part.reports.take(beat(4, 99, 5, 1, 2, 3), now + 10 * S), (
         "a late one of the tenure that ended revives nothing"
     )
@@ -227,13 +227,13 @@
 
 def test_without_the_later_tenure_a_late_report_revives_what_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
     part = a_part()
-    agent = part.machines["vm-1"]
+    machine = part.machines["vm-1"]
     assert part.reports.take(beat(1, 1, 5, 1), 0 * S)
-    agent.last_answer = 0 * S
+    machine.last_answer = 0 * S
     part.leases.expire(10 * S, 0 * S)
-    agent.last_report_id = (1, 1)
+    machine.last_report_id = (1, 1)
     assert part.reports.take(beat(1, 2, 5, 1), 11 * S)
-    assert any(entry.phase is Phase.RUNNING for entry in agent.entries.values())
+    assert any(entry.phase is Phase.RUNNING for entry in machine.entries.values())
 
 
 def test_a_late_report_of_a_returned_machine_brings_nothing_back() -> None:
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -478,17 +478,17 @@
 
 
 def test_what_a_machine_tells_of_failures() -> None:
-    agent = OwnedMachine("vm-1", MachineRecord("m", "a", False, 1, 0.0), None, True, 0 * S)
+    machine = OwnedMachine("vm-1", MachineRecord("m", "a", False, 1, 0.0), None, True, 0 * S)
     for ref in ("j-1", "j-2", "j-1"):
-        record_outcome(agent, ref, "error")
-    assert (agent.failed_jobs, agent.consecutive_failures) == (["j-1", "j-2"], 2)
-    record_outcome(agent, "j-3", "done")
-    assert (agent.failed_jobs, agent.consecutive_failures) == (["j-1", "j-2"], 0)
-    record_outcome(agent, "j-1", "error")
-    assert (agent.failed_jobs, agent.consecutive_failures) == (["j-2", "j-1"], 1)
+        record_outcome(machine, ref, "error")
+    assert (machine.failed_jobs, machine.consecutive_failures) == (["j-1", "j-2"], 2)
+    record_outcome(machine, "j-3", "done")
+    assert (machine.failed_jobs, machine.consecutive_failures) == (["j-1", "j-2"], 0)
+    record_outcome(machine, "j-1", "error")
+    assert (machine.failed_jobs, machine.consecutive_failures) == (["j-2", "j-1"], 1)
     for number in range(20):
-        record_outcome(agent, f"j-{number + 10}", "error")
-    assert (len(agent.failed_jobs), agent.consecutive_failures, agent.failed_jobs[-1]) == (
+        record_outcome(machine, f"j-{number + 10}", "error")
+    assert (len(machine.failed_jobs), machine.consecutive_failures, machine.failed_jobs[-1]) == (
         FAILED_JOBS_KEPT,
         FAILED_JOBS_KEPT,
         "j-29",
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -400,11 +400,11 @@
         ) -> None:
             for host, row in sync.status.items():
                 told[peer.name, host] = {task[:3] for task in row.tasks} if row is not None else set()
-            for host, agent in c.part.machines.items() if c.part is not None and sync.view else ():
+            for host, machine in c.part.machines.items() if c.part is not None and sync.view else ():
                 ours = {
                     key
-                    for key, one in agent.entries.items()
-                    if one.home == c.member and one.desired is DesiredState.RUN
+                    for key, one in machine.entries.items()
+                    if one.requested_by == c.member and one.desired is DesiredState.RUN
                 }
                 if ours - told.get((peer.name, host), set()):
                     found.append(f"{sync.member} to {peer.name}: {host}")
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -78,8 +78,8 @@
         assert home.with_pending_tasks == {ref: work for ref, work in home.jobs.items() if work.waiting > 0}
         attempts = [attempt for entries in home.attempts.values() for attempt in entries.values()]
         using = sum_amounts(attempts)
-        for team in using | home.using():
-            assert home.using().get(team, (0.0, 0.0)) == pytest.approx(using.get(team, (0.0, 0.0)))
+        for team in using | home.usage():
+            assert home.usage().get(team, (0.0, 0.0)) == pytest.approx(using.get(team, (0.0, 0.0)))
         by_ref = [attempt for entries in home.index.by_job.values() for attempt in entries.values()]
         assert sorted(a.key for a in by_ref) == sorted(a.key for a in attempts)
         shown = {tuple(row[:3]) for host in floor.hosts.values() if host.settled for row in host.tasks}
@@ -395,10 +395,10 @@
     assert world.accepted("j-2", "c0")
     controller = world.nodes["c0"].controller
     assert controller is not None and controller.part is not None
-    agent, most = controller.part.machines[worker.host], 0
+    machine, most = controller.part.machines[worker.host], 0
     for _ in range(200):
         world.run(0.1)
-        most = max(most, sum(entry.phase.value == "sent" for entry in agent.entries.values()))
+        most = max(most, sum(entry.phase.value == "sent" for entry in machine.entries.values()))
     return most
 
 
@@ -412,7 +412,7 @@
 
 
 def test_without_that_guard_launches_go_where_nobody_hears(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ReportIntake, "_mark_unreachable", lambda self, agent, now: None)
+    monkeypatch.setattr(ReportIntake, "_mark_unreachable", lambda self, machine, now: None)
     assert launches_while_deaf(busy_world(members=1, guessS=60.0)) > 0
 
 
