--- a/src/ramptide/delta.py
+++ b/src/ramptide/delta.py
@@ -1,43 +1,52 @@
-"""Which items of a table changed at which number, so that only what is new since an acknowledged number is sent."""
+"""Incremental messages: which items of a table changed at which sequence number, and what a receiver has taken."""
 
 from collections.abc import Container, Hashable
 from typing import Generic, TypeVar
 
-K = TypeVar("K", bound=Hashable)
+Key = TypeVar("Key", bound=Hashable)
 
 
-class ChangeLog(Generic[K]):
-    """Holds keys only; values are read when a message is made, so a message is never older than its number."""
+class ChangeLog(Generic[Key]):
+    """Records the sequence number of each key's last change.
 
-    def __init__(self) -> None:
-        self._at: dict[K, int] = {}  # in order of the last change
-
-    def mark(self, key: K, seq: int) -> None:
-        self._at.pop(key, None)
-        self._at[key] = seq
+    Only keys are kept; values are read when a message is made, so a message is never older than its number.
+    """
 
-    def since(self, base: int) -> list[K]:
-        """What changed after `base`; removed items are among them until they are pruned."""
-        found = []
-        for key in reversed(self._at):
-            if self._at[key] <= base:
+    def __init__(self) -> None:
+        #: In the order of the last change.
+        self._last_change: dict[Key, int] = {}
+
+    def mark(self, key: Key, seq: int) -> None:
+        """Record that a key changed, or was removed, at `seq`, which is not below any recorded number."""
+        self._last_change.pop(key, None)
+        self._last_change[key] = seq
+
+    def since(self, base: int) -> list[Key]:
+        """Return the keys that changed after `base`, latest first; with those of items removed and not pruned."""
+        changed = []
+        for key in reversed(self._last_change):
+            if self._last_change[key] <= base:
                 break
-            found.append(key)
-        return found
+            changed.append(key)
+        return changed
 
-    def prune(self, base: int, alive: Container[K]) -> None:
-        """Forgets removed items of which every receiver has acknowledged a number from `base` on."""
-        self._at = {key: at for key, at in self._at.items() if at > base or key in alive}
+    def prune(self, base: int, alive: Container[Key]) -> None:
+        """Forget removed items whose removal every receiver has acknowledged, `base` being the lowest number."""
+        self._last_change = {key: seq for key, seq in self._last_change.items() if seq > base or key in alive}
 
 
 class ReceivedSequence:
-    """How far one sender's table was taken. A message holds all that changed after its `base` up to its `seq`,
-    so it may be taken when nothing up to `base` is missing here; an older one, or a copy, says nothing new."""
+    """How far one sender's table has been taken.
+
+    A message holds all that changed after its `base` up to its `seq`, so it can be taken when nothing up to `base`
+    is missing here. An older message, or a copy, holds nothing new.
+    """
 
     def __init__(self) -> None:
         self.seq = 0
 
     def takes(self, base: int, seq: int) -> bool:
+        """Tell whether a message can be taken, and if so count it as taken."""
         if seq <= self.seq or base > self.seq:
             return False
         self.seq = seq
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -427,8 +427,8 @@
 
     def late(syncing: Syncing, home: JobScheduler, part: Shard, changed: set[str]) -> None:
         mark(syncing, home, part, changed)
-        for host in {one for one, at in syncing._rows._at.items() if at == home.seq} - changed:
-            del syncing._rows._at[host]
+        for host in {one for one, at in syncing._rows._last_change.items() if at == home.seq} - changed:
+            del syncing._rows._last_change[host]
 
     monkeypatch.setattr(Syncing, "mark", late)
     assert untold_wishes(started(5))
