--- a/src/ramptide/store.py
+++ b/src/ramptide/store.py
@@ -4,15 +4,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from datetime import timedelta
-from typing import Any
+from http import HTTPStatus
+from typing import Any, TypeVar
 from urllib.parse import quote, urlencode
 
 from ramptide import wire
-from ramptide.context import JSON, Reply, Runtime
+from ramptide.context import JSON, Reply, ResponseCallback, Runtime
 from ramptide.limits import Priority, RateLimiter, TokenBucket
 
 log = logging.getLogger(__name__)
 
+T = TypeVar("T")
+
 MAX_QUEUE_TIME = {
     Priority.LEASE: timedelta(seconds=4),
     Priority.COMMIT: timedelta(seconds=2),
@@ -20,11 +23,28 @@
     Priority.HOUSEKEEPING: timedelta(seconds=5),
 }
 CALL_TIMEOUT = timedelta(seconds=2)
+RENEWAL_TIMEOUT = timedelta(seconds=1)
+#: How much longer than its block a watch waits for the answer.
+WATCH_TIMEOUT_MARGIN = timedelta(seconds=1)
+ROWS_PAGE_SIZE = 500
+#: The part of the service's limits that all controllers together use.
+USED_PART_OF_LIMITS = 0.95
+MAX_LOGGED_BODY_BYTES = 200
 
 
 @dataclass(slots=True)
 class Transaction:
-    """Conditions (key and the stamp it must have) and changes that go through together."""
+    """Conditions and changes that are applied together or not at all.
+
+    Attributes
+    ----------
+    when
+        The stamp that each of these keys must have.
+    puts
+        Keys with their new value and the grant, if any, with which they expire.
+    drops
+        Keys to delete.
+    """
 
     when: dict[str, int] = field(default_factory=dict)
     puts: list[tuple[str, Any, int | None]] = field(default_factory=list)
@@ -32,13 +52,25 @@
 
     @property
     def size(self) -> int:
+        """The number of changes."""
         return len(self.puts) + len(self.drops)
 
 
 @dataclass(slots=True)
 class TransactionResult:
-    """What became of a transaction: `epoch` when it went through, `failed` when a condition did not hold;
-    neither when nobody knows (`sent`) or it was not carried out (not `sent`; `full`: for want of a free rate)."""
+    """What became of a transaction; with neither `epoch` nor `failed` it is unknown or was not carried out.
+
+    Attributes
+    ----------
+    epoch
+        The revision at which it was applied.
+    failed
+        The keys whose conditions did not hold.
+    sent
+        False if it was certainly not carried out.
+    full
+        Whether it was rejected for the service's rate limit.
+    """
 
     epoch: int | None = None
     failed: list[str] | None = None
@@ -47,13 +79,28 @@
 
 
 class Store:
+    """The state service as one controller sees it.
+
+    Parameters
+    ----------
+    runtime
+        The clock, timers and HTTP calls.
+    address
+        The `host:port` of the service.
+    limits
+        The service's limits, which all controllers share.
+    nodes
+        The number of controllers.
+    """
+
     def __init__(self, runtime: Runtime, address: str, limits: wire.StateLimits, nodes: int) -> None:
         self.runtime = runtime
         self.address = address
         self.limits = limits
-        calls, writes = limits.rps * 0.95, limits.write_rps * 0.95
-        # The load is not the same on all: the leader writes more. One alone never takes more than half of all
-        # changes, and what is refused for that was not carried out.
+        calls = limits.rps * USED_PART_OF_LIMITS
+        writes = limits.write_rps * USED_PART_OF_LIMITS
+        # The load differs: the leader writes more. A single controller never takes more than half of the whole rate,
+        # and what is rejected for that was not carried out.
         self.writes = TokenBucket(writes / nodes, writes / nodes, writes / 2)
         self.rate_limiter = RateLimiter(runtime, TokenBucket(calls / nodes, calls / nodes, calls / 2), self.writes)
 
@@ -63,85 +110,93 @@
         method: str,
         target: str,
         body: bytes,
-        done: Callable[[Reply | None], None],
+        done: ResponseCallback,
         writes: int = 0,
         timeout: timedelta = CALL_TIMEOUT,
-        refuse: Callable[[], None] | None = None,
+        reject: Callable[[], None] | None = None,
         sending: Callable[[], None] | None = None,
     ) -> None:
         def answered(reply: Reply | None) -> None:
-            if reply is not None and reply.status == 429:
+            if reply is not None and reply.status == HTTPStatus.TOO_MANY_REQUESTS:
                 self.rate_limiter.report_overload()
             done(reply)
 
-        def go() -> None:
+        def send() -> None:
             if sending is not None:
                 sending()
             self.runtime.call(self.address, method, target, body, JSON, timeout, answered)
 
-        self.rate_limiter.submit(priority, writes, MAX_QUEUE_TIME[priority], go, refuse or (lambda: done(None)))
+        self.rate_limiter.submit(priority, writes, MAX_QUEUE_TIME[priority], send, reject or (lambda: done(None)))
 
     def get(
         self, key: str, done: Callable[[wire.Row | None, bool], None], sending: Callable[[], None] | None = None
     ) -> None:
-        """`done(row, known)`: the row, or None; known is False when it could not be read.
-
-        `sending` is called when the request leaves: whoever asks after that needs another read.
+        """Read one key.
+
+        Parameters
+        ----------
+        key
+            The key.
+        done
+            Called with the row or None, and whether that is known; it is not when the read failed.
+        sending
+            Called when the request leaves: whoever asks after that needs another read.
         """
 
         def answered(reply: Reply | None) -> None:
-            if reply is not None and reply.status == 404:
+            if reply is not None and reply.status == HTTPStatus.NOT_FOUND:
                 done(None, True)
-            elif reply is not None and reply.status == 200:
-                row = _read(wire.decode_row, reply.body)
-                done(row, row is not None)
-            else:
-                done(None, False)
+                return
+            row = _decode_success(wire.decode_row, reply)
+            done(row, row is not None)
 
         self._call(Priority.READ, "GET", f"{wire.KV}/{quote(key, safe='/')}", b"", answered, sending=sending)
 
     def list(self, prefix: str, done: Callable[[list[wire.Row] | None, int], None]) -> None:
-        """All rows with a prefix, and the epoch of the first page (a watch from there misses nothing)."""
+        """Read all keys with a prefix.
+
+        Parameters
+        ----------
+        prefix
+            The prefix.
+        done
+            Called with the rows, or None, and the epoch of the first page: a watch from there misses nothing.
+        """
         rows: list[wire.Row] = []
-        first: list[int] = []
+        epochs: list[int] = []
 
-        def page(since: str | None) -> None:
-            query = {"prefix": prefix, "limit": "500"} | ({"since": since} if since else {})
+        def request_page(after: str | None) -> None:
+            query = {"prefix": prefix, "limit": str(ROWS_PAGE_SIZE)} | ({"since": after} if after else {})
 
             def answered(reply: Reply | None) -> None:
-                found = _read(wire.decode_rows, reply.body) if reply is not None and reply.status == 200 else None
-                if found is None:
+                page = _decode_success(wire.decode_rows, reply)
+                if page is None:
                     done(None, 0)
                     return
-                first.append(found.epoch)
-                rows.extend(found.rows)
-                if found.more and (not found.rows or found.rows[-1].path <= (since or "")):
+                epochs.append(page.epoch)
+                rows.extend(page.rows)
+                if page.more and (not page.rows or page.rows[-1].path <= (after or "")):
                     log.error("broken answer of the state service: a page that leads nowhere")
                     done(None, 0)
-                elif found.more:
-                    page(found.rows[-1].path)
+                elif page.more:
+                    request_page(page.rows[-1].path)
                 else:
-                    done(rows, first[0])
+                    done(rows, epochs[0])
 
             self._call(Priority.LEASE, "GET", f"{wire.KV}?{urlencode(query)}", b"", answered)
 
-        page(None)
+        request_page(None)
 
     def commit(
-        self, txn: Transaction, done: Callable[[TransactionResult], None], priority: Priority = Priority.COMMIT
+        self,
+        txn: Transaction,
+        done: Callable[[TransactionResult], None],
+        priority: Priority = Priority.COMMIT,
     ) -> None:
+        """Send a transaction and report its result."""
+
         def answered(reply: Reply | None) -> None:
-            if reply is None:
-                done(TransactionResult())
-            elif reply.status == 200:
-                # Broken, it leaves both None: nobody knows.
-                done(TransactionResult(epoch=_read(wire.decode_committed, reply.body)))
-            elif reply.status == 409:
-                done(TransactionResult(failed=_read(wire.decode_failed, reply.body)))
-            else:
-                if reply.status not in (429, 503):
-                    log.error("transaction refused with %d: %r", reply.status, reply.body[:200])
-                done(TransactionResult(sent=False, full=reply.status == 429))
+            done(_transaction_result(reply))
 
         body = wire.encode_txn(txn.when, txn.puts, txn.drops)
         self._call(
@@ -151,26 +206,28 @@
             body,
             answered,
             writes=txn.size,
-            refuse=lambda: done(TransactionResult(sent=False)),
+            reject=lambda: done(TransactionResult(sent=False)),
         )
 
     def create_grant(self, life: timedelta, done: Callable[[int | None], None]) -> None:
+        """Create a grant, which expires unless it is renewed within `life`, with the keys written under it."""
+
         def answered(reply: Reply | None) -> None:
-            done(_read(wire.decode_grant, reply.body) if reply is not None and reply.status == 200 else None)
+            done(_decode_success(wire.decode_grant, reply))
 
         self._call(Priority.LEASE, "POST", wire.GRANTS, wire.encode_grant(life), answered)
 
     def renew_grant(self, grant: int, done: Callable[[bool | None], None]) -> None:
-        """`done(alive)`: None when it is not known."""
+        """Renew a grant; `done` is told whether it is alive, or None when that is not known."""
 
         def answered(reply: Reply | None) -> None:
             status = reply.status if reply is not None else 0
-            done(True if status == 200 else False if status == 404 else None)
+            done(True if status == HTTPStatus.OK else False if status == HTTPStatus.NOT_FOUND else None)
 
-        self._call(Priority.LEASE, "POST", f"{wire.GRANTS}/{grant}/touch", b"", answered, timeout=timedelta(seconds=1))
+        self._call(Priority.LEASE, "POST", f"{wire.GRANTS}/{grant}/touch", b"", answered, timeout=RENEWAL_TIMEOUT)
 
     def revoke_grant(self, grant: int) -> None:
-        """Gives a grant up at once; should this not arrive, it runs out."""
+        """End a grant at once; if the request is lost, the grant expires."""
         self._call(Priority.LEASE, "DELETE", f"{wire.GRANTS}/{grant}", b"", lambda reply: None)
 
     def changes(
@@ -181,24 +238,52 @@
         done: Callable[[wire.Changes | None, bool], None],
         sending: Callable[[], None] | None = None,
     ) -> None:
-        """`done(changes, gone)`: gone when `since` is too old and the keys must be read again.
-
-        Without a `block` it is a read of all that has changed, and waits its turn among the reads.
+        """Read the changes after an epoch.
+
+        Parameters
+        ----------
+        prefix
+            The prefix of the keys.
+        since
+            The epoch after which changes are wanted.
+        block
+            How long the service waits for a change when there is none. Without it this is a plain read of all that
+            has changed, and waits its turn among the reads.
+        done
+            Called with the changes, or None, and whether `since` is too old and the keys must be read again.
+        sending
+            Called when the request leaves.
         """
         query = urlencode({"prefix": prefix, "since": since, "blockMs": int(block / timedelta(milliseconds=1))})
 
         def answered(reply: Reply | None) -> None:
-            if reply is not None and reply.status == 200:
-                done(_read(wire.decode_changes, reply.body), False)
-            else:
-                done(None, reply is not None and reply.status == 410)
+            gone = reply is not None and reply.status == HTTPStatus.GONE
+            done(_decode_success(wire.decode_changes, reply), gone)
 
         priority = Priority.LEASE if block else Priority.READ
-        timeout = block + timedelta(seconds=1)
+        timeout = block + WATCH_TIMEOUT_MARGIN
         self._call(priority, "GET", f"{wire.CHANGES}?{query}", b"", answered, timeout=timeout, sending=sending)
 
 
-def _read(decode: Callable[[bytes], Any], body: bytes) -> Any:
+def _transaction_result(reply: Reply | None) -> TransactionResult:
+    if reply is None:
+        return TransactionResult()
+    if reply.status == HTTPStatus.OK:
+        # A broken answer leaves `epoch` None: nobody knows.
+        return TransactionResult(epoch=_decode(wire.decode_committed, reply.body))
+    if reply.status == HTTPStatus.CONFLICT:
+        return TransactionResult(failed=_decode(wire.decode_failed, reply.body))
+    if reply.status not in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
+        log.error("transaction refused with %d: %r", reply.status, reply.body[:MAX_LOGGED_BODY_BYTES])
+    return TransactionResult(sent=False, full=reply.status == HTTPStatus.TOO_MANY_REQUESTS)
+
+
+def _decode_success(decode: Callable[[bytes], T], reply: Reply | None) -> T | None:
+    """Return the decoded body of a successful response, or None."""
+    return _decode(decode, reply.body) if reply is not None and reply.status == HTTPStatus.OK else None
+
+
+def _decode(decode: Callable[[bytes], T], body: bytes) -> T | None:
     try:
         return decode(body)
     except wire.MessageError as error:
