--- a/src/ramptide/commits.py
+++ b/src/ramptide/commits.py
@@ -1,4 +1,4 @@
-"""Changes that do not depend on each other, grouped into few transactions."""
+"""Grouping of independent changes into few transactions."""
 
 from collections import deque
 from collections.abc import Callable
@@ -11,108 +11,144 @@
 
 MAX_TRANSACTION_BYTES = 56 * 1024
 MAX_CONCURRENT_TRANSACTIONS = 2
+#: The service takes this many conditions for each change that it takes.
+CONDITIONS_PER_OPERATION = 4
 BATCH_DELAY = timedelta(milliseconds=20)
 
 
 @dataclass(slots=True)
-class _Change:
-    """One of them, with the conditions that are its own."""
+class _PendingChange:
+    """One change with its own conditions."""
 
     txn: Transaction
-    size: int
-    until: timedelta
+    encoded_size: int
+    deadline: timedelta
     done: Callable[[TransactionResult], None]
 
+    @property
+    def keys(self) -> set[str]:
+        return _changed_keys(self.txn)
+
 
 class CommitBatcher:
-    """Each change keeps its own conditions: when one of them fails, that change alone is refused and the others
-    go on. What is common to all (the view) is added when a group leaves."""
+    """Groups changes into transactions without making them depend on each other.
+
+    Each change keeps its own conditions: when one of them fails, that change alone is refused and the others are
+    sent again. The conditions that all have in common, such as the view, are added when a group is sent.
+
+    Parameters
+    ----------
+    store
+        The state service.
+    common_conditions
+        Returns the conditions that are added to each transaction.
+    priority
+        The priority of the transactions.
+    max_operations
+        The most changes of keys in a transaction, if lower than what the service takes.
+    """
 
     def __init__(
         self,
         store: Store,
-        common: Callable[[], dict[str, int]],
+        common_conditions: Callable[[], dict[str, int]],
         priority: Priority = Priority.COMMIT,
-        most: int | None = None,
+        max_operations: int | None = None,
     ) -> None:
         self._store = store
-        self._most = min(most or store.limits.txn_ops, store.limits.txn_ops)
-        self._common = common
+        self._max_operations = min(max_operations or store.limits.txn_ops, store.limits.txn_ops)
+        self._common_conditions = common_conditions
         self._priority = priority
-        self._waiting: deque[_Change] = deque()
-        self._keys: set[str] = set()
-        self._flying = 0
-        self._planned = False
+        self._waiting: deque[_PendingChange] = deque()
+        self._keys_in_flight: set[str] = set()
+        self._in_flight = 0
+        self._send_scheduled = False
 
     def add(self, txn: Transaction, done: Callable[[TransactionResult], None]) -> None:
-        size = len(wire.encode_txn(txn.when, txn.puts, txn.drops))
-        self._waiting.append(_Change(txn, size, self._store.runtime.now + MAX_QUEUE_TIME[self._priority], done))
-        self._plan()
+        """Queue a change and report its result."""
+        encoded_size = len(wire.encode_txn(txn.when, txn.puts, txn.drops))
+        deadline = self._store.runtime.now + MAX_QUEUE_TIME[self._priority]
+        self._waiting.append(_PendingChange(txn, encoded_size, deadline, done))
+        self._schedule_send()
 
     def delay(self) -> timedelta:
-        """How long a change that is added now would wait for its turn."""
-        behind = sum(change.txn.size for change in self._waiting)
-        return self._store.rate_limiter.write_delay(self._priority) + timedelta(
-            seconds=behind / self._store.writes.rate
-        )
-
-    def _plan(self) -> None:
-        if not self._planned and self._waiting and self._flying < MAX_CONCURRENT_TRANSACTIONS:
-            self._planned = True
+        """Return how long a change that is added now would wait for its turn."""
+        waiting = sum(change.txn.size for change in self._waiting)
+        own_delay = timedelta(seconds=waiting / self._store.writes.rate)
+        return self._store.rate_limiter.write_delay(self._priority) + own_delay
+
+    def _schedule_send(self) -> None:
+        if not self._send_scheduled and self._waiting and self._in_flight < MAX_CONCURRENT_TRANSACTIONS:
+            self._send_scheduled = True
             self._store.runtime.after(BATCH_DELAY, self._send)
 
     def _send(self) -> None:
-        self._planned = False
-        common = self._common()
-        group: list[_Change] = []
-        left: deque[_Change] = deque()
-        ops, conditions, size, keys = 0, len(common), 0, set(self._keys)
-        limit = self._most
+        self._send_scheduled = False
+        common = self._common_conditions()
+        group = self._take_group(len(common))
+        if group:
+            self._commit(group, common)
+            self._schedule_send()
+
+    def _take_group(self, conditions: int) -> list[_PendingChange]:
+        """Remove the changes for one transaction from the queue; it has `conditions` already."""
+        group: list[_PendingChange] = []
+        left: deque[_PendingChange] = deque()
+        operations, size, keys = 0, 0, set(self._keys_in_flight)
+        max_conditions = self._store.limits.txn_ops * CONDITIONS_PER_OPERATION
         while self._waiting:
             change = self._waiting.popleft()
-            touched = {path for path, _, _ in change.txn.puts} | set(change.txn.drops)
+            changed_keys = change.keys
             fits = (
-                ops + change.txn.size <= limit
-                and conditions + len(change.txn.when) <= self._store.limits.txn_ops * 4
-                and size + change.size <= MAX_TRANSACTION_BYTES
+                operations + change.txn.size <= self._max_operations
+                and conditions + len(change.txn.when) <= max_conditions
+                and size + change.encoded_size <= MAX_TRANSACTION_BYTES
             )
-            if group and not fits or keys & touched:
-                # Two changes of one key go one after the other: the second has conditions the first would break.
+            if group and not fits or keys & changed_keys:
+                # Changes of the same key are sent one after the other: the first breaks the second's conditions.
                 left.append(change)
-                keys |= touched
+                keys |= changed_keys
                 continue
             group.append(change)
-            keys |= touched
-            ops, conditions, size = ops + change.txn.size, conditions + len(change.txn.when), size + change.size
+            keys |= changed_keys
+            operations += change.txn.size
+            conditions += len(change.txn.when)
+            size += change.encoded_size
         self._waiting = left
-        if group:
-            self._commit(group, common)
-            self._plan()
+        return group
 
-    def _commit(self, group: list[_Change], common: dict[str, int]) -> None:
+    def _commit(self, group: list[_PendingChange], common: dict[str, int]) -> None:
         whole = Transaction(when=dict(common))
         for change in group:
             whole.when.update(change.txn.when)
             whole.puts += change.txn.puts
             whole.drops += change.txn.drops
-        keys = {path for path, _, _ in whole.puts} | set(whole.drops)
-        self._keys |= keys
-        self._flying += 1
-
-        def done(outcome: TransactionResult) -> None:
-            self._flying -= 1
-            self._keys -= keys
-            failed = set(outcome.failed or ())
-            again = []
-            now = self._store.runtime.now
-            for change in group:
-                if outcome.full and now < change.until:
-                    again.append(change)
-                elif not failed or failed & (change.txn.when.keys() | common.keys()):
-                    change.done(outcome)
-                else:
-                    again.append(change)
-            self._waiting.extendleft(reversed(again))
-            self._plan()
+        keys = _changed_keys(whole)
+        self._keys_in_flight |= keys
+        self._in_flight += 1
+
+        def done(result: TransactionResult) -> None:
+            self._in_flight -= 1
+            self._keys_in_flight -= keys
+            self._settle(group, common, result)
+            self._schedule_send()
 
         self._store.commit(whole, done, self._priority)
+
+    def _settle(self, group: list[_PendingChange], common: dict[str, int], result: TransactionResult) -> None:
+        """Report the result to the changes that it concerns, and queue the others again."""
+        failed = set(result.failed or ())
+        retried = []
+        now = self._store.runtime.now
+        for change in group:
+            if result.full and now < change.deadline:
+                retried.append(change)
+            elif not failed or failed & (change.txn.when.keys() | common.keys()):
+                change.done(result)
+            else:
+                retried.append(change)
+        self._waiting.extendleft(reversed(retried))
+
+
+def _changed_keys(txn: Transaction) -> set[str]:
+    return {key for key, _, _ in txn.puts} | set(txn.drops)
--- a/src/ramptide/results.py
+++ b/src/ramptide/results.py
@@ -1,4 +1,4 @@
-"""What was done, written to the state service: jobs that are complete at once, the progress of others now and then."""
+"""Writing of results to the state service: completed jobs at once, the progress of others at intervals."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING
@@ -18,63 +18,65 @@
 
 PROGRESS_INTERVAL = timedelta(seconds=4)
 RETRY_DELAY = timedelta(milliseconds=500)
-#: Few at a time, so that what people wait for finds tokens left.
+#: Small transactions, so that those on which users wait find tokens left.
 MAX_PROGRESS_OPERATIONS = 3
 
 
 class Results:
-    """Ended tasks stay on their machines until the state service has their results."""
+    """Records ended tasks; they stay on their machines until the state service has their results."""
 
     def __init__(self, controller: "Controller") -> None:
-        self._c = controller
+        self._controller = controller
         self._progress = CommitBatcher(
             controller.store, controller.common, Priority.HOUSEKEEPING, MAX_PROGRESS_OPERATIONS
         )
-        self._next: dict[str, timedelta] = {}
-        self._flying: set[str] = set()
+        self._next_write: dict[str, timedelta] = {}
+        self._in_flight: set[str] = set()
 
     def forget(self, ref: str) -> None:
-        self._next.pop(ref, None)
+        """Drop what is kept of a job that is over or has moved."""
+        self._next_write.pop(ref, None)
 
     def flush(self, home: JobScheduler, now: timedelta) -> None:
-        if self._c.mirror.lacking:
+        """Write the results of the home's jobs that are due."""
+        if self._controller.mirror.lacking:
             return
         for ref in list(home.with_new_results):
             work = home.jobs.get(ref)
             if work is None or not work.has_unrecorded_results:
                 home.with_new_results.discard(ref)
-            elif not work.frozen and ref not in self._flying:
-                if work.complete and now >= self._next.get(ref, now):
-                    self._finish(work, now)
-                elif not work.complete and now >= self._next.setdefault(ref, now + PROGRESS_INTERVAL):
-                    self._record(work, now)
+            elif not work.frozen and ref not in self._in_flight:
+                if work.complete and now >= self._next_write.get(ref, now):
+                    self._write_completion(work, now)
+                elif not work.complete and now >= self._next_write.setdefault(ref, now + PROGRESS_INTERVAL):
+                    self._write_progress(work, now)
 
-    def _finish(self, work: JobState, now: timedelta) -> None:
+    def _write_completion(self, work: JobState, now: timedelta) -> None:
         job = work.job
         key, end = JOB + job.ref, EndRecord(wire.DONE, job.run.pieces, job.run.pieces)
         txn = Transaction(when={key: job.stamp}, puts=[(ENDED + job.ref, to_value(end), None)], drops=[key])
 
-        def done(outcome: TransactionResult) -> None:
-            self._landed(job.ref, outcome, txn)
-            if outcome.epoch is not None:
-                self._c.desk.ended(job.ref, end)
+        def done(result: TransactionResult) -> None:
+            self._write_finished(job.ref, result, txn)
+            if result.epoch is not None:
+                self._controller.desk.ended(job.ref, end)
 
-        self._fly(job.ref, now + RETRY_DELAY)
-        self._c.commits.add(txn, done)
+        self._write_started(job.ref, now + RETRY_DELAY)
+        self._controller.commits.add(txn, done)
 
-    def _record(self, work: JobState, now: timedelta) -> None:
+    def _write_progress(self, work: JobState, now: timedelta) -> None:
         job = work.job
         key = JOB + job.ref
         record = msgspec.structs.replace(job.record, done=work.done.encode())
         txn = Transaction(when={key: job.stamp}, puts=[(key, to_value(record), None)])
-        self._fly(job.ref, now + PROGRESS_INTERVAL)
-        self._progress.add(txn, lambda outcome: self._landed(job.ref, outcome, txn))
+        self._write_started(job.ref, now + PROGRESS_INTERVAL)
+        self._progress.add(txn, lambda result: self._write_finished(job.ref, result, txn))
 
-    def _fly(self, ref: str, again: timedelta) -> None:
-        self._flying.add(ref)
-        self._next[ref] = again
+    def _write_started(self, ref: str, next_write: timedelta) -> None:
+        self._in_flight.add(ref)
+        self._next_write[ref] = next_write
 
-    def _landed(self, ref: str, outcome: TransactionResult, txn: Transaction) -> None:
-        self._flying.discard(ref)
-        if outcome.epoch is not None:
-            self._c.mirror.applied(outcome.epoch, txn.puts, txn.drops)
+    def _write_finished(self, ref: str, result: TransactionResult, txn: Transaction) -> None:
+        self._in_flight.discard(ref)
+        if result.epoch is not None:
+            self._controller.mirror.applied(result.epoch, txn.puts, txn.drops)
