--- a/src/ramptide/admin.py
+++ b/src/ramptide/admin.py
@@ -8,7 +8,7 @@
 from ramptide import __version__, wire
 from ramptide.context import JSON
 from ramptide.desk import error
-from ramptide.records import SETTINGS
+from ramptide.records import SETTINGS_KEY
 from ramptide.settings import BOUNDS, SettingsError, Tuning
 from ramptide.store import Transaction, TransactionResult
 from ramptide.team_usage import team_usage
@@ -71,7 +71,7 @@
             return
         defaults = Tuning().to_value()
         value = {name: one for name, one in tuning.to_value().items() if one != defaults[name]}
-        txn = Transaction(when={SETTINGS: self._c.mirror.stamp(SETTINGS)}, puts=[(SETTINGS, value, None)])
+        txn = Transaction(when={SETTINGS_KEY: self._c.mirror.stamp(SETTINGS_KEY)}, puts=[(SETTINGS_KEY, value, None)])
 
         def done(outcome: TransactionResult) -> None:
             if outcome.epoch is not None:
--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -24,7 +24,15 @@
 from ramptide.membership import LIFE, VIEW, Membership, View, owner_of
 from ramptide.mirror import Mirror
 from ramptide.peers import Peers
-from ramptide.records import FLAVORS, JOB, RENTAL, SETTINGS, JobRecord, MachineRecord, RentalRecord
+from ramptide.records import (
+    FLAVORS_KEY,
+    JOB_PREFIX,
+    RENTAL_PREFIX,
+    SETTINGS_KEY,
+    JobRecord,
+    MachineRecord,
+    RentalRecord,
+)
 from ramptide.results import Results
 from ramptide.settings import Tuning
 from ramptide.shard import Shard
@@ -228,13 +236,13 @@
     # Changes of the state service.
 
     def _on_change(self, path: str, value: Any, stamp: int) -> None:
-        if path.startswith(JOB):
-            self._on_job(path[len(JOB) :], value, stamp)
-        elif path.startswith(RENTAL):
-            self._on_rental(path[len(RENTAL) :], value)
-        elif path == FLAVORS:
+        if path.startswith(JOB_PREFIX):
+            self._on_job(path[len(JOB_PREFIX) :], value, stamp)
+        elif path.startswith(RENTAL_PREFIX):
+            self._on_rental(path[len(RENTAL_PREFIX) :], value)
+        elif path == FLAVORS_KEY:
             self._take_flavors(value)
-        elif path == SETTINGS:
+        elif path == SETTINGS_KEY:
             self.tuning = self.floor.tuning = Tuning.from_value(value)
             self.floor.touch_all()
             log.info("settings changed")
--- a/src/ramptide/desk.py
+++ b/src/ramptide/desk.py
@@ -14,7 +14,7 @@
 from ramptide.membership import Membership
 from ramptide.mirror import Mirror
 from ramptide.placement import can_ever_run
-from ramptide.records import ENDED, JOB, EndRecord, JobRecord, Progress, to_value
+from ramptide.records import ENDED_PREFIX, JOB_PREFIX, EndRecord, JobRecord, Progress, to_value
 from ramptide.store import Store, Transaction, TransactionResult
 from ramptide.telemetry import Answer, Route, Telemetry, Unavailable
 
@@ -134,7 +134,7 @@
         if len(msgspec.json.encode(value)) > (self._store.limits.value_kb - 2) * 1024:
             answer(400, error("the description is too long"), {})
             return
-        key, ended = JOB + run.ref, ENDED + run.ref
+        key, ended = JOB_PREFIX + run.ref, ENDED_PREFIX + run.ref
         txn = Transaction(when={key: 0, ended: 0}, puts=[(key, value, None)])
 
         def done(outcome: TransactionResult) -> None:
@@ -240,7 +240,7 @@
             for one in asked:
                 one(record, known)
 
-        self._store.get(ENDED + ref, done, sending)
+        self._store.get(ENDED_PREFIX + ref, done, sending)
 
     # Cancellations.
 
@@ -279,7 +279,11 @@
             return
         ref = job.ref
         end = EndRecord(wire.WITHDRAWN, job.run.pieces, job.progress.count)
-        txn = Transaction(when={JOB + ref: job.stamp}, puts=[(ENDED + ref, to_value(end), None)], drops=[JOB + ref])
+        txn = Transaction(
+            when={JOB_PREFIX + ref: job.stamp},
+            puts=[(ENDED_PREFIX + ref, to_value(end), None)],
+            drops=[JOB_PREFIX + ref],
+        )
 
         def done(outcome: TransactionResult) -> None:
             if outcome.epoch is not None:
--- a/src/ramptide/leader.py
+++ b/src/ramptide/leader.py
@@ -12,7 +12,7 @@
 from ramptide.fleet import Fleet, Plan
 from ramptide.limits import Priority
 from ramptide.membership import VIEW
-from ramptide.records import FLAVORS, RENTAL, HostRecord, RentalRecord, to_value
+from ramptide.records import FLAVORS_KEY, RENTAL_PREFIX, HostRecord, RentalRecord, to_value
 from ramptide.store import Transaction, TransactionResult
 
 if TYPE_CHECKING:
@@ -116,11 +116,11 @@
         txn = Transaction(when={VIEW: c.membership.view_stamp})
         if self.flavors_read:
             self.flavors_read = False
-            txn.puts.append((FLAVORS, [msgspec.to_builtins(flavor) for flavor in c.flavors.values()], None))
+            txn.puts.append((FLAVORS_KEY, [msgspec.to_builtins(flavor) for flavor in c.flavors.values()], None))
         # What does not fit is found again by the next step.
         for name, record in edits.items():
             if txn.size < c.store.limits.txn_ops:
-                key = RENTAL + name
+                key = RENTAL_PREFIX + name
                 txn.when[key] = c.mirror.stamp(key)
                 if record is None:
                     txn.drops.append(key)
--- a/src/ramptide/records.py
+++ b/src/ramptide/records.py
@@ -9,11 +9,11 @@
 
 from ramptide import wire
 
-JOB = "live/job/"
-ENDED = "ended/"
-RENTAL = "live/rental/"
-FLAVORS = "live/flavors"
-SETTINGS = "live/settings"
+JOB_PREFIX = "live/job/"
+ENDED_PREFIX = "ended/"
+RENTAL_PREFIX = "live/rental/"
+FLAVORS_KEY = "live/flavors"
+SETTINGS_KEY = "live/settings"
 
 PROGRESS_WINDOW = 8192
 
--- a/src/ramptide/results.py
+++ b/src/ramptide/results.py
@@ -10,7 +10,7 @@
 from ramptide.job_scheduler import JobScheduler
 from ramptide.job_state import JobState
 from ramptide.limits import Priority
-from ramptide.records import ENDED, JOB, EndRecord, to_value
+from ramptide.records import ENDED_PREFIX, JOB_PREFIX, EndRecord, to_value
 from ramptide.store import Transaction, TransactionResult
 
 if TYPE_CHECKING:
@@ -53,8 +53,8 @@
 
     def _write_completion(self, work: JobState, now: timedelta) -> None:
         job = work.job
-        key, end = JOB + job.ref, EndRecord(wire.DONE, job.run.pieces, job.run.pieces)
-        txn = Transaction(when={key: job.stamp}, puts=[(ENDED + job.ref, to_value(end), None)], drops=[key])
+        key, end = JOB_PREFIX + job.ref, EndRecord(wire.DONE, job.run.pieces, job.run.pieces)
+        txn = Transaction(when={key: job.stamp}, puts=[(ENDED_PREFIX + job.ref, to_value(end), None)], drops=[key])
 
         def done(result: TransactionResult) -> None:
             self._write_finished(job.ref, result, txn)
@@ -66,7 +66,7 @@
 
     def _write_progress(self, work: JobState, now: timedelta) -> None:
         job = work.job
-        key = JOB + job.ref
+        key = JOB_PREFIX + job.ref
         record = msgspec.structs.replace(job.record, done=work.done.encode())
         txn = Transaction(when={key: job.stamp}, puts=[(key, to_value(record), None)])
         self._write_started(job.ref, now + PROGRESS_INTERVAL)
--- a/src/ramptide/starts.py
+++ b/src/ramptide/starts.py
@@ -22,7 +22,7 @@
 from ramptide.peers import WaitingRow
 from ramptide.placement import ROUNDING, Reach, Room, admits, choose, choose_many, fill, needs, usable
 from ramptide.preemption import RunningTask, may_claim, victims
-from ramptide.records import JOB, Handover, to_value
+from ramptide.records import JOB_PREFIX, Handover, to_value
 from ramptide.store import Transaction, TransactionResult
 from ramptide.task_state import FINISHED_NAMES
 from ramptide.urgency import Chance, chance, urgency
@@ -390,7 +390,7 @@
         record = msgspec.structs.replace(
             work.job.record, home=view.leader, hand=Handover(view.number, self._c.member, home.seq + 1)
         )
-        key = JOB + work.job.ref
+        key = JOB_PREFIX + work.job.ref
         txn = Transaction(when={key: work.job.stamp}, puts=[(key, to_value(record), None)])
         self._commit_handover(work, view, txn, unsure=False)
 
--- a/src/ramptide/syncing.py
+++ b/src/ramptide/syncing.py
@@ -14,7 +14,7 @@
 from ramptide.membership import View
 from ramptide.owned_machine import OwnedMachine
 from ramptide.peers import EVERY, WIRE, Answer, Peer, Sync
-from ramptide.records import JOB
+from ramptide.records import JOB_PREFIX
 from ramptide.shard import Shard
 from ramptide.task_state import DesiredTaskRow, TaskRow
 
@@ -86,7 +86,7 @@
         dropped = self._c.mirror.dropped_since(epoch)
         if dropped is None:
             return None
-        over = {path.removeprefix(JOB) for path in dropped if path.startswith(JOB)}
+        over = {path.removeprefix(JOB_PREFIX) for path in dropped if path.startswith(JOB_PREFIX)}
         return sorted(over | {ref for _, ref in self._cancelled})
 
     def belongs(self, sync: Sync) -> bool:
--- a/src/ramptide/team_usage.py
+++ b/src/ramptide/team_usage.py
@@ -46,7 +46,7 @@
     home = controller.home
     if home is None:
         return {}
-    totals = _Totals(controller.starter.team_use(), home.held(), waiting_for_limits(controller, home))
+    totals = _Totals(controller.starter.team_use(), home.usage_with_transfers(), waiting_for_limits(controller, home))
     return {name: _usage_of(controller, name, totals) for name in controller.teams}
 
 
@@ -69,7 +69,7 @@
 
 def waiting_for_limits(controller: "Controller", home: JobScheduler) -> dict[str, Amounts]:
     """What the waiting tasks need of jobs of which the team's share lets no task run."""
-    now, held = controller.context.now, home.held()
+    now, held = controller.context.now, home.usage_with_transfers()
     waiting: Grants = {}
     for work in home.with_pending_tasks.values():
         run = work.job.run
