--- a/src/ramptide/settings.py
+++ b/src/ramptide/settings.py
@@ -11,11 +11,17 @@
 
 
 class SettingsError(ValueError):
-    """One line for the operator, naming the field."""
+    """A wrong setting; the message is one line for the operator that names the field."""
 
 
 def load(path: Path) -> wire.Settings:
-    """The checked settings file."""
+    """Read and check the settings file.
+
+    Raises
+    ------
+    SettingsError
+        If the file cannot be read or a field of it is wrong.
+    """
     try:
         body = path.read_bytes()
     except OSError as error:
@@ -24,34 +30,45 @@
         settings = wire.decode_settings(body)
     except wire.MessageError as error:
         raise SettingsError(f"{path}: {error}") from error
+    _check_addresses(path, settings)
+    _check_names(path, settings)
+    _check_worker_times(path, settings.cluster.workers)
+    return settings
+
+
+def _check_addresses(path: Path, settings: wire.Settings) -> None:
     addresses = {
         "client_listen": settings.listen,
         "peer_bind": settings.peer_listen,
         "outside.cloud": settings.outside.cloud,
         "outside.state": settings.outside.state,
-    } | {f"siblings[{n}].addr": sibling.addr for n, sibling in enumerate(settings.siblings)}
+    } | {f"siblings[{index}].addr": sibling.addr for index, sibling in enumerate(settings.siblings)}
     for field_name, address in addresses.items():
         try:
             parse_address(address)
         except ValueError as error:
             raise SettingsError(f"{path}: {error} - at `$.{field_name}`") from error
+
+
+def _check_names(path: Path, settings: wire.Settings) -> None:
     names = [settings.member, *(sibling.member for sibling in settings.siblings)]
     if len(set(names)) != len(names):
         raise SettingsError(f"{path}: two controllers have the same name - at `$.siblings`")
     teams = [team.name for team in settings.cluster.teams]
     if len(set(teams)) != len(teams):
         raise SettingsError(f"{path}: two teams have the same name - at `$.cluster.teams`")
-    workers = settings.cluster.workers
+
+
+def _check_worker_times(path: Path, workers: wire.Workers) -> None:
     if workers.lease_s <= workers.report_s:
         raise SettingsError(f"{path}: must be longer than report_s - at `$.cluster.workers.lease_s`")
     if workers.cancel_s <= workers.lease_s:
         raise SettingsError(f"{path}: must be longer than lease_s - at `$.cluster.workers.cancel_s`")
-    return settings
 
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """What a setting may be, and what it does."""
+    """The lowest and the highest value of a setting, and what it does."""
 
     low: float
     high: float
@@ -114,41 +131,57 @@
     hold: timedelta = timedelta(seconds=1.5)
 
     def to_value(self) -> dict[str, float | int]:
-        """Numbers only; times in seconds."""
-        return {
-            f.name: value.total_seconds() if isinstance(value := getattr(self, f.name), timedelta) else value
-            for f in fields(self)
-        }
+        """Return all settings as numbers; times are in seconds."""
+        return {name: _to_number(value) for name, value in self._values().items()}
 
     def changed(self, changes: Any) -> "Tuning":
-        """A copy with some settings replaced; SettingsError names the one that is wrong."""
+        """Return a copy with some settings replaced.
+
+        Raises
+        ------
+        SettingsError
+            If `changes` is not an object of known settings with values in their bounds.
+        """
         if not isinstance(changes, dict):
             raise SettingsError("settings: not an object")
-        values: dict[str, Any] = {f.name: getattr(self, f.name) for f in fields(self)}
+        values = self._values()
         for name, value in changes.items():
             if name not in values:
                 raise SettingsError(f"{name}: no such setting")
-            endless = isinstance(value, float) and not math.isfinite(value)
-            if isinstance(value, bool) or not isinstance(value, int | float) or endless:
-                raise SettingsError(f"{name}: not a number")
-            bound = BOUNDS[name]
-            if not bound.low <= value <= bound.high:
-                raise SettingsError(f"{name}: not between {bound.low:g} and {bound.high:g}")
-            if isinstance(values[name], int):
-                if value != int(value):
-                    raise SettingsError(f"{name}: not a whole number")
-                values[name] = int(value)
-            else:
-                values[name] = timedelta(seconds=value) if isinstance(values[name], timedelta) else float(value)
+            values[name] = _checked_value(name, value, values[name])
         return Tuning(**values)
 
     @classmethod
     def from_value(cls, value: Any) -> "Tuning":
-        """What is stored; what this version doesn't know or take keeps its default."""
+        """Return the settings that are stored; what this version does not know or accept keeps its default."""
         tuning = cls()
-        for name, one in (value if isinstance(value, dict) else {}).items():
+        for name, number in (value if isinstance(value, dict) else {}).items():
             try:
-                tuning = tuning.changed({name: one})
+                tuning = tuning.changed({name: number})
             except SettingsError:
                 continue
         return tuning
+
+    def _values(self) -> dict[str, Any]:
+        return {field.name: getattr(self, field.name) for field in fields(self)}
+
+
+def _to_number(value: Any) -> float | int:
+    return value.total_seconds() if isinstance(value, timedelta) else value
+
+
+def _checked_value(name: str, value: Any, present: Any) -> Any:
+    """Return a new value in the type of the present one."""
+    endless = isinstance(value, float) and not math.isfinite(value)
+    if isinstance(value, bool) or not isinstance(value, int | float) or endless:
+        raise SettingsError(f"{name}: not a number")
+    bound = BOUNDS[name]
+    if not bound.low <= value <= bound.high:
+        raise SettingsError(f"{name}: not between {bound.low:g} and {bound.high:g}")
+    if isinstance(present, timedelta):
+        return timedelta(seconds=value)
+    if not isinstance(present, int):
+        return float(value)
+    if value != int(value):
+        raise SettingsError(f"{name}: not a whole number")
+    return int(value)
