--- a/src/ramptide/service.py
+++ b/src/ramptide/service.py
@@ -1,8 +1,9 @@
-"""The shell around a controller: listeners, routes and the real context."""
+"""A controller's process: its servers with their routes, its client and its event loop."""
 
 import resource
 import secrets
 from collections.abc import Callable
+from dataclasses import dataclass
 from datetime import datetime, timedelta
 
 from ramptide import peers, wire
@@ -17,14 +18,21 @@
 
 CLIENT_IDLE_TIMEOUT = timedelta(seconds=60)
 PEER_IDLE_TIMEOUT = timedelta(seconds=60)
+#: File descriptors for standard streams, listeners, the selector and the like.
 RESERVED_FILE_DESCRIPTORS = 24
-BASE_OUTBOUND_CONNECTIONS, OUTBOUND_CONNECTIONS_PER_NODE, PEER_CONNECTIONS_PER_NODE = 80, 4, 30
+MIN_CONNECTIONS = 8
+BASE_OUTBOUND_CONNECTIONS = 80
+OUTBOUND_CONNECTIONS_PER_NODE = 4
+PEER_CONNECTIONS_PER_NODE = 30
+#: Neither outbound nor peer connections get more than one part in this many.
+MIN_CONNECTION_SHARES = 5
 #: The whole state of a part of several hundred machines is well below this.
 MAX_PEER_BODY_BYTES = 8 * 1024 * 1024
+INCARNATION_BYTES = 6
 
 
 class LoopRuntime:
-    """The real world: time from the loop, calls through the client."""
+    """The runtime of a real process: time and timers from the loop, calls through the client."""
 
     def __init__(self, loop: Loop, client: Client) -> None:
         self._loop = loop
@@ -32,78 +40,110 @@
 
     @property
     def now(self) -> timedelta:
+        """The monotonic time; it does not advance during an event."""
         return self._loop.now
 
     def wall(self) -> datetime:
+        """Return the wall-clock time."""
         return self._loop.wall()
 
     def after(self, delay: timedelta, action: Callable[[], None]) -> Timer:
+        """Schedule a call."""
         return self._loop.after(delay, action)
 
     def call(
-        self, address: str, method: str, target: str, body: bytes, kind: str, timeout: timedelta, done: ResponseCallback
+        self,
+        address: str,
+        method: str,
+        target: str,
+        body: bytes,
+        content_type: str,
+        timeout: timedelta,
+        done: ResponseCallback,
     ) -> None:
-        self._client.call(address, method, target, body, kind, timeout, done)
+        """Send a request; `done` gets the response, or None when none came in time."""
+        self._client.call(address, method, target, body, content_type, timeout, done)
+
+
+@dataclass(frozen=True, slots=True)
+class _ConnectionLimits:
+    """How the file descriptors are divided, so that neither clients nor peers can use up what the others need.
+
+    Outbound calls and peers need a few for each controller, whatever the size of the fleet; all others are for
+    workers and users, which a sole surviving controller has to serve alone.
+    """
+
+    clients: int
+    peers: int
+    outbound: int
+
+    @classmethod
+    def for_cluster(cls, cluster: wire.Cluster) -> "_ConnectionLimits":
+        file_limit = cluster.quota.fd_limit
+        _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+        if hard_limit != resource.RLIM_INFINITY:
+            file_limit = min(file_limit, hard_limit)
+        total = max(file_limit - RESERVED_FILE_DESCRIPTORS, MIN_CONNECTIONS)
+        share = total // MIN_CONNECTION_SHARES
+        outbound = min(BASE_OUTBOUND_CONNECTIONS + OUTBOUND_CONNECTIONS_PER_NODE * cluster.nodes, share)
+        peer_connections = min(PEER_CONNECTIONS_PER_NODE * cluster.nodes, share)
+        return cls(total - outbound - peer_connections, peer_connections, outbound)
 
 
 class Service:
+    """One controller with its servers for clients (users and workers) and for peers (controllers and operators)."""
+
     def __init__(self, settings: wire.Settings) -> None:
         self.loop = Loop()
-        # Sockets are shared out so that neither users nor peers can use up what the others need. Our own calls and the
-        # peers need a few for each controller, whatever the fleet's size; a sole survivor takes all workers and users.
-        limit = settings.cluster.quota.fd_limit
-        _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        if hard != resource.RLIM_INFINITY:
-            limit = min(limit, hard)
-        room = max(limit - RESERVED_FILE_DESCRIPTORS, 8)
-        calls = min(BASE_OUTBOUND_CONNECTIONS + OUTBOUND_CONNECTIONS_PER_NODE * settings.cluster.nodes, room // 5)
-        between = min(PEER_CONNECTIONS_PER_NODE * settings.cluster.nodes, room // 5)
-        client = Client(self.loop, calls)
-        context = LoopRuntime(self.loop, client)
-        self.controller = Controller(context, settings, secrets.token_hex(6))
+        limits = _ConnectionLimits.for_cluster(settings.cluster)
+        runtime = LoopRuntime(self.loop, Client(self.loop, limits.outbound))
+        self.controller = Controller(runtime, settings, secrets.token_hex(INCARNATION_BYTES))
         self.admin = Admin(self.controller)
-        self.users = Server(self.loop, settings.listen, self._users, room - calls - between, CLIENT_IDLE_TIMEOUT)
-        self.peers = Server(
-            self.loop, settings.peer_listen, self._peers, between, PEER_IDLE_TIMEOUT, MAX_PEER_BODY_BYTES
+        self.client_server = Server(
+            self.loop, settings.listen, self._handle_client, limits.clients, CLIENT_IDLE_TIMEOUT
+        )
+        self.peer_server = Server(
+            self.loop, settings.peer_listen, self._handle_peer, limits.peers, PEER_IDLE_TIMEOUT, MAX_PEER_BODY_BYTES
         )
 
     def run(self) -> None:
+        """Start the controller and serve requests until the process ends."""
         self.controller.start()
         self.loop.run()
 
-    def _users(self, exchange: Exchange) -> None:
+    def _handle_client(self, exchange: Exchange) -> None:
         request = exchange.request
         path = request.target.partition("?")[0]
-        c = self.controller
+        controller = self.controller
 
         def answer(status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
             exchange.respond(status, body, JSON, headers or {})
 
         if path == wire.BEAT:
             if request.method != "POST":
-                self._not_allowed(exchange, "POST")
+                _refuse_method(exchange, "POST")
                 return
-            c.counters["reports"] += 1
-            c.reports.beat(request.body, answer)
+            controller.counters["reports"] += 1
+            controller.reports.beat(request.body, answer)
         elif path == wire.HEALTH:
             if request.method not in ("GET", "HEAD"):
-                self._not_allowed(exchange, "GET, HEAD")
+                _refuse_method(exchange, "GET, HEAD")
                 return
-            healthy = c.healthy()
-            answer(200 if healthy else 503, wire.encode({"healthy": healthy, "lacks": c.lacks()}))
+            healthy = controller.healthy()
+            answer(200 if healthy else 503, wire.encode({"healthy": healthy, "lacks": controller.lacks()}))
         elif path == wire.RUNS or path.startswith(wire.RUNS + "/"):
-            c.counters["requests"] += 1
-            self._runs(exchange, path[len(wire.RUNS) + 1 :], answer)
+            controller.counters["requests"] += 1
+            self._handle_job_request(exchange, path[len(wire.RUNS) + 1 :], answer)
         else:
             answer(404, error("no such path"))
 
-    def _runs(self, exchange: Exchange, rest: str, answer: Callable[..., None]) -> None:
+    def _handle_job_request(self, exchange: Exchange, subpath: str, answer: Callable[..., None]) -> None:
         request, desk = exchange.request, self.controller.desk
-        parts = rest.split("/") if rest else []
+        parts = subpath.split("/") if subpath else []
 
         def refuse(allowed: str) -> None:
             self.controller.telemetry.answered(Route.OTHER, 405)
-            self._not_allowed(exchange, allowed)
+            _refuse_method(exchange, allowed)
 
         if not parts:
             if request.method != "POST":
@@ -124,16 +164,12 @@
             self.controller.telemetry.answered(Route.OTHER, 404)
             answer(404, error("no such path"))
 
-    @staticmethod
-    def _not_allowed(exchange: Exchange, allowed: str) -> None:
-        exchange.respond(405, error("method not allowed"), JSON, {"Allow": allowed})
-
-    def _peers(self, exchange: Exchange) -> None:
+    def _handle_peer(self, exchange: Exchange) -> None:
         request = exchange.request
         path = request.target.partition("?")[0]
         if path == peers.PATH:
             if request.method != "POST":
-                self._not_allowed(exchange, "POST")
+                _refuse_method(exchange, "POST")
                 return
             body = self.controller.syncing.take(request.body)
             if body is None:
@@ -142,3 +178,7 @@
                 exchange.respond(200, body, CBOR)
         elif not self.admin.handle(request.method, path, request.body, exchange.respond):
             exchange.respond(404, error("no such path"))
+
+
+def _refuse_method(exchange: Exchange, allowed: str) -> None:
+    exchange.respond(405, error("method not allowed"), JSON, {"Allow": allowed})
