--- a/src/ramptide/cli.py
+++ b/src/ramptide/cli.py
@@ -6,7 +6,9 @@
 import os
 import sys
 from datetime import timedelta
+from http import HTTPStatus
 from pathlib import Path
+from typing import Any
 
 from ramptide import __version__, settings
 from ramptide.admin import METRICS_PATH, SETTINGS_PATH, STATUS_PATH
@@ -17,10 +19,17 @@
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 ADMIN_TIMEOUT = timedelta(seconds=10)
-USAGE_ERROR = 2
+EXIT_FAILURE = 1
+EXIT_USAGE_ERROR = 2
+ADMIN_PATHS = {"settings": SETTINGS_PATH, "set": SETTINGS_PATH, "status": STATUS_PATH, "metrics": METRICS_PATH}
+
+
+class ChangeSyntaxError(ValueError):
+    """A change on the command line that is not NAME=VALUE with a number."""
 
 
 def parser() -> argparse.ArgumentParser:
+    """Return the parser of the command line."""
     top = argparse.ArgumentParser(prog="ramptide", description="Rents machines and runs users' jobs on them.")
     top.add_argument("--version", action="version", version=f"ramptide {__version__}")
     top.add_argument("--config", metavar="PATH", type=Path, help="run a controller with this settings file")
@@ -37,75 +46,94 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Run the program and return its exit status.
+
+    Parameters
+    ----------
+    arguments
+        The arguments after the program's name; by default those of the process.
+    """
     top = parser()
     options = top.parse_args(arguments)
     if options.command == "admin":
-        return _admin(options)
+        return _administer(options)
     if options.config is None:
         top.error("one of --config and the command admin is needed")
-    return _run(options.config)
+    return _run_controller(options.config)
 
 
-def _run(path: Path) -> int:
+def _run_controller(path: Path) -> int:
     try:
         loaded = settings.load(path)
     except settings.SettingsError as error:
-        print(f"ramptide: {error}", file=sys.stderr)
-        return USAGE_ERROR
+        return _fail(str(error), EXIT_USAGE_ERROR)
     level = os.environ.get("LOG_LEVEL", "info")
     if level not in LEVELS:
-        print(f"ramptide: LOG_LEVEL: {level!r} is none of {', '.join(LEVELS)}", file=sys.stderr)
-        return USAGE_ERROR
+        return _fail(f"LOG_LEVEL: {level!r} is none of {', '.join(LEVELS)}", EXIT_USAGE_ERROR)
     logging.basicConfig(
         stream=sys.stderr, level=LEVELS[level], format=f"%(asctime)s {loaded.member} %(levelname)s %(message)s"
     )
+    # Imported here, since the administration commands need none of the controller.
     from ramptide.service import Service
 
     try:
         service = Service(loaded)
     except OSError as error:
-        print(f"ramptide: cannot listen: {error}", file=sys.stderr)
-        return 1
+        return _fail(f"cannot listen: {error}")
     service.run()
     return 0
 
 
-def _admin(options: argparse.Namespace) -> int:
+def _administer(options: argparse.Namespace) -> int:
     try:
         parse_address(options.address)
     except ValueError as error:
-        print(f"ramptide: --address: {error}", file=sys.stderr)
-        return USAGE_ERROR
-    method, target, body = "GET", {"status": STATUS_PATH, "metrics": METRICS_PATH}.get(options.verb, SETTINGS_PATH), b""
+        return _fail(f"--address: {error}", EXIT_USAGE_ERROR)
+    method, body = "GET", b""
     if options.verb == "set":
-        changes = {}
-        for change in options.changes:
-            name, equals, value = change.partition("=")
-            try:
-                changes[name] = json.loads(value)
-            except ValueError:
-                print(f"ramptide: {change}: not NAME=VALUE with a number", file=sys.stderr)
-                return USAGE_ERROR
+        try:
+            changes = _parse_changes(options.changes)
+        except ChangeSyntaxError as error:
+            return _fail(str(error), EXIT_USAGE_ERROR)
         method, body = "PATCH", json.dumps(changes).encode()
-    reply = _call(options.address, method, target, body)
+    reply = _call(options.address, method, ADMIN_PATHS[options.verb], body)
     if reply is None:
-        print(f"ramptide: {options.address} does not answer", file=sys.stderr)
-        return 1
+        return _fail(f"{options.address} does not answer")
+    succeeded = reply.status == HTTPStatus.OK
     text = reply.body.decode("utf-8", "replace")
-    if options.verb != "metrics" and reply.status == 200:
+    if options.verb != "metrics" and succeeded:
         text = json.dumps(json.loads(text), indent=2)
-    print(text, file=sys.stdout if reply.status == 200 else sys.stderr)
-    return 0 if reply.status == 200 else 1
+    print(text, file=sys.stdout if succeeded else sys.stderr)
+    return 0 if succeeded else EXIT_FAILURE
+
+
+def _parse_changes(arguments: list[str]) -> dict[str, Any]:
+    """Parse NAME=VALUE pairs whose values are JSON."""
+    changes = {}
+    for argument in arguments:
+        name, _, value = argument.partition("=")
+        try:
+            changes[name] = json.loads(value)
+        except ValueError as error:
+            raise ChangeSyntaxError(f"{argument}: not NAME=VALUE with a number") from error
+    return changes
+
+
+def _fail(text: str, status: int = EXIT_FAILURE) -> int:
+    """Print an error and return the exit status."""
+    print(f"ramptide: {text}", file=sys.stderr)
+    return status
 
 
 def _call(address: str, method: str, target: str, body: bytes) -> Reply | None:
+    """Send one request and wait for the response."""
     loop = Loop()
-    answers: list[Reply | None] = []
+    replies: list[Reply | None] = []
 
     def done(reply: Reply | None) -> None:
-        answers.append(reply)
+        replies.append(reply)
         loop.stop()
 
-    Client(loop, 1).call(address, method, target, body, JSON, ADMIN_TIMEOUT, done)
+    Client(loop, max_connections=1).call(address, method, target, body, JSON, ADMIN_TIMEOUT, done)
     loop.run()
-    return answers[0]
+    return replies[0]
