--- a/src/ramptide/wire.py
+++ b/src/ramptide/wire.py
@@ -1,4 +1,4 @@
-"""Every name that the outside world uses, and the turning of its messages into checked values."""
+"""Messages of the outside interfaces: their field names, and their decoding into checked values."""
 
 import functools
 import re
@@ -9,14 +9,14 @@
 from msgspec import Meta, Struct, field
 
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
-#: Signed, and still a time span that can be reckoned with.
+#: May be negative; small enough for arithmetic with time spans.
 Seconds = Annotated[float, Meta(ge=-1e9, le=1e9)]
 #: Seconds since 1970, well within what a datetime holds.
 Moment = Annotated[float, Meta(ge=0, le=1e11)]
 Positive = Annotated[float, Meta(gt=0, le=1e9)]
 Count = Annotated[int, Meta(ge=0)]
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
-#: Part of a key of the state service, which takes 200 bytes without spaces.
+#: Used in keys of the state service, which may have 200 bytes and no spaces.
 HostName = Annotated[str, Meta(min_length=1, max_length=120, pattern=r"\A[!-~]+\Z")]
 _REF = re.compile(r"\Aj-[0-9]{1,30}\Z")
 Ref = Annotated[str, Meta(pattern=_REF.pattern)]
@@ -28,6 +28,7 @@
 BATCH: Shape = "batch"
 SERVICE: Shape = "service"
 COUNT_LIMIT = 2**64
+PIECE_CACHE_SIZE = 16384
 
 # Paths of the users', workers', cloud's and state service's interfaces.
 RUNS, HEALTH, BEAT, INSPECT = "/v2/runs", "/healthz", "/agent/beat", "/inspect"
@@ -42,12 +43,11 @@
 # States of a job as users see them.
 PENDING, WITHDRAWN = "pending", "withdrawn"
 
-
 T = TypeVar("T")
 
 
 class MessageError(ValueError):
-    """A message that cannot be what its sender should have sent."""
+    """A message that does not have the form its sender should give it."""
 
 
 class Run(
@@ -66,7 +66,7 @@
         "due_s": "dueS",
     },
 ):
-    """A submission."""
+    """A job as a user submits it."""
 
     ref: Ref
     job_class: Name
@@ -91,16 +91,23 @@
 
 
 def decode_run(body: bytes) -> Run:
-    """A submission, or MessageError saying what is wrong."""
+    """Decode a submission.
+
+    Raises
+    ------
+    MessageError
+        If it is wrong, naming the field.
+    """
     return _decode(body, Run)
 
 
 def is_ref(text: str) -> bool:
+    """Tell whether the text is a job's reference, such as 'j-000412'."""
     return bool(_REF.match(text))
 
 
 class Piece(Struct):
-    """A task in a worker's report."""
+    """A task as a worker reports it."""
 
     piece: Name
     attempt: Count = field(name="try")
@@ -109,6 +116,7 @@
     kept: bool | None = None
 
     def __post_init__(self) -> None:
+        """Check the range of the count."""
         _check_counts(self.attempt)
 
 
@@ -127,27 +135,29 @@
     notice_s: Seconds | None = None
 
     def __post_init__(self) -> None:
+        """Check the range of the counts."""
         _check_counts(self.tenure, self.tally, self.baton)
 
 
 def _check_counts(*counts: int) -> None:
-    """Larger ones would make all true reports look old; msgspec's own bounds end at 2^63."""
+    """Refuse counts that would make all true reports look old; msgspec's own bounds end at 2^63."""
     if max(counts) >= COUNT_LIMIT:
         raise ValueError("a count of 2^64 or more")
 
 
 def decode_beat(body: bytes) -> Beat:
+    """Decode a worker's report, except for its tasks."""
     return _decode(body, Beat)
 
 
 def decode_pieces(raw: bytes | msgspec.Raw) -> list[Piece]:
-    """The tasks of a report; kept raw until then, since most reports show what the one before showed."""
+    """Decode the tasks of a report, which stay raw until then, as most reports repeat the one before."""
     return _decode(bytes(raw), list[Piece])
 
 
-@functools.lru_cache(maxsize=16384)
+@functools.lru_cache(maxsize=PIECE_CACHE_SIZE)
 def split_piece(piece: str) -> tuple[str, int]:
-    """'j-000412/3' as job and task number."""
+    """Split a task's name such as 'j-000412/3' into the job's reference and the task's number."""
     ref, slash, number = piece.rpartition("/")
     if not slash or not number.isdigit() or not number.isascii() or not is_ref(ref) or int(number) >= MAX_PIECES:
         raise MessageError(f"piece: {piece!r}")
@@ -155,26 +165,32 @@
 
 
 def launch(ref: str, task: int, attempt: int) -> dict[str, Any]:
+    """Return the order to start an attempt."""
     return {"verb": "launch", "piece": f"{ref}/{task}", "try": attempt}
 
 
 def kill(ref: str, task: int, attempt: int, grace: timedelta) -> dict[str, Any]:
+    """Return the order to stop an attempt, which gets `grace` to save its work."""
     return {"verb": "kill", "piece": f"{ref}/{task}", "try": attempt, "windDownS": grace.total_seconds()}
 
 
 def reap(ref: str, task: int, attempt: int) -> dict[str, Any]:
+    """Return the order to forget an attempt that has ended."""
     return {"verb": "reap", "piece": f"{ref}/{task}", "try": attempt}
 
 
 def encode_beat_answer(token: int, orders: list[dict[str, Any]]) -> bytes:
+    """Encode the answer to a worker's report."""
     return encode({"baton": token, "orders": orders})
 
 
 def encode_foreman(member: str | None) -> bytes:
+    """Encode the answer that names the controller to which a worker should report."""
     return encode({"foreman": member})
 
 
 def encode_job(ref: str, status: str, done: int | None = None, running: int | None = None) -> bytes:
+    """Encode a job's state as users see it."""
     answer: dict[str, Any] = {"ref": ref, "status": status}
     if done is not None:
         answer |= {"done": done, "running": running}
@@ -223,6 +239,8 @@
 
 
 class RentedPage(Struct):
+    """A page of the cloud's list of machines."""
+
     hosts: list[Rented]
     more: bool
 
@@ -232,56 +250,71 @@
 
 
 def decode_flavors(body: bytes) -> list[Flavor]:
+    """Decode the cloud's machine types."""
     return _decode(body, _Flavors).rigs
 
 
 def decode_rented(body: bytes) -> RentedPage:
+    """Decode a page of the cloud's list of machines."""
     return _decode(body, RentedPage)
 
 
 def decode_hired(body: bytes) -> list[str]:
+    """Decode the hosts that the cloud rented out."""
     return list(_decode(body, _Hired).hosts)
 
 
 def encode_hire(name: str, flavor: str, yard: str, spot: bool, count: int) -> bytes:
+    """Encode a call that rents machines."""
     return encode({"hire": name, "rig": flavor, "yard": yard, "loaners": spot, "howMany": count})
 
 
 def encode_return(hosts: list[str]) -> bytes:
+    """Encode a call that returns machines."""
     return encode({"hosts": hosts})
 
 
 class Row(Struct):
-    """A key of the state service: its value and the revision of its last change. We never write null, and a value
-    that is missing must not look like a key that was dropped."""
+    """A key of the state service with its value and the revision of its last change.
+
+    Null is never written, so that a missing value cannot look like a key that was dropped.
+    """
 
     path: str
     v: Any
     stamp: Count
 
     def __post_init__(self) -> None:
+        """Check that there is a value."""
         if self.v is None:
             raise ValueError("a key without a value")
 
 
 class Rows(Struct):
+    """A page of keys with their values."""
+
     rows: list[Row]
     epoch: Count
     more: bool
 
 
 class Change(Struct):
+    """A change of one key: a put with its value, or a drop."""
+
     stamp: Count
     put: str | None = None
     drop: str | None = None
     v: Any = None
 
     def __post_init__(self) -> None:
+        """Check that the change is either a put with a value or a drop."""
         if (self.put is None) is (self.drop is None) or (self.put is None) is not (self.v is None):
             raise ValueError("neither a put with a value nor a drop")
 
 
 class Changes(Struct):
+    """The changes of keys up to an epoch."""
+
     epoch: Count
     news: list[Change]
 
@@ -299,36 +332,42 @@
 
 
 def decode_row(body: bytes) -> Row:
+    """Decode a key with its value."""
     return _decode(body, Row)
 
 
 def decode_rows(body: bytes) -> Rows:
+    """Decode a page of keys with their values."""
     return _decode(body, Rows)
 
 
 def decode_changes(body: bytes) -> Changes:
+    """Decode the changes that a watch reports."""
     return _decode(body, Changes)
 
 
 def decode_committed(body: bytes) -> int:
-    """The revision at which a transaction went through."""
+    """Decode the revision at which a transaction was applied."""
     return _decode(body, _Committed).epoch
 
 
 def decode_failed(body: bytes) -> list[str]:
-    """The keys of the conditions that did not hold."""
+    """Decode the keys of the conditions that did not hold."""
     return _decode(body, _Failed).failed
 
 
 def decode_grant(body: bytes) -> int:
+    """Decode the number of a new grant."""
     return _decode(body, _Grant).tenancy
 
 
 def encode_grant(life: timedelta) -> bytes:
+    """Encode a call that creates a grant."""
     return encode({"lifeMs": int(life / timedelta(milliseconds=1))})
 
 
 def encode_txn(when: dict[str, int], puts: list[tuple[str, Any, int | None]], drops: list[str]) -> bytes:
+    """Encode a transaction: conditions, puts with their grant if any, and keys to delete."""
     then: list[dict[str, Any]] = []
     for path, value, grant in puts:
         change: dict[str, Any] = {"put": path, "v": value}
@@ -340,18 +379,22 @@
 
 
 class Sibling(Struct):
+    """Another controller."""
+
     member: Name
     area: str
     addr: str
 
 
 class Services(Struct):
+    """The addresses of the services that controllers use."""
+
     cloud: str
     state: str
 
 
 class Team(Struct):
-    """A team's guarantee and limit; 0 means none."""
+    """A team's guaranteed and highest use; 0 means none."""
 
     name: Name
     cpus: Amount = 0.0
@@ -361,17 +404,23 @@
 
 
 class Objective(Struct, rename={"job_class": "class"}):
+    """A service level that the cluster is held to."""
+
     kind: str
     job_class: str | None = None
 
 
 class Workers(Struct):
+    """The times that workers keep, in seconds."""
+
     report_s: Positive
     lease_s: Positive
     cancel_s: Positive
 
 
 class StateLimits(Struct):
+    """The limits of the state service."""
+
     rps: Positive
     write_rps: Positive
     value_kb: Positive
@@ -379,15 +428,21 @@
 
 
 class CloudLimits(Struct):
+    """The limits of the cloud."""
+
     rps: Positive
     list_lag_s: Amount
 
 
 class Quota(Struct):
+    """The limits of a controller's process."""
+
     fd_limit: Annotated[int, Meta(ge=32)]
 
 
 class Cluster(Struct):
+    """The part of the settings that all controllers share."""
+
     nodes: Annotated[int, Meta(ge=1)]
     teams: list[Team]
     objectives: list[Objective]
@@ -398,7 +453,7 @@
 
 
 class Settings(Struct, rename={"listen": "client_listen", "peer_listen": "peer_bind"}):
-    """The settings file that the platform hands over."""
+    """The settings file of a controller."""
 
     member: Name
     area: str
@@ -410,14 +465,17 @@
 
 
 def decode_settings(body: bytes) -> Settings:
+    """Decode the settings file."""
     return _decode(body, Settings)
 
 
 def encode(value: Any) -> bytes:
+    """Encode any value as JSON."""
     return msgspec.json.encode(value)
 
 
 def decode(body: bytes) -> Any:
+    """Decode any JSON value."""
     return _decode(body, Any)
 
 
