--- a/src/ramptide/results.py
+++ b/src/ramptide/results.py
@@ -34,7 +34,7 @@
         self._in_flight: set[str] = set()
 
     def forget(self, ref: str) -> None:
-        """Drop what is kept of a job that is over or has moved."""
+        """Drop what is kept of a job that is over."""
         self._next_write.pop(ref, None)
 
     def flush(self, home: JobScheduler, now: timedelta) -> None:
