--- a/src/ramptide/http/parser.py
+++ b/src/ramptide/http/parser.py
@@ -123,7 +123,7 @@
         return line.rstrip(b"\r").decode("latin-1")
 
     def _read_head(self) -> Message | bool:
-        while self._buffer[:2] == b"\r\n":
+        while self._buffer.startswith(b"\r\n"):
             del self._buffer[:2]
         end = self._buffer.find(b"\r\n\r\n")
         if (end if end >= 0 else len(self._buffer)) > MAX_HEAD_BYTES:
