--- a/src/ramptide/service.py
+++ b/src/ramptide/service.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import datetime, timedelta
+from typing import Protocol
 
 from ramptide import peers, wire
 from ramptide.admin import Admin
@@ -90,6 +91,11 @@
         return cls(total - outbound - peer_connections, peer_connections, outbound)
 
 
+class _AnswerCallback(Protocol):
+    def __call__(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
+        """Answer the request with JSON."""
+
+
 class Service:
     """One controller with its servers for clients (users and workers) and for peers (controllers and operators)."""
 
@@ -137,7 +143,7 @@
         else:
             answer(404, error("no such path"))
 
-    def _handle_job_request(self, exchange: Exchange, subpath: str, answer: Callable[..., None]) -> None:
+    def _handle_job_request(self, exchange: Exchange, subpath: str, answer: _AnswerCallback) -> None:
         request, desk = exchange.request, self.controller.desk
         parts = subpath.split("/") if subpath else []
 
