--- a/src/ramptide/floor.py
+++ b/src/ramptide/floor.py
@@ -40,6 +40,18 @@
     clear: bool = False
     #: Since when a task of a job that is over may be there without a report that shows it gone.
     unproven: timedelta | None = None
+    #: That is an assumption of a process that was not there before, rather than what it saw.
+    assumed: bool = False
+
+    def successor(self) -> "Host":
+        """What outlives a change of membership: the images, and what has to be proven gone."""
+        return Host(images=self.images, unproven=self.unproven, assumed=self.assumed)
+
+    @property
+    def unheard(self) -> bool:
+        """Its owner tells of it, and has had no report of it for long. A task that we saw there ourselves need not be
+        waited for anew under each owner."""
+        return self.known and (self.quiet or not self.up and not self.assumed)
 
 
 class Floor:
@@ -83,7 +95,7 @@
 
     def add(self, name: str, unproven: timedelta | None) -> None:
         """`unproven`: for a machine that was in use before we knew it, and may have tasks of jobs that were over."""
-        self.hosts.setdefault(name, Host(unproven=unproven))
+        self.hosts.setdefault(name, Host(unproven=unproven, assumed=unproven is not None))
         self.touch(name)
 
     def remove(self, name: str) -> None:
@@ -101,7 +113,7 @@
             running = {row[0] for row in host.tasks if row[3] not in FINISHED_NAMES}
             if running:
                 self._ran.setdefault(name, set()).update(running)
-        self.hosts = {name: Host(images=host.images, unproven=host.unproven) for name, host in self.hosts.items()}
+        self.hosts = {name: host.successor() for name, host in self.hosts.items()}
         self.running.clear()
         self._where.clear()
         self._left.clear()
@@ -124,7 +136,7 @@
         if row is None:
             self._list(name, [])
             self._fail(name, [], 0)
-            self.hosts[name] = Host(images=host.images, unproven=host.unproven)
+            self.hosts[name] = host.successor()
             return
         host.known = True
         host.settled, host.up, host.leaving = row.settled, row.up, row.leaving
@@ -173,13 +185,14 @@
             host.unproven = host.unproven or now
         elif host.settled and host.up and not host.quiet:
             host.unproven = None
+            host.assumed = False
             self._ran.pop(name, None)
 
     def unproven(self, name: str, now: timedelta) -> timedelta:
         """How long a task of a job that is over may have been on a silent machine."""
         host = self.hosts.get(name)
         # Only its owner can tell that it is silent; the owner ends what it hears of itself.
-        if host is None or host.unproven is None or not (host.known and host.quiet):
+        if host is None or host.unproven is None or not host.unheard:
             return ZERO
         return now - host.unproven
 
--- a/tests/test_hang_restart.py
+++ b/tests/test_hang_restart.py
@@ -4,7 +4,7 @@
 from chaos import withdraw
 from test_meetings import full_world, watch
 from test_world import busy_world
-from world import S, Worker, World
+from world import S, Worker, World, leader
 
 HANG = 90.0
 
@@ -60,6 +60,24 @@
     assert world.rules.broken == [] and not any(worker.alive for worker in hung)
 
 
+@pytest.mark.parametrize("away", [0.5, 2.0, 6.0, None], ids=str)
+@pytest.mark.parametrize("kill_at", [2.0, 6.0, 9.0, 12.0, 14.5])
+@pytest.mark.parametrize("machines", [1, 6])
+def test_hanging_machines_are_returned_in_time_when_the_leader_ends(
+    machines: int, kill_at: float, away: float | None
+) -> None:
+    """The other two controllers live on, and know when the job was cancelled. None: the leader is not back."""
+    world = full_world()
+    hung = hang_and_cancel(world, machines)
+    watch(world, kill_at)
+    node = world.nodes[leader(world)]
+    node.kill()
+    if away is not None:
+        world.after(away * S, node.start)
+    watch(world, 25)
+    assert world.rules.broken == [] and not any(worker.alive for worker in hung)
+
+
 def test_without_the_guards_a_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("ramptide.app.PROVE_WITHIN", 0.75)
     monkeypatch.setattr("ramptide.app.Controller._count_witnesses", lambda controller, view: None)
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -223,7 +223,7 @@
         kept = machine("vm-0")
         assert kept.room is not None and kept.record.yard == "a"
         # What is kept for services is no room for an array, yet of use to it before long.
-        kept.room.kept = True
+        kept.room.in_pool = True
         found: dict[str, str] = {}
         for second in range(30):
             plan = fleet.step(second * S, [Demand(run, 4, 1 * S, Counter())], [kept], [], True)
