--- a/src/ramptide/admin.py
+++ b/src/ramptide/admin.py
@@ -123,6 +123,7 @@
                 }
                 for name, record in c.machines.items()
             },
+            "silent_machines": c.floor.silent(),
             "failing_jobs": c.floor.failing_jobs(),
             "jobs": {
                 ref: {
@@ -149,7 +150,7 @@
         """The metrics as they stand (called by the registry)."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-        from ramptide.metrics import answer_metrics, membership_metrics, team_metrics
+        from ramptide.metrics import answer_metrics, lease_metrics, membership_metrics, team_metrics
 
         c = self._c
         gauges = {
@@ -166,6 +167,7 @@
                 sum(host.up and not host.quiet for host in c.floor.hosts.values()),
                 "machines that report",
             ),
+            "machines_silent": (len(c.floor.silent()), "machines that came up and are not heard now"),
             "waiting_tasks": (c.leader.fleet.waiting, "waiting tasks without room, as the leader counts"),
             "long_waiting_tasks": (c.leader.fleet.long_waiting, "long-waiting tasks, as the leader counts"),
             "pool_machines": (len(c.leader.fleet.pool), "idle machines kept ready"),
@@ -185,3 +187,4 @@
         yield from team_metrics(c)
         yield from membership_metrics(c.telemetry)
         yield from answer_metrics(c.telemetry)
+        yield from lease_metrics(c.telemetry)
--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -514,7 +514,8 @@
         home.needs_round = False
         if slow:
             self._last_round = now
-            part.leases.expire(now, self.others_end())
+            ended = part.leases.expire(now, self.others_end())
+            self.telemetry.take_ended_leases(ended, confirmed=self.may_answer())
             self._mind_workers(part, now)
             self.starter.clear_machines(home)
         changed = part.take_changed()
--- a/src/ramptide/floor.py
+++ b/src/ramptide/floor.py
@@ -283,6 +283,14 @@
         """The jobs that failed on several machines, on how many, with no success: most likely at fault themselves."""
         return {ref: len(names) for ref, names in self._failed.items() if len(names) > 1 and ref not in self._passed}
 
+    def silent(self) -> list[str]:
+        """The machines that came up once and that their owners do not hear now."""
+        return [
+            name
+            for name, host in self.hosts.items()
+            if host.known and host.quiet and (host.up or self._machines[name].opened)
+        ]
+
     def out_of_use(self, name: str) -> str | None:
         """Why the machine takes no tasks, for the operators; None when it does."""
         record, host = self._machines[name], self.hosts.get(name, Host())
--- a/src/ramptide/metrics.py
+++ b/src/ramptide/metrics.py
@@ -66,3 +66,15 @@
     for reason in Unavailable:
         reasons.add_metric((reason.value,), telemetry.unavailable[reason])
     yield reasons
+
+
+def lease_metrics(telemetry: Telemetry) -> "Iterator[Metric]":
+    """What was lost with machines of our part that fell silent."""
+    yield CounterMetricFamily(
+        "ramptide_tasks_lost", "tasks given up with their machines' leases", value=telemetry.tasks_lost
+    )
+    yield CounterMetricFamily(
+        "ramptide_leases_ended",
+        "machines that were silent past their leases and lost tasks or held up a view",
+        value=telemetry.leases_ended,
+    )
--- a/src/ramptide/telemetry.py
+++ b/src/ramptide/telemetry.py
@@ -1,13 +1,19 @@
 """Counts of what operators look for when something is wrong. Each event costs an addition."""
 
+import logging
 from collections import Counter, deque
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from datetime import timedelta
 from enum import Enum
 
 import msgspec
 
+from ramptide.lease_expiry import EndedLease
+
+log = logging.getLogger(__name__)
+
 VIEW_CHANGES_KEPT = 10
+HOSTS_NAMED = 10
 
 Answer = Callable[[int, bytes, dict[str, str]], None]
 
@@ -65,10 +71,14 @@
         self.last_changes: deque[ViewChange] = deque(maxlen=VIEW_CHANGES_KEPT)
         self.answers: Counter[tuple[Route, int]] = Counter()
         self.unavailable: Counter[Unavailable] = Counter()
+        self.tasks_lost = 0
+        self.leases_ended = 0
+        self._unconfirmed: list[EndedLease] = []
 
     def view_changed(self, number: int) -> None:
         """A new view holds."""
         self.view_changes += 1
+        self._unconfirmed.clear()
         self.last_changes.append(ViewChange(number))
 
     def settled(self, spent: timedelta) -> None:
@@ -98,3 +108,30 @@
         for (route, status), count in sorted(self.answers.items(), key=lambda one: (one[0][0].value, one[0][1])):
             found.setdefault(route.value, {})[str(status)] = count
         return found
+
+    def take_ended_leases(self, ended: Sequence[EndedLease], confirmed: bool) -> None:
+        """Not `confirmed`: we may have been left out, and the machines go on under another controller. So they wait,
+        and are forgotten when the view moves on."""
+        self._unconfirmed += ended
+        if not confirmed or not self._unconfirmed:
+            return
+        ended, self._unconfirmed = self._unconfirmed, []
+        self.leases_ended += len(ended)
+        self.tasks_lost += sum(lease.tasks for lease in ended)
+        _log_ended_leases(ended)
+
+
+def _log_ended_leases(ended: Sequence[EndedLease]) -> None:
+    """One line for all of a round: whole parts of the fleet may fall silent together."""
+    settled = sum(lease.settled for lease in ended)
+    log.info(
+        "%s silent past the lease: %d tasks are given up%s",
+        _named([lease.host for lease in ended]),
+        sum(lease.tasks for lease in ended),
+        f", {settled} settled as empty" if settled else "",
+    )
+
+
+def _named(hosts: Sequence[str]) -> str:
+    more = len(hosts) - HOSTS_NAMED
+    return ", ".join(hosts[:HOSTS_NAMED]) + (f" and {more} more" if more > 0 else "")
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -8,12 +8,14 @@
 import pytest
 from chaos import longest_beside_room
 from prometheus_client.parser import text_string_to_metric_families
+from ramptide.agents import EndedLease
 from test_world import busy_world, calm
 from world import CLOUD, STATE, S, World, job, leader, owner, started
 
 from ramptide.admin import METRICS_PATH, STATUS_PATH, Admin
 from ramptide.app import Controller
 from ramptide.membership import Membership
+from ramptide.telemetry import Telemetry
 
 
 def of(world: World, name: str) -> Controller:
@@ -344,3 +346,62 @@
     known.stamp = right
     world.run(3)
     assert {key: count for key, count in counts(controller)[0].items() if key[0] == "cancel"} == {("cancel", 200): 1}
+
+
+def lost_with_silent_machines(machines: int, caplog: pytest.LogCaptureFixture) -> World:
+    """So many machines of the leader's part with two tasks each hang past their leases, in a settled view."""
+    world = started(2, capacity=24)
+    world.cloud.boots = (1.0, 1.5)
+    caplog.set_level(logging.INFO)
+    world.submit("j-1", pieces=40, cores=4.0, guessS=500.0)
+    assert world.accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.rules.on_machines()) == 40, 60)
+    world.run(2)
+    world.cloud.down = True
+    name = leader(world)
+    mine = [worker for worker, _ in world.rules.on_machines() if owner(world, worker.host) == name]
+    hanging = list(dict.fromkeys(worker.host for worker in mine))[:machines]
+    assert len(hanging) == machines
+    for host in hanging:
+        world.workers[host].hang(60)
+    assert of(world, name).latched
+    world.run(5)
+    assert sorted(status(world, name)["silent_machines"]) == sorted(hanging)
+    assert all(metrics(world, one)["machines_silent",] == machines for one in world.names)
+    assert metrics(world, name)["tasks_lost_total",] == 0
+    world.run(10)
+    assert metrics(world, name)["tasks_lost_total",] == 2 * machines
+    assert metrics(world, name)["leases_ended_total",] == machines
+    return world
+
+
+@pytest.mark.parametrize("machines", [1, 4])
+def test_tasks_lost_to_ended_leases_are_counted_and_logged(machines: int, caplog: pytest.LogCaptureFixture) -> None:
+    world = lost_with_silent_machines(machines, caplog)
+    lines = [record.getMessage() for record in caplog.records if "silent past the lease" in record.getMessage()]
+    assert sum(int(line.split(": ")[1].split()[0]) for line in lines) == 2 * machines
+    world.run(55)
+    assert sum(metrics(world, name)["tasks_lost_total",] for name in world.names) == 2 * machines, "told once"
+    assert sum(metrics(world, name)["machines_silent",] for name in world.names) == 0, "they are back"
+
+
+def test_many_that_are_lost_together_are_one_line(caplog: pytest.LogCaptureFixture) -> None:
+    caplog.set_level(logging.INFO)
+    telemetry = Telemetry()
+    telemetry.take_ended_leases([EndedLease(f"vm-{n}", 3, n < 5) for n in range(300)], confirmed=True)
+    assert len(caplog.records) == 1
+    line = caplog.records[0].getMessage()
+    assert "900 tasks are given up, 5 settled as empty" in line and "vm-9 and 290 more silent" in line
+
+
+def test_what_a_controller_that_was_left_out_gives_up_is_not_lost() -> None:
+    """Its workers go on under others, though it hears none of them past their leases."""
+    world = busy_world(guessS=500.0)
+    name = max(world.names, key=[owner(world, worker.host) for worker, _ in world.rules.on_machines()].count)
+    before = {(task.ref, task.number, task.attempt) for _, task in world.rules.on_machines()}
+    world.isolate(name)
+    world.run(20)
+    world.heal()
+    world.run(10)
+    assert before == {(task.ref, task.number, task.attempt) for _, task in world.rules.on_machines()}
+    assert all(of(world, one).telemetry.tasks_lost == 0 for one in world.names)
