--- /dev/null
+++ b/src/ramptide/decisions.py
@@ -0,0 +1,33 @@
+"""Decisions about machines, logged once their records are written."""
+
+import logging
+from collections.abc import Collection, Iterable
+from dataclasses import dataclass
+
+log = logging.getLogger(__name__)
+
+
+@dataclass(frozen=True, slots=True)
+class MachineDecision:
+    """What a step of the leader decided about a machine. `rental`: the record that is to bear it."""
+
+    host: str
+    flavor: str
+    yard: str
+    rental: str
+    #: Why it leaves, or what else becomes of it.
+    outcome: str
+
+
+def written(decisions: Iterable[MachineDecision], rentals: Collection[str]) -> list[MachineDecision]:
+    """Those whose records are among `rentals`."""
+    return [decision for decision in decisions if decision.rental in rentals]
+
+
+def log_decisions(decisions: Iterable[MachineDecision]) -> None:
+    """One line for all machines of a kind that share their fate, as hundreds may at once."""
+    together: dict[tuple[str, str, str], list[str]] = {}
+    for decision in decisions:
+        together.setdefault((decision.flavor, decision.yard, decision.outcome), []).append(decision.host)
+    for (flavor, yard, outcome), hosts in together.items():
+        log.info("%s (%s, %s): %s", ", ".join(hosts), flavor, yard, outcome)
--- a/src/ramptide/leader.py
+++ b/src/ramptide/leader.py
@@ -9,6 +9,7 @@
 from ramptide import wire
 from ramptide.cloud import MAX_RETURNS_PER_CALL
 from ramptide.context import TimerHandle
+from ramptide.decisions import MachineDecision, log_decisions, written
 from ramptide.fleet import Fleet, Plan
 from ramptide.limits import Priority
 from ramptide.membership import VIEW
@@ -106,20 +107,22 @@
             new = {host: HostRecord() for host in hosts if host not in c.machines}
             edits[name] = msgspec.structs.replace(open_ones[name], born=c.view.number, hosts=new) if new else None
         edits |= dict.fromkeys(self._refused)
-        self._edit_hosts(edits, plan)
+        decisions = self._edit_hosts(edits, plan)
         if plan.rent is not None:
             self._hired += 1
             name = f"r-{c.view.number}-{c.membership.incarnation}-{self._hired}"
             flavor, yard, spot = plan.rent
             edits[name] = RentalRecord(flavor, yard, spot, c.context.wall().timestamp(), plan.count)
-        edits |= self._adoptions()
+        edits |= self._adoptions(decisions)
         txn = Transaction(when={VIEW: c.membership.view_stamp})
         if self.flavors_read:
             self.flavors_read = False
             txn.puts.append((FLAVORS_KEY, [msgspec.to_builtins(flavor) for flavor in c.flavors.values()], None))
         # What does not fit is found again by the next step.
+        fitting: set[str] = set()
         for name, record in edits.items():
             if txn.size < c.store.limits.txn_ops:
+                fitting.add(name)
                 key = RENTAL_PREFIX + name
                 txn.when[key] = c.mirror.stamp(key)
                 if record is None:
@@ -127,11 +130,12 @@
                 else:
                     txn.puts.append((key, to_value(record), None))
         if txn.size:
-            self._commit(txn)
+            self._commit(txn, written(decisions, fitting))
 
-    def _edit_hosts(self, edits: dict[str, RentalRecord | None], plan: Plan) -> None:
+    def _edit_hosts(self, edits: dict[str, RentalRecord | None], plan: Plan) -> list[MachineDecision]:
         """Machines that are gone, that came up, that leave, or that stay after all."""
         c = self._c
+        decisions = []
         changes: dict[str, HostRecord | None] = {}
         for host, record in c.machines.items():
             if not record.opened and host in c.floor.hosts and c.floor.hosts[host].up:
@@ -141,7 +145,8 @@
             present = c.machines.get(host)
             if present is not None:
                 changes[host] = HostRecord(present.opened or host in changes, reason)
-                log.info("%s (%s, %s): %s", host, present.flavor, present.yard, reason or "stays after all")
+                outcome = reason or "stays after all"
+                decisions.append(MachineDecision(host, present.flavor, present.yard, present.rental, outcome))
         changes |= dict.fromkeys(host for host in self._gone if host in c.machines)
         for host, change in changes.items():
             name = c.machines[host].rental
@@ -154,14 +159,16 @@
             else:
                 hosts[host] = change
             edits[name] = msgspec.structs.replace(rental, hosts=hosts) if hosts else None
+        return decisions
 
-    def _commit(self, txn: Transaction) -> None:
+    def _commit(self, txn: Transaction, decisions: list[MachineDecision]) -> None:
         self._writing = True
 
         def done(outcome: TransactionResult) -> None:
             self._writing = False
             if outcome.epoch is None:
                 return
+            log_decisions(decisions)
             self._c.mirror.applied(outcome.epoch, txn.puts, txn.drops)
             self._ask_again()
 
@@ -201,8 +208,8 @@
 
         self._c.cloud.rent(name, rental, done)
 
-    def _adoptions(self) -> dict[str, RentalRecord | None]:
-        """Machines that nobody recorded, as late requests make them: used like any other."""
+    def _adoptions(self, decisions: list[MachineDecision]) -> dict[str, RentalRecord | None]:
+        """Machines that nobody recorded, as late requests make them: used like any other. Added to `decisions`."""
         c = self._c
         assert c.view is not None
         wall, born = c.context.wall().timestamp(), c.view.number
@@ -210,8 +217,9 @@
         asked = {host for hosts in self._answered.values() for host in hosts}
 
         def adopt(host: str, flavor: str, yard: str, spot: bool, at: float) -> None:
-            log.info("%s was not expected: taken over", host)
-            found[f"adopted-{host}"] = RentalRecord(flavor, yard, spot, at, born=born, hosts={host: HostRecord()})
+            name = f"adopted-{host}"
+            decisions.append(MachineDecision(host, flavor, yard, name, "was not expected, taken over"))
+            found[name] = RentalRecord(flavor, yard, spot, at, born=born, hosts={host: HostRecord()})
 
         for host, (flavor, yard, spot) in c.syncing.strangers().items():
             if self._unexpected(host, asked):
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -14,7 +14,9 @@
 
 from ramptide.admin import METRICS_PATH, STATUS_PATH, Admin
 from ramptide.app import Controller
+from ramptide.decisions import MachineDecision, log_decisions, written
 from ramptide.membership import Membership
+from ramptide.records import RENTAL
 from ramptide.telemetry import Telemetry
 
 
@@ -405,3 +407,54 @@
     world.run(10)
     assert before == {(task.ref, task.number, task.attempt) for _, task in world.rules.on_machines()}
     assert all(of(world, one).telemetry.tasks_lost == 0 for one in world.names)
+
+
+def refuse_rentals(world: World) -> Callable[[], None]:
+    """The state service refuses all changes of rentals, as when somebody else changed them; gives what ends that."""
+    inner = world.state._txn
+
+    def refuse(txn: dict[str, Any], answer: Callable[[int, Any], None]) -> None:
+        paths = [one["path"] for one in txn["when"] if one["path"].startswith(RENTAL)]
+        if paths:
+            answer(409, {"failed": paths, "epoch": world.state.epoch})
+        else:
+            inner(txn, answer)
+
+    def end() -> None:
+        world.state._txn = inner  # type: ignore[method-assign]
+
+    world.state._txn = refuse  # type: ignore[method-assign]
+    return end
+
+
+def test_a_decision_about_machines_is_logged_once_and_after_its_write(caplog: pytest.LogCaptureFixture) -> None:
+    world = busy_world(guessS=500.0)
+    world.cloud.down = True
+    hosts = sorted({worker.host for worker, _ in world.rules.on_machines()})[:3]
+    for host in hosts:
+        world.workers[host].hang(200)
+    end = refuse_rentals(world)
+    caplog.set_level(logging.INFO)
+    world.run(35)
+
+    def told() -> list[str]:
+        return [record.getMessage() for record in caplog.records if record.getMessage().endswith(": silent")]
+
+    assert told() == []
+    end()
+    world.run(20)
+    assert all(of(world, name).machines[host].leaving == "silent" for name in world.names for host in hosts)
+    assert sorted(host for line in told() for host in line.split(" (")[0].split(", ")) == hosts
+
+
+def test_decisions_whose_records_did_not_fit_are_not_logged() -> None:
+    decisions = [MachineDecision(f"vm-{n}", "m", "a", f"r-{n}", "silent") for n in range(4)]
+    assert written(decisions, {"r-1", "r-3"}) == [decisions[1], decisions[3]]
+
+
+def test_what_is_decided_of_many_machines_is_a_line_for_each_kind(caplog: pytest.LogCaptureFixture) -> None:
+    caplog.set_level(logging.INFO)
+    log_decisions(MachineDecision(f"vm-{n}", "m", "ab"[n % 2], "r-1", "silent") for n in range(5))
+    assert [record.getMessage() for record in caplog.records] == [
+        "vm-0, vm-2, vm-4 (m, a): silent", "vm-1, vm-3 (m, b): silent",
+    ]  # fmt: skip
