--- a/src/ramptide/admin.py
+++ b/src/ramptide/admin.py
@@ -150,7 +150,7 @@
         """The metrics as they stand (called by the registry)."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-        from ramptide.metrics import answer_metrics, lease_metrics, membership_metrics, team_metrics
+        from ramptide.metrics import answer_metrics, lease_metrics, membership_metrics, standstill_metrics, team_metrics
 
         c = self._c
         gauges = {
@@ -188,3 +188,4 @@
         yield from membership_metrics(c.telemetry)
         yield from answer_metrics(c.telemetry)
         yield from lease_metrics(c.telemetry)
+        yield from standstill_metrics(c.telemetry.round_clock)
--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -228,6 +228,9 @@
 
     def _tell_lacks(self) -> None:
         self.context.after(TELL_EVERY, self._tell_lacks)
+        if self.telemetry.round_clock.stood_still(self.context.now, TELL_EVERY):
+            # What the others said meanwhile is still to be read.
+            return
         lacks = self.lacks()
         if lacks != self._told_lacks:
             self._told_lacks = lacks
@@ -495,15 +498,20 @@
 
     # The round: what is decided from all that came in.
 
+    def _plan_tick(self, delay: timedelta) -> None:
+        self.telemetry.round_clock.plan(self.context.now + delay)
+        self.context.after(delay, self._tick)
+
     def _tick(self) -> None:
         now = self.context.now
+        self.telemetry.round_clock.begin(now)
         if self.home is None or self.part is None or self.view is None:
-            self.context.after(IDLE_ROUND, self._tick)
+            self._plan_tick(IDLE_ROUND)
             self.syncing.send_outside()
             return
         slow = now - self._last_round >= QUIET_ROUND
         news = self.home.needs_round or bool(self.part.changed_hosts)
-        self.context.after(ROUND if news else IDLE_ROUND, self._tick)
+        self._plan_tick(ROUND if news else IDLE_ROUND)
         self.reports.answer_held(now)
         if slow or news:
             self._round(self.home, self.part, now, slow)
--- a/src/ramptide/metrics.py
+++ b/src/ramptide/metrics.py
@@ -6,7 +6,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
 from ramptide.team_usage import ResourceUsage, team_usage
-from ramptide.telemetry import Telemetry, Unavailable
+from ramptide.telemetry import RoundClock, Telemetry, Unavailable
 
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
@@ -78,3 +78,11 @@
         "machines that were silent past their leases and lost tasks or held up a view",
         value=telemetry.leases_ended,
     )
+
+
+def standstill_metrics(clock: RoundClock) -> "Iterator[Metric]":
+    """How often and how long the controller stood still."""
+    yield CounterMetricFamily("ramptide_standstills", "times that the controller stood still", value=clock.standstills)
+    yield CounterMetricFamily(
+        "ramptide_standstill_seconds", "how long it stood still", value=clock.total.total_seconds()
+    )
--- a/src/ramptide/telemetry.py
+++ b/src/ramptide/telemetry.py
@@ -14,6 +14,8 @@
 
 VIEW_CHANGES_KEPT = 10
 HOSTS_NAMED = 10
+#: A controller whose round comes so much later than planned stood still.
+STANDSTILL = timedelta(seconds=2)
 
 Answer = Callable[[int, bytes, dict[str, str]], None]
 
@@ -60,6 +62,38 @@
     settled_s: float | None = None
 
 
+class RoundClock:
+    """Notices when the controller stood still: its process was stopped, or had no processor, and its clock ran on."""
+
+    def __init__(self) -> None:
+        self.standstills = 0
+        self.total = timedelta(0)
+        self.last = timedelta(0)
+        self._due: timedelta | None = None
+        self._over_at: timedelta | None = None
+
+    def plan(self, due: timedelta) -> None:
+        """The next round is due then."""
+        self._due = due
+
+    def begin(self, now: timedelta) -> None:
+        """A round begins."""
+        if not self._late(now):
+            return
+        assert self._due is not None
+        self._over_at, self.last = now, now - self._due
+        self.standstills += 1
+        self.total += self.last
+        log.info("we stood still for %.1f s", self.last.total_seconds())
+
+    def stood_still(self, now: timedelta, within: timedelta) -> bool:
+        """A standstill was over `within` the time before now, or is only just: what came in during it is not read."""
+        return self._late(now) or self._over_at is not None and now - self._over_at < within
+
+    def _late(self, now: timedelta) -> bool:
+        return self._due is not None and now - self._due > STANDSTILL
+
+
 class Telemetry:
     """What this process has counted since it started."""
 
@@ -71,6 +105,7 @@
         self.last_changes: deque[ViewChange] = deque(maxlen=VIEW_CHANGES_KEPT)
         self.answers: Counter[tuple[Route, int]] = Counter()
         self.unavailable: Counter[Unavailable] = Counter()
+        self.round_clock = RoundClock()
         self.tasks_lost = 0
         self.leases_ended = 0
         self._unconfirmed: list[EndedLease] = []
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -2,7 +2,9 @@
 
 import json
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from datetime import timedelta
 from typing import Any
 
 import pytest
@@ -10,7 +12,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 from ramptide.agents import EndedLease
 from test_world import busy_world, calm
-from world import CLOUD, STATE, S, World, job, leader, owner, started
+from world import CLOUD, STATE, Node, S, VirtualContext, World, job, leader, owner, started
 
 from ramptide.admin import METRICS_PATH, STATUS_PATH, Admin
 from ramptide.app import Controller
@@ -458,3 +460,84 @@
     assert [record.getMessage() for record in caplog.records] == [
         "vm-0, vm-2, vm-4 (m, a): silent", "vm-1, vm-3 (m, b): silent",
     ]  # fmt: skip
+
+
+class ControllerLog(logging.Handler):
+    """What each controller logs, and when."""
+
+    def __init__(self, world: World) -> None:
+        super().__init__(logging.INFO)
+        self.lines: list[tuple[str, timedelta, str]] = []
+        self._world = world
+        self._acting = ""
+        for node in world.nodes.values():
+            self._follow(node)
+
+    def _follow(self, node: Node) -> None:
+        inner = node.awake
+
+        def awake(context: VirtualContext, action: Callable[[], None]) -> None:
+            def act() -> None:
+                self._acting = node.name
+                action()
+
+            inner(context, act)
+
+        node.awake = awake  # type: ignore[method-assign]
+
+    def emit(self, record: logging.LogRecord) -> None:
+        self.lines.append((self._acting, self._world.now, record.getMessage()))
+
+    def of(self, name: str, since: timedelta) -> list[str]:
+        return [line for acting, at, line in self.lines if acting == name and at >= since]
+
+
+@contextmanager
+def controller_log(world: World) -> Iterator[ControllerLog]:
+    handler, logger = ControllerLog(world), logging.getLogger("ramptide")
+    before = logger.level
+    logger.addHandler(handler)
+    logger.setLevel(logging.INFO)
+    try:
+        yield handler
+    finally:
+        logger.removeHandler(handler)
+        logger.setLevel(before)
+
+
+@pytest.mark.parametrize("lead", [True, False])
+def test_a_controller_that_stood_still_logs_that_and_no_decision_from_before(lead: bool) -> None:
+    """Before it stands still a machine of its part falls silent, which is about to be decided on when it goes on."""
+    world = busy_world(guessS=500.0)
+    name = leader(world) if lead else owner(world, world.rules.on_machines()[0][0].host)
+    if not lead and name == leader(world):
+        name = next(one for one in world.names if one != name)
+    world.cloud.down = True
+    for worker in world.workers.values():
+        if owner(world, worker.host) == name:
+            worker.hang(60)
+            break
+    world.run(22)
+    with controller_log(world) as log:
+        world.nodes[name].freeze(20)
+        back = world.now + 20 * S
+        world.run(20.5)
+        told = log.of(name, back)
+        world.run(20)
+    assert [line for line in log.of(name, back) if "stood still" in line] == ["we stood still for 19.9 s"]
+    assert told[0] == "we stood still for 19.9 s"
+    assert not [line for line in told if "vm-" in line or "we lack" in line], told
+    assert not [acting for acting, _, line in log.lines if "stood still" in line and acting != name]
+    samples = metrics(world, name)
+    assert samples["standstills_total",] == 1 and samples["standstill_seconds_total",] == pytest.approx(20, abs=0.2)
+
+
+def test_a_short_pause_is_no_standstill() -> None:
+    world = busy_world(guessS=500.0)
+    with controller_log(world) as log:
+        world.nodes["c0"].freeze(1.9)
+        world.run(5)
+        world.nodes["c0"].freeze(2.4)
+        world.run(5)
+    lines = [line for line in log.of("c0", timedelta(0)) if "stood still" in line]
+    assert len(lines) == 1 and lines[0] in ("we stood still for 2.3 s", "we stood still for 2.4 s")
