--- a/tests/chaos.py
+++ b/tests/chaos.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import Any
 
-from world import S, Worker, World, started
+from world import CLOUD, STATE, S, Worker, World, started
 
 TROUBLES = (
     "crash", "crash_all", "roll", "outage", "refused", "isolate", "cut_state", "cut_worker", "cut_worker_from_node",
@@ -14,10 +14,15 @@
     "freeze", "hang", "zone_cut", "peers_refuse", "late_writes", "cancel_at_end", "alone", "refused_then_outage",
     "hang_cancelled", "slow_state",
 )  # fmt: skip
+#: Not among the above, so that the histories of old seeds stay as they were.
+SLOW_LINKS = ("slow_workers", "slow_peers", "slow_services", "slow_host")
 
 
-def play(seed: int, seconds: float = 60.0, look: Callable[[World], None] | None = None) -> World:
-    """One history; its world is returned for judging. `look` is called every half second."""
+def play(
+    seed: int, seconds: float = 60.0, look: Callable[[World], None] | None = None, overlapping: bool = False
+) -> World:
+    """One history; its world is returned for judging. `look` is called every half second. `overlapping`: troubles
+    come in pairs, slow links are among them, and a process is back within half a second in the middle of each pair."""
     rng = random.Random(seed)
     world = started(seed, teams={"team": 0.0, "tight": 24.0}, capacity=10)
     users = Users(world, rng)
@@ -36,9 +41,10 @@
             **rng.choice([{}, {}, {}, {"oneZone": True}, {"spread": True}, {"yard": "a"}]),
         )
         world.after(rng.uniform(0, seconds * 0.7) * S, lambda ref=ref: submit(world, rng, ref))
-    for _ in range(rng.randint(2, 6)):
-        kind = rng.choice(TROUBLES)
-        world.after(rng.uniform(3, seconds * 0.8) * S, lambda kind=kind: trouble(world, rng, kind))
+    if overlapping:
+        plan_pairs(world, rng, seconds)
+    else:
+        plan_troubles(world, rng, seconds)
     for tenth in range(int(seconds * 10)):
         world.after(tenth * 0.1 * S, world.rules.check)
     for number in range(int(seconds)):
@@ -49,6 +55,24 @@
     return world
 
 
+def plan_troubles(world: World, rng: random.Random, seconds: float) -> None:
+    for _ in range(rng.randint(2, 6)):
+        kind = rng.choice(TROUBLES)
+        world.after(rng.uniform(3, seconds * 0.8) * S, lambda kind=kind: trouble(world, rng, kind))  # type: ignore[misc]
+
+
+def plan_pairs(world: World, rng: random.Random, seconds: float) -> None:
+    """The second trouble of a pair begins within two seconds of the first, and a process is restarted meanwhile."""
+    for _ in range(rng.randint(1, 3)):
+        begin = rng.uniform(3, seconds * 0.7)
+        for kind in rng.sample(TROUBLES + SLOW_LINKS, 2):
+            world.after((begin + rng.uniform(0, 2)) * S, lambda kind=kind: trouble(world, rng, kind))  # type: ignore[misc]
+        if rng.random() < 0.5:
+            world.after((begin + rng.uniform(0, 4)) * S, lambda: trouble(world, rng, "quick_restart"))
+        if rng.random() < 0.3:
+            world.after((begin + rng.uniform(0, 4)) * S, lambda: trouble(world, rng, "late_reports"))
+
+
 class Users:
     """They poll, and submit again, at any controller, and hold what they were told against it."""
 
@@ -220,6 +244,9 @@
     elif kind == "slow_state":
         world.slow_state = rng.choice([0.3, 1.0, 2.5])
         world.after(span, lambda: setattr(world, "slow_state", 0.0))
+    elif kind in SLOW_LINKS:
+        slow_links(world, rng, kind, name)
+        world.after(span, world.speed_up)
     elif kind == "cancel_at_end":
         # Jobs are called off in the moment in which their last task ends, or just before or after it.
         def ending(ref: str) -> None:
@@ -266,6 +293,20 @@
         world.after(span, lambda: setattr(world, "loss", 0.0))
 
 
+def slow_links(world: World, rng: random.Random, kind: str, name: str) -> None:
+    """Between the controller and its workers, its peers or the services, or between one machine and all."""
+    in_order = rng.random() < 0.5
+    if kind == "slow_workers":
+        world.slow_down(name, sorted(world.workers), in_order)
+    elif kind == "slow_peers":
+        for each in world.names:
+            world.slow_down(each, [other for other in world.names if other != each], in_order)
+    elif kind == "slow_services":
+        world.slow_down(name, [STATE, CLOUD], in_order)
+    elif world.workers:
+        world.slow_down(rng.choice(sorted(world.workers)), world.names, in_order)
+
+
 def restart(world: World, name: str, seconds: float) -> None:
     node = world.nodes[name]
     node.kill()
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -42,6 +42,7 @@
     world.state.refuses.clear()
     world.loss = world.late_reports = world.late_writes = world.slow_state = world.repeat = 0.0
     world.heal()
+    world.speed_up()
     for node in world.nodes.values():
         if node.controller is None:
             node.start()
--- a/tests/world.py
+++ b/tests/world.py
@@ -31,6 +31,24 @@
     body: bytes
 
 
+@dataclass
+class SlowLink:
+    """Each message between two hosts takes from a fifth of a second to two seconds."""
+
+    in_order: bool
+    #: When the latest message of each direction arrives, by its sender.
+    latest: dict[str, timedelta] = field(default_factory=dict)
+
+    FASTEST, SLOWEST = 0.2, 2.0
+
+    def delay(self, rng: random.Random, sender: str, now: timedelta) -> timedelta:
+        arrival = now + rng.uniform(self.FASTEST, self.SLOWEST) * S
+        if self.in_order:
+            arrival = max(arrival, self.latest.get(sender, arrival))
+        self.latest[sender] = arrival
+        return arrival - now
+
+
 class World:
     def __init__(self, seed: int, teams: dict[str, float] | None = None, capacity: int = 12, members: int = 3) -> None:
         self.rng = random.Random(seed)
@@ -46,6 +64,7 @@
         self.late_writes = 0.0
         self.slow_state = 0.0
         self.deaf: set[str] = set()
+        self.slow_links: dict[frozenset[str], SlowLink] = {}
         self.calls: Counter[str] = Counter()
         self.sent_bytes: Counter[str] = Counter()
         self.cancel_s = 20.0
@@ -99,6 +118,14 @@
                 if other != name:
                     self.cut(host, other)
 
+    def slow_down(self, one: str, others: Collection[str], in_order: bool) -> None:
+        """Messages between the host and each of the others take a while, in both directions."""
+        for other in others:
+            self.slow_links[frozenset((one, other))] = SlowLink(in_order)
+
+    def speed_up(self) -> None:
+        self.slow_links.clear()
+
     def heal(self) -> None:
         self.cuts.clear()
         self.deaf.clear()
@@ -128,7 +155,7 @@
         def answer(status: int, body: Any) -> None:
             raw = body if isinstance(body, bytes) else json.dumps(body).encode()
             if self._open(source, target) and source not in self.deaf and self.rng.random() >= self.loss:
-                self.after(self._delay(), lambda: finish(Reply(status, raw)))
+                self.after(self._delay(target, source), lambda: finish(Reply(status, raw)))
 
         def deliver() -> None:
             if self._open(source, target):
@@ -138,7 +165,7 @@
                 self.holding.append(lambda: request(lambda status, body: None))
 
         if self.rng.random() >= self.loss:
-            self.after(self._delay(), deliver)
+            self.after(self._delay(source, target), deliver)
         if source in self.workers and self.rng.random() < self.late_reports:
             # A copy of a report, from seconds to well over a lease late.
             self.after(self.rng.uniform(1, 40) * S, lambda: request(lambda status, body: None))
@@ -153,7 +180,10 @@
         else:
             action()
 
-    def _delay(self) -> timedelta:
+    def _delay(self, sender: str, receiver: str) -> timedelta:
+        link = self.slow_links.get(frozenset((sender, receiver)))
+        if link is not None:
+            return link.delay(self.rng, sender, self.now)
         return (1 + self.rng.random() * 4) * MS
 
     # Users.
@@ -448,6 +478,8 @@
     def __init__(self, world: World, capacity: int) -> None:
         self.world = world
         self.capacity = capacity
+        #: The machines that each zone has, when the zones are full one by one.
+        self.zone_capacity: int | None = None
         self.boots = (1.0, 6.0)
         self.down = False
         self.hires: dict[str, list[str]] = {}
@@ -480,14 +512,21 @@
         if wish["hire"] in self.hires:
             answer(200, {"hosts": self.hires[wish["hire"]]})
             return
-        if sum(worker.alive for worker in self.world.workers.values()) >= self.capacity:
+        room = self._room(wish["yard"])
+        if room <= 0:
             answer(503, {"error": "no capacity"})
             return
-        room = self.capacity - sum(worker.alive for worker in self.world.workers.values())
         hosts = [self._machine(wish) for _ in range(min(wish["howMany"], room))]
         self.hires[wish["hire"]] = hosts
         answer(200, {"hosts": hosts})
 
+    def _room(self, yard: str) -> int:
+        yards = [worker.yard for worker in self.world.workers.values() if worker.alive]
+        room = self.capacity - len(yards)
+        if self.zone_capacity is not None:
+            room = min(room, self.zone_capacity - yards.count(yard))
+        return room
+
     def _machine(self, wish: dict[str, Any]) -> str:
         host = f"vm-{next(self._number):06d}"
         worker = Worker(self.world, host, wish["yard"], wish["loaners"])
