--- /dev/null
+++ b/tests/test_added_rules.py
@@ -0,0 +1,289 @@
+"""Rules about what becomes of jobs after troubles: nobody's job is forgotten, starved or left beside room."""
+
+from datetime import timedelta
+
+import pytest
+from chaos import SLOW_LINKS, longest_beside_room, play, slow_links, submit, withdraw
+from test_meetings import full_world, on_machines, restart, watch
+from test_world import busy_world, calm
+from world import CLOUD, STATE, S, World, leader, started
+
+from ramptide.settings import Tuning
+
+#: A job about which no question is answered for so long is forgotten; "well before" is a third of it.
+FORGOTTEN, WELL_BEFORE = 75 * S, 25 * S
+BESIDE_ROOM = 90 * S
+LARGEST_BEGIN = 240.0
+#: Users try again each second for up to a minute.
+USER_TRIES = 60
+
+
+def longest_unanswered(world: World, seconds: int) -> tuple[timedelta, str]:
+    """Each second every controller is asked for every accepted job: the longest that any was silent about any."""
+    answered: dict[tuple[str, str], timedelta] = {}
+    began = world.now
+    asked = [(ref, name) for ref in sorted(world.accepted_jobs) for name in world.names]
+
+    def ask(ref: str, name: str) -> None:
+        def told(status: int, body: bytes, headers: object) -> None:
+            if status == 200:
+                answered[ref, name] = world.now
+            elif status == 404:
+                world.rules.broken.append(f"forgotten {ref} by {name}")
+
+        world.ask(name, lambda controller: controller.desk.poll(ref, told))
+
+    worst = (timedelta(0), "")
+    for _ in range(seconds):
+        for ref, name in asked:
+            ask(ref, name)
+        world.run(1.0)
+        world.rules.check()
+        worst = max([worst, *((world.now - answered.get(one, began), f"{one[0]} at {one[1]}") for one in asked)])
+    return worst
+
+
+def finish_all(world: World, seconds: float) -> list[str]:
+    """The users cancel their services; the accepted jobs that have not come to an end after that."""
+    for ref in sorted(world.accepted_jobs - world.cancelled.keys()):
+        if world.jobs[ref]["shape"] == "service":
+            withdraw(world, world.rng, ref)
+
+    def left() -> list[str]:
+        return [ref for ref in sorted(world.accepted_jobs) if f"ended/{ref}" not in world.state.data]
+
+    world.run_until(lambda: not left(), seconds)
+    return left()
+
+
+def judge_after_troubles(world: World) -> None:
+    """What must hold once the troubles of a history are over."""
+    assert world.rules.broken == []
+    calm(world)
+    silent, job = longest_unanswered(world, 30)
+    assert silent < WELL_BEFORE, f"no answer about {job}"
+    waited, ref = longest_beside_room(world, 95)
+    assert waited < BESIDE_ROOM, f"{ref} waits beside room"
+    assert finish_all(world, 150) == []
+    assert world.rules.broken == []
+
+
+@pytest.mark.parametrize("seed", range(300, 316))
+def test_after_overlapping_troubles_every_accepted_job_is_known_and_ends(seed: int) -> None:
+    judge_after_troubles(play(seed, overlapping=True))
+
+
+@pytest.mark.parametrize("seed", range(330, 338))
+def test_after_single_troubles_every_accepted_job_is_known_and_ends(seed: int) -> None:
+    judge_after_troubles(play(seed))
+
+
+# The largest jobs of a class under a steady flow of small ones.
+
+
+def flow_of_small_jobs(world: World, seconds: int, per_second: int) -> None:
+    """Small urgent jobs of the same team, class and rank as the large one, together more than there is room for."""
+    for number in range(seconds * per_second):
+        ref = f"j-{number + 100}"
+        world.submit(ref, pieces=1, cores=2.0, guessS=8.0, dueS=120.0)
+        at = number / per_second * S
+        world.after(at, lambda ref=ref: submit(world, world.rng, ref))  # type: ignore[misc]
+
+
+def large_job_begins(world: World, large: dict[str, object]) -> float:
+    """How long after its acceptance the first task of a large job starts, amid the flow; endless if it doesn't."""
+    flow_of_small_jobs(world, int(LARGEST_BEGIN) + 60, 3)
+    world.run(30)
+    world.submit("j-1", **large)
+    submit(world, world.rng, "j-1")
+    began = world.now
+    if not world.run_until(lambda: world.rules.starts_of["j-1"] > 0, LARGEST_BEGIN + 20):
+        return float("inf")
+    return (world.now - began) / S
+
+
+LARGE = {
+    "array": {"pieces": 60, "cores": 2.0, "guessS": 20.0},
+    "whole machines": {"pieces": 12, "cores": 8.0, "guessS": 20.0},
+    "one zone": {"pieces": 20, "cores": 8.0, "guessS": 20.0, "oneZone": True},
+    "spread": {"pieces": 12, "cores": 8.0, "guessS": 20.0, "spread": True},
+    "bound to a zone": {"pieces": 12, "cores": 6.0, "guessS": 20.0, "yard": "a"},
+    "service": {"shape": "service", "pieces": 3, "cores": 8.0},
+}
+
+
+@pytest.mark.parametrize("large", LARGE.values(), ids=LARGE.keys())
+def test_the_largest_job_begins_within_four_minutes_of_a_flow_of_small_ones(large: dict[str, object]) -> None:
+    world = started(11, capacity=5)
+    assert large_job_begins(world, large) < LARGEST_BEGIN
+    assert world.rules.broken == []
+
+
+def test_without_patience_the_flow_keeps_the_largest_job_waiting() -> None:
+    world = started(11, capacity=5)
+    for node in world.nodes.values():
+        assert node.controller is not None
+        node.controller.tuning = node.controller.floor.tuning = Tuning(patience=1000 * S, share_wait=1000 * S)
+    assert large_job_begins(world, LARGE["array"]) == float("inf")
+
+
+# Slow links.
+
+
+def slow_everything(world: World, in_order: bool) -> None:
+    """Between all hosts, those of machines yet to come excepted."""
+    for name in world.names:
+        world.slow_down(name, [STATE, CLOUD, *sorted(world.workers)], in_order)
+        world.slow_down(name, [other for other in world.names if other != name], in_order)
+
+
+def more_work_than_room(world: World) -> list[str]:
+    """Urgent and not, of several ranks and bounds; arrays that together need more than the machines have."""
+    bounds: list[dict[str, object]] = [{}, {"oneZone": True}, {"spread": True}, {"yard": "a"}]
+    refs = [f"j-{number}" for number in range(24)]
+    for number, ref in enumerate(refs):
+        urgent = number % 3 == 0
+        world.submit(
+            ref,
+            owner=("team", "few")[number % 2],
+            rank=("normal", "high", "low")[number % 3],
+            pieces=6,
+            cores=2.0,
+            guessS=(4.0, 15.0)[number % 2],
+            dueS=45.0 if urgent else None,
+            **bounds[number % 4],
+        )
+        world.after(number * 1.5 * S, lambda ref=ref: submit(world, world.rng, ref, USER_TRIES))  # type: ignore[misc]
+    return refs
+
+
+@pytest.mark.parametrize("in_order", [True, False], ids=["in order", "in any order"])
+@pytest.mark.parametrize("seed", range(3))
+def test_more_work_than_room_urgent_and_not_over_slow_links(seed: int, in_order: bool) -> None:
+    world = started(seed, teams={"team": 0.0, "few": 16.0}, capacity=6)
+    world.cloud.zone_capacity = 3
+    refs = more_work_than_room(world)
+    world.run(5)
+    for _ in range(8):
+        slow_everything(world, in_order)
+        watch(world, 5)
+    world.speed_up()
+    calm(world)
+    assert world.rules.broken == []
+    assert set(refs) <= world.accepted_jobs
+    silent, job = longest_unanswered(world, 10)
+    assert silent < WELL_BEFORE, f"no answer about {job}"
+    waited, ref = longest_beside_room(world, 100)
+    assert waited < BESIDE_ROOM, f"{ref} waits beside room"
+    assert finish_all(world, 300) == []
+    assert world.rules.broken == []
+
+
+@pytest.mark.parametrize("kind", SLOW_LINKS)
+@pytest.mark.parametrize("seed", range(2))
+def test_a_slow_link_for_a_minute_breaks_no_rule_and_cancellations_end_in_time(kind: str, seed: int) -> None:
+    world = busy_world(seed + 20, guessS=500.0)
+    slow_links(world, world.rng, kind, leader(world))
+    watch(world, 5)
+    withdraw(world, world.rng, "j-1")
+    watch(world, 55)
+    world.speed_up()
+    calm(world)
+    assert "j-1" in world.cancelled and on_machines(world, "j-1") == set()
+    assert world.rules.broken == []
+
+
+def test_a_slow_link_in_order_never_lets_a_message_overtake() -> None:
+    world = World(1)
+    world.slow_down("c0", ["c1"], in_order=True)
+    heard: list[int] = []
+    for number in range(50):
+        world.send("c0", "c1", lambda answer, number=number: heard.append(number), 9 * S, lambda reply: None)  # type: ignore[misc]
+        world.run(0.05)
+    world.run(3)
+    assert heard == list(range(50))
+
+
+def test_a_slow_link_without_order_lets_messages_overtake() -> None:
+    world = World(1)
+    world.slow_down("c0", ["c1"], in_order=False)
+    heard: list[int] = []
+    for number in range(50):
+        world.send("c0", "c1", lambda answer, number=number: heard.append(number), 9 * S, lambda reply: None)  # type: ignore[misc]
+        world.run(0.05)
+    world.run(3)
+    assert sorted(heard) == list(range(50)) != heard
+
+
+# Late copies, answers that do not arrive, a controller left with its workers, processes that are back at once.
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_copies_of_all_reports_up_to_five_leases_late_break_nothing(seed: int) -> None:
+    """Leaders change meanwhile, so old reports reach new owners, too."""
+    world = busy_world(seed + 40, guessS=25.0)
+    world.late_reports = 1.0
+    for number in range(3):
+        world.submit(f"j-{number + 2}", pieces=5, cores=2.0, guessS=6.0)
+        submit(world, world.rng, f"j-{number + 2}")
+        watch(world, 8)
+        restart(world, leader(world))
+    watch(world, 20)
+    calm(world)
+    judge_after_troubles(world)
+
+
+@pytest.mark.parametrize("seed", range(3))
+def test_machines_that_hear_no_answer_across_a_change_of_leader_run_nothing_twice(seed: int) -> None:
+    """Their reports arrive all the time, at one controller after the other."""
+    world = full_world()
+    busy = sorted({worker.host for worker, _ in world.rules.on_machines()})
+    world.deaf.update(world.rng.sample(busy, 4))
+    watch(world, 3 + seed)
+    restart(world, leader(world))
+    withdraw(world, world.rng, "j-1")
+    watch(world, 30)
+    assert world.rules.broken == [] and on_machines(world, "j-1") == set()
+
+
+def alone_with_workers(world: World, name: str) -> None:
+    for other in (STATE, *(each for each in world.names if each != name)):
+        world.cut(name, other)
+
+
+@pytest.mark.parametrize("lead", [True, False])
+@pytest.mark.parametrize("away", [5, 15, 40])
+def test_a_controller_that_loses_the_state_service_and_its_peers_ends_what_others_cancel(lead: bool, away: int) -> None:
+    """Workers and users still reach it, and the cloud does."""
+    world = busy_world(guessS=500.0)
+    name = leader(world) if lead else next(each for each in world.names if each != leader(world))
+    alone_with_workers(world, name)
+    watch(world, 1)
+    withdraw(world, world.rng, "j-1")
+    watch(world, away)
+    world.heal()
+    watch(world, 25)
+    assert "j-1" in world.cancelled and on_machines(world, "j-1") == set()
+    judge_after_troubles(world)
+
+
+@pytest.mark.parametrize("away", [0.1, 0.2, 0.35, 0.5])
+@pytest.mark.parametrize("wait", [0.0, 1.0, 2.5, 4.0])
+def test_processes_back_within_a_fraction_of_a_second_in_an_election_lose_nothing(away: float, wait: float) -> None:
+    """The leader goes for good; those that run for its place are killed and back while the members change."""
+    world = full_world()
+    before = on_machines(world, "j-1")
+    gone = leader(world)
+    world.nodes[gone].kill()
+    watch(world, wait)
+    for name in world.names:
+        if name != gone:
+            world.nodes[name].kill()
+            world.after(away * S, world.nodes[name].start)
+            watch(world, 0.7)
+    watch(world, 12)
+    assert len(before & on_machines(world, "j-1")) == len(before), "no task was lost"
+    world.nodes[gone].start()
+    watch(world, 15)
+    assert len(on_machines(world, "j-1")) == 16
+    assert world.rules.broken == []
