--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -10,15 +10,15 @@
 import pytest
 from chaos import longest_beside_room
 from prometheus_client.parser import text_string_to_metric_families
-from ramptide.agents import EndedLease
 from test_world import busy_world, calm
 from world import CLOUD, STATE, Node, S, VirtualContext, World, job, leader, owner, started
 
 from ramptide.admin import METRICS_PATH, STATUS_PATH, Admin
 from ramptide.app import Controller
 from ramptide.decisions import MachineDecision, log_decisions, written
+from ramptide.lease_expiry import EndedLease
 from ramptide.membership import Membership
-from ramptide.records import RENTAL
+from ramptide.records import RENTAL_PREFIX
 from ramptide.telemetry import Telemetry
 
 
@@ -416,7 +416,7 @@
     inner = world.state._txn
 
     def refuse(txn: dict[str, Any], answer: Callable[[int, Any], None]) -> None:
-        paths = [one["path"] for one in txn["when"] if one["path"].startswith(RENTAL)]
+        paths = [one["path"] for one in txn["when"] if one["path"].startswith(RENTAL_PREFIX)]
         if paths:
             answer(409, {"failed": paths, "epoch": world.state.epoch})
         else:
