--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from datetime import timedelta
+from pathlib import Path
 from typing import Any
 
 import pytest
@@ -541,3 +542,50 @@
         world.run(5)
     lines = [line for line in log.of("c0", timedelta(0)) if "stood still" in line]
     assert len(lines) == 1 and lines[0] in ("we stood still for 2.3 s", "we stood still for 2.4 s")
+
+
+def test_every_metric_is_explained_to_operators() -> None:
+    world = busy_world(guessS=300.0)
+    world.poll("j-1", "c0")
+    manual = (Path(__file__).parent.parent / "docs" / "operations.md").read_text()
+    section = manual[manual.index("## Metrics") :]
+    told = {name for name, *_ in metrics(world, "c0") if not name.endswith("_created")}
+    assert len(told) > 30
+    assert {name for name in told if f"`{name}`" not in section} == set()
+
+
+TROUBLES: list[tuple[Callable[[World, str], None], str, str]] = [
+    (cut_from_state, "state_service_lacking", "the state service does not answer"),
+    (cut_from_workers, "lacks", "no worker of"),
+    (stands_still, "standstills_total", "we stood still for"),
+]
+
+
+@pytest.mark.parametrize(("trouble", "metric", "line"), TROUBLES)
+def test_what_the_manual_names_for_a_trouble_of_one_controller_shows_on_that_one(
+    trouble: Callable[[World, str], None], metric: str, line: str
+) -> None:
+    world = busy_world(guessS=300.0)
+    world.cloud.down = True
+    others = ("c0", "c1")
+    world.run(1)
+    before = metrics(world, "c0")["view_changes_total",]
+    with controller_log(world) as log:
+        trouble(world, "c2")
+        world.run(10)
+        assert metrics(world, "c0")["view_changes_total",] == before + 1
+        world.run(65 if trouble is stands_still else 0)
+        assert metrics(world, "c2")[metric,] > 0
+        assert [metrics(world, name)[metric,] for name in others] == [0, 0]
+        start = timedelta(0)
+        assert any(line in one for one in log.of("c2", start))
+        assert not any(line in one for name in others for one in log.of(name, start))
+
+
+def test_a_cut_between_two_controllers_is_told_by_these_two_alone() -> None:
+    world = busy_world(guessS=300.0)
+    world.cloud.down = True
+    world.cut("c1", "c2")
+    world.run(8)
+    lacks = {name: status(world, name)["lacks"] for name in world.names}
+    assert lacks == {"c0": [], "c1": ["controller c2"], "c2": ["controller c1"]}
