--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -120,6 +120,14 @@
         self.until(lambda: bool(got), 6)
         return got[0]
 
+    def metrics(self, name: str) -> str:
+        got: list[Reply | None] = []
+        address = f"127.0.0.1:{self.ports[name][1]}"
+        self.client.call(address, "GET", "/metrics", b"", JSON, timedelta(seconds=5), got.append)
+        self.until(lambda: bool(got), 6)
+        assert got[0] is not None and got[0].status == 200
+        return got[0].body.decode()
+
     def status(self, name: str, method: str, path: str, body: bytes = b"") -> int:
         reply = self.http(name, method, path, body)
         return 0 if reply is None else reply.status
@@ -155,7 +163,11 @@
 
     assert world.status("c0", "GET", "/v2/runs/j-404") == 404
     assert world.status("c0", "DELETE", "/v2/runs/j-1") == 405
+    assert world.status("c0", "GET", "/v2/runs/j-1/nowhere") == 404
     assert world.status("c0", "GET", "/nowhere") == 404
+    told = world.metrics("c0")
+    for route, status in (("poll", 404), ("other", 405), ("other", 404)):
+        assert f'ramptide_answers_total{{route="{route}",status="{status}"}} 1.0' in told
     assert world.status("c0", "POST", "/v2/runs", b"x" * 70_000) == 413
     for broken in (
         b"POST /v2/runs HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
