--- a/src/ramptide/decisions.py
+++ b/src/ramptide/decisions.py
@@ -4,20 +4,28 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
+from ramptide.records import MachineRecord
+
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class MachineDecision:
-    """What a step of the leader decided about a machine. `rental`: the record that is to bear it."""
+    """What a step of the leader decided about a machine. `rental`: the record that is to bear it. `leaving`: what that
+    is to say of why the machine leaves."""
 
     host: str
     flavor: str
     yard: str
     rental: str
+    leaving: str | None
     #: Why it leaves, or what else becomes of it.
     outcome: str
 
+    def shown_by(self, record: MachineRecord | None) -> bool:
+        """The machine's record says so."""
+        return record is not None and record.rental == self.rental and record.leaving == self.leaving
+
 
 def written(decisions: Iterable[MachineDecision], rentals: Collection[str]) -> list[MachineDecision]:
     """Those whose records are among `rentals`."""
--- a/src/ramptide/leader.py
+++ b/src/ramptide/leader.py
@@ -49,12 +49,15 @@
         self._recorded_since: dict[str, timedelta] = {}
         self._missing: set[str] = set()
         self._writing = False
+        #: Decisions of the last write, when its answer was lost.
+        self._unsure: list[MachineDecision] = []
         self._timer: TimerHandle | None = controller.context.after(controller.tuning.step, self._step)
 
     def new_view(self) -> None:
         """A new view rebuilds: nothing is rented before a list that is younger than it."""
         self._list_at = None
         self._listing = False
+        self._unsure = []
 
     def recorded(self, host: str) -> None:
         """The machine is in the fleet record, which every controller follows: a new leader knows since when."""
@@ -99,6 +102,7 @@
         """The step's one transaction: conditional on the view, so that a leader of the past writes nothing."""
         c = self._c
         assert c.view is not None
+        self._log_unsure()
         edits: dict[str, RentalRecord | None] = {}
         open_ones = {name: rental for name, rental in c.rentals.items() if rental.hosts is None}
         self._answered = {name: hosts for name, hosts in self._answered.items() if name in open_ones}
@@ -146,7 +150,7 @@
             if present is not None:
                 changes[host] = HostRecord(present.opened or host in changes, reason)
                 outcome = reason or "stays after all"
-                decisions.append(MachineDecision(host, present.flavor, present.yard, present.rental, outcome))
+                decisions.append(MachineDecision(host, present.flavor, present.yard, present.rental, reason, outcome))
         changes |= dict.fromkeys(host for host in self._gone if host in c.machines)
         for host, change in changes.items():
             name = c.machines[host].rental
@@ -167,6 +171,7 @@
         def done(outcome: TransactionResult) -> None:
             self._writing = False
             if outcome.epoch is None:
+                self._unsure = decisions if outcome.failed is None and outcome.sent else []
                 return
             log_decisions(decisions)
             self._c.mirror.applied(outcome.epoch, txn.puts, txn.drops)
@@ -175,6 +180,12 @@
         # A few changes a second that all else waits for: they do not queue behind the users' commits.
         self._c.store.commit(txn, done, Priority.LEASE)
 
+    def _log_unsure(self) -> None:
+        """A write whose answer was lost may have been carried out: by now the records show it."""
+        machines = self._c.machines
+        unsure, self._unsure = self._unsure, []
+        log_decisions(decision for decision in unsure if decision.shown_by(machines.get(decision.host)))
+
     # Rentals.
 
     def _ask_again(self) -> None:
@@ -218,7 +229,7 @@
 
         def adopt(host: str, flavor: str, yard: str, spot: bool, at: float) -> None:
             name = f"adopted-{host}"
-            decisions.append(MachineDecision(host, flavor, yard, name, "was not expected, taken over"))
+            decisions.append(MachineDecision(host, flavor, yard, name, None, "was not expected, taken over"))
             found[name] = RentalRecord(flavor, yard, spot, at, born=born, hosts={host: HostRecord()})
 
         for host, (flavor, yard, spot) in c.syncing.strangers().items():
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -450,14 +450,36 @@
     assert sorted(host for line in told() for host in line.split(" (")[0].split(", ")) == hosts
 
 
+def test_a_decision_is_logged_once_though_the_answer_to_its_write_was_lost(caplog: pytest.LogCaptureFixture) -> None:
+    world = busy_world(guessS=500.0)
+    world.cloud.down = True
+    host = world.rules.on_machines()[0][0].host
+    world.workers[host].hang(200)
+    inner = world.state._txn
+    lost: list[float] = []
+
+    def lose(txn: dict[str, Any], answer: Callable[[int, Any], None]) -> None:
+        bears = any(one.get("put", "").startswith(RENTAL) and '"silent"' in json.dumps(one) for one in txn["then"])
+        if bears:
+            lost.append(world.now / S)
+        inner(txn, (lambda status, body: None) if bears else answer)
+
+    world.state._txn = lose  # type: ignore[method-assign]
+    caplog.set_level(logging.INFO)
+    world.run(45)
+    told = [record.getMessage() for record in caplog.records if record.getMessage().endswith(": silent")]
+    assert len(lost) == 1, "what was carried out is not written again"
+    assert told == [f"{host} (m, {world.workers[host].yard}): silent"]
+
+
 def test_decisions_whose_records_did_not_fit_are_not_logged() -> None:
-    decisions = [MachineDecision(f"vm-{n}", "m", "a", f"r-{n}", "silent") for n in range(4)]
+    decisions = [MachineDecision(f"vm-{n}", "m", "a", f"r-{n}", "silent", "silent") for n in range(4)]
     assert written(decisions, {"r-1", "r-3"}) == [decisions[1], decisions[3]]
 
 
 def test_what_is_decided_of_many_machines_is_a_line_for_each_kind(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
-    log_decisions(MachineDecision(f"vm-{n}", "m", "ab"[n % 2], "r-1", "silent") for n in range(5))
+    log_decisions(MachineDecision(f"vm-{n}", "m", "ab"[n % 2], "r-1", "silent", "silent") for n in range(5))
     assert [record.getMessage() for record in caplog.records] == [
         "vm-0, vm-2, vm-4 (m, a): silent", "vm-1, vm-3 (m, b): silent",
     ]  # fmt: skip
