--- a/src/ramptide/admin.py
+++ b/src/ramptide/admin.py
@@ -8,7 +8,8 @@
 from ramptide import __version__, wire
 from ramptide.context import JSON
 from ramptide.desk import error
-from ramptide.records import SETTINGS_KEY
+from ramptide.jobs import Job
+from ramptide.records import SETTINGS_KEY, MachineRecord
 from ramptide.settings import BOUNDS, SettingsError, Tuning
 from ramptide.store import Transaction, TransactionResult
 from ramptide.team_usage import team_usage
@@ -24,6 +25,8 @@
 
 
 class Admin:
+    """Answers operators about one controller, and takes their changes of the settings."""
+
     def __init__(self, controller: "Controller") -> None:
         self._c = controller
 
@@ -86,18 +89,14 @@
 
     def _status(self, body: bytes, answer: Answer) -> None:
         c = self._c
-        view = c.view
         fleet = c.leader.fleet
-        hosts = c.floor.hosts
         status: dict[str, Any] = {
             "version": __version__,
             "member": c.member,
             "state": c.membership.state.name.lower(),
             "state_service": c.mirror.state.name.lower(),
             "lacks": c.lacks(),
-            "view": None
-            if view is None
-            else {"number": view.number, "leader": view.leader, "members": sorted(view.members), "settled": c.latched},
+            "view": self._view(),
             "view_changes": {
                 "count": c.telemetry.view_changes,
                 "last": msgspec.to_builtins(list(c.telemetry.last_changes)),
@@ -111,33 +110,46 @@
                 "long_waiting": fleet.long_waiting,
                 "pool": fleet.pool,
             },
-            "machines": {
-                name: {
-                    "flavor": record.flavor,
-                    "yard": record.yard,
-                    "spot": record.spot,
-                    "leaving": record.leaving,
-                    "up": name in hosts and hosts[name].up and not hosts[name].quiet,
-                    "tasks": len(hosts[name].tasks) if name in hosts else 0,
-                    "out_of_use": c.floor.out_of_use(name),
-                }
-                for name, record in c.machines.items()
-            },
+            "machines": {name: self._machine(name, record) for name, record in c.machines.items()},
             "silent_machines": c.floor.silent(),
             "failing_jobs": c.floor.failing_jobs(),
-            "jobs": {
-                ref: {
-                    "class": job.run.job_class,
-                    "team": job.run.team,
-                    "home": job.record.home,
-                    "pieces": job.run.pieces,
-                    "done": job.progress.count,
-                }
-                for ref, job in c.jobs.items()
-            },
+            "jobs": {ref: self._job(job) for ref, job in c.jobs.items()},
         }
         answer(200, wire.encode(status), JSON)
 
+    def _view(self) -> dict[str, Any] | None:
+        view = self._c.view
+        if view is None:
+            return None
+        return {
+            "number": view.number,
+            "leader": view.leader,
+            "members": sorted(view.members),
+            "settled": self._c.latched,
+        }
+
+    def _machine(self, name: str, record: MachineRecord) -> dict[str, Any]:
+        host = self._c.floor.hosts.get(name)
+        return {
+            "flavor": record.flavor,
+            "yard": record.yard,
+            "spot": record.spot,
+            "leaving": record.leaving,
+            "up": host is not None and host.up and not host.quiet,
+            "tasks": len(host.tasks) if host is not None else 0,
+            "out_of_use": self._c.floor.out_of_use(name),
+        }
+
+    @staticmethod
+    def _job(job: Job) -> dict[str, Any]:
+        return {
+            "class": job.run.job_class,
+            "team": job.run.team,
+            "home": job.record.home,
+            "pieces": job.run.pieces,
+            "done": job.progress.count,
+        }
+
     def _metrics(self, body: bytes, answer: Answer) -> None:
         # Imported on the first call: it would double the time that a start takes.
         from prometheus_client import CONTENT_TYPE_LATEST, CollectorRegistry, generate_latest
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -459,7 +459,9 @@
     lost: list[float] = []
 
     def lose(txn: dict[str, Any], answer: Callable[[int, Any], None]) -> None:
-        bears = any(one.get("put", "").startswith(RENTAL) and '"silent"' in json.dumps(one) for one in txn["then"])
+        bears = any(
+            one.get("put", "").startswith(RENTAL_PREFIX) and '"silent"' in json.dumps(one) for one in txn["then"]
+        )
         if bears:
             lost.append(world.now / S)
         inner(txn, (lambda status, body: None) if bears else answer)
