--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -3,9 +3,11 @@
 from datetime import timedelta
 
 import pytest
-from chaos import SLOW_LINKS, longest_beside_room, play, slow_links, submit, withdraw
+from chaos import longest_beside_room, play
 from test_meetings import full_world, on_machines, restart, watch
 from test_world import busy_world, calm
+from troubles import SLOW_LINKS, Scene, Trouble
+from users import submit, withdraw
 from world import CLOUD, STATE, S, World, leader, started
 
 from ramptide.settings import Tuning
@@ -179,11 +181,11 @@
     assert world.rules.broken == []
 
 
-@pytest.mark.parametrize("kind", SLOW_LINKS)
+@pytest.mark.parametrize("slow_links", SLOW_LINKS.values(), ids=SLOW_LINKS.keys())
 @pytest.mark.parametrize("seed", range(2))
-def test_a_slow_link_for_a_minute_breaks_no_rule_and_cancellations_end_in_time(kind: str, seed: int) -> None:
+def test_a_slow_link_for_a_minute_breaks_no_rule_and_cancellations_end_in_time(slow_links: Trouble, seed: int) -> None:
     world = busy_world(seed + 20, guessS=500.0)
-    slow_links(world, world.rng, kind, leader(world))
+    slow_links(Scene(world, world.rng, 60 * S, leader(world), []))
     watch(world, 5)
     withdraw(world, world.rng, "j-1")
     watch(world, 55)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -7,9 +7,9 @@
 
 import cbor2
 import pytest
-from chaos import submit
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from users import submit
 from world import Reply, S, VirtualContext, World, job, leader, started
 
 from ramptide import wire
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -5,8 +5,9 @@
 
 import msgspec
 import pytest
-from chaos import longest_beside_room, submit, withdraw
+from chaos import longest_beside_room
 from test_world import busy_world, calm
+from users import submit, withdraw
 from world import Answer, S, Task, Worker, World, leader, owner, started
 
 from ramptide import wire
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -5,7 +5,8 @@
 from typing import Any
 
 import pytest
-from chaos import longest_beside_room, play, submit, withdraw
+from chaos import longest_beside_room, play
+from users import submit, withdraw
 from world import S, Worker, World, job, leader, owner, started
 
 from ramptide.app import Controller
