--- a/tests/test_hang_restart.py
+++ b/tests/test_hang_restart.py
@@ -1,9 +1,10 @@
 """All controllers start anew while machines hang with tasks of a job that was cancelled just before."""
 
 import pytest
-from chaos import withdraw
 from test_meetings import full_world, watch
 from test_world import busy_world
+from troubles import Scene, Trouble, alone, cut_state, freeze, refused, slow_services
+from users import withdraw
 from world import S, Worker, World, leader
 
 HANG = 90.0
@@ -78,6 +79,20 @@
     assert world.rules.broken == [] and not any(worker.alive for worker in hung)
 
 
+@pytest.mark.parametrize("trouble", [refused, cut_state, alone, freeze, slow_services], ids=lambda one: one.__name__)
+@pytest.mark.parametrize("begin", [2.0, 9.0, 12.7, 13.9])
+@pytest.mark.parametrize("machines", [1, 6])
+def test_hanging_machines_are_returned_in_time_when_the_leader_is_in_trouble(
+    machines: int, begin: float, trouble: Trouble
+) -> None:
+    world = full_world()
+    hung = hang_and_cancel(world, machines)
+    watch(world, begin)
+    trouble(Scene(world, world.rng, 9 * S, leader(world), []))
+    watch(world, 25)
+    assert world.rules.broken == [] and not any(worker.alive for worker in hung)
+
+
 def test_without_the_guards_a_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("ramptide.app.PROVE_WITHIN", 0.75)
     monkeypatch.setattr("ramptide.app.Controller._count_witnesses", lambda controller, view: None)
