--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -9,6 +9,7 @@
 
 from ramptide import wire
 from ramptide.allowances import Grants, limited
+from ramptide.announcements import TokenAnnouncer
 from ramptide.cloud import Cloud
 from ramptide.commits import CommitBatcher
 from ramptide.context import JSON, Reply, Runtime
@@ -134,6 +135,7 @@
             self.call_off,
         )
         self.reports = Reports(self)
+        self.announcer = TokenAnnouncer(context, self.reports.take_direct)
         self.results = Results(self)
         self.desk = Desk(
             self.store,
@@ -328,6 +330,8 @@
     def read_row(self, name: str, row: MachineStatus | None) -> None:
         """A machine's state as its owner tells it."""
         self.floor.show(name, row, self.context.now)
+        if row is not None and row.address is not None and name in self.machines:
+            self.addresses[name] = row.address
         if self.home is not None and row is not None:
             self._read_host(self.home, name)
 
@@ -451,6 +455,7 @@
         self._count_witnesses(view)
         if not mine:
             self.part = self.home = None
+            self.announcer.stop()
             self.reports.new_view()
             return
         index = sorted(view.members).index(self.member)
@@ -465,6 +470,13 @@
         for job in self.jobs.values():
             self._assign(job)
         self.reports.new_view()
+        self._announce_token(self.part)
+
+    def _announce_token(self, part: Shard) -> None:
+        """Tell the workers of our machines the token of the view, as far as we know where they are."""
+        unsettled = (host for host, machine in part.machines.items() if not machine.settled)
+        addresses = {host: self.addresses[host] for host in unsettled if host in self.addresses}
+        self.announcer.announce(part.view, addresses)
 
     def _count_witnesses(self, view: View) -> None:
         """When no process is left that knows what was cancelled before we started, a silent machine may go on with a
--- a/src/ramptide/http/client.py
+++ b/src/ramptide/http/client.py
@@ -140,7 +140,7 @@
         try:
             if idle:
                 connection = idle.pop()
-            elif self.open_connections >= self.max_connections:
+            elif self.open_connections >= self.max_connections and not self._close_idle():
                 raise OSError(errno.EMFILE, "no room for another connection")
             else:
                 connection = _ClientConnection(self, address)
@@ -151,6 +151,14 @@
             return
         connection.send(encode_request(method, target, address, body, content_type), timeout, done)
 
+    def _close_idle(self) -> bool:
+        """Close the connection that was released first of those that are idle; False when none is."""
+        for connections in self._idle.values():
+            if connections:
+                connections[0].close()
+                return True
+        return False
+
     def release(self, connection: _ClientConnection) -> None:
         """Keep an idle connection for later calls."""
         self._idle.setdefault(connection.address, deque()).append(connection)
--- a/src/ramptide/machine_status.py
+++ b/src/ramptide/machine_status.py
@@ -29,6 +29,7 @@
     worker_waiting: bool
     images: list[str]
     tasks: list[TaskRow]
+    address: str | None = None
 
 
 def status_of(machine: OwnedMachine, now: timedelta) -> MachineStatus:
@@ -43,7 +44,8 @@
         failed_jobs=machine.failed_jobs,
         consecutive_failures=machine.consecutive_failures,
         unreachable=None if machine.unreachable_since is None else (now - machine.unreachable_since).total_seconds(),
-        worker_waiting=machine.has_current_token and machine.runs_only_services(),
+        worker_waiting=machine.has_current_token and machine.last_answer is not None and machine.runs_only_services(),
         images=list(machine.images),
         tasks=[(e.ref, e.task, e.attempt, cast(PhaseName, e.phase.value), e.cause) for e in machine.entries.values()],
+        address=machine.address,
     )
--- a/src/ramptide/owned_machine.py
+++ b/src/ramptide/owned_machine.py
@@ -41,6 +41,8 @@
     has_current_token: bool = False
     failed_jobs: list[str] = field(default_factory=list)
     consecutive_failures: int = 0
+    #: Where its worker can be called.
+    address: str | None = None
 
     @property
     def unreachable(self) -> bool:
--- a/src/ramptide/peers.py
+++ b/src/ramptide/peers.py
@@ -25,7 +25,7 @@
 GAP = timedelta(milliseconds=100)
 ZERO = timedelta(0)
 #: Raised when messages change so that another version would misread them.
-WIRE = 3
+WIRE = 4
 
 
 #: What a team's tasks take, which may be off zero by a rounding; and what it may take, which may have no end.
--- a/src/ramptide/report_intake.py
+++ b/src/ramptide/report_intake.py
@@ -86,6 +86,7 @@
                 self._mark_reachable(machine)
         machine.last_report_id = (beat.tenure, beat.tally)
         machine.last_report = now
+        machine.address = beat.addr or machine.address
         if not machine.up or machine.silent:
             machine.up, machine.silent = True, False
             self._mark_changed(machine.host)
--- a/src/ramptide/wire.py
+++ b/src/ramptide/wire.py
@@ -31,7 +31,8 @@
 PIECE_CACHE_SIZE = 16384
 
 # Paths of the users', workers', cloud's and state service's interfaces.
-RUNS, HEALTH, BEAT, INSPECT = "/v2/runs", "/healthz", "/agent/beat", "/inspect"
+RUNS, HEALTH, BEAT = "/v2/runs", "/healthz", "/agent/beat"
+ORDERS, INSPECT = "/orders", "/inspect"
 FLAVORS, RENTALS, RETURN = "/flavors", "/rentals", "/rentals/return"
 KV, TXN, GRANTS, CHANGES = "/kv", "/txn", "/grants", "/changes"
 
@@ -179,6 +180,11 @@
     return {"verb": "reap", "piece": f"{ref}/{task}", "try": attempt}
 
 
+def encode_orders(token: int, tenure: int, orders: list[dict[str, Any]]) -> bytes:
+    """Encode commands that are sent to a worker directly."""
+    return encode({"baton": token, "tenure": tenure, "orders": orders})
+
+
 def encode_beat_answer(token: int, orders: list[dict[str, Any]]) -> bytes:
     """Encode the answer to a worker's report."""
     return encode({"baton": token, "orders": orders})
--- a/src/ramptide/workers.py
+++ b/src/ramptide/workers.py
@@ -1,5 +1,6 @@
 """Reports of workers: who answers them, when, and with what."""
 
+import logging
 from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
@@ -11,6 +12,8 @@
 if TYPE_CHECKING:
     from ramptide.app import Controller
 
+log = logging.getLogger(__name__)
+
 ZERO = timedelta(0)
 
 BeatAnswer = Callable[[int, bytes], None]
@@ -72,14 +75,30 @@
             answer(503, b"{}")
             return
         self.forget(beat.host)
-        if beat.addr is not None and beat.host in c.machines:
-            c.addresses[beat.host] = beat.addr
         machine = c.part.machines.get(beat.host)
         if machine is not None and self._worth_holding(machine) and not c.part.commands.pending(beat.host):
             self._held[beat.host] = Held(answer, c.context.now + c.tuning.hold)
             return
         self._reply(beat.host, answer)
 
+    def take_direct(self, beat: wire.Beat) -> None:
+        """Take the report with which a worker responded to the announcement of our token.
+
+        Only as the first one of the view: until then no reply of ours can be under way to the worker, so what the
+        report lacks is not there. Other controllers may have answered it up to now, and its lease counts from then on.
+        """
+        c = self._c
+        machine = c.part.machines.get(beat.host) if c.part is not None else None
+        if machine is None or c.part is None or machine.last_report is not None or beat.baton != c.part.view:
+            return
+        try:
+            fresh = c.may_answer() and c.part.reports.take(beat, c.context.now)
+        except wire.MessageError as error:
+            log.debug("report of %s: %s", beat.host, error)
+            return
+        if fresh:
+            machine.since = max(machine.since, c.context.now)
+
     def _not_ours(self, owner: str, answer: BeatAnswer) -> None:
         if not self._c.may_renew():
             answer(503, b"{}")
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -9,6 +9,7 @@
 from users import submit, withdraw
 from world import S, Worker, World, job, leader, owner, started
 
+from ramptide.announcements import TokenAnnouncer
 from ramptide.app import Controller
 from ramptide.attempts import sum_amounts
 from ramptide.floor import Floor, Host
@@ -144,6 +145,8 @@
 
 
 def test_without_the_authority_guard_a_cancelled_task_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Workers that are told the new token directly don't hear the cut-off owner any more, so that is taken out too."""
+    monkeypatch.setattr(TokenAnnouncer, "announce", lambda announcer, token, addresses: None)
     monkeypatch.setattr(Controller, "may_answer", lambda self: self.membership.serving)
     world = busy_world(guessS=500.0)
     cancel_behind_a_cut(world)
@@ -479,6 +482,8 @@
         return host.settled and all(row[0] in floor._jobs or row[3] in FINISHED_NAMES for row in host.tasks)
 
     monkeypatch.setattr(Floor, "clear", forgetful)
+    # Announced tokens settle the machines at once, in the short moments between two cancellations, too.
+    monkeypatch.setattr(TokenAnnouncer, "announce", lambda announcer, token, addresses: None)
     assert seconds_to_settle(started(9, teams={"team": 300.0})) > 8
 
 
