--- a/src/ramptide/admin.py
+++ b/src/ramptide/admin.py
@@ -25,13 +25,13 @@
 
 
 class Admin:
-    """Answers operators about one controller, and takes their changes of the settings."""
+    """Answers operators about one controller, and applies their changes of the settings."""
 
     def __init__(self, controller: "Controller") -> None:
         self._c = controller
 
     def handle(self, method: str, path: str, body: bytes, answer: Answer) -> bool:
-        """Answers a call to this API; False when the path is not one of it."""
+        """Answer a call to this API; return False when the path is not part of it."""
         calls: dict[str, dict[str, Callable[[bytes, Answer], None]]] = {
             SETTINGS_PATH: {"GET": self._settings, "PATCH": self._change},
             STATUS_PATH: {"GET": self._status},
@@ -159,7 +159,7 @@
         answer(200, generate_latest(registry), CONTENT_TYPE_LATEST)
 
     def collect(self) -> "Iterator[Metric]":
-        """The metrics as they stand (called by the registry)."""
+        """Yield the current metrics; called by the registry."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         from ramptide.metrics import answer_metrics, lease_metrics, membership_metrics, standstill_metrics, team_metrics
--- a/src/ramptide/allowances.py
+++ b/src/ramptide/allowances.py
@@ -12,23 +12,26 @@
 
 
 def add_amounts(total: Grants, team: str, cores: float, cards: float) -> None:
+    """Add amounts of cores and cards (GPUs) to a team's entry in `total`, which is changed in place."""
     before = total.get(team, NOTHING)
     total[team] = (before[0] + cores, before[1] + cards)
 
 
 def limits_of(team: wire.Team) -> Amounts:
+    """Return the team's limits on cores and cards, each `NO_LIMIT` where the settings give none."""
     return (team.cpus_max or NO_LIMIT, team.gpus_max or NO_LIMIT)
 
 
 def limited(team: wire.Team | None) -> bool:
+    """Tell whether the team has a limit on cores or cards; an unknown team (None) has none."""
     return team is not None and bool(team.cpus_max or team.gpus_max)
 
 
 class Allowances:
-    """The leader's side: what each member may use of each team's limit.
+    """The leader's record of what each member may use of each team's limit.
 
-    A grant is raised only by what is certainly free: a member counts with the largest grant that it
-    may still act on (all sent since the last one it acknowledged) or with what it uses, if that is more.
+    A grant is raised only by what is certainly free: a member counts with the largest grant that it may still act on
+    (all sent since the last one it acknowledged) or with what it uses, if that is more.
     """
 
     def __init__(self, teams: Mapping[str, wire.Team], members: list[str]) -> None:
@@ -36,9 +39,11 @@
         self._sent: dict[str, deque[tuple[int, Grants]]] = {member: deque([(0, {})]) for member in members}
 
     def current(self, member: str) -> Grants:
+        """Return the grants by team that the member was sent last."""
         return self._sent[member][-1][1]
 
     def acknowledged(self, member: str, seq: int) -> None:
+        """Note that the member acts on the grants of message `seq` and on no older ones."""
         sent = self._sent[member]
         while len(sent) > 1 and sent[1][0] <= seq:
             sent.popleft()
@@ -46,7 +51,10 @@
     def divide(
         self, seq: int, using: Mapping[str, Grants], waiting: Mapping[str, Grants], first: str
     ) -> dict[str, Grants]:
-        """New grants for all members, to be sent with message `seq`; spare room goes to `first`."""
+        """Return new grants for all members, to be sent with message `seq`.
+
+        `using` and `waiting` hold each member's amounts by team; what is left of a limit goes to `first`.
+        """
         grants: dict[str, Grants] = {member: dict(self.current(member)) for member in self._sent}
         for team, limit in self._limits.items():
             sides = [
--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -67,6 +67,8 @@
 
 
 class Controller:
+    """One member of the service: it owns the parts, routes events to them and runs the decision rounds."""
+
     def __init__(self, context: Runtime, settings: wire.Settings, incarnation: str) -> None:
         self.context = context
         self.settings = settings
@@ -153,6 +155,7 @@
         self.leader = Leader(self)
 
     def start(self) -> None:
+        """Start to follow the state service, apply for membership and begin the rounds."""
         log.info("%s starts as %s", self.member, self.membership.incarnation)
         self.mirror.start()
         self.membership.start()
@@ -163,11 +166,14 @@
     # Authority.
 
     def _proof(self, kept: bool = False) -> timedelta | None:
-        """The moment of the last proof that our view is the present one: the state service's word, or all
-        the other members' word that they lack it as we do, so that nobody can have moved the view on.
+        """Return the time of the last proof that our view is the current one, or None without any.
+
+        The proof is an answer of the state service, or the answers of all other members that they cannot reach it
+        either, so that nobody can have written a newer view.
 
-        `kept`: the last moment at which, `LIFE` later, nobody can have left us out: our grant was alive then. Nobody
-        knows that of our grant while all lack the state service, only that we have not been left out yet.
+        `kept`: return instead the last time such that, until `LIFE` later, nobody can have removed us from the view,
+        because our grant was alive then. While nobody reaches the state service it is not known whether our grant is
+        alive, only that we have not been removed yet.
         """
         proof, agreed = self.mirror.proof, self.peers.agreement()
         if kept:
@@ -184,24 +190,32 @@
         return proof is not None and self.context.now - proof < span
 
     def may_renew(self) -> bool:
-        """Others count on that this ends `answer_for` after our grant was last found alive (`others_end`)."""
+        """Tell whether we may still renew leases of workers.
+
+        Others rely on this ending `answer_for` after our grant was last found alive (`others_end`).
+        """
         return self._proven_within(self.answer_for, kept=True)
 
     def common(self) -> dict[str, int]:
-        """What every transaction of ours is conditional on."""
+        """Return the conditions that every transaction of this controller has, as revisions by key."""
         return {VIEW: self.membership.view_stamp}
 
     def may_start(self) -> bool:
+        """Tell whether tasks may be started: we may answer workers, and our view was proven recently."""
         return self.may_answer() and self._proven_within(PROOF_FOR_STARTS)
 
     def may_answer(self) -> bool:
+        """Tell whether we may answer workers: we serve in the newest view known, and may renew leases."""
         if not self.membership.serving or not self.may_renew():
             return False
         # Another controller acts in a newer view. Its workers must find their new owners, not us.
         return self.view is not None and self.peers.newest <= self.view.number
 
     def healthy(self) -> bool:
-        """We can take requests. Lacking the state service counts only when others have it."""
+        """Tell whether requests can be accepted.
+
+        An unreachable state service counts as a fault only when other controllers reach it.
+        """
         if self.mirror.proof is None:
             return False
         if self.mirror.lacking:
@@ -213,7 +227,7 @@
     # What an operator sees of us.
 
     def lacks(self) -> list[str]:
-        """What this controller does without just now, in words for the operators."""
+        """Return what this controller cannot reach or does not have now, in words for the operators."""
         now, found = self.context.now, []
         if self.mirror.lacking:
             found.append("state service")
@@ -281,13 +295,17 @@
         self._assign(job)
 
     def call_off(self, refs: list[str]) -> None:
-        """Another controller knows these jobs to be over, ahead of our copy: their users may have been told so."""
+        """Drop jobs that another controller knows to be over and that our copy of the state service still shows.
+
+        Their users may have been told so already.
+        """
         known = [ref for ref in refs if ref in self.jobs]
         self._called_off.update(known)
         for ref in known:
             self.job_over(ref)
 
     def job_over(self, ref: str) -> None:
+        """Drop a job that has left the live state; one that is not known is ignored."""
         job = self.jobs.pop(ref, None)
         if job is None:
             return
@@ -328,7 +346,7 @@
             home.apply_status(name, record.yard, host.tasks, self.context.now)
 
     def read_row(self, name: str, row: MachineStatus | None) -> None:
-        """A machine's state as its owner tells it."""
+        """Take a machine's state from its owner's message; None when the owner has no such machine."""
         self.floor.show(name, row, self.context.now)
         if row is not None and row.address is not None and name in self.machines:
             self.addresses[name] = row.address
@@ -358,8 +376,11 @@
                     self.home.machine_faulty(host)
 
     def _unproven_since(self) -> timedelta:
-        """Since when a task of a job that is over may be on a machine that was in use before this process started. What
-        was cancelled before may be due soon, so a silent machine has one lease; none when nobody is left who knows."""
+        """Return since when a task of a finished job may be on a machine that was in use before this process started.
+
+        What was cancelled before may be due soon, so a silent machine is given the time of one lease, and none when no
+        process is left that knows what was cancelled.
+        """
         alone = self._witnesses is not None and not self._witnesses
         before = self.prove_within if alone else max(self.prove_within - self.lease * CLOCK_DRIFT, ZERO)
         return self.context.now - before
@@ -386,6 +407,7 @@
             self.part.add_machine(host, record, self.flavors.get(record.flavor), self.context.now, images, until)
 
     def owner(self, host: str) -> str:
+        """Return the member that owns the machine in the current view."""
         assert self.view is not None
         owner = self._owners.get(host)
         if owner is None:
@@ -395,7 +417,10 @@
         return owner
 
     def fresh_members(self) -> set[str]:
-        """The members that we hear; of the others' machines nothing is known that could be used."""
+        """Return the members that were heard recently, this one included.
+
+        What is known of the remaining members' machines is too old to be used.
+        """
         now, silent, fresh = self.context.now, self.report_every * MISSED_REPORTS, {self.member}
         for name, peer in self.peers.all.items():
             if peer.said is not None and peer.heard is not None and now - peer.heard < silent:
@@ -415,7 +440,7 @@
             self._own(host, record)
 
     def _fetch_flavors(self) -> None:
-        """Machine types come from the cloud; the leader keeps them for controllers that start without it."""
+        """Read the machine types from the cloud; the leader stores them for controllers that start without it."""
 
         def done(flavors: list[wire.Flavor] | None) -> None:
             self.context.after(FLAVORS_EVERY if flavors else timedelta(seconds=2), self._fetch_flavors)
@@ -428,7 +453,7 @@
     # Views.
 
     def _on_view(self) -> None:
-        """A new view: all that was known of who runs what is rebuilt from the workers' reports."""
+        """Take a new view: what runs where is rebuilt from the workers' reports."""
         view = self.membership.view
         assert view is not None
         if self.view is None or view.number != self.view.number:
@@ -479,8 +504,11 @@
         self.announcer.announce(part.view, addresses)
 
     def _count_witnesses(self, view: View) -> None:
-        """When no process is left that knows what was cancelled before we started, a silent machine may go on with a
-        task whose cancellation is due any moment: it is returned as soon as it is known to be silent."""
+        """Keep count of the processes left that know what was cancelled before this one started.
+
+        When none is left, a silent machine may still run a task whose cancellation is due at any moment, so it is
+        returned as soon as it is known to be silent.
+        """
         known = view.members if self._witnesses is None else self._witnesses
         self._witnesses = {
             name: incarnation
@@ -492,8 +520,11 @@
             self.floor.distrust(self._started_at, self.context.now - self.prove_within)
 
     def others_end(self) -> timedelta | None:
-        """The moment after which no member of an earlier view can have answered a report. One that was left out had
-        lost its grant by then, so it was last found alive `LIFE` before."""
+        """Return the time after which no member of an earlier view can have answered a report.
+
+        None while some member of this view has not been heard. A member that was left out had lost its grant by then,
+        so it was last found alive `LIFE` before.
+        """
         assert self.view is not None
         authority = self.answer_for - LIFE / CLOCK_DRIFT
         ends = [self.view_at]
@@ -530,7 +561,7 @@
         self.syncing.send(self.home, self.part, now)
 
     def _round(self, home: JobScheduler, part: Shard, now: timedelta, slow: bool) -> None:
-        """Work follows what changed; what only time changes is looked at in slow rounds."""
+        """Process what changed; what changes only with time is processed in slow rounds."""
         home.needs_round = False
         if slow:
             self._last_round = now
@@ -553,9 +584,12 @@
         self.results.flush(home, now)
 
     def _mind_workers(self, part: Shard, now: timedelta) -> None:
-        """Cut off from the workers alone, we would keep our machines until their leases end, and the fleet would return
-        them as silent. So we give up our place when all of ours are silent while others hear theirs. When nobody hears
-        any, it is not our link that is at fault."""
+        """Give up our place in the view when we are cut off from the workers alone.
+
+        We would keep our machines until their leases end, and the fleet would return them as silent. So we step down
+        when all of ours are silent while other controllers hear theirs; when nobody hears any, the fault is not in our
+        network link.
+        """
         used = [machine for machine in part.machines.values() if machine.record.opened]
         others = (host for name, host in self.floor.hosts.items() if self.owner(name) != self.member)
         cut_off = len(used) >= UNHEARD_LEAST and all(machine.silent for machine in used)
@@ -571,7 +605,7 @@
             self._rest(now, 0, 0)
 
     def _rest(self, since: timedelta, probes: int, answers: int) -> None:
-        """Until workers answer us again: one after the other of those that reported to us is asked for its state."""
+        """Wait until workers answer again, by asking one known worker after the other for its state."""
         known = [self.addresses[host] for host in self.machines if host in self.addresses]
         if not known or answers >= ANSWERS or self.context.now - since >= REST_MOST:
             log.info("we stand for a place again")
@@ -586,7 +620,10 @@
         self.context.call(address, "GET", wire.INSPECT, b"", JSON, PROBE_EVERY, done)
 
     def unsettled(self) -> dict[str, str]:
-        """The machines that an earlier view may have started on and whose owners have not shown them clear yet."""
+        """Return the machines whose state in this view is not known yet, each with the reason.
+
+        An earlier view may have started tasks there, and their owners have not shown them clear yet.
+        """
         assert self.view is not None
         found = {}
         for name, record in self.machines.items():
@@ -615,7 +652,7 @@
             log.info("view %d waits for %d machines after %.1f s: %s", part.view, len(left), spent, some)
 
     def ready(self, work: JobState) -> bool:
-        """The job's tasks may be started: nothing of it can be on a machine without our knowing."""
+        """Tell whether the job's tasks may be started: none can be on a machine without our knowledge."""
         assert self.view is not None and self.part is not None
         record = work.job.record
         if not self.latched and (record.born != self.view.number or limited(self.teams.get(record.run.team))):
--- a/src/ramptide/decisions.py
+++ b/src/ramptide/decisions.py
@@ -11,8 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineDecision:
-    """What a step of the leader decided about a machine. `rental`: the record that is to bear it. `leaving`: what that
-    is to say of why the machine leaves."""
+    """What a step of the leader decided about a machine.
+
+    `rental`: the record that is to contain it. `leaving`: the reason for leaving that the record is to give.
+    """
 
     host: str
     flavor: str
@@ -23,17 +25,17 @@
     outcome: str
 
     def shown_by(self, record: MachineRecord | None) -> bool:
-        """The machine's record says so."""
+        """Tell whether the machine's record shows the decision."""
         return record is not None and record.rental == self.rental and record.leaving == self.leaving
 
 
 def written(decisions: Iterable[MachineDecision], rentals: Collection[str]) -> list[MachineDecision]:
-    """Those whose records are among `rentals`."""
+    """Return the decisions whose records are among `rentals`."""
     return [decision for decision in decisions if decision.rental in rentals]
 
 
 def log_decisions(decisions: Iterable[MachineDecision]) -> None:
-    """One line for all machines of a kind that share their fate, as hundreds may at once."""
+    """Log one line for all machines of a kind that have the same outcome, as there may be hundreds at once."""
     together: dict[tuple[str, str, str], list[str]] = {}
     for decision in decisions:
         together.setdefault((decision.flavor, decision.yard, decision.outcome), []).append(decision.host)
--- a/src/ramptide/desk.py
+++ b/src/ramptide/desk.py
@@ -1,4 +1,4 @@
-"""What users are answered: submissions, polls and cancellations. Nothing is promised before its commit."""
+"""Users' requests: submissions, polls and cancellations. Nothing is confirmed before its commit."""
 
 import logging
 import math
@@ -28,10 +28,13 @@
 
 
 def error(text: str) -> bytes:
+    """Return a JSON body with an error text."""
     return wire.encode({"error": text})
 
 
 class Desk:
+    """Handles users' requests: submissions, polls and cancellations."""
+
     def __init__(
         self,
         store: Store,
@@ -67,20 +70,23 @@
         answer(503, error(reason.text), {"Retry-After": str(seconds)})
 
     def _cannot_commit(self) -> Unavailable | None:
-        """Why no change can be written just now."""
+        """Return why no change can be written now, or None when it can."""
         if self._mirror.lacking:
             return Unavailable.STATE_SERVICE
         return Unavailable.VIEW if self._membership.view is None else None
 
     def _overloaded(self, answer: Answer) -> bool:
-        """More is asked than the state service takes, so this is answered at once with the time to come back."""
+        """Reject the request if the queue of writes is too long; tell whether it was rejected.
+
+        More is asked than the state service can take, so the user is told at once when to retry.
+        """
         delay = self._commits.delay()
         if delay > PATIENCE:
             self._busy(answer, Unavailable.OVERLOADED, delay)
         return delay > PATIENCE
 
     def ended(self, ref: str, record: EndRecord) -> None:
-        """A final state that was committed."""
+        """Remember a final state that was committed, so that it need not be read again."""
         self._ended[ref] = record
         while len(self._ended) > ENDED_KEPT:
             del self._ended[next(iter(self._ended))]
@@ -88,6 +94,7 @@
     # Submissions.
 
     def submit(self, body: bytes, answer: Answer) -> None:
+        """Accept a job, or answer with the state of one that has the same reference."""
         answer = self._telemetry.counting(Route.SUBMIT, answer)
         try:
             run = wire.decode_run(body)
@@ -154,7 +161,7 @@
         self._commits.add(txn, done)
 
     def _known(self, ref: str, answer: Answer, problem: str | None) -> None:
-        """The present state of a job that is there already; `problem` if it is not."""
+        """Answer with the state of a job that exists; otherwise with `problem`, or 503 where that is None."""
 
         def missing() -> None:
             if problem is None:
@@ -167,6 +174,7 @@
     # Polls.
 
     def poll(self, ref: str, answer: Answer) -> None:
+        """Answer with the present state of a job."""
         answer = self._telemetry.counting(Route.POLL, answer)
         if not wire.is_ref(ref):
             answer(404, error("no such job"), {})
@@ -192,9 +200,12 @@
         self._find(ref, found)
 
     def _find(self, ref: str, found: Callable[[Job | EndRecord | None, bool], None]) -> None:
-        """The job as a state shows it that was read after this call, so that no answer is older than one that
-        another node gave: one read of what changed serves all who ask before it leaves, since the watched copy
-        has the jobs that are not over. A final state that is known already can't change."""
+        """Report the job, or its final state, from a read of the state service that began after this call.
+
+        So no answer is older than one that another controller gave. One read of the changes serves all who ask before
+        it is sent, since the watched copy has the jobs that are not over. A final state that is known already can't
+        change. `found` gets None for a job that does not exist, and False when the state service could not be read.
+        """
         if ref in self._ended:
             found(self._ended[ref], True)
             return
@@ -212,7 +223,7 @@
         self._mirror.catch_up(read)
 
     def _read_ended(self, ref: str, found: Callable[[EndRecord | None, bool], None]) -> None:
-        """Requests that come before the read is sent share it; later ones wait for the next."""
+        """Read a final state; requests made before the read is sent share it, later ones wait for the next."""
         waiting = self._asking.get(ref)
         if waiting is not None:
             waiting.append(found)
@@ -245,6 +256,7 @@
     # Cancellations.
 
     def cancel(self, ref: str, answer: Answer) -> None:
+        """Cancel a job; the answer is sent once the cancellation is committed."""
         answer = self._telemetry.counting(Route.CANCEL, answer)
         if not wire.is_ref(ref):
             answer(404, error("no such job"), {})
--- a/src/ramptide/fleet.py
+++ b/src/ramptide/fleet.py
@@ -73,6 +73,8 @@
 
 
 class Trigger(Enum):
+    """Whether so many tasks wait that machines are rented: no, not for long enough yet, or yes."""
+
     QUIET = auto()
     RISING = auto()
     HIGH = auto()
@@ -80,7 +82,11 @@
 
 @dataclass(slots=True)
 class Plan:
-    """What a step decided."""
+    """What one step decided.
+
+    Machines of kind `rent` to rent (None: none) and their `count`, machines that are to leave with the reason, that
+    stay after all, and that are returned to the cloud.
+    """
 
     rent: Kind | None = None
     count: int = 0
@@ -90,6 +96,8 @@
 
 
 class Fleet:
+    """Decides in steps which machines to rent, to keep idle and to return."""
+
     def __init__(self, tuning: Tuning, report: timedelta, lease: timedelta, prove: timedelta) -> None:
         self.tuning = tuning
         self._report = report
@@ -112,20 +120,25 @@
     # Signals.
 
     def refused(self, kind: Kind, now: timedelta) -> None:
-        """No capacity: this type, zone and kind is left alone for a while, longer each time."""
+        """Note that there was no capacity: the kind is not tried for a while, longer after each refusal."""
         pause = min(self._refused.get(kind, (ZERO, REFUSED_FIRST / 2))[1] * 2, REFUSED_MOST)
         self._refused[kind] = (now + pause, pause)
 
     def rented(self, kind: Kind) -> None:
+        """Note that machines of the kind could be rented, which ends the pause after refusals."""
         self._refused.pop(kind, None)
 
     def used(self, image: str) -> None:
+        """Count a use of an image; old uses lose weight as new ones come."""
         self._popular[image] += 1
         if sum(self._popular.values()) > 400:
             self._popular = Counter({name: count // 2 for name, count in self._popular.items() if count > 1})
 
     def _count(self, demands: list[Demand], machines: list[Machine]) -> list[Demand]:
-        """The two counts: waiting tasks that find no free room, less what boots; returns the uncovered demands."""
+        """Count the waiting tasks that fit neither free room nor booting machines, and those that wait long.
+
+        Returns the demands with the tasks that are not covered.
+        """
         rooms = [m.room for m in machines if m.room is not None]
         rooms += [
             empty_room(m.flavor, m.record.yard, m.record.spot, m.host)
@@ -178,6 +191,11 @@
         flavors: Iterable[wire.Flavor],
         rebuilt: bool,
     ) -> Plan:
+        """Decide what to rent and what to return.
+
+        `demands` are the waiting tasks, the most urgent first. Until `rebuilt`, after a change of view, nothing is
+        rented and no idle machine is returned.
+        """
         plan = Plan()
         uncovered = self._count(demands, machines)
         self._watch(now)
@@ -195,7 +213,7 @@
         return plan
 
     def _mind(self, now: timedelta, machines: list[Machine], plan: Plan) -> None:
-        """Machines that never boot, fell silent, fail what they get or are about to be taken leave."""
+        """Let machines leave that never boot, are silent, fail their tasks or are about to be reclaimed."""
         failing = [machine.host for machine in machines if machine.failing >= self.tuning.sick_jobs]
         self._failing_since = {host: self._failing_since.get(host, now) for host in failing}
         for machine in machines:
@@ -240,7 +258,7 @@
             plan.stay.append(machine.host)
 
     def _keep_pool(self, now: timedelta, machines: list[Machine]) -> None:
-        """The idle machines kept are those that hold the images most used of late."""
+        """Choose the idle machines to keep: those that hold the images used most recently."""
         idle = {m.host: m for m in machines if m.up and not m.tasks and m.room is not None and m.record.leaving is None}
         ordinary = {host for host, machine in idle.items() if not machine.record.spot}
         self._idle_since = {host: self._idle_since.get(host, now) for host in idle}
@@ -262,8 +280,11 @@
         return len(self.pool) + booting < self.pool_wanted
 
     def _cool_down(self, now: timedelta, machines: list[Machine], uncovered: list[Demand], plan: Plan) -> None:
-        """Machines idle for the cooldown leave while the trigger has been quiet for as long. While it is not, only
-        those leave that no waiting task can use: a job that waits in vain must not keep all others rented."""
+        """Let machines leave that were idle for the cooldown, once the trigger has been quiet for as long.
+
+        While it is not quiet, only those leave that no waiting task can use: a job that cannot be placed must not keep
+        all others rented.
+        """
         quiet = self.trigger is Trigger.QUIET and now - self._quiet_since >= self.tuning.cooldown
         if self.trigger is Trigger.QUIET and not quiet:
             return
@@ -275,7 +296,7 @@
                 plan.leave[machine.host] = "idle"
 
     def _note_serving(self, now: timedelta, machines: list[Machine]) -> None:
-        """Since when nothing new was started on the machines that run services only."""
+        """Note since when nothing new was started on the machines that run services only."""
         known, self._serving_since = self._serving_since, {}
         for machine in machines:
             if machine.serving:
@@ -284,10 +305,13 @@
                 self._serving_since[machine.host] = (refs, since if refs <= before else now)
 
     def _gather(self, now: timedelta, machines: list[Machine], plan: Plan) -> None:
-        """Services end one by one and leave machines that run a few each and never become idle: while the trigger has
-        been quiet for the cooldown, one such machine per `gather` is emptied and returned. Its services find room on
-        machines of the same owner that run more of them, which then empty last. A replica is down while it moves, so
-        a machine is left alone when more than `thin_share` of it serves, or when something was just started there."""
+        """Empty and return one machine that runs few services, at most every `gather`, while the trigger is quiet.
+
+        Services end one by one and leave machines that run a few each and never become idle. Their services find room
+        on machines of the same owner that run more of them, which are emptied last. A replica is down while it moves,
+        so a machine is left alone when services use more than `thin_share` of it, or when something was just started
+        there.
+        """
         quiet = self.trigger is Trigger.QUIET and now - self._quiet_since >= self.tuning.cooldown
         if not quiet or now - self._gathered_at < self.tuning.gather:
             return
@@ -327,7 +351,7 @@
                         yield flavor, yard, spot, price
 
     def _cheapest(self, now: timedelta, uncovered: list[Demand], flavors: Iterable[wire.Flavor]) -> Kind | None:
-        """The kind with the lowest price for the work that it would take, its boot included."""
+        """Return the kind with the lowest price for the work that it would take, its boot included."""
         best: tuple[float, Kind] | None = None
         for flavor, yard, spot, price in self._kinds(now, flavors):
             room = empty_room(flavor, yard, spot)
@@ -343,8 +367,11 @@
         return best[1] if best is not None else None
 
     def _how_many(self, kind: Kind | None, uncovered: list[Demand], flavors: Iterable[wire.Flavor]) -> int:
-        """One machine a step is the rule; while the counts ask for more than that many times over, as they do with
-        hundreds of machines, a step rents several of its kind, up to `step_most`."""
+        """Return how many machines of the kind to rent in this step.
+
+        One is the rule; while the waiting tasks would fill more, as they do with hundreds of machines, a step rents
+        several, up to `step_most`.
+        """
         flavor = next((one for one in flavors if kind is not None and one.name == kind[0]), None)
         if kind is None or flavor is None:
             return 0
@@ -363,11 +390,11 @@
 
     @staticmethod
     def _weight(run: wire.Run) -> float:
-        """What a task counts for when the prices of kinds are compared: its share of work, however it is bound."""
+        """Return a task's weight when the prices of kinds are compared: its cores, cards and memory as cores."""
         return run.cores + run.cards * CARD + run.ram_gb * RAM
 
     def _pool_kind(self, now: timedelta, flavors: Iterable[wire.Flavor]) -> Kind | None:
-        """For the pool: the cheapest ordinary machine."""
+        """Return the cheapest kind that is not spot, for the idle pool; None when none can be had."""
         kinds = [
             (price, (flavor.name, yard, spot)) for flavor, yard, spot, price in self._kinds(now, flavors) if not spot
         ]
@@ -375,7 +402,7 @@
 
 
 def _useful(machine: Machine, demands: list[Demand]) -> bool:
-    """Some waiting task could run on the machine, were its room not kept for others."""
+    """Tell whether a waiting task could run on the machine, were its room not kept for others."""
     if machine.flavor is None:
         return False
     record = machine.record
@@ -392,7 +419,7 @@
 
 
 def _alike(demands: list[Demand]) -> Iterable[list[Demand]]:
-    """Demands that any room serves alike, the most urgent first; zone rules look at each job's own tasks."""
+    """Group demands that the same rooms can serve; jobs with zone rules are each a group of their own."""
     groups: dict[Any, list[Demand]] = {}
     for demand in demands:
         own = demand.run.ref if demand.run.one_zone or demand.run.spread else None
--- a/src/ramptide/floor.py
+++ b/src/ramptide/floor.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Host:
-    """A machine as its owner told of it last."""
+    """A machine's state as its owner reported it last."""
 
     settled: bool = False
     up: bool = False
@@ -44,18 +44,23 @@
     assumed: bool = False
 
     def successor(self) -> "Host":
-        """What outlives a change of membership: the images, and what has to be proven gone."""
+        """Return the state to keep over a change of view: the images, and what has to be proven gone."""
         return Host(images=self.images, unproven=self.unproven, assumed=self.assumed)
 
     @property
     def unheard(self) -> bool:
-        """Its owner tells of it, and has had no report of it for long. A task that we saw there ourselves need not be
-        waited for anew under each owner."""
+        """Whether its owner reports it and has had no report from it for long.
+
+        A task that was seen there by this controller need not be waited for anew under each owner.
+        """
         return self.known and (self.quiet or not self.up and not self.assumed)
 
 
 class Floor:
-    """`rooms` holds what is free on machines that take tasks, as of the last `refresh`."""
+    """Indexes of all machines' states.
+
+    `rooms` holds what is free on machines that take tasks, as of the last `refresh`.
+    """
 
     def __init__(
         self,
@@ -87,18 +92,23 @@
     # Events.
 
     def touch(self, name: str) -> None:
-        """Something that the machine's room depends on has changed."""
+        """Mark a machine's room to be computed again, as something that it depends on has changed."""
         self._stale.add(name)
 
     def touch_all(self) -> None:
+        """Mark all machines' rooms to be computed again."""
         self._stale.update(self._machines)
 
     def add(self, name: str, unproven: timedelta | None) -> None:
-        """`unproven`: for a machine that was in use before we knew it, and may have tasks of jobs that were over."""
+        """Add a machine.
+
+        `unproven`: for one that was in use before this process knew it, since when it may have tasks of finished jobs.
+        """
         self.hosts.setdefault(name, Host(unproven=unproven, assumed=unproven is not None))
         self.touch(name)
 
     def remove(self, name: str) -> None:
+        """Drop a machine that has left the fleet record, with everything that was known of it."""
         if name in self.hosts:
             self._list(name, [])
             self._fail(name, [], 0)
@@ -107,8 +117,10 @@
         self.touch(name)
 
     def new_view(self) -> None:
-        """All that was known of who runs what is rebuilt from the workers' reports; the images stay, and what has to be
-        proven gone."""
+        """Forget what runs where, which is rebuilt from the workers' reports.
+
+        The images stay, and what has to be proven gone.
+        """
         for name, host in self.hosts.items():
             running = {row[0] for row in host.tasks if row[3] not in FINISHED_NAMES}
             if running:
@@ -123,12 +135,13 @@
         self.touch_all()
 
     def keep_pool(self, pool: list[str]) -> None:
+        """Set the idle machines that the leader keeps as the pool."""
         if pool != self.pool:
             self._stale.update(self.pool, pool)
             self.pool = pool
 
     def show(self, name: str, row: MachineStatus | None, now: timedelta) -> None:
-        """Takes the row of the machine's owner."""
+        """Take a machine's state from its owner; None when the owner has no such machine."""
         host = self.hosts.get(name)
         if host is None:
             return
@@ -179,8 +192,11 @@
                     self.passed(row[0])
 
     def _prove(self, name: str, host: Host, now: timedelta) -> None:
-        """A machine that hangs may go on with what it had. So what its owner gives up after a lease may run again, but
-        what a report does not show is gone."""
+        """Note whether tasks of finished jobs may be on the machine.
+
+        A machine that hangs may go on with what it had. So what its owner gives up after a lease may run again, but
+        what a report does not show is gone.
+        """
         if any(row[0] not in self._jobs and row[3] not in FINISHED_NAMES for row in host.tasks):
             host.unproven = host.unproven or now
         elif host.settled and host.up and not host.quiet:
@@ -189,7 +205,7 @@
             self._ran.pop(name, None)
 
     def unproven(self, name: str, now: timedelta) -> timedelta:
-        """How long a task of a job that is over may have been on a silent machine."""
+        """Return how long a task of a finished job may have been on a silent machine; zero when none can."""
         host = self.hosts.get(name)
         # Only its owner can tell that it is silent; the owner ends what it hears of itself.
         if host is None or host.unproven is None or not host.unheard:
@@ -197,24 +213,28 @@
         return now - host.unproven
 
     def all_unproven(self, now: timedelta) -> dict[str, float]:
+        """Return, by silent machine, for how many seconds a task of a finished job may have been there."""
         found = [name for name, host in self.hosts.items() if host.unproven is not None and host.quiet]
         return {name: self.unproven(name, now).total_seconds() for name in found}
 
     def recall(self, unproven: dict[str, float], now: timedelta) -> None:
-        """What another controller remembers of machines that are silent: a leader that has just started does not."""
+        """Take from another controller what `all_unproven` returned there.
+
+        A leader that has just started does not know this itself.
+        """
         for name, age in unproven.items():
             since = now - timedelta(seconds=age)
             if self.unproven(name, now) < now - since and name in self.hosts and self.hosts[name].quiet:
                 self.hosts[name].unproven = since
 
     def distrust(self, started: timedelta, since: timedelta) -> None:
-        """What may have been on a machine from before `started` counts as there since `since` at the latest."""
+        """Count what may have been on machines since before `started` as there since `since` at the latest."""
         for host in self.hosts.values():
             if host.unproven is not None and host.unproven <= started:
                 host.unproven = min(host.unproven, since)
 
     def job_over(self, ref: str, run: wire.Run, now: timedelta) -> None:
-        """The job has left `jobs`."""
+        """Note that a job has left the live jobs, so that its tasks have to be proven gone."""
         if ref in self._where:
             self._left[ref] = run
         for name in [*self._where.get(ref, ()), *(name for name, ran in self._ran.items() if ref in ran)]:
@@ -226,9 +246,12 @@
         return job.run if job is not None else self._left.get(ref)
 
     def clear(self, host: Host) -> bool:
-        """Nobody's work is left there uncounted: at some moment since it was settled all its tasks were of jobs that
-        we know, so their home has counted them from then on. A task of a job that was over before has no home. What
-        is cancelled later stays counted by its home until it is gone, so it does not matter here."""
+        """Tell whether all that runs there is counted by some scheduler.
+
+        It is once, at some moment since the machine was settled, all its tasks were of jobs that we know, since their
+        schedulers have counted them from then on. A task of a job that was over before has no scheduler. What is
+        cancelled later stays counted by its scheduler until it is gone, so it does not matter here.
+        """
         if not host.clear and host.settled:
             host.clear = all(row[0] in self._jobs or row[3] in FINISHED_NAMES for row in host.tasks)
         return host.clear
@@ -253,18 +276,21 @@
                 self.passed(ref)
 
     def passed(self, ref: str) -> None:
-        """Some task of the job was done, so where it failed it may have been for the machine."""
+        """Note that a task of the job succeeded, so where the job failed the machine may be at fault."""
         if ref in self._failed and ref not in self._passed:
             self._passed.add(ref)
             self._stale.update(self._failed[ref])
 
     def failed_on(self, ref: str) -> set[str]:
-        """The machines on which the job failed, unless a task of it was done."""
+        """Return the machines on which the job failed; none when a task of it succeeded."""
         return set() if ref in self._passed else set(self._failed.get(ref, ()))
 
     def failing(self, name: str) -> int:
-        """How many different jobs speak against the machine: they failed there, nothing was done there since, and
-        they do well elsewhere. A job that fails on every machine speaks against none, also when it is over."""
+        """Return how many different jobs indicate that the machine is faulty.
+
+        They failed there, nothing succeeded there since, and they do well elsewhere. A job that fails on every machine
+        indicates nothing, also when it is over.
+        """
         host = self.hosts[name]
         return sum(self._accuses(ref, name) for ref in host.failed[len(host.failed) - host.failing :])
 
@@ -276,15 +302,15 @@
         )
 
     def _shown(self, ref: str) -> Iterator[tuple[str, TaskRow]]:
-        """All that is shown of the job's tasks, and where."""
+        """Return the tasks of the job that machines' owners show, each with its machine."""
         return ((name, row) for name in self._where.get(ref, ()) for row in self.hosts[name].tasks if row[0] == ref)
 
     def failing_jobs(self) -> dict[str, int]:
-        """The jobs that failed on several machines, on how many, with no success: most likely at fault themselves."""
+        """Return the jobs that failed on several machines and succeeded on none, with the number of machines."""
         return {ref: len(names) for ref, names in self._failed.items() if len(names) > 1 and ref not in self._passed}
 
     def silent(self) -> list[str]:
-        """The machines that came up once and that their owners do not hear now."""
+        """Return the machines that came up once and whose reports have stopped."""
         return [
             name
             for name, host in self.hosts.items()
@@ -292,7 +318,7 @@
         ]
 
     def out_of_use(self, name: str) -> str | None:
-        """Why the machine takes no tasks, for the operators; None when it does."""
+        """Return why the machine takes no tasks, in words for the operators; None when it does."""
         record, host = self._machines[name], self.hosts.get(name, Host())
         reasons = {
             record.leaving or "": record.leaving is not None,
@@ -307,13 +333,13 @@
         return next((reason for reason, holds in reasons.items() if holds), None)
 
     def where(self, ref: str) -> list[str]:
-        """The machines whose owners show a task of the job."""
+        """Return the machines whose owners show a task of the job."""
         return sorted(self._where.get(ref, ()))
 
     # Room.
 
     def refresh(self) -> None:
-        """Works out anew the room of what changed."""
+        """Compute again the room of the machines that have changed."""
         stale, self._stale = self._stale | self._unclear, set()
         self._unclear = set()
         for name in stale:
@@ -358,7 +384,7 @@
         return room
 
     def free(self, names: Iterable[str] | None = None) -> Iterator[Room]:
-        """The rooms, of some machines or of all."""
+        """Yield the rooms of some machines, or of all."""
         if names is None:
             yield from self.rooms.values()
             return
--- a/src/ramptide/leader.py
+++ b/src/ramptide/leader.py
@@ -1,4 +1,4 @@
-"""The leader's dealings with the cloud: one step at a time, each written to the fleet record first."""
+"""The leader's calls to the cloud: one step at a time, each written to the fleet record first."""
 
 import logging
 from datetime import timedelta
@@ -28,7 +28,7 @@
 
 
 class Leader:
-    """Runs on every controller, acts only on the leading one."""
+    """Rents and returns machines; it runs on every controller and acts only on the leading one."""
 
     def __init__(self, controller: "Controller") -> None:
         self._c = controller
@@ -54,16 +54,17 @@
         self._timer: TimerHandle | None = controller.context.after(controller.tuning.step, self._step)
 
     def new_view(self) -> None:
-        """A new view rebuilds: nothing is rented before a list that is younger than it."""
+        """Start anew in a new view: nothing is rented before a list of machines that is younger than it."""
         self._list_at = None
         self._listing = False
         self._unsure = []
 
     def recorded(self, host: str) -> None:
-        """The machine is in the fleet record, which every controller follows: a new leader knows since when."""
+        """Note since when a machine is in the fleet record, which every controller follows."""
         self._recorded_since.setdefault(host, self._c.context.now)
 
     def forget(self, host: str) -> None:
+        """Forget a machine that has left the fleet record."""
         self._recorded_since.pop(host, None)
         self._gone.discard(host)
         self._listed_since.pop(host, None)
@@ -99,7 +100,7 @@
         self._write(plan)
 
     def _write(self, plan: Plan) -> None:
-        """The step's one transaction: conditional on the view, so that a leader of the past writes nothing."""
+        """Write the step's one transaction; it depends on the view, so that a former leader writes nothing."""
         c = self._c
         assert c.view is not None
         self._log_unsure()
@@ -137,7 +138,7 @@
             self._commit(txn, written(decisions, fitting))
 
     def _edit_hosts(self, edits: dict[str, RentalRecord | None], plan: Plan) -> list[MachineDecision]:
-        """Machines that are gone, that came up, that leave, or that stay after all."""
+        """Record machines that are gone, came up, leave or stay after all; `edits` is changed in place."""
         c = self._c
         decisions = []
         changes: dict[str, HostRecord | None] = {}
@@ -181,7 +182,7 @@
         self._c.store.commit(txn, done, Priority.LEASE)
 
     def _log_unsure(self) -> None:
-        """A write whose answer was lost may have been carried out: by now the records show it."""
+        """Log the decisions of a write whose answer was lost, if the records show that it was applied."""
         machines = self._c.machines
         unsure, self._unsure = self._unsure, []
         log_decisions(decision for decision in unsure if decision.shown_by(machines.get(decision.host)))
@@ -189,7 +190,7 @@
     # Rentals.
 
     def _ask_again(self) -> None:
-        """What was written is asked for; without an answer, a former leader's included, again under its name."""
+        """Request the recorded rentals that have no answer yet, a former leader's included, by their names."""
         for name, rental in self._c.rentals.items():
             known = name in self._asking or name in self._answered or name in self._refused
             if rental.hosts is None and not known:
@@ -220,7 +221,10 @@
         self._c.cloud.rent(name, rental, done)
 
     def _adoptions(self, decisions: list[MachineDecision]) -> dict[str, RentalRecord | None]:
-        """Machines that nobody recorded, as late requests make them: used like any other. Added to `decisions`."""
+        """Return records for machines that nobody recorded, as delayed requests create them.
+
+        They are used like any other; the decisions are added to `decisions`.
+        """
         c = self._c
         assert c.view is not None
         wall, born = c.context.wall().timestamp(), c.view.number
@@ -252,7 +256,10 @@
     # Returns.
 
     def _return_unproven(self) -> None:
-        """In an outage nothing can be written, but a cancellation that was promised before runs out all the same."""
+        """Return machines on which a cancelled task may still run, during an outage of the state service.
+
+        Nothing can be written then, but the time limit of a cancellation that was confirmed before passes all the same.
+        """
         c = self._c
         if c.may_start():
             now = c.context.now
--- a/src/ramptide/membership.py
+++ b/src/ramptide/membership.py
@@ -37,6 +37,8 @@
 
 
 class State(Enum):
+    """Our place: without a grant, with a grant but not in the view, in the view, or leading it."""
+
     APPLYING = auto()
     STANDING = auto()
     SERVING = auto()
@@ -44,15 +46,15 @@
 
 
 def owner_of(host: str, members: dict[str, str]) -> str:
-    """The member with the highest hash for this machine: when members change, few machines move."""
+    """Return the member with the highest hash for this machine: when members change, few machines move."""
     return max(members, key=lambda member: hashlib.blake2b(f"{member} {host}".encode(), digest_size=8).digest())
 
 
 class Membership:
     """Keeps our grant and member key, runs for leader, and as leader writes the views.
 
-    A view is changed only by a transaction that is conditional on the leader key's stamp and on the
-    view's own stamp: a leader whose grant ran out, or a late copy of its request, changes nothing.
+    A view is changed only by a transaction that is conditional on the leader key's stamp and on the view's own stamp: a
+    leader whose grant ran out, or a late copy of its request, changes nothing.
     """
 
     def __init__(
@@ -88,18 +90,22 @@
 
     @property
     def serving(self) -> bool:
+        """Whether we are a member of the current view, leading or not."""
         return self.state in (State.SERVING, State.LEADING)
 
     @property
     def leading(self) -> bool:
+        """Whether we lead the current view."""
         return self.state is State.LEADING
 
     def start(self) -> None:
+        """Begin to apply for a grant and a place in the view; repeats until the process ends."""
         self._tick()
 
     # What the mirror tells.
 
     def on_change(self, path: str, value: Any, stamp: int) -> None:
+        """Take a change of the view, the leader key or a member key; `value` is None for a deleted key."""
         if path == VIEW:
             self._take_view(value, stamp)
         elif path == LEADER:
@@ -124,7 +130,7 @@
         self._changed()
 
     def _judge(self) -> None:
-        """Our state follows from the grant, the view and the leader key."""
+        """Derive our state from the grant, the view and the leader key."""
         mine = self.view is not None and self.view.members.get(self.member) == self.incarnation
         if self._grant is None:
             wanted = State.APPLYING
@@ -197,8 +203,11 @@
         self._store.renew_grant(grant, done)
 
     def _lose_grant(self) -> None:
-        """Our key is gone, so any leader may leave us out from now on: what we were ends here, and we stand anew as
-        another incarnation. So a member that was left out was last found alive `LIFE` before, under that name."""
+        """Continue as another incarnation after the grant ended.
+
+        Our key is gone, so any leader may leave us out from now on. As the old incarnation ends here, a member that was
+        left out was last found alive `LIFE` before, under that name.
+        """
         self._losses += 1
         self.incarnation = f"{self._process}.{self._losses}"
         log.info("our grant is over: we go on as %s", self.incarnation)
@@ -206,8 +215,10 @@
         self._judge()
 
     def step_down(self) -> None:
-        """Gives up our place at once, so that others can take over what we can't look after. We stand again when
-        `resting` is taken back."""
+        """Give up our place at once, so that others can take over the machines that we can't reach.
+
+        We apply again when `resting` is reset.
+        """
         grant = self._grant
         if grant is not None:
             self.resting = True
@@ -238,7 +249,7 @@
         self._commit(Transaction(when={LEADER: self._mirror.stamp(LEADER)}, puts=[(LEADER, value, self._grant)]))
 
     def _review(self) -> None:
-        """The leader writes a new view when members came, went or started anew."""
+        """As leader, write a new view when members came, went or restarted."""
         view = self.view
         if view is not None and view.leader == self.member and view.members == self._members:
             self._gather_from = None
--- a/src/ramptide/metrics.py
+++ b/src/ramptide/metrics.py
@@ -23,7 +23,7 @@
 
 
 def team_metrics(controller: "Controller") -> "Iterator[Metric]":
-    """The team limits; the labels are the teams of the settings."""
+    """Yield the metrics of the team limits; the labels are the teams of the settings."""
     teams = team_usage(controller)
     for field, text in TEAM_GAUGES.items():
         family = GaugeMetricFamily(f"ramptide_team_{field}", text, labels=("team", "resource"))
@@ -37,7 +37,7 @@
 
 
 def membership_metrics(telemetry: Telemetry) -> "Iterator[Metric]":
-    """How often the view changed, and how long work rested for it."""
+    """Yield how often the view changed, and how long no work was started for it."""
     yield CounterMetricFamily("ramptide_view_changes", "changes of the view", value=telemetry.view_changes)
     yield CounterMetricFamily(
         "ramptide_settled_view_changes",
@@ -57,7 +57,7 @@
 
 
 def answer_metrics(telemetry: Telemetry) -> "Iterator[Metric]":
-    """Answers to users, and why those of status 503 were given."""
+    """Yield the number of answers to users, and the reasons of those with status 503."""
     answers = CounterMetricFamily("ramptide_answers", "answers to users", labels=("route", "status"))
     for (route, status), count in telemetry.answers.items():
         answers.add_metric((route.value, str(status)), count)
@@ -69,7 +69,7 @@
 
 
 def lease_metrics(telemetry: Telemetry) -> "Iterator[Metric]":
-    """What was lost with machines of our part that fell silent."""
+    """Yield what was lost with machines of this controller that became silent."""
     yield CounterMetricFamily(
         "ramptide_tasks_lost", "tasks given up with their machines' leases", value=telemetry.tasks_lost
     )
@@ -81,7 +81,7 @@
 
 
 def standstill_metrics(clock: RoundClock) -> "Iterator[Metric]":
-    """How often and how long the controller stood still."""
+    """Yield how often and for how long the controller was paused."""
     yield CounterMetricFamily("ramptide_standstills", "times that the controller stood still", value=clock.standstills)
     yield CounterMetricFamily(
         "ramptide_standstill_seconds", "how long it stood still", value=clock.total.total_seconds()
--- a/src/ramptide/mirror.py
+++ b/src/ramptide/mirror.py
@@ -23,6 +23,8 @@
 
 
 class State(Enum):
+    """Whether the copy was not loaded yet, is current, or the state service does not answer."""
+
     LOADING = auto()
     CURRENT = auto()
     LACKING = auto()
@@ -54,23 +56,28 @@
 
     @property
     def lacking(self) -> bool:
-        """The state service did not answer the last request."""
+        """Whether the state service did not answer the last request."""
         return self.state is not State.CURRENT
 
     def start(self) -> None:
+        """Load the keys, then watch them."""
         self._load()
 
     def stamp(self, path: str) -> int:
+        """Return the revision of a key's last change, or 0 when there is no such key."""
         return self._stamps.get(path, 0)
 
     @property
     def epoch(self) -> int:
-        """The copy shows every change up to this one."""
+        """The revision up to which the copy shows every change."""
         return self._epoch
 
     def dropped_since(self, epoch: int) -> list[str] | None:
-        """The keys that we know to be gone since; None when this process can't tell of all of them, as one that was
-        not there yet: what an earlier one told its users before it ended is not known here."""
+        """Return the keys that are known to have been deleted since a revision.
+
+        None when this process does not know all of them, for instance because it started later: what an earlier process
+        told its users before it ended is not known here.
+        """
         if self._drops_from is None or epoch < self._drops_from:
             return None
         return [path for path, stamp in self._drops.items() if stamp > epoch]
@@ -82,9 +89,9 @@
             self._drops_from = max(self._drops_from, self._drops.pop(next(iter(self._drops))))
 
     def catch_up(self, done: Callable[[bool], None]) -> None:
-        """`done(True)` once the copy shows a state read begun after this call; False when it can't be read.
+        """Call `done(True)` once the copy shows a state read begun after this call; False when it can't be read.
 
-        All who ask before the read leaves share it.
+        All who ask before the read is sent share it.
         """
         if self.lacking:
             done(False)
@@ -137,7 +144,7 @@
         self._become_current(max(sent, self.proof or sent))
 
     def applied(self, epoch: int, puts: list[tuple[str, Any, int | None]], drops: list[str]) -> None:
-        """Takes over a transaction of our own that went through, ahead of the watch."""
+        """Apply a transaction of our own that succeeded, ahead of the watch."""
         for path, value, _grant in puts:
             self._take(path, value, epoch)
         for path in drops:
--- a/src/ramptide/peers.py
+++ b/src/ramptide/peers.py
@@ -1,5 +1,8 @@
-"""What the controllers tell each other: numbered changes since an acknowledged number, whole states on any doubt,
-so that lost, late and repeated messages do no harm."""
+"""The messages between controllers.
+
+They carry numbered changes since an acknowledged number, and whole states on any doubt, so that lost, late and repeated
+messages do no harm.
+"""
 
 import logging
 from collections.abc import Callable
@@ -38,8 +41,11 @@
 
 
 class Sync(msgspec.Struct, omit_defaults=True):
-    """What a controller tells another: of machines' states and wishes, all that changed since `base`, the number
-    up to which the receiver has said it took them (0: everything); of the rest, everything."""
+    """One message between controllers.
+
+    Of machines' states and desired tasks it has what changed since `base`, the number up to which the receiver has said
+    it took them (0: everything); of the rest, everything.
+    """
 
     member: str
     inc: str
@@ -70,11 +76,14 @@
 
 
 class Answer(msgspec.Struct):
-    """The receiver's word on whether it lacks the state service too, in which view it acts, and the
-    newest that it knows of: it renews no lease under an older one any more. `have`: how far it took our tables.
+    """The answer to a `Sync` message.
 
-    `over`: to one that lacks the state service, every job of which it may have told a user since the sender's epoch
-    that it is cancelled (and others that ended); None when it can't tell, as its process was not there then."""
+    It says whether the receiver cannot reach the state service either, in which view it acts, and the newest that it
+    knows of: it renews no lease under an older one any more. `have`: how far it took our tables.
+
+    `over`: to one that cannot reach the state service, every job of which it may have told a user since the sender's
+    epoch that it is cancelled (and others that ended); None when it can't tell, as its process was not there then.
+    """
 
     inc: str
     view: int
@@ -86,6 +95,8 @@
 
 @dataclass(slots=True)
 class Peer:
+    """Another controller, with what was sent to it, heard from it and acknowledged by it; times are monotonic."""
+
     name: str
     address: str
     busy: bool = False
@@ -102,6 +113,8 @@
 
 
 class Peers:
+    """Sends messages to the other controllers and keeps the last one of each."""
+
     def __init__(
         self,
         context: Runtime,
@@ -119,6 +132,7 @@
         self.all = {name: Peer(name, address) for name, address in siblings.items()}
 
     def new_view(self) -> None:
+        """Forget what was said and acknowledged under the previous view, and send everything again."""
         self._generation += 1
         for peer in self.all.values():
             peer.said = None
@@ -127,15 +141,16 @@
             peer.due = ZERO
 
     def said(self, member: str) -> Sync | None:
+        """Return the last message of a member in this view, or None when there is none."""
         peer = self.all.get(member)
         return peer.said if peer is not None else None
 
     def messages(self) -> list[Sync]:
-        """The last message of each other member of the view that has sent one."""
+        """Return the last message of each other member of the view that has sent one."""
         return [peer.said for peer in self.all.values() if peer.said is not None]
 
     def due(self) -> list[Peer]:
-        """Those that are to be sent a message now."""
+        """Return the controllers that are to be sent a message now."""
         now = self._context.now
         return [
             peer
@@ -144,15 +159,19 @@
         ]
 
     def hurry_all(self) -> None:
+        """Send every other controller a message as soon as possible."""
         for peer in self.all.values():
             self.hurry(peer, ZERO)
 
     def hurry(self, peer: Peer, within: timedelta) -> None:
-        """There is news for it."""
+        """Send a controller its next message within the given time, as there is news for it."""
         peer.due = min(peer.due, self._context.now + within)
 
     def send(self, peer: Peer, sync: Sync, every: timedelta = EVERY) -> None:
-        """One message is under way to a peer at a time; the next one carries all that is newer."""
+        """Send a message; the next one is due `every` later.
+
+        One message at a time is under way to a controller; the next one carries all that is newer.
+        """
         peer.busy = True
         sent, generation = self._context.now, self._generation
         peer.sent = sent
@@ -182,21 +201,26 @@
         self._context.call(peer.address, "POST", PATH, encode(sync), CBOR, TIMEOUT, done)
 
     def agreement(self) -> timedelta | None:
-        """The moment since which all others have said that they lack the state service as we do."""
+        """Return the time since which all others have said that they cannot reach the state service either.
+
+        None while some have not said so.
+        """
         moments = [peer.agreed for peer in self.all.values()]
         known = [moment for moment in moments if moment is not None]
         return min(known, default=self._context.now) if len(known) == len(moments) else None
 
     def ended(self, member: str, inc: str, view: int) -> timedelta | None:
-        """The moment by which this process surely answered no more reports under a view before `view`:
-        it was told of a newer one, or another process has taken its place. None without proof."""
+        """Return the time by which a process surely answered no more reports under a view before `view`.
+
+        It was told of a newer one, or another process has taken its place. None without proof.
+        """
         peer = self.all.get(member)
         if peer is None or peer.answered is None:
             return None
         return peer.answered if peer.inc != inc or peer.newest >= view else None
 
     def take(self, body: bytes, view: int) -> tuple[Sync, Peer] | None:
-        """A message of another controller and its sender; None when it is none that we can read."""
+        """Take another controller's message; return it with its sender, or None when it can't be read."""
         try:
             sync = msgspec.convert(cbor2.loads(body), Sync)
         except (msgspec.ValidationError, cbor2.CBORDecodeError, ValueError, RecursionError) as error:
@@ -217,4 +241,5 @@
 
 
 def encode(sync: Sync) -> bytes:
+    """Encode a message as CBOR."""
     return cbor2.dumps(msgspec.to_builtins(sync))
--- a/src/ramptide/starts.py
+++ b/src/ramptide/starts.py
@@ -1,4 +1,4 @@
-"""What is started where: the placement round, who gives way, what goes to the leader, what the leader counts."""
+"""Placement of waiting tasks, preemption, handover of jobs to the leader, and the demand that the leader counts."""
 
 import heapq
 import logging
@@ -56,6 +56,8 @@
 
 
 class Starter:
+    """Starts waiting tasks, stops tasks in favour of others, and hands jobs over to the leader."""
+
     def __init__(self, controller: "Controller") -> None:
         self._c = controller
         self.evictions: dict[tuple[str, int, int], Eviction] = {}
@@ -63,13 +65,14 @@
         self._moving = 0
 
     def new_view(self) -> None:
+        """Forget the preemptions and handovers under way in the previous view."""
         self.evictions.clear()
         self._moving = 0
 
     # Room.
 
     def rooms(self, ours_only: bool = False) -> list[Room]:
-        """What is free on machines that take tasks now, and whose owners are heard."""
+        """Return what is free on machines that take tasks now, and whose owners were heard recently."""
         c = self._c
         if ours_only:
             return list(c.floor.free(c.part.machines)) if c.part is not None else []
@@ -79,7 +82,7 @@
         return [room for room in c.floor.free() if c.owner(room.host) in fresh]
 
     def home_for(self, run: wire.Run) -> str:
-        """The part with most room, or the leader when the job is too large for any."""
+        """Return the member whose machines have most room for the job, or the leader when it fits on none alone."""
         c = self._c
         assert c.view is not None
         c.floor.refresh()
@@ -96,8 +99,10 @@
     # Starts.
 
     def place(self, home: JobScheduler, now: timedelta) -> None:
-        """Starts what finds room, the most urgent first. Where one job of some needs found none, no other of the
-        same needs is tried in this round."""
+        """Start what finds room, the most urgent jobs first.
+
+        Where one job of some needs found no room, no other of the same needs is tried in this round.
+        """
         c = self._c
         home.clear_recovered(now)
         works = [
@@ -129,8 +134,11 @@
         return urgency(job, idle, wall, self._c.prompt, self._c.tuning.patience)
 
     def _reach(self, work: JobState, now: timedelta, wall: datetime) -> Reach:
-        """With no capacity to be had an idle pool helps nobody; the room on the services' own machines is given up
-        last, but no job is left waiting for long beside room that nobody uses."""
+        """Return which of the room kept for services the job may use.
+
+        With no capacity to be rented an idle pool helps nobody. The room on the services' own machines is given up
+        last, but no job is left waiting for long beside room that nobody uses.
+        """
         idle = work.idle_for(now, wall)
         short = now - work.without_room_since if work.without_room_since is not None else ZERO
         starved = chance(work.job, idle, wall, self._c.tuning.patience) is Chance.STARVED
@@ -148,7 +156,7 @@
         reach: Reach,
         now: timedelta,
     ) -> bool:
-        """Starts what it can of one job; True when that failed for want of room."""
+        """Start what can be started of one job; return True when that failed for want of room."""
         run = work.job.run
         rooms = self._open_to(work, rooms, reach, now)
         headroom = self.headroom(run, using.get(run.team, NOTHING), self._c.grants.get(run.team, NOTHING))
@@ -179,9 +187,12 @@
         return short
 
     def _open_to(self, work: JobState, rooms: list[Room], reach: Reach, now: timedelta) -> list[Room]:
-        """The rooms without those that the job shuns. One that fails goes where it has not failed yet, of the whole
-        fleet: a part whose own machines are at fault must not keep it. When it failed on many, and no such room is
-        left, any will do rather than that one is rented for it."""
+        """Return the rooms without those that the job avoids.
+
+        A job that fails goes where it has not failed yet, in the whole fleet: it must not be confined to one owner's
+        machines that are at fault. When it failed on many, and no such room is left, any will do, so that none is
+        rented for it.
+        """
         if work.excluded_until:
             work.excluded_until = {host: until for host, until in work.excluded_until.items() if until > now}
         others = [room for room in rooms if room.host not in work.excluded_until] if work.excluded_until else rooms
@@ -202,7 +213,7 @@
         self._c.floor.touch(room.host)
 
     def headroom(self, run: wire.Run, using: Amounts, most: Amounts) -> int:
-        """How many more tasks the team may run within `most`."""
+        """Return how many more tasks of the job its team may run within `most`, given what it uses."""
         if not limited(self._c.teams.get(run.team)):
             return MANY
         counts = [
@@ -213,7 +224,7 @@
         return max(0, min(counts)) if counts else MANY
 
     def clear_machines(self, home: JobScheduler) -> None:
-        """Tasks leave machines that are drained or about to be taken."""
+        """Stop tasks on machines that are drained or about to be reclaimed."""
         c = self._c
         for name in list(home.attempts):
             record, host = c.machines.get(name), c.floor.hosts.get(name)
@@ -230,10 +241,10 @@
     # Who gives way.
 
     def preempt(self, home: JobScheduler, now: timedelta) -> None:
-        """The leader makes room for jobs that may claim it: by rank, or within their team's guarantee.
+        """As leader, make room for jobs that may claim it: by rank, or within their team's guarantee.
 
-        Only jobs that found no room for `preempt_after` claim any, most urgent first; the homes of the
-        tasks that give way are told to stop them.
+        Only jobs that found no room for `preempt_after` claim any, most urgent first; the schedulers of the tasks to be
+        stopped are told to stop them.
         """
         c = self._c
         if self.evictions:
@@ -282,7 +293,7 @@
         using: dict[str, Amounts],
         now: timedelta,
     ) -> bool:
-        """Makes room for `left` tasks of a job, where the least is lost first; False when some found none."""
+        """Make room for `left` tasks of a job, where the least is lost first; return False when some found none."""
         run = work.job.run
         # Whether a task may be stopped depends on little of it, and on what the teams use until one is.
         known: dict[tuple[object, ...], bool] = {}
@@ -339,7 +350,7 @@
         self._c.counters["preemptions"] += len(going)
 
     def evict(self, ref: str, task: int, number: int, grace: timedelta) -> None:
-        """An attempt of ours gives way, by the leader's word."""
+        """Stop an attempt of ours to make room, on the leader's request."""
         home = self._c.home
         assert home is not None
         work = home.jobs.get(ref)
@@ -359,7 +370,7 @@
         return found
 
     def team_use(self) -> dict[str, Amounts]:
-        """What all homes' attempts hold, by team."""
+        """Return what the attempts of all schedulers hold, by team."""
         c = self._c
         assert c.home is not None
         using = c.home.usage()
@@ -371,7 +382,7 @@
     # What goes to the leader.
 
     def hand_over(self, home: JobScheduler, now: timedelta) -> None:
-        """A job whose part has no room for it any more goes to the leader, who may use all the others'."""
+        """Hand jobs that find no room on our own machines over to the leader, who may use all machines."""
         c = self._c
         view = c.view
         assert view is not None
@@ -395,8 +406,11 @@
         self._commit_handover(work, view, txn, unsure=False)
 
     def _commit_handover(self, work: JobState, view: View, txn: Transaction, unsure: bool) -> None:
-        """`unsure`: a copy without an answer may have been carried out, or may be yet. Its new home counts on nothing
-        being started here after it, so the same is asked again until it is known what became of it."""
+        """Write the handover of a job.
+
+        `unsure`: a copy without an answer may have been applied, or may be yet. The new scheduler relies on nothing
+        being started here after it, so the write is repeated until its result is known.
+        """
         c = self._c
 
         def done(outcome: TransactionResult) -> None:
@@ -427,6 +441,7 @@
     # What the leader counts.
 
     def waiting_rows(self, home: JobScheduler, now: timedelta) -> list[WaitingRow]:
+        """Return a row for each of our jobs that has startable tasks."""
         return [
             (
                 w.job.ref,
@@ -439,7 +454,7 @@
         ]
 
     def asking(self, home: JobScheduler) -> dict[str, Amounts]:
-        """What our waiting tasks would use of each team's limit."""
+        """Return what our waiting tasks would use of each team's limit."""
         asking: dict[str, Amounts] = {}
         for work in home.with_pending_tasks.values():
             if work.retry_at <= self._c.context.now:
@@ -448,7 +463,7 @@
         return asking
 
     def demands(self) -> list[Demand]:
-        """Waiting tasks of all homes that their team's limit lets run now, the most urgent first."""
+        """Return the waiting tasks of all schedulers that their team's limit lets run now, most urgent first."""
         c = self._c
         home = c.home
         assert home is not None
@@ -474,6 +489,10 @@
         return demands
 
     def machines_known(self, listed: dict[str, str], missing: Iterable[str]) -> list[Machine]:
+        """Return what is known of every machine in the fleet record.
+
+        `listed`: the status of machines in the cloud's list. `missing`: machines that the list lacks.
+        """
         c = self._c
         now, wall = c.context.now, c.context.wall().timestamp()
         c.floor.refresh()
@@ -511,8 +530,11 @@
         return machines
 
     def _holding_up(self, now: timedelta) -> set[str]:
-        """Few machines that a new view waits for, and that are returned rather than waited for: silent ones, or the
-        very last of which nothing came in time. On a large fleet some machine has nearly always just died."""
+        """Return the few machines that a new view waits for and that are returned rather than waited for.
+
+        These are silent ones, or the very last that did not report in time. On a large fleet some machine has nearly
+        always just failed.
+        """
         c = self._c
         left = {} if c.latched else c.unsettled()
         silent = {name for name, why in left.items() if why == SILENT}
@@ -524,7 +546,7 @@
         return found
 
     def _serving(self, host: Host) -> list[wire.Run]:
-        """What runs there, when that is services only; what is over is on its way out."""
+        """Return what runs there when that is services only, else nothing; tasks of finished jobs don't count."""
         jobs = (self._c.jobs.get(row[0]) for row in host.tasks if row[3] not in FINISHED_NAMES)
         found = [job.run for job in jobs if job is not None]
         return found if all(run.shape == wire.SERVICE for run in found) else []
--- a/src/ramptide/syncing.py
+++ b/src/ramptide/syncing.py
@@ -1,4 +1,4 @@
-"""What we tell the other controllers and what we take from them: machines' rows, wishes, acknowledgements, grants."""
+"""The messages exchanged with the other controllers: machines' states, desired tasks, acknowledgements and grants."""
 
 from collections import deque
 from datetime import timedelta
@@ -33,7 +33,7 @@
 
 
 class Syncing:
-    """The tables that go to the others, and how theirs are taken."""
+    """Builds the messages to the other controllers and applies theirs."""
 
     def __init__(self, controller: "Controller") -> None:
         self._c = controller
@@ -48,6 +48,7 @@
         self._cancelled: deque[tuple[timedelta, str]] = deque()
 
     def new_view(self, view: View | None) -> None:
+        """Start with empty tables in a new view; `view` is None when we have no place in it."""
         c = self._c
         self.grants_ack = 0
         self._rows = ChangeLog()
@@ -56,14 +57,14 @@
         self.allowances = Allowances(c.teams, sorted(view.members)) if view is not None else None
 
     def cancelled(self, ref: str) -> None:
-        """We promised that the job is cancelled: told to the others directly, should the state service fail now."""
+        """Tell the others directly of a confirmed cancellation, in case the state service fails now."""
         self._cancelled.append((self._c.context.now, ref))
         self._c.peers.hurry_all()
 
     # What comes in.
 
     def take(self, body: bytes) -> bytes | None:
-        """A message of another controller and our answer to it; None when it is broken."""
+        """Take another controller's message and return the encoded answer, or None when it is broken."""
         c = self._c
         number = c.view.number if c.view is not None and c.part is not None else 0
         taken = c.peers.take(body, number)
@@ -81,8 +82,10 @@
         return cbor2.dumps(msgspec.to_builtins(answer))
 
     def _over_since(self, epoch: int) -> list[str] | None:
-        """Every job that a user may have been told here to be cancelled, as far as a copy as of `epoch` lacks it: an
-        answer rests on our own change or on a read, and our copy shows both."""
+        """Return every job that a user may have been told is cancelled and that a copy as of `epoch` still has.
+
+        An answer to a user rests on our own change or on a read, and our copy shows both. None when this can't be told.
+        """
         dropped = self._c.mirror.dropped_since(epoch)
         if dropped is None:
             return None
@@ -90,11 +93,12 @@
         return sorted(over | {ref for _, ref in self._cancelled})
 
     def belongs(self, sync: Sync) -> bool:
-        """Its sender is the process that stands in our view."""
+        """Tell whether the sender is the process that is a member of our view."""
         c = self._c
         return c.view is not None and c.home is not None and sync.inc == c.view.members.get(sync.member)
 
     def on_sync(self, sync: Sync, peer: Peer) -> None:
+        """Apply a message of a member of our view."""
         c = self._c
         home, part, view = c.home, c.part, c.view
         if home is None or part is None or view is None:
@@ -124,7 +128,7 @@
         home.needs_round = True
 
     def acknowledge(self, home: JobScheduler, owner: str, ack: int) -> None:
-        """The owner has processed our messages up to `ack`, and its rows are as of then."""
+        """Note that the owner has processed our messages up to `ack`, and that its rows are as of then."""
         c = self._c
 
         def answered(name: str) -> list[TaskRow] | None:
@@ -138,6 +142,7 @@
         home.acknowledged(ack, answered)
 
     def takes_tasks(self, machine: OwnedMachine) -> bool:
+        """Tell whether tasks may be started on one of our machines now."""
         record = machine.record
         return (
             machine.settled
@@ -150,7 +155,7 @@
     # What goes out.
 
     def mark(self, home: JobScheduler, part: Shard, changed: set[str]) -> None:
-        """Enters what changed since the last round into the tables, and says who has to hear of it how soon."""
+        """Enter what changed since the last round into the tables, and plan when each controller is told."""
         c = self._c
         view = c.view
         assert view is not None
@@ -193,7 +198,7 @@
             ledger.prune(c.peers.all[name].taken, c.home.attempts if c.home is not None else ())
 
     def send(self, home: JobScheduler, part: Shard, now: timedelta) -> None:
-        """Messages to those that are due one."""
+        """Send messages to the controllers that are due one."""
         c = self._c
         view = c.view
         assert view is not None
@@ -254,15 +259,18 @@
             c.peers.send(peer, sync, CALM if calm else EVERY)
 
     def send_outside(self) -> None:
-        """Without a place in a view there is nothing to tell but that we are there."""
+        """Without a place in a view, tell the others only that this process is there."""
         c = self._c
         for peer in c.peers.due():
             lacks, epoch = c.mirror.lacking, c.mirror.epoch
             c.peers.send(peer, Sync(c.member, c.membership.incarnation, 0, 0, lacks, epoch, WIRE))
 
     def _taken(self, home: JobScheduler, view: View) -> list[str]:
-        """Jobs that were handed to us and that we count now. Only those that their old home's last message shows as let
-        go: in an older one it counts them among its own, and the grant told with this would cover them once more."""
+        """Return jobs that were handed over to us and whose tasks we count now.
+
+        Only those that their former scheduler's last message shows as handed over: in an older message it counts them
+        among its own, and the grant sent with this would cover them twice.
+        """
         found = []
         for work in home.jobs.values():
             hand = work.job.record.hand
@@ -273,7 +281,7 @@
         return found
 
     def _divide(self, home: JobScheduler, took: list[str]) -> dict[str, Grants]:
-        """The leader's split of the team limits, once every member knows all that it has to count."""
+        """Return the leader's split of the team limits; empty until every member has all information."""
         c = self._c
         view = c.view
         assert view is not None and self.allowances is not None
@@ -297,7 +305,7 @@
         return grants
 
     def strangers(self) -> dict[str, tuple[str, str, bool]]:
-        """Machines that report and that the fleet record lacks."""
+        """Return type, zone and kind (spot or not) of machines that report and are not in the fleet record."""
         c = self._c
         found = c.part.unrecorded_machines() if c.part is not None else {}
         for said in c.peers.messages():
--- a/src/ramptide/team_usage.py
+++ b/src/ramptide/team_usage.py
@@ -42,7 +42,10 @@
 
 
 def team_usage(controller: "Controller") -> dict[str, TeamUsage]:
-    """By the teams of the settings; empty on a controller without a place in the view, which decides no starts."""
+    """Return the use of the team limits, by the teams of the settings.
+
+    Empty on a controller without a place in the view, which decides no starts.
+    """
     home = controller.home
     if home is None:
         return {}
@@ -68,7 +71,7 @@
 
 
 def waiting_for_limits(controller: "Controller", home: JobScheduler) -> dict[str, Amounts]:
-    """What the waiting tasks need of jobs of which the team's share lets no task run."""
+    """Return what waiting tasks need, by team, of jobs of which the team's share lets no task run."""
     now, held = controller.context.now, home.usage_with_transfers()
     waiting: Grants = {}
     for work in home.with_pending_tasks.values():
--- a/src/ramptide/telemetry.py
+++ b/src/ramptide/telemetry.py
@@ -41,7 +41,7 @@
 
     @property
     def text(self) -> str:
-        """The reason in the words that the user reads."""
+        """The reason in words for the user."""
         return UNAVAILABLE_TEXTS[self]
 
 
@@ -55,15 +55,18 @@
 
 
 class ViewChange(msgspec.Struct):
-    """A change of membership. `settled_s`: how long it took until work went on; None when it has not or was
-    overtaken by the next change."""
+    """A change of membership.
+
+    `settled_s`: how many seconds it took until all machines were settled; None when they are not yet, or when the next
+    change came first.
+    """
 
     view: int
     settled_s: float | None = None
 
 
 class RoundClock:
-    """Notices when the controller stood still: its process was stopped, or had no processor, and its clock ran on."""
+    """Detects pauses of the controller, when its process was stopped or had no processor while time went on."""
 
     def __init__(self) -> None:
         self.standstills = 0
@@ -73,11 +76,11 @@
         self._over_at: timedelta | None = None
 
     def plan(self, due: timedelta) -> None:
-        """The next round is due then."""
+        """Note when the next round is due."""
         self._due = due
 
     def begin(self, now: timedelta) -> None:
-        """A round begins."""
+        """Note that a round begins, and count a pause if it is late."""
         if not self._late(now):
             return
         assert self._due is not None
@@ -87,7 +90,10 @@
         log.info("we stood still for %.1f s", self.last.total_seconds())
 
     def stood_still(self, now: timedelta, within: timedelta) -> bool:
-        """A standstill was over `within` the time before now, or is only just: what came in during it is not read."""
+        """Tell whether a pause ended less than `within` ago, or ends just now.
+
+        What arrived during it has not been read yet.
+        """
         return self._late(now) or self._over_at is not None and now - self._over_at < within
 
     def _late(self, now: timedelta) -> bool:
@@ -111,13 +117,13 @@
         self._unconfirmed: list[EndedLease] = []
 
     def view_changed(self, number: int) -> None:
-        """A new view holds."""
+        """Count a new view."""
         self.view_changes += 1
         self._unconfirmed.clear()
         self.last_changes.append(ViewChange(number))
 
     def settled(self, spent: timedelta) -> None:
-        """All machines are settled in the present view, `spent` after it was heard of."""
+        """Note that all machines are settled in the present view, `spent` after it was heard of."""
         self.settled_changes += 1
         self.settling_total += spent
         self.settling_last = spent
@@ -125,11 +131,11 @@
             self.last_changes[-1].settled_s = round(spent.total_seconds(), 3)
 
     def answered(self, route: Route, status: int) -> None:
-        """A user got an answer."""
+        """Count an answer to a user."""
         self.answers[route, status] += 1
 
     def counting(self, route: Route, answer: Answer) -> Answer:
-        """`answer`, counted when it is called."""
+        """Return a function that counts the answer and passes it on."""
 
         def counted(status: int, body: bytes, headers: dict[str, str]) -> None:
             self.answered(route, status)
@@ -138,15 +144,18 @@
         return counted
 
     def answers_by_route(self) -> dict[str, dict[str, int]]:
-        """How often users were answered with which status code."""
+        """Return how often users were answered with each status code, by route."""
         found: dict[str, dict[str, int]] = {}
         for (route, status), count in sorted(self.answers.items(), key=lambda one: (one[0][0].value, one[0][1])):
             found.setdefault(route.value, {})[str(status)] = count
         return found
 
     def take_ended_leases(self, ended: Sequence[EndedLease], confirmed: bool) -> None:
-        """Not `confirmed`: we may have been left out, and the machines go on under another controller. So they wait,
-        and are forgotten when the view moves on."""
+        """Count and log leases that ended.
+
+        Not `confirmed`: we may have been left out of the view, while the machines go on under another controller. So
+        these are kept until a later call confirms them, and dropped when the view changes.
+        """
         self._unconfirmed += ended
         if not confirmed or not self._unconfirmed:
             return
@@ -157,7 +166,7 @@
 
 
 def _log_ended_leases(ended: Sequence[EndedLease]) -> None:
-    """One line for all of a round: whole parts of the fleet may fall silent together."""
+    """Log one line for all leases of a round, as many machines may become silent together."""
     settled = sum(lease.settled for lease in ended)
     log.info(
         "%s silent past the lease: %d tasks are given up%s",
--- a/src/ramptide/workers.py
+++ b/src/ramptide/workers.py
@@ -21,19 +21,21 @@
 
 @dataclass(slots=True)
 class Held:
-    """A report whose answer waits a moment for a launch."""
+    """A report whose answer is delayed for a short time, in case a task is started on the machine."""
 
     answer: BeatAnswer
     until: timedelta
 
 
 class Reports:
+    """Answers the workers' reports, some of them with a delay."""
+
     def __init__(self, controller: "Controller") -> None:
         self._c = controller
         self._held: dict[str, Held] = {}
 
     def new_view(self) -> None:
-        """Workers that wait hear of their owners, and of the token, at once."""
+        """Answer all delayed reports, so that the workers learn their owners and the new token at once."""
         c = self._c
         held, self._held = self._held, {}
         for host, one in held.items():
@@ -43,11 +45,13 @@
                 self._reply(host, one.answer)
 
     def forget(self, host: str) -> None:
+        """Answer a machine's delayed report with 503, if there is one."""
         held = self._held.pop(host, None)
         if held is not None:
             held.answer(503, b"")
 
     def beat(self, body: bytes, answer: BeatAnswer) -> None:
+        """Take a worker's report (a heartbeat) and answer it now or, while no news is expected, later."""
         c = self._c
         try:
             beat = wire.decode_beat(body)
@@ -106,7 +110,7 @@
             answer(421, wire.encode_foreman(owner))
 
     def _worth_holding(self, machine: OwnedMachine) -> bool:
-        """The answer may wait for a launch where no news is expected: no array's task is there to end."""
+        """Tell whether the answer may wait for a start: no task is there that ends and would be reported."""
         return (
             self._c.tuning.hold > ZERO
             and machine.has_current_token
@@ -128,6 +132,7 @@
         answer(200, wire.encode_beat_answer(c.view.number, orders))
 
     def answer_held(self, now: timedelta) -> None:
+        """Answer the delayed reports that are due or whose machines have commands."""
         part = self._c.part
         for host, held in list(self._held.items()):
             if held.until <= now or part is not None and host in part.hosts_to_notify and part.commands.pending(host):
