--- a/src/ramptide/fleet.py
+++ b/src/ramptide/fleet.py
@@ -23,6 +23,11 @@
 REFUSED_MOST = timedelta(seconds=40)
 THIN = "thin"
 SICK = "sick"
+UNPROVEN = "unproven"
+#: For a machine whose type the cloud does not name any more.
+UNKNOWN_BOOT_TIME = timedelta(minutes=1)
+#: Added to the longest boot time that is waited for.
+BOOT_MARGIN = timedelta(seconds=20)
 #: What speaks against a machine must hold so long: a job that runs elsewhere may yet fail there too.
 SICK_AFTER = timedelta(seconds=10)
 
@@ -218,39 +223,41 @@
         self._failing_since = {host: self._failing_since.get(host, now) for host in failing}
         for machine in machines:
             leaving = machine.record.leaving
-            boot = timedelta(seconds=machine.flavor.boot_s) if machine.flavor is not None else timedelta(minutes=1)
-            reason = None
-            if machine.notice is not None and machine.notice < self._report / 2:
-                reason = "taken"
-            elif machine.listed == "failed" or not machine.known:
-                reason = "gone"
-            elif now - self._failing_since.get(machine.host, now) >= SICK_AFTER:
-                reason = SICK
-            elif machine.holds_up:
-                # Few are silent, and a new view waits for nothing else: the answer to their return settles them.
-                reason = "silent"
-            elif machine.unproven > self._prove:
-                # It may only hang, and go on with a task whose cancellation is due: its return proves that gone.
-                reason = "unproven"
-            elif machine.silent > self._lease * self.tuning.silent_leases:
-                # Silence counts from the start of the view at the earliest: after a change of view workers
-                # need a moment to find their owners.
-                if machine.up or machine.listed == "running" and machine.age > boot:
-                    reason = "silent"
-                elif machine.age > boot * self.tuning.boot_factor + timedelta(seconds=20):
-                    reason = "never up"
-            elif machine.deaf > self._lease * self.tuning.silent_leases:
-                reason = "deaf"
+            reason = self._reason_to_leave(now, machine)
             if reason is not None and leaving in (None, "idle"):
                 plan.leave[machine.host] = reason
-                if reason == "unproven":
+                if reason == UNPROVEN:
                     # The cancellation is due: its return does not wait until the record is written.
                     plan.give_back.append(machine.host)
             elif leaving is not None:
                 self._see_off(machine, leaving, plan)
 
+    def _reason_to_leave(self, now: timedelta, machine: Machine) -> str | None:
+        if machine.notice is not None and machine.notice < self._report / 2:
+            return "taken"
+        if machine.listed == "failed" or not machine.known:
+            return "gone"
+        if now - self._failing_since.get(machine.host, now) >= SICK_AFTER:
+            return SICK
+        if machine.holds_up:
+            # Few are silent, and a new view waits for nothing else: the answer to their return settles them.
+            return "silent"
+        if machine.unproven > self._prove:
+            # It may only hang, and go on with a task whose cancellation is due: its return proves that gone.
+            return UNPROVEN
+        if machine.silent > self._lease * self.tuning.silent_leases:
+            return self._reason_of_silence(machine)
+        return "deaf" if machine.deaf > self._lease * self.tuning.silent_leases else None
+
+    def _reason_of_silence(self, machine: Machine) -> str | None:
+        """Silence counts from the start of the view at the earliest, as workers need a moment to find their owners."""
+        boot = timedelta(seconds=machine.flavor.boot_s) if machine.flavor is not None else UNKNOWN_BOOT_TIME
+        if machine.up or machine.listed == "running" and machine.age > boot:
+            return "silent"
+        return "never up" if machine.age > boot * self.tuning.boot_factor + BOOT_MARGIN else None
+
     def _see_off(self, machine: Machine, leaving: str, plan: Plan) -> None:
-        dead = leaving in ("gone", "silent", "deaf", "never up", "taken", "unproven")
+        dead = leaving in ("gone", "silent", "deaf", "never up", "taken", UNPROVEN)
         overdue = machine.unproven > self._prove or machine.silent > self._lease * self.tuning.silent_leases
         if dead or machine.drained or overdue:
             plan.give_back.append(machine.host)
--- a/src/ramptide/floor.py
+++ b/src/ramptide/floor.py
@@ -166,30 +166,41 @@
     def _list(self, name: str, tasks: list[TaskRow]) -> None:
         host = self.hosts[name]
         before, after = {row[0] for row in host.tasks}, {row[0] for row in tasks}
-        for row in host.tasks:
-            if row[3] == wire.RUNNING:
-                self.running[row[0]] -= 1
-        for row in tasks:
-            if row[3] == wire.RUNNING:
-                self.running[row[0]] += 1
+        self._count_running(host.tasks, tasks)
         for ref in before - after:
-            where = self._where.get(ref, set())
-            where.discard(name)
-            if not where:
-                self._where.pop(ref, None)
-                self._left.pop(ref, None)
-            if not self.running[ref]:
-                del self.running[ref]
+            self._leave(ref, name)
         for ref in after - before:
             self._where.setdefault(ref, set()).add(name)
         host.tasks = tasks
         host.busy = sum(row[3] not in FINISHED_NAMES for row in tasks)
         if not self._failed.keys().isdisjoint(before | after):
-            for ref in self._failed.keys() & (before | after):
-                self._stale.update(self._failed[ref])
-            for row in tasks:
-                if row[4] == wire.DONE:
-                    self.passed(row[0])
+            self._judge_failed(before | after, tasks)
+
+    def _count_running(self, before: list[TaskRow], after: list[TaskRow]) -> None:
+        for row in before:
+            if row[3] == wire.RUNNING:
+                self.running[row[0]] -= 1
+        for row in after:
+            if row[3] == wire.RUNNING:
+                self.running[row[0]] += 1
+
+    def _leave(self, ref: str, name: str) -> None:
+        """The machine shows no task of the job any more."""
+        where = self._where.get(ref, set())
+        where.discard(name)
+        if not where:
+            self._where.pop(ref, None)
+            self._left.pop(ref, None)
+        if not self.running[ref]:
+            del self.running[ref]
+
+    def _judge_failed(self, refs: set[str], tasks: list[TaskRow]) -> None:
+        """Whose fault the failures of these jobs are may have changed with what the machine shows."""
+        for ref in self._failed.keys() & refs:
+            self._stale.update(self._failed[ref])
+        for row in tasks:
+            if row[4] == wire.DONE:
+                self.passed(row[0])
 
     def _prove(self, name: str, host: Host, now: timedelta) -> None:
         """Note whether tasks of finished jobs may be on the machine.
--- a/src/ramptide/syncing.py
+++ b/src/ramptide/syncing.py
@@ -157,14 +157,27 @@
     def mark(self, home: JobScheduler, part: Shard, changed: set[str]) -> None:
         """Enter what changed since the last round into the tables, and plan when each controller is told."""
         c = self._c
-        view = c.view
-        assert view is not None
         if not changed and not home.changed_hosts:
             return
         home.seq += 1
+        ours = self._mark_desired(home)
+        part.apply_desired(c.member, home.seq, ours, self.takes_tasks)
+        for host in ours:
+            # The next message says that we have processed our own wishes, so it has to show what came of them: who
+            # takes over one of our jobs relies on that.
+            self._rows.mark(host, home.seq)
+        for host in changed:
+            self._rows.mark(host, home.seq)
+        self._hurry_for(part, changed)
+        if home.seq % PRUNE_EVERY == 0:
+            self._prune(part)
+
+    def _mark_desired(self, home: JobScheduler) -> dict[str, list[DesiredTaskRow] | None]:
+        """Enter what the scheduler asks for; return what it asks of our own machines."""
+        c = self._c
         ours: dict[str, list[DesiredTaskRow] | None] = {}
-        wished, home.changed_hosts = home.changed_hosts, set()
-        for host in wished:
+        hosts, home.changed_hosts = home.changed_hosts, set()
+        for host in hosts:
             c.floor.touch(host)
             owner = c.owner(host)
             if owner == c.member:
@@ -172,22 +185,20 @@
             elif owner in self._wishes:
                 self._wishes[owner].mark(host, home.seq)
                 c.peers.hurry(c.peers.all[owner], AT_ONCE)
-        part.apply_desired(c.member, home.seq, ours, self.takes_tasks)
-        for host in ours:
-            # The next message says that we have processed our own wishes, so it has to show what came of them: who
-            # takes over one of our jobs relies on that.
-            self._rows.mark(host, home.seq)
+        return ours
+
+    def _hurry_for(self, part: Shard, changed: set[str]) -> None:
+        """Controllers that wait for news of these machines hear at once, the leader soon."""
+        c = self._c
+        assert c.view is not None
         waiting_for: set[str] = set()
         for host in changed:
-            self._rows.mark(host, home.seq)
             waiting_for |= part.waiting_schedulers(host)
         for peer in c.peers.all.values():
             if peer.name in waiting_for:
                 c.peers.hurry(peer, AT_ONCE)
-            elif changed and (peer.name == view.leader or not c.latched):
+            elif changed and (peer.name == c.view.leader or not c.latched):
                 c.peers.hurry(peer, SOON)
-        if home.seq % PRUNE_EVERY == 0:
-            self._prune(part)
 
     def _prune(self, part: Shard) -> None:
         c = self._c
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -49,14 +49,24 @@
 
 def malformed() -> Iterator[tuple[str, bytes]]:
     spec = job("j-1", rigs=None, yard=None, dueS=None)
+    yield from missing_or_of_another_type(spec)
+    yield from malformed_numbers(spec)
+    yield from malformed_values(spec)
+    yield from malformed_bodies(spec)
+
+
+def missing_or_of_another_type(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
     value: Any
-    changes: dict[str, Any]
     for name in sorted(spec.keys() - NULLABLE):
         yield f"{name} is missing", json.dumps({key: value for key, value in spec.items() if key != name}).encode()
         yield f"{name} is null", json.dumps(spec | {name: None}).encode()
     for name in spec:
         for value in ({}, [[]], [1]):
             yield f"{name} is {value}", json.dumps(spec | {name: value}).encode()
+
+
+def malformed_numbers(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
+    value: Any
     for name in NUMBERS:
         for value in (True, "4", -1, -0.001, 1e300, 10**400):
             yield f"{name} is {str(value)[:9]}", json.dumps(spec | {name: value}).encode()
@@ -65,6 +75,11 @@
             yield f"{name} is {literal}", f'{text[:-1]}, "{name}": {literal}}}'.encode()
     for value in (0, -1, 100_001, 1.5, True, "4", 2**64, 10**400):
         yield f"pieces is {str(value)[:9]}", json.dumps(spec | {"pieces": value}).encode()
+
+
+def malformed_values(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
+    value: Any
+    changes: dict[str, Any]
     for name in ("oneZone", "spread", "loaners"):
         for value in (0, 1, "true"):
             yield f"{name} is {value!r}", json.dumps(spec | {name: value}).encode()
@@ -77,6 +92,9 @@
         {"rank": "HIGH"}, {"rigs": []}, {"rigs": "m"}, {"rigs": [""]}, {"rigs": [None]}, {"rigs": ["m", 1]},
     ):  # fmt: skip
         yield str(changes), json.dumps(spec | changes).encode()
+
+
+def malformed_bodies(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
     whole = json.dumps(spec).encode()
     yield from ((f"the first {count} bytes", whole[:count]) for count in (0, 1, 20, len(whole) - 1))
     for body in (b"null", b"[]", b"7", b'"j-1"', whole + b"}", whole + whole, b"\xff" + whole, b"\x00", DEEP):
--- a/tests/world.py
+++ b/tests/world.py
@@ -166,12 +166,16 @@
 
         if self.rng.random() >= self.loss:
             self.after(self._delay(source, target), deliver)
+        self._repeat_later(source, request)
+        self.after(timeout, lambda: finish(None))
+
+    def _repeat_later(self, source: str, request: Callable[[Answer], None]) -> None:
+        """Copies of the request, whose answers nobody waits for."""
         if source in self.workers and self.rng.random() < self.late_reports:
             # A copy of a report, from seconds to well over a lease late.
             self.after(self.rng.uniform(1, 40) * S, lambda: request(lambda status, body: None))
         if self.rng.random() < self.repeat:
             self.after(self.rng.random() * 20 * S, lambda: request(lambda status, body: None))
-        self.after(timeout, lambda: finish(None))
 
     def slowly(self, action: Callable[[], None]) -> None:
         """What the state service does, at once or up to `slow_state` seconds later."""
