--- a/src/ramptide/desk.py
+++ b/src/ramptide/desk.py
@@ -91,6 +91,13 @@
         while len(self._ended) > ENDED_KEPT:
             del self._ended[next(iter(self._ended))]
 
+    def _not_written(self, outcome: TransactionResult, answer: Answer) -> None:
+        """Answer for a change that was given up on: it waited too long for its turn, or had no answer."""
+        if outcome.full:
+            self._busy(answer, Unavailable.OVERLOADED, self._commits.delay())
+        else:
+            self._busy(answer, Unavailable.STATE_SERVICE)
+
     # Submissions.
 
     def submit(self, body: bytes, answer: Answer) -> None:
@@ -156,7 +163,7 @@
             elif outcome.sent and outcome.failed is None and tries > 1 and not self._mirror.lacking:
                 self._accept(run, answer, min(tries - 1, 1))
             else:
-                self._busy(answer, Unavailable.STATE_SERVICE)
+                self._not_written(outcome, answer)
 
         self._commits.add(txn, done)
 
@@ -307,6 +314,6 @@
                 # The record or the view moved on, or nobody knows: read again and see.
                 self._mirror.catch_up(lambda fresh: self._cancel(ref, answer, tries - 1))
             else:
-                self._busy(answer, Unavailable.STATE_SERVICE)
+                self._not_written(outcome, answer)
 
         self._commits.add(txn, done)
--- a/src/ramptide/store.py
+++ b/src/ramptide/store.py
@@ -69,7 +69,7 @@
     sent
         False if it was certainly not carried out.
     full
-        Whether it was rejected for the service's rate limit.
+        Whether it was rejected for the service's rate limit, or waited too long for our share of it.
     """
 
     epoch: int | None = None
@@ -206,7 +206,7 @@
             body,
             answered,
             writes=txn.size,
-            reject=lambda: done(TransactionResult(sent=False)),
+            reject=lambda: done(TransactionResult(sent=False, full=True)),
         )
 
     def create_grant(self, life: timedelta, done: Callable[[int | None], None]) -> None:
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -613,3 +613,24 @@
     world.run(8)
     lacks = {name: status(world, name)["lacks"] for name in world.names}
     assert lacks == {"c0": [], "c1": ["controller c2"], "c2": ["controller c1"]}
+
+
+def test_what_waits_too_long_for_its_turn_is_told_apart_from_an_outage() -> None:
+    """At the start of a busy day more is submitted than the state service takes, and operators looked for an outage.
+    The wait was thought to be short when the changes came, as it is when other controllers have much to write, too."""
+    world = World(5)
+    world.limits = world.limits | {"write_rps": 6.0}
+    for node in world.nodes.values():
+        node.start()
+    world.run(4)
+    of(world, "c0").commits.delay = lambda: 0 * S  # type: ignore[method-assign]
+    answers: list[int] = []
+    for number in range(60):
+        world.submit(f"j-{number}", pieces=1)
+        body = json.dumps(world.jobs[f"j-{number}"]).encode()
+        world.ask("c0", lambda c, body=body: c.desk.submit(body, lambda status, *_: answers.append(status)))  # type: ignore[misc]
+    world.run(8)
+    reasons = of(world, "c0").telemetry.unavailable
+    assert len(answers) == 60 and set(answers) == {201, 503}
+    assert {reason.value for reason, count in reasons.items() if count} == {"overloaded"}
+    assert sum(reasons.values()) == answers.count(503)
