--- a/src/ramptide/settings.py
+++ b/src/ramptide/settings.py
@@ -95,6 +95,7 @@
     "silent_leases": Bound(1.1, 100, "leases of silence after which a machine is returned"),
     "sick_jobs": Bound(1, 100, "different jobs failing in a row that make a machine sick"),
     "patience": Bound(1, 86400, "seconds without a start after which a tenth of a job goes before others of its rank"),
+    "begin_within": Bound(1, 86400, "seconds without a start after which one task of a job goes before all ranks"),
     "hand_over": Bound(0, 600, "seconds that a task waits in a part before its job goes to the leader"),
     "list_every": Bound(1, 600, "seconds between two readings of the cloud's list"),
     "preempt_after": Bound(0, 600, "seconds without room after which a job claims room that others must give up"),
@@ -125,6 +126,7 @@
     silent_leases: float = 3.0
     sick_jobs: int = 2
     patience: timedelta = timedelta(seconds=120)
+    begin_within: timedelta = timedelta(seconds=180)
     hand_over: timedelta = timedelta(seconds=1)
     list_every: timedelta = timedelta(seconds=4)
     preempt_after: timedelta = timedelta(seconds=2)
--- a/src/ramptide/starts.py
+++ b/src/ramptide/starts.py
@@ -124,14 +124,16 @@
             key = (needs(work.job.run), reach)
             left = key in hopeless
             if not left:
-                left = self._place_work(home, work, rooms, using, reach, now)
+                most = self._most_at_once(work, reach, work.idle_for(now, wall))
+                left = self._place_work(home, work, rooms, using, reach, most, now)
                 if left and not work.excluded_until and not work.job.run.one_zone and not work.job.run.spread:
                     hopeless.add(key)
             work.waiting_since = (work.waiting_since or now) if work.startable else None
             work.without_room_since = (work.without_room_since or now) if left else None
 
     def _urgency(self, job: Job, idle: timedelta, wall: datetime) -> tuple[Any, ...]:
-        return urgency(job, idle, wall, self._c.prompt, self._c.tuning.patience)
+        tuning = self._c.tuning
+        return urgency(job, idle, wall, self._c.prompt, tuning.patience, tuning.begin_within)
 
     def _reach(self, work: JobState, now: timedelta, wall: datetime) -> Reach:
         """Return which of the room kept for services the job may use.
@@ -154,13 +156,14 @@
         rooms: list[Room],
         using: dict[str, Amounts],
         reach: Reach,
+        most: int,
         now: timedelta,
     ) -> bool:
-        """Start what can be started of one job; return True when that failed for want of room."""
+        """Start up to `most` tasks of one job; return True when fewer than it may start found room."""
         run = work.job.run
         rooms = self._open_to(work, rooms, reach, now)
         headroom = self.headroom(run, using.get(run.team, NOTHING), self._c.grants.get(run.team, NOTHING))
-        allowed = min(headroom, work.startable)
+        allowed = min(headroom, work.startable, most)
         before, short = work.waiting, False
         if run.shape == wire.SERVICE:
             while allowed > 0 and work.next_task() is not None:
@@ -171,21 +174,26 @@
                 self._start(home, work, room, now)
                 allowed -= 1
         else:
-            want = allowed
-            if reach is Reach.ALL:
-                want = min(want, math.ceil(run.pieces * SLICE))
-            for room, count in choose_many(run, rooms, work.zones, want, reach) if want > 0 else ():
+            for room, count in choose_many(run, rooms, work.zones, allowed, reach) if allowed > 0 else ():
                 for _ in range(count):
                     if work.next_task() is None:
                         break
                     self._start(home, work, room, now)
-            short = before - work.waiting < want
+            short = before - work.waiting < allowed
         started = before - work.waiting
         if started:
             add_amounts(using, run.team, run.cores * started, run.cards * started)
             self._c.counters["starts"] += started
         return short
 
+    def _most_at_once(self, work: JobState, reach: Reach, idle: timedelta) -> int:
+        """Return how many tasks may go ahead of others, for a job that has waited out its patience or is to begin."""
+        if idle > self._c.tuning.begin_within:
+            return 1
+        if reach is Reach.ALL and work.job.run.shape != wire.SERVICE:
+            return math.ceil(work.job.run.pieces * SLICE)
+        return MANY
+
     def _open_to(self, work: JobState, rooms: list[Room], reach: Reach, now: timedelta) -> list[Room]:
         """Return the rooms without those that the job avoids.
 
--- a/src/ramptide/urgency.py
+++ b/src/ramptide/urgency.py
@@ -41,14 +41,23 @@
     return Chance.LATE if end <= job.due + (job.due - job.submitted) / 2 else Chance.TOO_LATE
 
 
-def urgency(job: Job, idle: timedelta, now: datetime, prompt: Container[str], patience: timedelta) -> tuple[Any, ...]:
+def urgency(
+    job: Job,
+    idle: timedelta,
+    now: datetime,
+    prompt: Container[str],
+    patience: timedelta,
+    begin_within: timedelta,
+) -> tuple[Any, ...]:
     """Return the sort key of a job, the most urgent lowest.
 
-    Priority goes first, then the classes that are to start promptly, then what can still be made, each by its deadline,
-    then the order of submission.
+    Jobs of which nothing was started for `begin_within` come first, whatever their priority, with one task each: a
+    steady flow of more urgent work would keep them waiting for good. Then priority goes first, then the classes that
+    are to start promptly, then what can still be made, each by its deadline, then the order of submission.
     """
     run = job.run
     return (
+        idle <= begin_within,
         -wire.RANKS.index(run.rank),
         run.job_class not in prompt,
         run.shape != wire.SERVICE,
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -121,11 +121,48 @@
     assert world.rules.broken == []
 
 
+def flow_of_urgent_jobs(world: World, rank: str) -> None:
+    """Each more urgent by its rank than the large job, together more than there is room for."""
+    for number in range(900):
+        ref = f"j-{number + 100}"
+        world.submit(ref, pieces=1, cores=2.0, guessS=8.0, rank=rank)
+        world.after(number / 3 * S, lambda ref=ref: submit(world, world.rng, ref))  # type: ignore[misc]
+
+
+def low_ranked_job_begins(world: World, rank: str, **fields: object) -> float:
+    flow_of_urgent_jobs(world, rank)
+    world.run(30)
+    world.submit("j-1", rank="low", cores=2.0, guessS=20.0, **fields)
+    submit(world, world.rng, "j-1")
+    began = world.now
+    if not world.run_until(lambda: world.rules.starts_of["j-1"] > 0, LARGEST_BEGIN + 20):
+        return float("inf")
+    return (world.now - began) / S
+
+
+@pytest.mark.parametrize(("rank", "shape"), [("normal", "batch"), ("production", "batch"), ("high", "service")])
+def test_a_job_of_low_rank_begins_within_four_minutes_of_a_flow_of_higher_ranks(rank: str, shape: str) -> None:
+    """Patience alone reorders jobs of one rank: a job of low rank waited for as long as more urgent work came."""
+    world = started(12, capacity=5)
+    assert low_ranked_job_begins(world, rank, pieces=40, shape=shape) < LARGEST_BEGIN
+    assert world.rules.broken == []
+
+
+def test_when_rank_always_goes_first_a_job_of_low_rank_does_not_begin() -> None:
+    world = started(12, capacity=5)
+    for node in world.nodes.values():
+        assert node.controller is not None
+        node.controller.tuning = node.controller.floor.tuning = Tuning(begin_within=1000 * S)
+    assert low_ranked_job_begins(world, "normal", pieces=40) == float("inf")
+
+
 def test_without_patience_the_flow_keeps_the_largest_job_waiting() -> None:
     world = started(11, capacity=5)
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller.tuning = node.controller.floor.tuning = Tuning(patience=1000 * S, share_wait=1000 * S)
+        node.controller.tuning = node.controller.floor.tuning = Tuning(
+            patience=1000 * S, share_wait=1000 * S, begin_within=1000 * S
+        )
     assert large_job_begins(world, LARGE["array"]) == float("inf")
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -173,7 +173,7 @@
     def order(*jobs: tuple[Job, float]) -> list[int]:
         """By index; with each job the seconds since something of it was started."""
         patience = timedelta(seconds=120)
-        key = [urgency(one, timedelta(seconds=idle), now, {"prompt"}, patience) for one, idle in jobs]
+        key = [urgency(one, timedelta(seconds=idle), now, {"prompt"}, patience, 3 * patience) for one, idle in jobs]
         return sorted(range(len(jobs)), key=lambda n: key[n])
 
     late, too_late, fresh, soon = aged(50), aged(85), aged(5), aged(40)
@@ -182,4 +182,5 @@
     assert order((fresh, 5), (old, 130), (old, 9)) == [1, 0, 2], "the largest begin in the end"
     service, high = aged(1, shape="service", dueS=None), aged(90, rank="high")
     assert order((old, 130), (service, 1), (high, 9)) == [2, 1, 0]
+    assert order((high, 9), (service, 1), (old, 370)) == [2, 0, 1], "one task of what was idle for so long"
     assert order((fresh, 5), (aged(1, jobclass="prompt"), 1)) == [1, 0]
