--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -63,6 +63,8 @@
 #: workers in a row have answered, or for the time given at most, as those that we know may all be gone.
 UNHEARD_LEAST, UNHEARD_FOR = 3, timedelta(seconds=0.8)
 PROBE_EVERY, ANSWERS, REST_MOST = timedelta(seconds=1), 3, timedelta(minutes=3)
+#: The others elect a leader within a moment of our leaving; when none leads after so many probes, there are no others.
+PROBES_WITHOUT_LEADER = 2
 TELL_EVERY = timedelta(seconds=1)
 
 
@@ -591,23 +593,31 @@
         network link.
         """
         used = [machine for machine in part.machines.values() if machine.record.opened]
-        others = (host for name, host in self.floor.hosts.items() if self.owner(name) != self.member)
-        cut_off = len(used) >= UNHEARD_LEAST and all(machine.silent for machine in used)
-        if not cut_off or not any(host.known and host.up and not host.quiet for host in others):
+        if len(used) < UNHEARD_LEAST or not all(machine.silent for machine in used):
             self._unheard_since = None
             return
         # After a standstill of our own all look silent until what came in meanwhile is read.
         self._unheard_since = self._unheard_since or now
-        if now - self._unheard_since >= UNHEARD_FOR:
+        if now - self._unheard_since >= UNHEARD_FOR and self._others_hear_workers(self._unheard_since):
             log.info("no worker of %d reaches us: we give up our place", len(used))
             self._unheard_since = None
             self.membership.step_down()
             self._rest(now, 0, 0)
 
+    def _others_hear_workers(self, since: timedelta) -> bool:
+        """Tell whether a member that we have heard since then hears some of its workers.
+
+        What one told before says nothing: it may be gone, and the last one that is left must not give up its place.
+        """
+        heard = {name for name, peer in self.peers.all.items() if peer.heard is not None and peer.heard > since}
+        others = (host for name, host in self.floor.hosts.items() if self.owner(name) in heard)
+        return any(host.known and host.up and not host.quiet for host in others)
+
     def _rest(self, since: timedelta, probes: int, answers: int) -> None:
         """Wait until workers answer again, by asking one known worker after the other for its state."""
         known = [self.addresses[host] for host in self.machines if host in self.addresses]
-        if not known or answers >= ANSWERS or self.context.now - since >= REST_MOST:
+        nobody_leads = probes >= PROBES_WITHOUT_LEADER and self.membership.leaderless
+        if not known or nobody_leads or answers >= ANSWERS or self.context.now - since >= REST_MOST:
             log.info("we stand for a place again")
             self.membership.resting = False
             return
--- a/src/ramptide/membership.py
+++ b/src/ramptide/membership.py
@@ -98,6 +98,11 @@
         """Whether we lead the current view."""
         return self.state is State.LEADING
 
+    @property
+    def leaderless(self) -> bool:
+        """Whether no controller holds the leader key."""
+        return self._leader is None
+
     def start(self) -> None:
         """Begin to apply for a grant and a place in the view; repeats until the process ends."""
         self._tick()
--- a/src/ramptide/owned_machine.py
+++ b/src/ramptide/owned_machine.py
@@ -89,6 +89,11 @@
         if entry.phase in (Phase.QUEUED, Phase.REFUSED, Phase.GONE):
             del self.entries[key]
 
+    def skip_to(self, report_id: tuple[int, int]) -> None:
+        """Count a report that was not taken, so that the next one does not look as if one had gone elsewhere."""
+        if report_id[0] == self.last_report_id[0]:
+            self.last_report_id = max(self.last_report_id, report_id)
+
     def latest_answer(self) -> timedelta:
         """Return the last moment at which its worker may have got an answer, as far as this view tells.
 
--- a/src/ramptide/workers.py
+++ b/src/ramptide/workers.py
@@ -93,7 +93,10 @@
         """
         c = self._c
         machine = c.part.machines.get(beat.host) if c.part is not None else None
-        if machine is None or c.part is None or machine.last_report is not None or beat.baton != c.part.view:
+        if machine is None or c.part is None or beat.baton != c.part.view:
+            return
+        if machine.last_report is not None:
+            machine.skip_to((beat.tenure, beat.tally))
             return
         try:
             fresh = c.may_answer() and c.part.reports.take(beat, c.context.now)
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -155,3 +155,23 @@
         assert world.run_until(lambda machines=machines: any(one.last_report is not None for one in machines), 2)  # type: ignore[misc]
         told = [one for one in machines if one.last_report is not None and one.last_answer is None]
         assert told and all(one.latest_answer() == one.last_report > controller.view_at for one in told)
+
+
+def test_a_direct_report_that_is_not_taken_does_not_make_the_next_one_look_astray() -> None:
+    """Each response counts in the tally; a gap there tells that a report went to another controller."""
+    world = full_world()
+    controller, host = next(
+        (node.controller, host)
+        for node in world.nodes.values()
+        if node.controller is not None and node.controller.part is not None
+        for host, machine in node.controller.part.machines.items()
+        if machine.last_report is not None
+    )
+    assert controller.part is not None
+    machine = controller.part.machines[host]
+    tenure, tally = machine.last_report_id
+    controller.reports.take_direct(wire.decode_beat(report(host, controller.part.view, tenure, tally + 1)))
+    following = wire.decode_beat(report(host, controller.part.view, tenure, tally + 2))
+    assert controller.part.reports.take(following, world.now) and not machine.unreachable
+    astray = wire.decode_beat(report(host, controller.part.view, tenure, tally + 4))
+    assert controller.part.reports.take(astray, world.now) and machine.unreachable
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -634,3 +634,50 @@
     assert len(answers) == 60 and set(answers) == {201, 503}
     assert {reason.value for reason, count in reasons.items() if count} == {"overloaded"}
     assert sum(reasons.values()) == answers.count(503)
+
+
+def world_with_a_lone_survivor(seed: int) -> tuple[World, Controller]:
+    """Two controllers end for good; all machines of the third one hang, and it knows the others' by their last word."""
+    world = started(seed, capacity=15)
+    world.submit("j-1", pieces=24, cores=4.0, guessS=500.0)
+    assert world.accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.rules.on_machines()) == 24, 40)
+    world.run(3)
+    last = of(world, next(name for name in world.names if name != leader(world)))
+    assert last.part is not None and len(last.part.machines) > 2
+    for host in last.part.machines:
+        world.workers[host].hang(25)
+    for name in world.names:
+        if name != last.member:
+            world.nodes[name].kill()
+    return world, last
+
+
+@pytest.mark.parametrize("seed", range(3))
+def test_the_last_controller_keeps_its_place_though_none_of_its_workers_is_heard(seed: int) -> None:
+    """It gave it up for three minutes, by what the others had told before they ended."""
+    world, last = world_with_a_lone_survivor(seed)
+    assert world.run_until(lambda: last.membership.leading, 12)
+    for _ in range(60):
+        world.run(0.5)
+        assert last.membership.leading
+    assert world.rules.broken == []
+
+
+@pytest.mark.parametrize("seed", range(3))
+def test_a_controller_that_gave_up_its_place_takes_it_again_when_nobody_leads(seed: int) -> None:
+    world = started(seed, capacity=15)
+    world.submit("j-1", pieces=24, cores=4.0, guessS=500.0)
+    assert world.accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.rules.on_machines()) == 24, 40)
+    name = leader(world)
+    cut_from_workers(world, name)
+    assert world.run_until(lambda: of(world, name).membership.resting, 15)
+    for other in world.names:
+        if other != name:
+            world.nodes[other].kill()
+    assert world.run_until(lambda: of(world, name).membership.leading, 15)
+    world.heal()
+    world.run(30)
+    assert of(world, name).membership.leading and of(world, name).latched
+    assert world.rules.broken == []
