--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -83,20 +83,21 @@
 # The largest jobs of a class under a steady flow of small ones.
 
 
-def flow_of_small_jobs(world: World, seconds: int, per_second: int) -> None:
-    """Small urgent jobs of the same team, class and rank as the large one, together more than there is room for."""
+def flow_of_small_jobs(world: World, **fields: object) -> None:
+    """Small jobs of the same team and class as the one that is to begin, together more than there is room for."""
+    seconds, per_second = int(LARGEST_BEGIN) + 60, 3
     for number in range(seconds * per_second):
         ref = f"j-{number + 100}"
-        world.submit(ref, pieces=1, cores=2.0, guessS=8.0, dueS=120.0)
+        world.submit(ref, pieces=1, cores=2.0, guessS=8.0, **fields)
         at = number / per_second * S
         world.after(at, lambda ref=ref: submit(world, world.rng, ref))  # type: ignore[misc]
 
 
-def large_job_begins(world: World, large: dict[str, object]) -> float:
-    """How long after its acceptance the first task of a large job starts, amid the flow; endless if it doesn't."""
-    flow_of_small_jobs(world, int(LARGEST_BEGIN) + 60, 3)
+def job_begins(world: World, flow: dict[str, object], job: dict[str, object]) -> float:
+    """How long after its acceptance the first task of a job starts, amid the flow; endless if it doesn't."""
+    flow_of_small_jobs(world, **flow)
     world.run(30)
-    world.submit("j-1", **large)
+    world.submit("j-1", **job)
     submit(world, world.rng, "j-1")
     began = world.now
     if not world.run_until(lambda: world.rules.starts_of["j-1"] > 0, LARGEST_BEGIN + 20):
@@ -104,6 +105,8 @@
     return (world.now - began) / S
 
 
+#: As urgent as the large jobs, and with a deadline.
+URGENT: dict[str, object] = {"dueS": 120.0}
 LARGE = {
     "array": {"pieces": 60, "cores": 2.0, "guessS": 20.0},
     "whole machines": {"pieces": 12, "cores": 8.0, "guessS": 20.0},
@@ -117,34 +120,18 @@
 @pytest.mark.parametrize("large", LARGE.values(), ids=LARGE.keys())
 def test_the_largest_job_begins_within_four_minutes_of_a_flow_of_small_ones(large: dict[str, object]) -> None:
     world = started(11, capacity=5)
-    assert large_job_begins(world, large) < LARGEST_BEGIN
+    assert job_begins(world, URGENT, large) < LARGEST_BEGIN
     assert world.rules.broken == []
 
 
-def flow_of_urgent_jobs(world: World, rank: str) -> None:
-    """Each more urgent by its rank than the large job, together more than there is room for."""
-    for number in range(900):
-        ref = f"j-{number + 100}"
-        world.submit(ref, pieces=1, cores=2.0, guessS=8.0, rank=rank)
-        world.after(number / 3 * S, lambda ref=ref: submit(world, world.rng, ref))  # type: ignore[misc]
-
-
-def low_ranked_job_begins(world: World, rank: str, **fields: object) -> float:
-    flow_of_urgent_jobs(world, rank)
-    world.run(30)
-    world.submit("j-1", rank="low", cores=2.0, guessS=20.0, **fields)
-    submit(world, world.rng, "j-1")
-    began = world.now
-    if not world.run_until(lambda: world.rules.starts_of["j-1"] > 0, LARGEST_BEGIN + 20):
-        return float("inf")
-    return (world.now - began) / S
+LOW: dict[str, object] = {"rank": "low", "pieces": 40, "cores": 2.0, "guessS": 20.0}
 
 
 @pytest.mark.parametrize(("rank", "shape"), [("normal", "batch"), ("production", "batch"), ("high", "service")])
 def test_a_job_of_low_rank_begins_within_four_minutes_of_a_flow_of_higher_ranks(rank: str, shape: str) -> None:
     """Patience alone reorders jobs of one rank: a job of low rank waited for as long as more urgent work came."""
     world = started(12, capacity=5)
-    assert low_ranked_job_begins(world, rank, pieces=40, shape=shape) < LARGEST_BEGIN
+    assert job_begins(world, {"rank": rank}, LOW | {"shape": shape}) < LARGEST_BEGIN
     assert world.rules.broken == []
 
 
@@ -153,7 +140,7 @@
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller.tuning = node.controller.floor.tuning = Tuning(begin_within=1000 * S)
-    assert low_ranked_job_begins(world, "normal", pieces=40) == float("inf")
+    assert job_begins(world, {"rank": "normal"}, LOW) == float("inf")
 
 
 def test_without_patience_the_flow_keeps_the_largest_job_waiting() -> None:
@@ -163,7 +150,7 @@
         node.controller.tuning = node.controller.floor.tuning = Tuning(
             patience=1000 * S, share_wait=1000 * S, begin_within=1000 * S
         )
-    assert large_job_begins(world, LARGE["array"]) == float("inf")
+    assert job_begins(world, URGENT, LARGE["array"]) == float("inf")
 
 
 # Slow links.
