--- a/tests/chaos.py
+++ b/tests/chaos.py
@@ -7,16 +7,29 @@
 
 from troubles import MEETING_TROUBLES, SINGLE_TROUBLES, begin_trouble
 from users import Users, submit
-from world import S, Worker, World, started
+from world import Observer, S, Worker, World, started
+
+from ramptide.parts import Parts, QuotaPart
+
+#: How long a history is, unless told.
+SECONDS = 60.0
+#: For `parts`.
+QUOTA_ON = Parts(QuotaPart(True))
 
 
 def play(
-    seed: int, seconds: float = 60.0, look: Callable[[World], None] | None = None, overlapping: bool = False
+    seed: int,
+    seconds: float = SECONDS,
+    look: Callable[[World], None] | None = None,
+    overlapping: bool = False,
+    parts: Parts | None = None,
+    observer: Observer | None = None,
 ) -> World:
     """One history; its world is returned for judging. `look` is called every half second. `overlapping`: troubles
-    come in pairs, slow links are among them, and a process is back within half a second in the middle of each pair."""
+    come in pairs, slow links are among them, and a process is back within half a second in the middle of each pair.
+    `parts`: what is switched on at the controllers. `observer`: told of all that they send."""
     rng = random.Random(seed)
-    world = started(seed, teams={"team": 0.0, "tight": 24.0}, capacity=10)
+    world = started(seed, teams={"team": 0.0, "tight": 24.0}, capacity=10, parts=parts, observer=observer)
     users = Users(world, rng)
     world.hold_mode = rng.random() < 0.5
     world.repeat = rng.choice([0.0, 0.01])
--- a/tests/users.py
+++ b/tests/users.py
@@ -23,11 +23,12 @@
         def told(status: int, body: bytes, headers: dict[str, str]) -> None:
             self._judge(ref, known, before, status, json.loads(body))
 
+        answer = self.world.observed(name, told)
         if known and self.rng.random() < 0.3:
             body = json.dumps(self.world.jobs[ref]).encode()
-            self.world.ask(name, lambda c: c.desk.submit(body, told))
+            self.world.ask(name, lambda c: c.desk.submit(body, answer))
         else:
-            self.world.ask(name, lambda c: c.desk.poll(ref, told))
+            self.world.ask(name, lambda c: c.desk.poll(ref, answer))
 
     def _judge(self, ref: str, known: bool, before: str | None, status: int, said: dict[str, Any]) -> None:
         broken = self.world.rules.broken
@@ -57,7 +58,9 @@
         elif tries:
             world.after(1 * S, lambda: submit(world, rng, ref, tries - 1))
 
-    world.nodes[rng.choice(world.names)].ask(lambda c: c.desk.submit(body, again), lambda: again(503))
+    name = rng.choice(world.names)
+    answer = world.observed(name, again)
+    world.nodes[name].ask(lambda c: c.desk.submit(body, answer), lambda: again(503))
 
 
 def withdraw(world: World, rng: random.Random, ref: str) -> None:
@@ -69,6 +72,8 @@
         elif status == 503:
             world.after(1 * S, lambda: withdraw(world, rng, ref))
 
-    world.nodes[rng.choice(world.names)].ask(
-        lambda c: c.desk.cancel(ref, told), lambda: world.after(1 * S, lambda: withdraw(world, rng, ref))
+    name = rng.choice(world.names)
+    answer = world.observed(name, told)
+    world.nodes[name].ask(
+        lambda c: c.desk.cancel(ref, answer), lambda: world.after(1 * S, lambda: withdraw(world, rng, ref))
     )
--- a/tests/world.py
+++ b/tests/world.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 from datetime import UTC, datetime, timedelta
-from typing import Any
+from typing import Any, Protocol
 from urllib.parse import parse_qs, unquote, urlsplit
 
 from ramptide import wire
@@ -26,6 +26,17 @@
 Answer = Callable[[int, Any], None]
 
 
+class Observer(Protocol):
+    """Told of all that controllers send, in the order in which they send it."""
+
+    def called(
+        self, now: timedelta, sender: str, address: str, method: str, target: str, kind: str, body: bytes,
+        timeout: timedelta,
+    ) -> None: ...  # fmt: skip
+
+    def answered(self, now: timedelta, sender: str, status: int, body: bytes, headers: dict[str, str]) -> None: ...
+
+
 @dataclass
 class Reply:
     status: int
@@ -58,7 +69,9 @@
         capacity: int = 12,
         members: int = 3,
         parts: Parts | None = None,
+        observer: Observer | None = None,
     ) -> None:
+        self.observer = observer
         self.rng = random.Random(seed)
         self.now = timedelta(0)
         self._heap: list[tuple[timedelta, int, Callable[[], None]]] = []
@@ -206,6 +219,21 @@
         """Where a worker takes direct commands."""
         return host
 
+    def observed(self, node: str, answer: Callable[..., None]) -> Callable[..., None]:
+        """The answer of a controller to a user, a worker or a peer, shown to the observer on its way."""
+        observer = self.observer
+        if observer is None:
+            return answer
+
+        def show(status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
+            observer.answered(self.now, node, status, body, headers or {})
+            if headers is None:
+                answer(status, body)
+            else:
+                answer(status, body, headers)
+
+        return show
+
     # Users.
 
     def submit(self, ref: str, **fields: Any) -> None:
@@ -217,7 +245,8 @@
         body = json.dumps(self.jobs[ref]).encode()
         for attempt in range(tries):
             name = node if attempt == 0 else self.rng.choice(self.names)
-            self.ask(name, lambda c: c.desk.submit(body, lambda status, *_: got.append(status)))
+            told = self.observed(name, lambda status, *_: got.append(status))
+            self.ask(name, lambda c, told=told: c.desk.submit(body, told))  # type: ignore[misc]
             self.run(1.0)
             if got and got[-1] in (200, 201):
                 return True
@@ -228,13 +257,15 @@
 
     def poll(self, ref: str, node: str) -> tuple[int, dict[str, Any]] | None:
         got: list[tuple[int, dict[str, Any]]] = []
-        self.ask(node, lambda c: c.desk.poll(ref, lambda status, body, headers: got.append((status, json.loads(body)))))
+        told = self.observed(node, lambda status, body, headers: got.append((status, json.loads(body))))
+        self.ask(node, lambda c: c.desk.poll(ref, told))
         self.run(2.0)
         return got[0] if got else None
 
     def cancel(self, ref: str, node: str) -> bool:
         got: list[int] = []
-        self.ask(node, lambda c: c.desk.cancel(ref, lambda status, body, headers: got.append(status)))
+        told = self.observed(node, lambda status, body, headers: got.append(status))
+        self.ask(node, lambda c: c.desk.cancel(ref, told))
         self.run_until(lambda: bool(got), 3)
         if got == [200]:
             self.cancelled.setdefault(ref, self.now)
@@ -295,6 +326,7 @@
             if self.alive:
                 self.node.awake(self, lambda: done(reply))
 
+        self._show_call(address, method, target, kind, body, timeout)
         if address == STATE and target == wire.TXN and self.rng.random() < self.world.late_writes:
             # No answer, and it is carried out well after newer ones of the same controller.
             late = self.world.rng.uniform(2, 12) * S
@@ -319,7 +351,8 @@
                     assert (method, target) == ("GET", wire.INSPECT)
                     worker.inspect(answer)
             else:
-                self.world.nodes[address].ask(lambda c: take(c, answer), lambda: answer(503, b""))
+                told = self.world.observed(address, answer)
+                self.world.nodes[address].ask(lambda c: take(c, told), lambda: answer(503, b""))
 
         def take(controller: Controller, answer: Answer) -> None:
             said = controller.syncing.take(body)
@@ -327,6 +360,10 @@
 
         self.world.send(self.node.name, address, request, timeout, finish)
 
+    def _show_call(self, address: str, method: str, target: str, kind: str, body: bytes, timeout: timedelta) -> None:
+        if self.world.observer is not None:
+            self.world.observer.called(self.now, self.node.name, address, method, target, kind, body, timeout)
+
 
 class Node:
     """A controller's place: its process can be killed and started again."""
@@ -675,7 +712,8 @@
         target = self.world.names[self.node]
 
         def request(answer: Answer) -> None:
-            self.world.nodes[target].ask(lambda c: c.reports.beat(body, answer), lambda: answer(503, {}))
+            told = self.world.observed(target, answer)
+            self.world.nodes[target].ask(lambda c: c.reports.beat(body, told), lambda: answer(503, {}))
 
         self.world.send(self.host, target, request, 4 * S, lambda reply: self._answered(sent, tenure, reply))
 
