--- /dev/null
+++ b/tests/compatibility/__init__.py
@@ -0,0 +1,1 @@
+"""All that others read or store, held byte for byte against frozen files."""
