--- a/src/ramptide/admin.py
+++ b/src/ramptide/admin.py
@@ -5,11 +5,12 @@
 
 import msgspec
 
-from ramptide import __version__, wire
+from ramptide import __version__
 from ramptide.context import JSON
 from ramptide.desk import error
 from ramptide.jobs import Job
 from ramptide.process_statistics import ProcessStatistics
+from ramptide.protocol.types import MessageError, decode_json, encode_json
 from ramptide.records import SETTINGS_KEY, MachineRecord
 from ramptide.settings import BOUNDS, SettingsError, Tuning
 from ramptide.store import Transaction, TransactionResult
@@ -58,7 +59,7 @@
         now, defaults = self._c.tuning.to_value(), Tuning().to_value()
         answer(
             200,
-            wire.encode(
+            encode_json(
                 {
                     name: {
                         "value": now[name],
@@ -75,25 +76,27 @@
 
     def _change(self, body: bytes, answer: Answer) -> None:
         try:
-            changes = wire.decode(body)
+            changes = decode_json(body)
             tuning = self._c.tuning.changed(changes)
-        except (wire.MessageError, SettingsError) as problem:
+        except (MessageError, SettingsError) as problem:
             answer(400, error(str(problem)), JSON)
             return
         defaults = Tuning().to_value()
         value = {name: one for name, one in tuning.to_value().items() if one != defaults[name]}
-        txn = Transaction(when={SETTINGS_KEY: self._c.mirror.stamp(SETTINGS_KEY)}, puts=[(SETTINGS_KEY, value, None)])
+        transaction = Transaction(
+            conditions={SETTINGS_KEY: self._c.mirror.mod_revision(SETTINGS_KEY)}, puts=[(SETTINGS_KEY, value, None)]
+        )
 
         def done(outcome: TransactionResult) -> None:
-            if outcome.epoch is not None:
-                self._c.mirror.applied(outcome.epoch, txn.puts, txn.drops)
+            if outcome.revision is not None:
+                self._c.mirror.applied(outcome.revision, transaction.puts, transaction.deletes)
                 self._settings(b"", answer)
-            elif outcome.failed is not None:
+            elif outcome.failed_keys is not None:
                 answer(409, error("the settings were changed meanwhile"), JSON)
             else:
                 answer(503, error("the state service does not answer"), JSON)
 
-        self._c.store.commit(txn, done)
+        self._c.store.commit(transaction, done)
 
     def _status(self, body: bytes, answer: Answer) -> None:
         c = self._c
@@ -122,10 +125,10 @@
             "machines": {name: self._machine(name, record) for name, record in c.machines.items()},
             "silent_machines": c.floor.silent(),
             "failing_jobs": c.floor.failing_jobs(),
-            "jobs": {ref: self._job(job) for ref, job in c.jobs.items()},
+            "jobs": {job_id: self._job(job) for job_id, job in c.jobs.items()},
             "process": self._process_status(),
         }
-        answer(200, wire.encode(status), JSON)
+        answer(200, encode_json(status), JSON)
 
     def _quota_status(self) -> dict[str, Any] | None:
         if self._c.quota is None:
@@ -156,10 +159,10 @@
     def _machine(self, name: str, record: MachineRecord) -> dict[str, Any]:
         host = self._c.floor.hosts.get(name)
         return {
-            "flavor": record.flavor,
-            "yard": record.yard,
+            "flavor": record.machine_type,
+            "yard": record.zone,
             "spot": record.spot,
-            "leaving": record.leaving,
+            "leaving": record.drain_reason,
             "up": host is not None and host.up and not host.quiet,
             "tasks": len(host.tasks) if host is not None else 0,
             "out_of_use": self._c.floor.out_of_use(name),
@@ -168,10 +171,10 @@
     @staticmethod
     def _job(job: Job) -> dict[str, Any]:
         return {
-            "class": job.run.job_class,
-            "team": job.run.team,
-            "home": job.record.home,
-            "pieces": job.run.pieces,
+            "class": job.spec.job_class,
+            "team": job.spec.team,
+            "home": job.record.scheduler,
+            "pieces": job.spec.task_count,
             "done": job.progress.count,
         }
 
--- a/src/ramptide/allowances.py
+++ b/src/ramptide/allowances.py
@@ -38,9 +38,9 @@
         spare = max(0, limit - sum(used[side] for used in using.values()))
         waiting = {member: self._waiting.get(member, {}).get(team, NOTHING)[side] for member in using}
         wanted = sum(waiting.values())
-        part = min(spare, wanted)
+        shard = min(spare, wanted)
         return {
-            member: used[side] + (waiting[member] * part // wanted if wanted > 0 else 0)
+            member: used[side] + (waiting[member] * shard // wanted if wanted > 0 else 0)
             for member, used in using.items()
         }
 
@@ -130,7 +130,7 @@
 
 def _within(limit: Amounts, targets: Mapping[str, Amounts]) -> dict[str, Amounts]:
     """Return the targets, lowered to the limit together where the use alone is above it, as after the limit fell."""
-    total = Amounts(sum(one.cores for one in targets.values()), sum(one.cards for one in targets.values()))
+    total = Amounts(sum(one.cpus for one in targets.values()), sum(one.gpus for one in targets.values()))
     return {
         member: Amounts(
             *(
--- a/src/ramptide/amounts.py
+++ b/src/ramptide/amounts.py
@@ -1,13 +1,14 @@
-"""Amounts of cores and cards (GPUs) that count against team limits, in whole units: sums of them are exact."""
+"""Amounts of CPUs and GPUs that count against team limits, in whole units: sums of them are exact."""
 
 import math
 from collections.abc import Iterable, Mapping
 from functools import lru_cache
 from typing import NamedTuple
 
-from ramptide import wire
+from ramptide.protocol.jobs import JobSpec
+from ramptide.protocol.settings_file import Team
 
-#: Units in one core or card. The interfaces carry decimal numbers, which are converted where they come in.
+#: Units in one CPU or GPU. The interfaces carry decimal numbers, which are converted where they come in.
 UNITS = 1_000_000
 #: Decimal numbers that are whole units but for the error of their binary form count as whole.
 BINARY_ERROR = 1e-3
@@ -16,14 +17,14 @@
 
 
 class Amounts(NamedTuple):
-    """Units of cores and of cards."""
+    """Units of CPUs and of GPUs."""
 
-    cores: int
-    cards: int
+    cpus: int
+    gpus: int
 
     def times(self, count: int) -> "Amounts":
         """Return the amounts of `count` tasks."""
-        return Amounts(self.cores * count, self.cards * count)
+        return Amounts(self.cpus * count, self.gpus * count)
 
 
 Grants = dict[str, Amounts]
@@ -42,16 +43,16 @@
 
 
 @lru_cache(maxsize=4096)
-def _task_amounts(cores: float, cards: float) -> Amounts:
-    return Amounts(units_needed(cores), units_needed(cards))
+def _task_amounts(cpus: float, gpus: float) -> Amounts:
+    return Amounts(units_needed(cpus), units_needed(gpus))
 
 
-def amounts_of(run: wire.Run) -> Amounts:
+def amounts_of(spec: JobSpec) -> Amounts:
     """Return what one task of the job takes of its team's limit."""
-    return _task_amounts(run.cores, run.cards)
+    return _task_amounts(spec.cpus, spec.gpus)
 
 
-def limits_of(team: wire.Team) -> Amounts:
+def limits_of(team: Team) -> Amounts:
     """Return the team's limits, each `NO_LIMIT` where the settings give none."""
     return Amounts(
         units_allowed(team.cpus_max) if team.cpus_max else NO_LIMIT,
@@ -59,12 +60,12 @@
     )
 
 
-def team_limits(teams: Iterable[wire.Team]) -> Grants:
-    """Return the limits of those teams that have one, on cores, cards or both."""
+def team_limits(teams: Iterable[Team]) -> Grants:
+    """Return the limits of those teams that have one, on CPUs, GPUs or both."""
     return {team.name: limits_of(team) for team in teams if team.cpus_max or team.gpus_max}
 
 
-def guarantee_of(team: wire.Team) -> Amounts:
+def guarantee_of(team: Team) -> Amounts:
     """Return what the team is guaranteed."""
     return Amounts(units_allowed(team.cpus), units_allowed(team.gpus))
 
@@ -84,7 +85,7 @@
 
 
 def to_number(units: int) -> float:
-    """Return units as the decimal number of cores or cards that people read."""
+    """Return units as the decimal number of CPUs or GPUs that people read."""
     return math.inf if units == NO_LIMIT else units / UNITS
 
 
--- a/src/ramptide/announcements.py
+++ b/src/ramptide/announcements.py
@@ -11,8 +11,9 @@
 from datetime import timedelta
 from http import HTTPStatus
 
-from ramptide import wire
 from ramptide.context import JSON, Reply, Runtime
+from ramptide.protocol.agents import COMMANDS_PATH, Heartbeat, decode_heartbeat, encode_commands
+from ramptide.protocol.types import MessageError
 
 log = logging.getLogger(__name__)
 
@@ -21,7 +22,7 @@
 #: A worker that does not respond by then is left to its own report; a machine that hangs must not hold up the others.
 RESPONSE_TIMEOUT = timedelta(seconds=1)
 #: The session of most workers. One with another session says so, and is asked once more.
-FIRST_TENURE = 1
+FIRST_AGENT_EPOCH = 1
 
 
 class TokenAnnouncer:
@@ -35,7 +36,7 @@
         Gets the report of each worker that has seen the token.
     """
 
-    def __init__(self, runtime: Runtime, take: Callable[[wire.Beat], None]) -> None:
+    def __init__(self, runtime: Runtime, take: Callable[[Heartbeat], None]) -> None:
         self._runtime = runtime
         self._take = take
         self._token = 0
@@ -56,30 +57,30 @@
     def _send_waiting(self) -> None:
         while self._waiting and self._in_flight < MAX_IN_FLIGHT:
             host, address = self._waiting.popleft()
-            self._send(host, address, FIRST_TENURE)
+            self._send(host, address, FIRST_AGENT_EPOCH)
 
-    def _send(self, host: str, address: str, tenure: int) -> None:
+    def _send(self, host: str, address: str, agent_epoch: int) -> None:
         token = self._token
         self._in_flight += 1
 
         def done(reply: Reply | None) -> None:
             self._in_flight -= 1
             if reply is not None and token == self._token:
-                self._handle(host, address, tenure, reply)
+                self._handle(host, address, agent_epoch, reply)
             self._send_waiting()
 
-        body = wire.encode_orders(token, tenure, [])
-        self._runtime.call(address, "POST", wire.ORDERS, body, JSON, RESPONSE_TIMEOUT, done)
+        body = encode_commands(token, agent_epoch, [])
+        self._runtime.call(address, "POST", COMMANDS_PATH, body, JSON, RESPONSE_TIMEOUT, done)
 
-    def _handle(self, host: str, address: str, tenure: int, reply: Reply) -> None:
+    def _handle(self, host: str, address: str, agent_epoch: int, reply: Reply) -> None:
         try:
-            beat = wire.decode_beat(reply.body)
-        except wire.MessageError as error:
+            heartbeat = decode_heartbeat(reply.body)
+        except MessageError as error:
             log.debug("response of %s to the token: %s", host, error)
             return
-        if beat.host != host:
+        if heartbeat.host != host:
             return
         if reply.status == HTTPStatus.OK:
-            self._take(beat)
-        elif reply.status == HTTPStatus.CONFLICT and tenure == FIRST_TENURE != beat.tenure:
-            self._send(host, address, beat.tenure)
+            self._take(heartbeat)
+        elif reply.status == HTTPStatus.CONFLICT and agent_epoch == FIRST_AGENT_EPOCH != heartbeat.agent_epoch:
+            self._send(host, address, heartbeat.agent_epoch)
--- a/src/ramptide/app.py
+++ b/src/ramptide/app.py
@@ -7,7 +7,6 @@
 
 import msgspec
 
-from ramptide import wire
 from ramptide.amounts import Grants, guarantee_of, team_limits
 from ramptide.announcements import TokenAnnouncer
 from ramptide.cloud import Cloud
@@ -25,14 +24,18 @@
 from ramptide.leader import Leader
 from ramptide.lease_expiry import CLOCK_DRIFT, MISSED_REPORTS
 from ramptide.machine_status import MachineStatus
-from ramptide.membership import LIFE, VIEW, Membership, View, owner_of
+from ramptide.membership import LEASE_TIMEOUT, VIEW, Membership, View, owner_of
 from ramptide.mirror import Mirror
 from ramptide.parts import Parts
 from ramptide.peers import Peers
+from ramptide.protocol.agents import INSPECT_PATH
+from ramptide.protocol.cloud import MachineType
+from ramptide.protocol.jobs import JobSpec
+from ramptide.protocol.settings_file import Settings
 from ramptide.records import (
-    FLAVORS_KEY,
     JOB_PREFIX,
     LIMIT_PREFIX,
+    MACHINE_TYPES_KEY,
     RENTAL_PREFIX,
     SETTINGS_KEY,
     JobRecord,
@@ -63,7 +66,8 @@
 #: Share of `cancel_s` after which a machine that can't be proven free of a cancelled task is returned. What is left has
 #: to suffice for a leader that starts anew just before: its place, three missed reports, and the return.
 PROVE_WITHIN = 0.5
-FLAVORS_EVERY = timedelta(seconds=60)
+MACHINE_TYPES_INTERVAL = timedelta(seconds=60)
+MACHINE_TYPES_RETRY_DELAY = timedelta(seconds=2)
 OWNERS_KEPT = 20_000
 UNSETTLED_LONG = timedelta(seconds=4)
 PEER_SILENT = timedelta(seconds=5)
@@ -79,18 +83,18 @@
 class Controller:
     """One member of the service: it owns the parts, routes events to them and runs the decision rounds."""
 
-    def __init__(self, context: Runtime, settings: wire.Settings, incarnation: str, parts: Parts | None = None) -> None:
+    def __init__(self, context: Runtime, settings: Settings, incarnation: str, parts: Parts | None = None) -> None:
         self.context = context
         self.settings = settings
         cluster = settings.cluster
         self.member = settings.member
-        self.lease = timedelta(seconds=cluster.workers.lease_s)
-        self.report_every = timedelta(seconds=cluster.workers.report_s)
+        self.lease = timedelta(seconds=cluster.agents.lease_s)
+        self.report_every = timedelta(seconds=cluster.agents.heartbeat_interval_s)
         # A member without proof of its view may renew leases only so long that they end in time for any
         # cancellation that others may have promised since; and not for long, since others wait for its end.
-        in_time = timedelta(seconds=cluster.workers.cancel_s) - self.lease * CLOCK_DRIFT - ANSWER_MARGIN
+        in_time = timedelta(seconds=cluster.agents.cancel_timeout_s) - self.lease * CLOCK_DRIFT - ANSWER_MARGIN
         self.answer_for = min(in_time, ANSWER_MOST)
-        self.cancel_within = timedelta(seconds=cluster.workers.cancel_s)
+        self.cancel_within = timedelta(seconds=cluster.agents.cancel_timeout_s)
         self.prove_within = self.cancel_within * PROVE_WITHIN
         self.teams = {team.name: team for team in cluster.teams}
         #: The limits of the teams that have one.
@@ -102,7 +106,7 @@
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, MachineRecord] = {}
         self.rentals: dict[str, RentalRecord] = {}
-        self.flavors: dict[str, wire.Flavor] = {}
+        self.machine_types: dict[str, MachineType] = {}
         self.counters: Counter[str] = Counter()
         self.telemetry = Telemetry()
 
@@ -133,14 +137,16 @@
 
         self.floor = Floor(
             self.machines,
-            self.flavors,
+            self.machine_types,
             self.jobs,
             lambda host: self.scheduler.attempts.get(host, {}).values() if self.scheduler is not None else (),
         )
-        self.store = Store(context, settings.outside.state, cluster.state, cluster.nodes)
-        self.cloud = Cloud(context, settings.outside.cloud, cluster.cloud, cluster.nodes)
+        self.store = Store(context, settings.services.key_value_store, cluster.key_value_store, cluster.controllers)
+        self.cloud = Cloud(context, settings.services.cloud, cluster.cloud, cluster.controllers)
         self.mirror = Mirror(self.store, "live/", self._on_change, self._on_loaded)
-        self.membership = Membership(self.store, self.mirror, self.member, incarnation, cluster.nodes, self._on_view)
+        self.membership = Membership(
+            self.store, self.mirror, self.member, incarnation, cluster.controllers, self._on_view
+        )
         self.commits = CommitBatcher(self.store, self.common)
         self.starter = Starter(self)
         self.evictor = Evictor(self)
@@ -149,7 +155,7 @@
         self.syncing = Syncing(self)
         self.peers = Peers(
             context,
-            {s.member: s.addr for s in settings.siblings},
+            {s.member: s.address for s in settings.peers},
             self.syncing.belongs,
             self.syncing.on_sync,
             self.call_off,
@@ -163,10 +169,10 @@
             self.membership,
             self.commits,
             self.jobs,
-            self.flavors,
+            self.machine_types,
             self.teams,
             self.starter.home_for,
-            lambda ref: self.floor.running[ref],
+            lambda job_id: self.floor.running[job_id],
             self.syncing.cancelled,
             self.telemetry,
         )
@@ -186,7 +192,7 @@
         log.info("%s starts as %s", self.member, self.membership.incarnation)
         self.mirror.start()
         self.membership.start()
-        self._fetch_flavors()
+        self._fetch_machine_types()
         self.context.after(TELL_EVERY, self._tell_lacks)
         self._tick()
 
@@ -203,11 +209,11 @@
         alive, only that we have not been removed yet.
         """
         proof = self.mirror.proof
-        agreed = self.peers.agreement() if kept or self.mirror.lacking else None
+        agreed = self.peers.unavailable_agreed_since() if kept or self.mirror.lacking else None
         if kept:
             held = self.membership.kept
             proof = min(proof, held) if proof is not None and held is not None else None
-            agreed = agreed - LIFE if agreed is not None else None
+            agreed = agreed - LEASE_TIMEOUT if agreed is not None else None
         known = [one for one in (proof, agreed) if one is not None]
         return max(known) if known else None
 
@@ -224,7 +230,7 @@
 
     def common(self) -> dict[str, int]:
         """Return the conditions that every transaction of this controller has, as revisions by key."""
-        return {VIEW: self.membership.view_stamp}
+        return {VIEW: self.membership.view_revision}
 
     def may_start(self) -> bool:
         """Tell whether tasks may be started: we may answer workers, and our view was proven recently."""
@@ -235,7 +241,7 @@
         if not self.membership.serving or not self.may_renew():
             return False
         # Another controller acts in a newer view. Its workers must find their new owners, not us.
-        return self.view is not None and self.peers.newest <= self.view.number
+        return self.view is not None and self.peers.newest_view <= self.view.number
 
     def healthy(self) -> bool:
         """Tell whether requests can be accepted.
@@ -245,7 +251,7 @@
         if self.mirror.proof is None:
             return False
         if self.mirror.lacking:
-            agreement = self.peers.agreement()
+            agreement = self.peers.unavailable_agreed_since()
             alone = agreement is None or self.context.now - agreement > timedelta(seconds=3)
             return not alone or self.context.now - self.mirror.proof < timedelta(seconds=4)
         return True
@@ -257,11 +263,11 @@
         now, found = self.context.now, []
         if self.mirror.lacking:
             found.append("state service")
-        left_out = self.view is not None and self.peers.newest > self.view.number
+        left_out = self.view is not None and self.peers.newest_view > self.view.number
         if not self.membership.serving or left_out:
             found.append("place in the view")
         for name, peer in self.peers.all.items():
-            if peer.answered is None or now - peer.answered > PEER_SILENT:
+            if peer.answered_at is None or now - peer.answered_at > PEER_SILENT:
                 found.append(f"controller {name}")
         up = [machine for machine in self.shard.machines.values() if machine.up] if self.shard is not None else []
         if up and self.may_answer() and all(machine.silent for machine in up):
@@ -280,99 +286,99 @@
 
     # Changes of the state service.
 
-    def _on_change(self, path: str, value: Any, stamp: int) -> None:
-        if path.startswith(JOB_PREFIX):
-            self._on_job(path[len(JOB_PREFIX) :], value, stamp)
-        elif path.startswith(RENTAL_PREFIX):
-            self._on_rental(path[len(RENTAL_PREFIX) :], value)
-        elif path.startswith(LIMIT_PREFIX):
+    def _on_change(self, key: str, value: Any, mod_revision: int) -> None:
+        if key.startswith(JOB_PREFIX):
+            self._on_job(key[len(JOB_PREFIX) :], value, mod_revision)
+        elif key.startswith(RENTAL_PREFIX):
+            self._on_rental(key[len(RENTAL_PREFIX) :], value)
+        elif key.startswith(LIMIT_PREFIX):
             if self.quota is not None:
-                self.quota.limits.on_change(path, value)
-        elif path == FLAVORS_KEY:
-            self._take_flavors(value)
-        elif path == SETTINGS_KEY:
+                self.quota.limits.on_change(key, value)
+        elif key == MACHINE_TYPES_KEY:
+            self._take_machine_types(value)
+        elif key == SETTINGS_KEY:
             self.tuning = self.floor.tuning = Tuning.from_value(value)
             self.floor.touch_all()
             log.info("settings changed")
         else:
-            self.membership.on_change(path, value, stamp)
+            self.membership.on_change(key, value, mod_revision)
 
     def _on_loaded(self) -> None:
         log.info("loaded: %d jobs, %d machines", len(self.jobs), len(self.machines))
 
-    def _on_job(self, ref: str, value: Any, stamp: int) -> None:
+    def _on_job(self, job_id: str, value: Any, mod_revision: int) -> None:
         if value is None:
-            self._called_off.discard(ref)
-            self.job_over(ref)
+            self._called_off.discard(job_id)
+            self.job_over(job_id)
             return
-        if ref in self._called_off:
+        if job_id in self._called_off:
             # An answer from before its end comes late: it must not come back for a moment.
             return
-        known = self.jobs.get(ref)
+        known = self.jobs.get(job_id)
         try:
             record = msgspec.convert(value, JobRecord)
-            job = known or Job(ref, record, stamp)
-            job.update(record, stamp)
+            job = known or Job(job_id, record, mod_revision)
+            job.update(record, mod_revision)
         except (msgspec.ValidationError, ValueError) as error:
-            log.error("broken record of %s: %s", ref, error)
+            log.error("broken record of %s: %s", job_id, error)
             return
         if known is None:
-            self.jobs[ref] = job
-            self.leader.fleet.used(job.run.image)
+            self.jobs[job_id] = job
+            self.leader.fleet.used(job.spec.image)
         if job.progress.count:
-            self.floor.passed(ref)
+            self.floor.passed(job_id)
         self._assign(job)
 
-    def call_off(self, refs: list[str]) -> None:
+    def call_off(self, job_ids: list[str]) -> None:
         """Drop jobs that another controller knows to be over and that our copy of the state service still shows.
 
         Their users may have been told so already.
         """
-        known = [ref for ref in refs if ref in self.jobs]
+        known = [job_id for job_id in job_ids if job_id in self.jobs]
         self._called_off.update(known)
-        for ref in known:
-            self.job_over(ref)
+        for job_id in known:
+            self.job_over(job_id)
 
-    def job_over(self, ref: str) -> None:
+    def job_over(self, job_id: str) -> None:
         """Drop a job that has left the live state; one that is not known is ignored."""
-        job = self.jobs.pop(ref, None)
+        job = self.jobs.pop(job_id, None)
         if job is None:
             return
-        self.floor.job_over(ref, job.run, self.context.now)
-        self.results.forget(ref)
+        self.floor.job_over(job_id, job.spec, self.context.now)
+        self.results.forget(job_id)
         if self.scheduler is not None:
-            self.scheduler.job_over(ref)
+            self.scheduler.job_over(job_id)
         if self.shard is not None:
-            self.shard.job_over(ref)
+            self.shard.job_over(job_id)
 
     def _home_of(self, job: Job) -> str | None:
         if self.view is None:
             return None
-        return job.record.home if job.record.home in self.view.members else self.view.leader
+        return job.record.scheduler if job.record.scheduler in self.view.members else self.view.leader
 
     def _assign(self, job: Job) -> None:
         if self.scheduler is None:
             return
         if self._home_of(job) == self.member:
-            known = job.ref in self.scheduler.jobs
-            self.scheduler.take_job(job, self.context.now, self.floor.failed_on(job.ref))
+            known = job.job_id in self.scheduler.jobs
+            self.scheduler.take_job(job, self.context.now, self.floor.failed_on(job.job_id))
             if known:
-                self.scheduler.results_recorded(job.ref)
+                self.scheduler.results_recorded(job.job_id)
             else:
                 # The others' lists that we have may be from before we became its home, yet satisfy all that a
                 # handover waits for: what they show of the job is taken over before anything is started.
-                self._read_again(self.scheduler, job.ref)
+                self._read_again(self.scheduler, job.job_id)
         else:
-            self.scheduler.release_job(job.ref)
+            self.scheduler.release_job(job.job_id)
 
-    def _read_again(self, home: JobScheduler, ref: str) -> None:
-        for name in self.floor.where(ref):
-            self._read_host(home, name)
+    def _read_again(self, scheduler: JobScheduler, job_id: str) -> None:
+        for name in self.floor.where(job_id):
+            self._read_host(scheduler, name)
 
-    def _read_host(self, home: JobScheduler, name: str) -> None:
+    def _read_host(self, scheduler: JobScheduler, name: str) -> None:
         host, record = self.floor.hosts.get(name), self.machines.get(name)
         if host is not None and record is not None and host.known and host.settled:
-            home.apply_status(name, record.yard, host.tasks, self.context.now)
+            scheduler.apply_status(name, record.zone, host.tasks, self.context.now)
 
     def read_row(self, name: str, row: MachineStatus | None) -> None:
         """Take a machine's state from its owner's message; None when the owner has no such machine."""
@@ -391,15 +397,15 @@
         before = self.rentals.pop(name, None)
         if record is not None:
             self.rentals[name] = record
-        old = before.machines(name) if before is not None else {}
-        new = record.machines(name) if record is not None else {}
+        old = before.machine_records(name) if before is not None else {}
+        new = record.machine_records(name) if record is not None else {}
         for host in old.keys() - new.keys():
             self._machine_gone(host)
         for host, machine in new.items():
             if machine != old.get(host):
                 self.machines[host] = machine
                 self.leader.recorded(host)
-                self.floor.add(host, self._unproven_since() if machine.opened else None)
+                self.floor.add(host, self._unproven_since() if machine.registered else None)
                 self._own(host, machine)
                 if self.scheduler is not None and self._faulty(host):
                     self.scheduler.machine_faulty(host)
@@ -416,7 +422,7 @@
 
     def _faulty(self, host: str) -> bool:
         record = self.machines.get(host)
-        return record is not None and record.leaving == SICK
+        return record is not None and record.drain_reason == SICK
 
     def _machine_gone(self, host: str) -> None:
         self.machines.pop(host, None)
@@ -433,7 +439,9 @@
         if self.shard is not None and self.view is not None and self.owner(host) == self.member:
             images = self.floor.hosts[host].images if host in self.floor.hosts else []
             until = self._answerable.get(host)
-            self.shard.add_machine(host, record, self.flavors.get(record.flavor), self.context.now, images, until)
+            self.shard.add_machine(
+                host, record, self.machine_types.get(record.machine_type), self.context.now, images, until
+            )
 
     def owner(self, host: str) -> str:
         """Return the member that owns the machine in the current view."""
@@ -461,32 +469,37 @@
         """
         now, silent, fresh = self.context.now, self.report_every * MISSED_REPORTS, {self.member}
         for name, peer in self.peers.all.items():
-            if peer.said is not None and peer.heard is not None and now - peer.heard < silent:
+            if peer.last_message is not None and peer.heard_at is not None and now - peer.heard_at < silent:
                 fresh.add(name)
         return fresh
 
-    def _take_flavors(self, value: Any) -> None:
+    def _take_machine_types(self, value: Any) -> None:
         try:
-            flavors = msgspec.convert(value, list[wire.Flavor])
+            machine_types = msgspec.convert(value, list[MachineType])
         except msgspec.ValidationError as error:
             log.error("broken machine types: %s", error)
             return
-        self.flavors.clear()
-        self.flavors.update({flavor.name: flavor for flavor in flavors})
+        self.machine_types.clear()
+        self.machine_types.update({machine_type.name: machine_type for machine_type in machine_types})
         self.floor.touch_all()
         for host, record in self.machines.items():
             self._own(host, record)
 
-    def _fetch_flavors(self) -> None:
+    def _fetch_machine_types(self) -> None:
         """Read the machine types from the cloud; the leader stores them for controllers that start without it."""
 
-        def done(flavors: list[wire.Flavor] | None) -> None:
-            self.context.after(FLAVORS_EVERY if flavors else timedelta(seconds=2), self._fetch_flavors)
-            if flavors:
-                self._take_flavors(msgspec.to_builtins(flavors))
-                self.leader.flavors_read = True
+        def done(machine_types: list[MachineType] | None) -> None:
+            delay = MACHINE_TYPES_INTERVAL if machine_types else MACHINE_TYPES_RETRY_DELAY
+            self.context.after(delay, self._fetch_machine_types)
+            if machine_types:
+                self._take_machine_types(msgspec.to_builtins(machine_types))
+                self.leader.machine_types_read = True
+
+        self.cloud.list_machine_types(done)
 
-        self.cloud.flavors(done)
+    def _find_spec(self, job_id: str) -> JobSpec | None:
+        job = self.jobs.get(job_id)
+        return job.spec if job is not None else None
 
     # Views.
 
@@ -526,9 +539,7 @@
             self.reports.new_view()
             return
         index = sorted(view.members).index(self.member)
-        self.shard = Shard(
-            view.number, self.lease, self.report_every, lambda ref: job.run if (job := self.jobs.get(ref)) else None
-        )
+        self.shard = Shard(view.number, self.lease, self.report_every, self._find_spec)
         # Attempts are numbered so that no two controllers and no two views ever use the same number.
         self.scheduler = JobScheduler(self.member, (view.number * 64 + index) << 24, self._faulty)
         for name, record in self.machines.items():
@@ -539,16 +550,16 @@
         self.reports.new_view()
         self._announce_token(self.shard, silent)
 
-    def _announce_token(self, part: Shard, silent: set[str]) -> None:
+    def _announce_token(self, shard: Shard, silent: set[str]) -> None:
         """Tell the workers of our machines the token of the view, as far as we know where they are.
 
         Those that were silent before come last: each may take the whole time limit, and with hundreds of them the
         others would wait for as many seconds.
         """
-        unsettled = [host for host, machine in part.machines.items() if not machine.settled]
+        unsettled = [host for host, machine in shard.machines.items() if not machine.settled]
         unsettled.sort(key=lambda host: host in silent)
         addresses = {host: self.addresses[host] for host in unsettled if host in self.addresses}
-        self.announcer.announce(part.view, addresses)
+        self.announcer.announce(shard.view, addresses)
 
     def _count_witnesses(self, view: View) -> None:
         """Keep count of the processes left that know what was cancelled before this one started.
@@ -573,11 +584,11 @@
         so it was last found alive `LIFE` before.
         """
         assert self.view is not None
-        authority = self.answer_for - LIFE / CLOCK_DRIFT
+        authority = self.answer_for - LEASE_TIMEOUT / CLOCK_DRIFT
         ends = [self.view_at]
-        for member, inc in self.view.lingering.items():
-            proof = self.peers.ended(member, inc, self.view.number)
-            ends.append(proof if proof is not None else self._lingering_since[(member, inc)] + authority)
+        for member, incarnation in self.view.lingering.items():
+            proof = self.peers.no_replies_after(member, incarnation, self.view.number)
+            ends.append(proof if proof is not None else self._lingering_since[(member, incarnation)] + authority)
         for member in self.view.members:
             if member == self.member:
                 continue
@@ -607,39 +618,39 @@
             self._round(self.scheduler, self.shard, now, slow)
         self.syncing.send(self.scheduler, self.shard, now)
 
-    def _round(self, home: JobScheduler, part: Shard, now: timedelta, slow: bool) -> None:
+    def _round(self, scheduler: JobScheduler, shard: Shard, now: timedelta, slow: bool) -> None:
         """Process what changed; what changes only with time is processed in slow rounds."""
-        home.needs_round = False
+        scheduler.needs_round = False
         if slow:
             self._last_round = now
-            ended = part.leases.expire(now, self.others_end())
+            ended = shard.leases.expire(now, self.others_end())
             self.telemetry.take_ended_leases(ended, confirmed=self.may_answer())
-            self._mind_workers(part, now)
-            self.starter.clear_machines(home)
-        changed = part.take_changed()
+            self._mind_workers(shard, now)
+            self.starter.clear_machines(scheduler)
+        changed = shard.take_changed()
         for host in changed:
-            self.read_row(host, part.status(host, now))
-        self.syncing.acknowledge(home, self.member, part.acks.get(self.member, 0))
+            self.read_row(host, shard.status(host, now))
+        self.syncing.acknowledge(scheduler, self.member, shard.acks.get(self.member, 0))
         if not self.latched:
-            self._settle(part, now)
+            self._settle(shard, now)
         if self.may_start():
-            self.starter.place(home, now)
-            self.evictor.preempt(home, now)
-            self.handover.hand_over(home, now)
+            self.starter.place(scheduler, now)
+            self.evictor.preempt(scheduler, now)
+            self.handover.hand_over(scheduler, now)
         if self.quota is not None:
-            self.quota.review(home, now)
-        self.syncing.mark(home, part, changed)
+            self.quota.review(scheduler, now)
+        self.syncing.mark(scheduler, shard, changed)
         self.reports.answer_held(now)
-        self.results.flush(home, now)
+        self.results.flush(scheduler, now)
 
-    def _mind_workers(self, part: Shard, now: timedelta) -> None:
+    def _mind_workers(self, shard: Shard, now: timedelta) -> None:
         """Give up our place in the view when we are cut off from the workers alone.
 
         We would keep our machines until their leases end, and the fleet would return them as silent. So we step down
         when all of ours are silent while other controllers hear theirs; when nobody hears any, the fault is not in our
         network link.
         """
-        used = [machine for machine in part.machines.values() if machine.record.opened]
+        used = [machine for machine in shard.machines.values() if machine.record.registered]
         if len(used) < UNHEARD_LEAST or not all(machine.silent for machine in used):
             self._unheard_since = None
             return
@@ -656,7 +667,7 @@
 
         What one told before says nothing: it may be gone, and the last one that is left must not give up its place.
         """
-        heard = {name for name, peer in self.peers.all.items() if peer.heard is not None and peer.heard > since}
+        heard = {name for name, peer in self.peers.all.items() if peer.heard_at is not None and peer.heard_at > since}
         others = (host for name, host in self.floor.hosts.items() if self.owner(name) in heard)
         return any(host.known and host.up and not host.quiet for host in others)
 
@@ -674,7 +685,7 @@
             self.context.after(PROBE_EVERY, lambda: self._rest(since, probes + 1, heard))
 
         address = known[probes % len(known)]
-        self.context.call(address, "GET", wire.INSPECT, b"", JSON, PROBE_EVERY, done)
+        self.context.call(address, "GET", INSPECT_PATH, b"", JSON, PROBE_EVERY, done)
 
     def unsettled(self) -> dict[str, str]:
         """Return the machines whose state in this view is not known yet, each with the reason.
@@ -684,7 +695,7 @@
         assert self.view is not None
         found = {}
         for name, record in self.machines.items():
-            if record.untouched(self.view.number):
+            if record.is_unused_before(self.view.number):
                 continue
             host = self.floor.hosts.get(name)
             if host is None or not host.known:
@@ -695,34 +706,40 @@
                 found[name] = "runs a task of a job that was over"
         return found
 
-    def _settle(self, part: Shard, now: timedelta) -> None:
+    def _settle(self, shard: Shard, now: timedelta) -> None:
         left = self.unsettled()
         spent = (now - self.view_at).total_seconds()
         if not left:
             self.latched = True
             self.telemetry.settled(now - self.view_at)
-            log.info("all machines are settled in view %d after %.1f s", part.view, spent)
-            self.peers.hurry_all()
+            log.info("all machines are settled in view %d after %.1f s", shard.view, spent)
+            self.peers.send_all_soon()
         elif now - max(self.view_at, self._told_unsettled) > UNSETTLED_LONG:
             self._told_unsettled = now
             some = ", ".join(f"{name} ({why})" for name, why in list(left.items())[:3])
-            log.info("view %d waits for %d machines after %.1f s: %s", part.view, len(left), spent, some)
+            log.info("view %d waits for %d machines after %.1f s: %s", shard.view, len(left), spent, some)
 
-    def ready(self, work: JobState) -> bool:
+    def ready(self, job_state: JobState) -> bool:
         """Tell whether the job's tasks may be started: none can be on a machine without our knowledge."""
         assert self.view is not None and self.shard is not None
-        record = work.job.record
-        if not self.latched and (record.born != self.view.number or record.run.team in self.limits):
+        record = job_state.job.record
+        if not self.latched and (record.created_in_view != self.view.number or record.spec.team in self.limits):
             return False
-        hand = record.hand
-        if hand is None or hand.view != self.view.number or hand.member == self.member:
+        handover = record.handover
+        if handover is None or handover.view != self.view.number or handover.member == self.member:
             return True
         for member in self.view.members:
             if member == self.member:
-                ack = self.shard.acks.get(hand.member, 0)
+                ack = self.shard.acks.get(handover.member, 0)
             else:
-                said = self.peers.said(member)
-                ack = 0 if said is None else said.seq if member == hand.member else said.acks.get(hand.member, 0)
-            if ack < hand.seq:
+                message = self.peers.last_message(member)
+                ack = (
+                    0
+                    if message is None
+                    else message.sequence_number
+                    if member == handover.member
+                    else message.acknowledged.get(handover.member, 0)
+                )
+            if ack < handover.sequence_number:
                 return False
         return True
--- a/src/ramptide/attempts.py
+++ b/src/ramptide/attempts.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from ramptide import wire
 from ramptide.amounts import Amounts, Grants, add_amounts, amounts_of
+from ramptide.protocol.jobs import JobSpec
 from ramptide.task_state import FINISHED, NO_TIME, DesiredState, Phase, TaskKey
 
 
@@ -16,13 +16,13 @@
     `seq`: the number of the message to the owner that first tells of its present desired state.
     """
 
-    run: wire.Run
-    task: int
+    spec: JobSpec
+    task_index: int
     number: int
     host: str
     zone: str
     desired: DesiredState
-    seq: int
+    sequence_number: int
     since: timedelta
     phase: Phase = Phase.QUEUED
     grace: timedelta = NO_TIME
@@ -32,7 +32,7 @@
     @property
     def key(self) -> TaskKey:
         """The job, the task and the number of the attempt."""
-        return (self.run.ref, self.task, self.number)
+        return (self.spec.job_id, self.task_index, self.number)
 
 
 class AttemptIndex:
@@ -49,22 +49,22 @@
         #: What each team's attempts hold.
         self.usage: Grants = {}
 
-    def of_job(self, ref: str) -> list[Attempt]:
+    def of_job(self, job_id: str) -> list[Attempt]:
         """Return the attempts of a job, as a list that stays while they are added and removed."""
-        return list(self.by_job.get(ref, {}).values())
+        return list(self.by_job.get(job_id, {}).values())
 
     def add(self, attempt: Attempt) -> None:
         """Add an attempt, which its machine's owner is taken not to show yet."""
         key = attempt.key
         self.by_host.setdefault(attempt.host, {})[key] = attempt
-        self.by_job.setdefault(attempt.run.ref, {})[key] = attempt
+        self.by_job.setdefault(attempt.spec.job_id, {})[key] = attempt
         self.unshown[key] = attempt
         self.count(attempt)
 
     def remove(self, attempt: Attempt) -> None:
         """Remove an attempt."""
         key = attempt.key
-        for index, name in ((self.by_host, attempt.host), (self.by_job, attempt.run.ref)):
+        for index, name in ((self.by_host, attempt.host), (self.by_job, attempt.spec.job_id)):
             entries = index.get(name)
             if entries is not None and entries.pop(key, None) is not None and not entries:
                 del index[name]
@@ -77,7 +77,7 @@
         if counts is not attempt.counted:
             attempt.counted = counts
             sign = 1 if counts else -1
-            add_amounts(self.usage, attempt.run.team, amounts_of(attempt.run).times(sign))
+            add_amounts(self.usage, attempt.spec.team, amounts_of(attempt.spec).times(sign))
 
 
 def sum_amounts(attempts: Iterable[Attempt]) -> dict[str, Amounts]:
@@ -85,5 +85,5 @@
     total: dict[str, Amounts] = {}
     for attempt in attempts:
         if attempt.phase not in FINISHED:
-            add_amounts(total, attempt.run.team, amounts_of(attempt.run))
+            add_amounts(total, attempt.spec.team, amounts_of(attempt.spec))
     return total
--- a/src/ramptide/cloud.py
+++ b/src/ramptide/cloud.py
@@ -7,9 +7,22 @@
 from typing import TypeVar
 from urllib.parse import urlencode
 
-from ramptide import wire
 from ramptide.context import JSON, Reply, ResponseCallback, Runtime
 from ramptide.limits import Priority, RateLimiter, TokenBucket
+from ramptide.protocol.cloud import (
+    MACHINE_TYPES_PATH,
+    RENTALS_PATH,
+    RETURN_PATH,
+    ListedMachine,
+    MachineType,
+    decode_machine_page,
+    decode_machine_types,
+    decode_rented_hosts,
+    encode_rent_request,
+    encode_return_request,
+)
+from ramptide.protocol.settings_file import CloudLimits
+from ramptide.protocol.types import MessageError
 from ramptide.records import RentalRecord
 
 log = logging.getLogger(__name__)
@@ -41,10 +54,10 @@
         The number of controllers.
     """
 
-    def __init__(self, runtime: Runtime, address: str, limits: wire.CloudLimits, nodes: int) -> None:
+    def __init__(self, runtime: Runtime, address: str, limits: CloudLimits, nodes: int) -> None:
         self._runtime = runtime
         self._address = address
-        rate = limits.rps * (USED_PART_ALONE if nodes == 1 else USED_PART_WITH_OTHERS)
+        rate = limits.requests_per_second * (USED_PART_ALONE if nodes == 1 else USED_PART_WITH_OTHERS)
         self._rate_limiter = RateLimiter(runtime, TokenBucket(rate, rate))
 
     def _call(self, priority: Priority, method: str, target: str, body: bytes, done: ResponseCallback) -> None:
@@ -58,13 +71,13 @@
 
         self._rate_limiter.submit(priority, 0, MAX_QUEUE_TIME, send, lambda: done(None))
 
-    def flavors(self, done: Callable[[list[wire.Flavor] | None], None]) -> None:
+    def list_machine_types(self, done: Callable[[list[MachineType] | None], None]) -> None:
         """Read the machine types; `done` gets None when that failed."""
 
         def answered(reply: Reply | None) -> None:
-            done(_decode_success(wire.decode_flavors, reply))
+            done(_decode_success(decode_machine_types, reply))
 
-        self._call(Priority.READ, "GET", wire.FLAVORS, b"", answered)
+        self._call(Priority.READ, "GET", MACHINE_TYPES_PATH, b"", answered)
 
     def rent(self, name: str, rental: RentalRecord, done: Callable[[list[str] | None, bool], None]) -> None:
         """Rent machines.
@@ -85,10 +98,10 @@
                 or reply.status == HTTPStatus.SERVICE_UNAVAILABLE
                 and b"no capacity" in reply.body
             )
-            done(_decode_success(wire.decode_hired, reply), refused)
+            done(_decode_success(decode_rented_hosts, reply), refused)
 
-        body = wire.encode_hire(name, rental.flavor, rental.yard, rental.spot, rental.count)
-        self._call(Priority.COMMIT, "POST", wire.RENTALS, body, answered)
+        body = encode_rent_request(name, rental.machine_type, rental.zone, rental.spot, rental.count)
+        self._call(Priority.COMMIT, "POST", RENTALS_PATH, body, answered)
 
     def return_machines(self, hosts: list[str], done: Callable[[bool], None]) -> None:
         """Return machines; `done(True)` proves that they and everything on them are gone."""
@@ -96,30 +109,30 @@
         def answered(reply: Reply | None) -> None:
             done(reply is not None and reply.status == HTTPStatus.OK)
 
-        self._call(Priority.COMMIT, "POST", wire.RETURN, wire.encode_return(hosts), answered)
+        self._call(Priority.COMMIT, "POST", RETURN_PATH, encode_return_request(hosts), answered)
 
-    def list_machines(self, done: Callable[[list[wire.Rented] | None], None]) -> None:
+    def list_machines(self, done: Callable[[list[ListedMachine] | None], None]) -> None:
         """Read the whole list of rented machines; `done` gets None when a page of it could not be read."""
-        machines: list[wire.Rented] = []
+        machines: list[ListedMachine] = []
 
         def request_page(after: str | None) -> None:
             query = {"limit": str(RENTALS_PAGE_SIZE)} | ({"since": after} if after else {})
 
             def answered(reply: Reply | None) -> None:
-                page = _decode_success(wire.decode_rented, reply)
+                page = _decode_success(decode_machine_page, reply)
                 if page is None:
                     done(None)
                     return
-                machines.extend(page.hosts)
-                if page.more and (not page.hosts or page.hosts[-1].ref <= (after or "")):
+                machines.extend(page.machines)
+                if page.more and (not page.machines or page.machines[-1].host <= (after or "")):
                     log.error("broken answer of the cloud: a page that leads nowhere")
                     done(None)
                 elif page.more:
-                    request_page(page.hosts[-1].ref)
+                    request_page(page.machines[-1].host)
                 else:
                     done(machines)
 
-            self._call(Priority.HOUSEKEEPING, "GET", f"{wire.RENTALS}?{urlencode(query)}", b"", answered)
+            self._call(Priority.HOUSEKEEPING, "GET", f"{RENTALS_PATH}?{urlencode(query)}", b"", answered)
 
         request_page(None)
 
@@ -130,6 +143,6 @@
         return None
     try:
         return decode(reply.body)
-    except wire.MessageError as error:
+    except MessageError as error:
         log.error("broken answer of the cloud: %s", error)
         return None
--- a/src/ramptide/command_delivery.py
+++ b/src/ramptide/command_delivery.py
@@ -5,10 +5,9 @@
 """
 
 from datetime import timedelta
-from typing import Any
 
-from ramptide import wire
 from ramptide.machine_table import MachineTable
+from ramptide.protocol.agents import Command, reap_command, start_command, stop_command
 from ramptide.task_state import FINISHED, NO_TIME, DesiredState, Phase, TaskEntry
 
 
@@ -19,38 +18,38 @@
         self._table = table
         self._find_run = table.find_run
 
-    def take(self, host: str, now: timedelta, may_start: bool) -> list[dict[str, Any]]:
+    def take(self, host: str, now: timedelta, may_start: bool) -> list[Command]:
         """Return the commands for the reply to a report just taken, and note them as sent."""
         machine = self._table.machines.get(host)
         if machine is None or not machine.has_current_token:
             return []
-        commands: list[dict[str, Any]] = []
-        launches: list[dict[str, Any]] = []
+        commands: list[Command] = []
+        launches: list[Command] = []
         for key, entry in list(machine.entries.items()):
-            ref, task, attempt = key
-            if entry.requested_by is None and entry.desired is None and self._find_run(ref) is None:
+            job_id, task, attempt = key
+            if entry.requested_by is None and entry.desired is None and self._find_run(job_id) is None:
                 # Found on the machine, and its job is over: nobody else would clear it away.
                 machine.clear_away(key, entry)
             if entry.desired is DesiredState.RUN and entry.phase is Phase.QUEUED and may_start:
-                launches.append(wire.launch(ref, task, attempt))
+                launches.append(start_command(job_id, task, attempt))
                 entry.phase = Phase.SENT
             elif entry.desired is DesiredState.REAP and entry.phase is Phase.ENDED:
-                commands.append(wire.reap(ref, task, attempt))
+                commands.append(reap_command(job_id, task, attempt))
             elif entry.desired in (DesiredState.STOP, DesiredState.REAP) and entry.phase not in FINISHED:
-                self._kill(commands, entry, now)
+                self._stop(commands, entry, now)
         if launches:
             self._table.mark_changed(host)
         return commands + launches
 
     @staticmethod
-    def _kill(commands: list[dict[str, Any]], entry: TaskEntry, now: timedelta) -> None:
+    def _stop(commands: list[Command], entry: TaskEntry, now: timedelta) -> None:
         # A kill is repeated until the report shows the end; a saving task is left to save for its grace.
-        if entry.kill_sent_at is None:
-            entry.kill_sent_at = now
-        grace = max(entry.kill_sent_at + entry.grace - now, NO_TIME)
-        if entry.phase is Phase.FLUSHING and grace > NO_TIME:
+        if entry.stop_sent_at is None:
+            entry.stop_sent_at = now
+        grace = max(entry.stop_sent_at + entry.grace - now, NO_TIME)
+        if entry.phase is Phase.CHECKPOINTING and grace > NO_TIME:
             return
-        commands.append(wire.kill(entry.ref, entry.task, entry.attempt, grace))
+        commands.append(stop_command(entry.job_id, entry.task_index, entry.attempt, grace))
 
     def pending(self, host: str) -> bool:
         """Tell whether there is a command for this machine's worker that it was not sent yet."""
@@ -64,6 +63,6 @@
             and entry.phase is Phase.ENDED
             or entry.desired in (DesiredState.STOP, DesiredState.REAP)
             and entry.phase not in FINISHED
-            and entry.kill_sent_at is None
+            and entry.stop_sent_at is None
             for entry in machine.entries.values()
         )
--- a/src/ramptide/commits.py
+++ b/src/ramptide/commits.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from ramptide import wire
 from ramptide.limits import Priority
+from ramptide.protocol.key_value_store import encode_transaction
 from ramptide.store import MAX_QUEUE_TIME, Store, Transaction, TransactionResult
 
 MAX_TRANSACTION_BYTES = 56 * 1024
@@ -20,14 +20,14 @@
 class _PendingChange:
     """One change with its own conditions."""
 
-    txn: Transaction
+    transaction: Transaction
     encoded_size: int
     deadline: timedelta
     done: Callable[[TransactionResult], None]
 
     @property
     def keys(self) -> set[str]:
-        return _changed_keys(self.txn)
+        return _changed_keys(self.transaction)
 
 
 class CommitBatcher:
@@ -56,7 +56,9 @@
         max_operations: int | None = None,
     ) -> None:
         self._store = store
-        self._max_operations = min(max_operations or store.limits.txn_ops, store.limits.txn_ops)
+        self._max_operations = min(
+            max_operations or store.limits.max_transaction_operations, store.limits.max_transaction_operations
+        )
         self._common_conditions = common_conditions
         self._priority = priority
         self._waiting: deque[_PendingChange] = deque()
@@ -64,16 +66,16 @@
         self._in_flight = 0
         self._send_scheduled = False
 
-    def add(self, txn: Transaction, done: Callable[[TransactionResult], None]) -> None:
+    def add(self, transaction: Transaction, done: Callable[[TransactionResult], None]) -> None:
         """Queue a change and report its result."""
-        encoded_size = len(wire.encode_txn(txn.when, txn.puts, txn.drops))
+        encoded_size = len(encode_transaction(transaction.conditions, transaction.puts, transaction.deletes))
         deadline = self._store.runtime.now + MAX_QUEUE_TIME[self._priority]
-        self._waiting.append(_PendingChange(txn, encoded_size, deadline, done))
+        self._waiting.append(_PendingChange(transaction, encoded_size, deadline, done))
         self._schedule_send()
 
     def delay(self) -> timedelta:
         """Return how long a change that is added now would wait for its turn."""
-        waiting = sum(change.txn.size for change in self._waiting)
+        waiting = sum(change.transaction.size for change in self._waiting)
         own_delay = timedelta(seconds=waiting / self._store.writes.rate)
         return self._store.rate_limiter.write_delay(self._priority) + own_delay
 
@@ -95,13 +97,13 @@
         group: list[_PendingChange] = []
         left: deque[_PendingChange] = deque()
         operations, size, keys = 0, 0, set(self._keys_in_flight)
-        max_conditions = self._store.limits.txn_ops * CONDITIONS_PER_OPERATION
+        max_conditions = self._store.limits.max_transaction_operations * CONDITIONS_PER_OPERATION
         while self._waiting:
             change = self._waiting.popleft()
             changed_keys = change.keys
             fits = (
-                operations + change.txn.size <= self._max_operations
-                and conditions + len(change.txn.when) <= max_conditions
+                operations + change.transaction.size <= self._max_operations
+                and conditions + len(change.transaction.conditions) <= max_conditions
                 and size + change.encoded_size <= MAX_TRANSACTION_BYTES
             )
             if group and not fits or keys & changed_keys:
@@ -111,18 +113,18 @@
                 continue
             group.append(change)
             keys |= changed_keys
-            operations += change.txn.size
-            conditions += len(change.txn.when)
+            operations += change.transaction.size
+            conditions += len(change.transaction.conditions)
             size += change.encoded_size
         self._waiting = left
         return group
 
     def _commit(self, group: list[_PendingChange], common: dict[str, int]) -> None:
-        whole = Transaction(when=dict(common))
+        whole = Transaction(conditions=dict(common))
         for change in group:
-            whole.when.update(change.txn.when)
-            whole.puts += change.txn.puts
-            whole.drops += change.txn.drops
+            whole.conditions.update(change.transaction.conditions)
+            whole.puts += change.transaction.puts
+            whole.deletes += change.transaction.deletes
         keys = _changed_keys(whole)
         self._keys_in_flight |= keys
         self._in_flight += 1
@@ -137,18 +139,18 @@
 
     def _settle(self, group: list[_PendingChange], common: dict[str, int], result: TransactionResult) -> None:
         """Report the result to the changes that it concerns, and queue the others again."""
-        failed = set(result.failed or ())
+        failed = set(result.failed_keys or ())
         retried = []
         now = self._store.runtime.now
         for change in group:
             if result.full and now < change.deadline:
                 retried.append(change)
-            elif not failed or failed & (change.txn.when.keys() | common.keys()):
+            elif not failed or failed & (change.transaction.conditions.keys() | common.keys()):
                 change.done(result)
             else:
                 retried.append(change)
         self._waiting.extendleft(reversed(retried))
 
 
-def _changed_keys(txn: Transaction) -> set[str]:
-    return {key for key, _, _ in txn.puts} | set(txn.drops)
+def _changed_keys(transaction: Transaction) -> set[str]:
+    return {key for key, _, _ in transaction.puts} | set(transaction.deletes)
--- a/src/ramptide/decisions.py
+++ b/src/ramptide/decisions.py
@@ -17,27 +17,27 @@
     """
 
     host: str
-    flavor: str
-    yard: str
-    rental: str
-    leaving: str | None
+    machine_type: str
+    zone: str
+    rental_id: str
+    drain_reason: str | None
     #: Why it leaves, or what else becomes of it.
     outcome: str
 
     def shown_by(self, record: MachineRecord | None) -> bool:
         """Tell whether the machine's record shows the decision."""
-        return record is not None and record.rental == self.rental and record.leaving == self.leaving
+        return record is not None and record.rental_id == self.rental_id and record.drain_reason == self.drain_reason
 
 
 def written(decisions: Iterable[MachineDecision], rentals: Collection[str]) -> list[MachineDecision]:
     """Return the decisions whose records are among `rentals`."""
-    return [decision for decision in decisions if decision.rental in rentals]
+    return [decision for decision in decisions if decision.rental_id in rentals]
 
 
 def log_decisions(decisions: Iterable[MachineDecision]) -> None:
     """Log one line for all machines of a kind that have the same outcome, as there may be hundreds at once."""
     together: dict[tuple[str, str, str], list[str]] = {}
     for decision in decisions:
-        together.setdefault((decision.flavor, decision.yard, decision.outcome), []).append(decision.host)
-    for (flavor, yard, outcome), hosts in together.items():
-        log.info("%s (%s, %s): %s", ", ".join(hosts), flavor, yard, outcome)
+        together.setdefault((decision.machine_type, decision.zone, decision.outcome), []).append(decision.host)
+    for (machine_type, zone, outcome), hosts in together.items():
+        log.info("%s (%s, %s): %s", ", ".join(hosts), machine_type, zone, outcome)
--- a/src/ramptide/demand.py
+++ b/src/ramptide/demand.py
@@ -5,12 +5,12 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from ramptide import wire
 from ramptide.amounts import NO_LIMIT, NOTHING, Amounts, add_amounts, amounts_of, use_from_wire
 from ramptide.fleet import Demand, Machine
 from ramptide.floor import SILENT, UNTOLD, Host
 from ramptide.job_scheduler import JobScheduler
-from ramptide.peers import WaitingRow
+from ramptide.peers import WaitingJobRow
+from ramptide.protocol.jobs import SERVICE, JobSpec
 from ramptide.task_state import FINISHED_NAMES
 
 if TYPE_CHECKING:
@@ -35,8 +35,8 @@
         c = self._c
         assert c.scheduler is not None
         using = c.scheduler.usage()
-        for said in c.peers.messages():
-            for team, amounts in use_from_wire(said.using).items():
+        for message in c.peers.last_messages():
+            for team, amounts in use_from_wire(message.usage).items():
                 add_amounts(using, team, amounts)
         return using
 
@@ -45,59 +45,59 @@
         c = self._c
         assert c.scheduler is not None
         using: dict[str, Amounts] = {}
-        messages = c.peers.messages()
+        messages = c.peers.last_messages()
         for team in teams:
             using[team] = c.scheduler.index.usage.get(team, NOTHING)
-            for said in messages:
-                if team in said.using:
-                    add_amounts(using, team, use_from_wire({team: said.using[team]})[team])
+            for message in messages:
+                if team in message.usage:
+                    add_amounts(using, team, use_from_wire({team: message.usage[team]})[team])
         return using
 
-    def waiting_rows(self, home: JobScheduler, now: timedelta) -> list[WaitingRow]:
+    def waiting_rows(self, scheduler: JobScheduler, now: timedelta) -> list[WaitingJobRow]:
         """Return a row for each of our jobs that has startable tasks."""
         return [
             (
-                w.job.ref,
+                w.job.job_id,
                 startable,
                 (now - w.waiting_since).total_seconds() if w.waiting_since is not None else 0.0,
                 sorted(w.avoids),
             )
-            for w in home.with_pending_tasks.values()
+            for w in scheduler.with_pending_tasks.values()
             if w.retry_at <= now and (startable := w.startable)
         ]
 
-    def asking(self, home: JobScheduler) -> dict[str, Amounts]:
+    def asking(self, scheduler: JobScheduler) -> dict[str, Amounts]:
         """Return what our waiting tasks would use of each team's limit."""
         asking: dict[str, Amounts] = {}
-        for work in home.with_pending_tasks.values():
-            if work.retry_at <= self._c.context.now:
-                run = work.job.run
-                add_amounts(asking, run.team, amounts_of(run).times(work.startable))
+        for job_state in scheduler.with_pending_tasks.values():
+            if job_state.retry_at <= self._c.context.now:
+                spec = job_state.job.spec
+                add_amounts(asking, spec.team, amounts_of(spec).times(job_state.startable))
         return asking
 
     def demands(self) -> list[Demand]:
         """Return the waiting tasks of all schedulers that their team's limit lets run now, most urgent first."""
         c = self._c
-        home = c.scheduler
-        assert home is not None
+        scheduler = c.scheduler
+        assert scheduler is not None
         now, wall = c.context.now, c.context.wall()
         using = self.team_use()
-        rows: list[tuple[WaitingRow, Counter[str]]] = [
-            (row, home.jobs[row[0]].zones) for row in self.waiting_rows(home, now)
+        rows: list[tuple[WaitingJobRow, Counter[str]]] = [
+            (row, scheduler.jobs[row[0]].zones) for row in self.waiting_rows(scheduler, now)
         ]
-        for said in c.peers.messages():
+        for message in c.peers.last_messages():
             # A job that was handed over to us may still be in its old home's last message.
-            rows += [(row, Counter()) for row in said.waiting if row[0] not in home.jobs]
+            rows += [(row, Counter()) for row in message.waiting_jobs if row[0] not in scheduler.jobs]
         found = [(c.jobs[row[0]], row, placed) for row, placed in rows if row[0] in c.jobs]
         found.sort(key=lambda one: c.starter.urgency_of(one[0], timedelta(seconds=one[1][2]), wall))
         demands = []
         for job, row, placed in found:
-            run = job.run
-            most = c.limits.get(run.team, NO_LIMITS)
-            tasks = min(row[1], c.starter.headroom(run, using.get(run.team, NOTHING), most))
+            spec = job.spec
+            most = c.limits.get(spec.team, NO_LIMITS)
+            tasks = min(row[1], c.starter.headroom(spec, using.get(spec.team, NOTHING), most))
             if tasks > 0:
-                add_amounts(using, run.team, amounts_of(run).times(tasks))
-                demands.append(Demand(run, tasks, timedelta(seconds=row[2]), Counter(placed), frozenset(row[3])))
+                add_amounts(using, spec.team, amounts_of(spec).times(tasks))
+                demands.append(Demand(spec, tasks, timedelta(seconds=row[2]), Counter(placed), frozenset(row[3])))
         return demands
 
     def machines_known(self, listed: dict[str, str], missing: Iterable[str]) -> list[Machine]:
@@ -119,9 +119,9 @@
                 Machine(
                     host=name,
                     record=record,
-                    flavor=c.flavors.get(record.flavor),
+                    machine_type=c.machine_types.get(record.machine_type),
                     up=host.up,
-                    age=timedelta(seconds=max(0.0, wall - record.at)),
+                    age=timedelta(seconds=max(0.0, wall - record.requested_timestamp)),
                     # Only its owner can tell that it is silent: not to hear the owner says nothing of the machine.
                     silent=now - max(host.heard, c.view_at) if host.known and host.quiet else ZERO,
                     notice=None if host.notice is None else host.notice - now,
@@ -136,7 +136,7 @@
                     deaf=now - host.deaf_since if host.deaf_since is not None else ZERO,
                     unproven=c.floor.unproven(name, now),
                     owner=c.owner(name),
-                    serving=self._serving(host) if room is not None and room.service_cores else [],
+                    serving=self._serving(host) if room is not None and room.service_cpus else [],
                 )
             )
         return machines
@@ -157,8 +157,8 @@
             found |= {name for name, why in left.items() if why == UNTOLD}
         return found
 
-    def _serving(self, host: Host) -> list[wire.Run]:
+    def _serving(self, host: Host) -> list[JobSpec]:
         """Return what runs there when that is services only, else nothing; tasks of finished jobs don't count."""
         jobs = (self._c.jobs.get(row[0]) for row in host.tasks if row[3] not in FINISHED_NAMES)
-        found = [job.run for job in jobs if job is not None]
-        return found if all(run.shape == wire.SERVICE for run in found) else []
+        found = [job.spec for job in jobs if job is not None]
+        return found if all(spec.kind == SERVICE for spec in found) else []
--- a/src/ramptide/desk.py
+++ b/src/ramptide/desk.py
@@ -7,14 +7,18 @@
 
 import msgspec
 
-from ramptide import wire
 from ramptide.amounts import amounts_of, limits_of
 from ramptide.commits import CommitBatcher
 from ramptide.jobs import Job
 from ramptide.membership import Membership
 from ramptide.mirror import Mirror
 from ramptide.placement import can_ever_run
-from ramptide.records import ENDED_PREFIX, JOB_PREFIX, EndRecord, JobRecord, Progress, to_value
+from ramptide.protocol.cloud import MachineType
+from ramptide.protocol.jobs import SERVICE, JobSpec, JobStatus, decode_job_spec, encode_job_status, is_job_id
+from ramptide.protocol.key_value_store import KeyValue
+from ramptide.protocol.settings_file import Team
+from ramptide.protocol.types import MessageError, encode_json
+from ramptide.records import FINISHED_PREFIX, JOB_PREFIX, FinishedJobRecord, JobRecord, Progress, to_value
 from ramptide.store import Store, Transaction, TransactionResult
 from ramptide.telemetry import Answer, Route, Telemetry, Unavailable
 
@@ -29,7 +33,7 @@
 
 def error(text: str) -> bytes:
     """Return a JSON body with an error text."""
-    return wire.encode({"error": text})
+    return encode_json({"error": text})
 
 
 class Desk:
@@ -42,9 +46,9 @@
         membership: Membership,
         commits: CommitBatcher,
         jobs: dict[str, Job],
-        flavors: dict[str, wire.Flavor],
-        teams: dict[str, wire.Team],
-        home_for: Callable[[wire.Run], str],
+        machine_types: dict[str, MachineType],
+        teams: dict[str, Team],
+        home_for: Callable[[JobSpec], str],
         running: Callable[[str], int],
         cancelled: Callable[[str], None],
         telemetry: Telemetry,
@@ -54,15 +58,15 @@
         self._membership = membership
         self._commits = commits
         self._jobs = jobs
-        self._flavors = flavors
+        self._machine_types = machine_types
         self._teams = teams
         self._home_for = home_for
         self._running = running
         self._cancelled = cancelled
         self._telemetry = telemetry
         # Final states never change, so one that was read or committed here need not be read again.
-        self._ended: dict[str, EndRecord] = {}
-        self._asking: dict[str, list[Callable[[EndRecord | None, bool], None]]] = {}
+        self._ended: dict[str, FinishedJobRecord] = {}
+        self._asking: dict[str, list[Callable[[FinishedJobRecord | None, bool], None]]] = {}
 
     def _busy(self, answer: Answer, reason: Unavailable, wait: timedelta = timedelta(0)) -> None:
         self._telemetry.unavailable[reason] += 1
@@ -85,9 +89,9 @@
             self._busy(answer, Unavailable.OVERLOADED, delay)
         return delay > PATIENCE
 
-    def ended(self, ref: str, record: EndRecord) -> None:
+    def ended(self, job_id: str, record: FinishedJobRecord) -> None:
         """Remember a final state that was committed, so that it need not be read again."""
-        self._ended[ref] = record
+        self._ended[job_id] = record
         while len(self._ended) > ENDED_KEPT:
             del self._ended[next(iter(self._ended))]
 
@@ -104,70 +108,70 @@
         """Accept a job, or answer with the state of one that has the same reference."""
         answer = self._telemetry.counting(Route.SUBMIT, answer)
         try:
-            run = wire.decode_run(body)
-        except wire.MessageError as bad:
+            spec = decode_job_spec(body)
+        except MessageError as bad:
             answer(400, error(str(bad)), {})
             return
-        if run.ref in self._jobs:
-            self._known(run.ref, answer, None)
+        if spec.job_id in self._jobs:
+            self._known(spec.job_id, answer, None)
         elif (reason := self._cannot_commit()) is not None:
             self._busy(answer, reason)
-        elif not self._flavors:
+        elif not self._machine_types:
             self._busy(answer, Unavailable.MACHINE_TYPES)
-        elif (problem := self._never(run)) is not None:
+        elif (problem := self._never(spec)) is not None:
             # A job that was accepted is never refused later, whatever the types or teams are by now.
-            self._known(run.ref, answer, problem)
+            self._known(spec.job_id, answer, problem)
         else:
-            self._accept(run, answer, TRIES)
+            self._accept(spec, answer, TRIES)
 
-    def _never(self, run: wire.Run) -> str | None:
-        team = self._teams.get(run.team)
+    def _never(self, spec: JobSpec) -> str | None:
+        team = self._teams.get(spec.team)
         if team is None:
-            return f"owner: no team {run.team!r}"
-        if not can_ever_run(run, self._flavors.values()):
+            return f"owner: no team {spec.team!r}"
+        if not can_ever_run(spec, self._machine_types.values()):
             return "no allowed machine takes a task of this job"
-        tasks = run.pieces if run.shape == wire.SERVICE else 1
-        limit, needed = limits_of(team), amounts_of(run).times(tasks)
+        tasks = spec.task_count if spec.kind == SERVICE else 1
+        limit, needed = limits_of(team), amounts_of(spec).times(tasks)
         if needed[0] > limit[0] or needed[1] > limit[1]:
-            return f"the job needs more than the limit of team {run.team!r}"
+            return f"the job needs more than the limit of team {spec.team!r}"
         return None
 
-    def _accept(self, run: wire.Run, answer: Answer, tries: int) -> None:
+    def _accept(self, spec: JobSpec, answer: Answer, tries: int) -> None:
         view = self._membership.view
         assert view is not None
         if self._overloaded(answer):
             return
         record = JobRecord(
-            run=run,
-            home=self._home_for(run),
-            born=view.number,
-            at=self._store.runtime.wall().timestamp(),
-            done=Progress().encode(),
+            spec=spec,
+            scheduler=self._home_for(spec),
+            created_in_view=view.number,
+            submitted_timestamp=self._store.runtime.wall().timestamp(),
+            progress=Progress().encode(),
         )
         value = to_value(record)
-        if len(msgspec.json.encode(value)) > (self._store.limits.value_kb - 2) * 1024:
+        if len(msgspec.json.encode(value)) > (self._store.limits.max_value_kb - 2) * 1024:
             answer(400, error("the description is too long"), {})
             return
-        key, ended = JOB_PREFIX + run.ref, ENDED_PREFIX + run.ref
-        txn = Transaction(when={key: 0, ended: 0}, puts=[(key, value, None)])
+        key, ended = JOB_PREFIX + spec.job_id, FINISHED_PREFIX + spec.job_id
+        transaction = Transaction(conditions={key: 0, ended: 0}, puts=[(key, value, None)])
 
         def done(outcome: TransactionResult) -> None:
-            if outcome.epoch is not None:
-                self._mirror.applied(outcome.epoch, txn.puts, txn.drops)
-                answer(201, wire.encode_job(run.ref, wire.PENDING), {})
-            elif outcome.failed and (key in outcome.failed or ended in outcome.failed):
-                self._known(run.ref, answer, None)
-            elif outcome.failed is not None and tries > 1:
+            if outcome.revision is not None:
+                self._mirror.applied(outcome.revision, transaction.puts, transaction.deletes)
+                answer(201, encode_job_status(spec.job_id, JobStatus.PENDING), {})
+            elif outcome.failed_keys and (key in outcome.failed_keys or ended in outcome.failed_keys):
+                self._known(spec.job_id, answer, None)
+            elif outcome.failed_keys is not None and tries > 1:
                 # Only the view moved on; the mirror will have the new one in a moment.
-                self._store.runtime.after(AGAIN, lambda: self._accept(run, answer, tries - 1))
-            elif outcome.sent and outcome.failed is None and tries > 1 and not self._mirror.lacking:
-                self._accept(run, answer, min(tries - 1, 1))
+                self._store.runtime.after(AGAIN, lambda: self._accept(spec, answer, tries - 1))
+            elif outcome.sent and outcome.failed_keys is None and tries > 1 and not self._mirror.lacking:
+                self._accept(spec, answer, min(tries - 1, 1))
             else:
                 self._not_written(outcome, answer)
 
-        self._commits.add(txn, done)
+        self._commits.add(transaction, done)
 
-    def _known(self, ref: str, answer: Answer, problem: str | None) -> None:
+    def _known(self, job_id: str, answer: Answer, problem: str | None) -> None:
         """Answer with the state of a job that exists; otherwise with `problem`, or 503 where that is None."""
 
         def missing() -> None:
@@ -176,144 +180,145 @@
             else:
                 answer(422, error(problem), {})
 
-        self._tell(ref, answer, missing)
+        self._tell(job_id, answer, missing)
 
     # Polls.
 
-    def poll(self, ref: str, answer: Answer) -> None:
+    def poll(self, job_id: str, answer: Answer) -> None:
         """Answer with the present state of a job."""
         answer = self._telemetry.counting(Route.POLL, answer)
-        if not wire.is_ref(ref):
+        if not is_job_id(job_id):
             answer(404, error("no such job"), {})
             return
 
-        self._tell(ref, answer, lambda: answer(404, error("no such job"), {}))
+        self._tell(job_id, answer, lambda: answer(404, error("no such job"), {}))
 
-    def _tell(self, ref: str, answer: Answer, missing: Callable[[], None]) -> None:
+    def _tell(self, job_id: str, answer: Answer, missing: Callable[[], None]) -> None:
         """Answers with the job's present state, or calls `missing` when it was never accepted."""
 
-        def found(state: Job | EndRecord | None, known: bool) -> None:
+        def found(state: Job | FinishedJobRecord | None, known: bool) -> None:
             if not known:
                 self._busy(answer, Unavailable.STATE_SERVICE)
-            elif isinstance(state, EndRecord):
-                answer(200, wire.encode_job(ref, state.status, state.done, 0), {})
+            elif isinstance(state, FinishedJobRecord):
+                answer(200, encode_job_status(job_id, state.status, state.done_count, 0), {})
             elif state is not None:
                 done = state.progress.count
-                running = min(self._running(ref), state.run.pieces - done)
-                answer(200, wire.encode_job(ref, wire.RUNNING if running else wire.PENDING, done, running), {})
+                count = min(self._running(job_id), state.spec.task_count - done)
+                status = JobStatus.RUNNING if count else JobStatus.PENDING
+                answer(200, encode_job_status(job_id, status, done, count), {})
             else:
                 missing()
 
-        self._find(ref, found)
+        self._find(job_id, found)
 
-    def _find(self, ref: str, found: Callable[[Job | EndRecord | None, bool], None]) -> None:
+    def _find(self, job_id: str, found: Callable[[Job | FinishedJobRecord | None, bool], None]) -> None:
         """Report the job, or its final state, from a read of the state service that began after this call.
 
         So no answer is older than one that another controller gave. One read of the changes serves all who ask before
         it is sent, since the watched copy has the jobs that are not over. A final state that is known already can't
         change. `found` gets None for a job that does not exist, and False when the state service could not be read.
         """
-        if ref in self._ended:
-            found(self._ended[ref], True)
+        if job_id in self._ended:
+            found(self._ended[job_id], True)
             return
 
         def read(fresh: bool) -> None:
             if not fresh:
                 found(None, False)
-            elif ref in self._jobs:
-                found(self._jobs[ref], True)
+            elif job_id in self._jobs:
+                found(self._jobs[job_id], True)
             else:
                 # A job moves from live to ended in one transaction and never back, so one that was ever
                 # accepted and is not live any more is found there.
-                self._read_ended(ref, found)
+                self._read_ended(job_id, found)
 
         self._mirror.catch_up(read)
 
-    def _read_ended(self, ref: str, found: Callable[[EndRecord | None, bool], None]) -> None:
+    def _read_ended(self, job_id: str, found: Callable[[FinishedJobRecord | None, bool], None]) -> None:
         """Read a final state; requests made before the read is sent share it, later ones wait for the next."""
-        waiting = self._asking.get(ref)
+        waiting = self._asking.get(job_id)
         if waiting is not None:
             waiting.append(found)
             return
-        asked = self._asking[ref] = [found]
+        asked = self._asking[job_id] = [found]
 
         def sending() -> None:
-            del self._asking[ref]
+            del self._asking[job_id]
 
-        def done(row: wire.Row | None, known: bool) -> None:
-            if self._asking.get(ref) is asked:
-                del self._asking[ref]
+        def done(row: KeyValue | None, known: bool) -> None:
+            if self._asking.get(job_id) is asked:
+                del self._asking[job_id]
             record = None
             if row is not None:
                 try:
-                    record = msgspec.convert(row.v, EndRecord)
+                    record = msgspec.convert(row.value, FinishedJobRecord)
                 except msgspec.ValidationError as problem:
-                    log.error("broken record %s: %s", row.path, problem)
+                    log.error("broken record %s: %s", row.key, problem)
                     known = False
                 else:
-                    self.ended(ref, record)
-                    if record.status == wire.WITHDRAWN:
+                    self.ended(job_id, record)
+                    if record.status == JobStatus.CANCELLED:
                         # Whoever tells a user so tells the others: the one that wrote it may have ended since.
-                        self._cancelled(ref)
+                        self._cancelled(job_id)
             for one in asked:
                 one(record, known)
 
-        self._store.get(ENDED_PREFIX + ref, done, sending)
+        self._store.get(FINISHED_PREFIX + job_id, done, sending)
 
     # Cancellations.
 
-    def cancel(self, ref: str, answer: Answer) -> None:
+    def cancel(self, job_id: str, answer: Answer) -> None:
         """Cancel a job; the answer is sent once the cancellation is committed."""
         answer = self._telemetry.counting(Route.CANCEL, answer)
-        if not wire.is_ref(ref):
+        if not is_job_id(job_id):
             answer(404, error("no such job"), {})
             return
-        self._cancel(ref, answer, TRIES)
+        self._cancel(job_id, answer, TRIES)
 
-    def _cancel(self, ref: str, answer: Answer, tries: int) -> None:
+    def _cancel(self, job_id: str, answer: Answer, tries: int) -> None:
         reason = self._cannot_commit()
         if reason is not None:
             self._busy(answer, reason)
             return
 
-        def found(state: Job | EndRecord | None, known: bool) -> None:
+        def found(state: Job | FinishedJobRecord | None, known: bool) -> None:
             if not known:
                 self._busy(answer, Unavailable.STATE_SERVICE)
             elif state is None:
                 answer(404, error("no such job"), {})
-            elif isinstance(state, EndRecord):
-                answer(200, wire.encode_job(ref, state.status), {})
+            elif isinstance(state, FinishedJobRecord):
+                answer(200, encode_job_status(job_id, state.status), {})
             else:
                 self._withdraw(state, answer, tries)
 
-        job = self._jobs.get(ref)
+        job = self._jobs.get(job_id)
         if job is not None:
-            # The transaction is conditional on the record's stamp, so it is as good as a read.
+            # The transaction is conditional on the record's revision, so it is as good as a read.
             self._withdraw(job, answer, tries)
         else:
-            self._find(ref, found)
+            self._find(job_id, found)
 
     def _withdraw(self, job: Job, answer: Answer, tries: int) -> None:
         if self._overloaded(answer):
             return
-        ref = job.ref
-        end = EndRecord(wire.WITHDRAWN, job.run.pieces, job.progress.count)
-        txn = Transaction(
-            when={JOB_PREFIX + ref: job.stamp},
-            puts=[(ENDED_PREFIX + ref, to_value(end), None)],
-            drops=[JOB_PREFIX + ref],
+        job_id = job.job_id
+        end = FinishedJobRecord(JobStatus.CANCELLED, job.spec.task_count, job.progress.count)
+        transaction = Transaction(
+            conditions={JOB_PREFIX + job_id: job.mod_revision},
+            puts=[(FINISHED_PREFIX + job_id, to_value(end), None)],
+            deletes=[JOB_PREFIX + job_id],
         )
 
         def done(outcome: TransactionResult) -> None:
-            if outcome.epoch is not None:
-                self.ended(ref, end)
-                self._mirror.applied(outcome.epoch, txn.puts, txn.drops)
-                self._cancelled(ref)
-                answer(200, wire.encode_job(ref, wire.WITHDRAWN), {})
-            elif tries > 1 and not self._mirror.lacking and (outcome.failed is not None or outcome.sent):
+            if outcome.revision is not None:
+                self.ended(job_id, end)
+                self._mirror.applied(outcome.revision, transaction.puts, transaction.deletes)
+                self._cancelled(job_id)
+                answer(200, encode_job_status(job_id, JobStatus.CANCELLED), {})
+            elif tries > 1 and not self._mirror.lacking and (outcome.failed_keys is not None or outcome.sent):
                 # The record or the view moved on, or nobody knows: read again and see.
-                self._mirror.catch_up(lambda fresh: self._cancel(ref, answer, tries - 1))
+                self._mirror.catch_up(lambda fresh: self._cancel(job_id, answer, tries - 1))
             else:
                 self._not_written(outcome, answer)
 
-        self._commits.add(txn, done)
+        self._commits.add(transaction, done)
--- a/src/ramptide/evictions.py
+++ b/src/ramptide/evictions.py
@@ -6,12 +6,13 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from ramptide import wire
 from ramptide.amounts import NOTHING, Amounts, add_amounts, amounts_of
 from ramptide.job_scheduler import JobScheduler
 from ramptide.job_state import JobState
 from ramptide.placement import Room, admits, needs
 from ramptide.preemption import RunningTask, may_claim, victims
+from ramptide.protocol.agents import TaskStatus
+from ramptide.protocol.jobs import JobSpec
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
@@ -31,7 +32,7 @@
 
     claimant: str
     at: timedelta
-    grace: float
+    grace_s: float
 
 
 class Evictor:
@@ -46,7 +47,7 @@
         """Forget the preemptions under way in the previous view."""
         self.evictions.clear()
 
-    def preempt(self, home: JobScheduler, now: timedelta) -> None:
+    def preempt(self, scheduler: JobScheduler, now: timedelta) -> None:
         """As leader, make room for jobs that may claim it: by rank, or within their team's guarantee.
 
         Only jobs that found no room for `preempt_after` claim any, most urgent first; the schedulers of the tasks to be
@@ -61,12 +62,12 @@
             return
         self._preempted_at = now
         claims = [
-            work
-            for work in home.with_pending_tasks.values()
-            if work.waiting_since is not None
-            and now - work.waiting_since >= c.tuning.preempt_after
-            and work.claims_room
-            and c.ready(work)
+            job_state
+            for job_state in scheduler.with_pending_tasks.values()
+            if job_state.waiting_since is not None
+            and now - job_state.waiting_since >= c.tuning.preempt_after
+            and job_state.claims_room
+            and c.ready(job_state)
         ]
         if not claims:
             return
@@ -75,19 +76,19 @@
         rooms = {room.host: room.copy() for room in c.starter.rooms()}
         tasks: dict[str, list[RunningTask]] = {}
         using = c.knowledge.team_use()
-        held = home.usage_with_transfers()
+        held = scheduler.usage_with_transfers()
         hopeless: set[tuple[object, ...]] = set()
-        for work in sorted(claims, key=lambda one: c.starter.urgency_of(one.job, one.idle_for(now, wall), wall)):
-            run = work.job.run
-            key = (needs(run), run.rank, run.team)
+        for job_state in sorted(claims, key=lambda one: c.starter.urgency_of(one.job, one.idle_for(now, wall), wall)):
+            spec = job_state.job.spec
+            key = (needs(spec), spec.priority, spec.team)
             if key in hopeless or not self._may_evict():
                 continue
-            promised = sum(one.claimant == run.ref for one in self.evictions.values())
+            promised = sum(one.claimant == spec.job_id for one in self.evictions.values())
             left = min(
-                work.waiting - promised,
-                c.starter.headroom(run, held.get(run.team, NOTHING), c.grants.get(run.team, NOTHING)),
+                job_state.waiting - promised,
+                c.starter.headroom(spec, held.get(spec.team, NOTHING), c.grants.get(spec.team, NOTHING)),
             )
-            if left > 0 and not self._claim(work, left, rooms, tasks, using, now):
+            if left > 0 and not self._claim(job_state, left, rooms, tasks, using, now):
                 hopeless.add(key)
 
     def _may_evict(self) -> bool:
@@ -96,7 +97,7 @@
 
     def _claim(
         self,
-        work: JobState,
+        job_state: JobState,
         left: int,
         rooms: dict[str, Room],
         tasks: dict[str, list[RunningTask]],
@@ -104,43 +105,43 @@
         now: timedelta,
     ) -> bool:
         """Make room for `left` tasks of a job, where the least is lost first; return False when some found none."""
-        run = work.job.run
+        spec = job_state.job.spec
         # Whether a task may be stopped depends on little of it, and on what the teams use until one is.
         known: dict[tuple[object, ...], bool] = {}
 
-        def claimable(victim: wire.Run) -> bool:
-            key = (victim.team, victim.rank, victim.cores, victim.cards)
+        def claimable(victim: JobSpec) -> bool:
+            key = (victim.team, victim.priority, victim.cpus, victim.gpus)
             if key not in known:
-                known[key] = may_claim(run, victim, using, self._c.guarantees)
+                known[key] = may_claim(spec, victim, using, self._c.guarantees)
             return known[key]
 
         heap = []
         for host, room in rooms.items():
-            if not admits(run, room):
+            if not admits(spec, room):
                 continue
             if host not in tasks:
                 tasks[host] = self._stoppable(host)
-            found = victims(run, room, tasks[host], claimable, work.zones)
+            found = victims(spec, room, tasks[host], claimable, job_state.zones)
             if found is not None:
                 heap.append((found[0], host))
         heapq.heapify(heap)
         while left > 0 and heap and self._may_evict():
             _, host = heapq.heappop(heap)
             # What went before may have changed who may be stopped, so it is looked at again.
-            found = victims(run, rooms[host], tasks[host], claimable, work.zones)
+            found = victims(spec, rooms[host], tasks[host], claimable, job_state.zones)
             if found is None:
                 continue
-            self._stop_for(run, rooms[host], found[1], tasks[host], using, now)
+            self._stop_for(spec, rooms[host], found[1], tasks[host], using, now)
             known.clear()
             left -= 1
-            found = victims(run, rooms[host], tasks[host], claimable, work.zones)
+            found = victims(spec, rooms[host], tasks[host], claimable, job_state.zones)
             if found is not None:
                 heapq.heappush(heap, (found[0], host))
         return left <= 0
 
     def _stop_for(
         self,
-        run: wire.Run,
+        spec: JobSpec,
         room: Room,
         going: list[RunningTask],
         tasks: list[RunningTask],
@@ -148,33 +149,33 @@
         now: timedelta,
     ) -> None:
         for victim in going:
-            log.debug("%s/%d gives way to %s on %s", victim.run.ref, victim.task, run.ref, room.host)
-            grace = victim.run.mark_cost_s if victim.run.mark_every_s > 0 else 0.0
-            self.evictions[victim.key] = Eviction(run.ref, now, grace)
+            log.debug("%s/%d gives way to %s on %s", victim.spec.job_id, victim.task_index, spec.job_id, room.host)
+            grace = victim.spec.checkpoint_cost_s if victim.spec.checkpoint_interval_s > 0 else 0.0
+            self.evictions[victim.key] = Eviction(spec.job_id, now, grace)
             self.evict(*victim.key, timedelta(seconds=grace))
             tasks.remove(victim)
-            room.take(victim.run, -1)
-            add_amounts(using, victim.run.team, amounts_of(victim.run).times(-1))
-        room.take(run)
-        add_amounts(using, run.team, amounts_of(run))
+            room.take(victim.spec, -1)
+            add_amounts(using, victim.spec.team, amounts_of(victim.spec).times(-1))
+        room.take(spec)
+        add_amounts(using, spec.team, amounts_of(spec))
         self._c.counters["preemptions"] += len(going)
 
-    def evict(self, ref: str, task: int, number: int, grace: timedelta) -> None:
+    def evict(self, job_id: str, task: int, number: int, grace: timedelta) -> None:
         """Stop an attempt of ours to make room, on the leader's request."""
-        home = self._c.scheduler
-        assert home is not None
-        work = home.jobs.get(ref)
-        attempt = work.placed.get(task) if work is not None else None
-        if work is not None and attempt is not None and attempt.number == number:
+        scheduler = self._c.scheduler
+        assert scheduler is not None
+        job_state = scheduler.jobs.get(job_id)
+        attempt = job_state.placed.get(task) if job_state is not None else None
+        if job_state is not None and attempt is not None and attempt.number == number:
             # The room is for another job: this one looks elsewhere for a while.
-            work.excluded_until[attempt.host] = self._c.context.now + EVICTION_KEPT
-            home.stop(attempt, grace)
+            job_state.excluded_until[attempt.host] = self._c.context.now + EVICTION_KEPT
+            scheduler.stop(attempt, grace)
 
     def _stoppable(self, name: str) -> list[RunningTask]:
         found = []
-        for ref, task, number, phase, _cause in self._c.floor.hosts[name].tasks:
-            job = self._c.jobs.get(ref)
-            going = (ref, task, number) in self.evictions
-            if job is not None and phase in (wire.FETCHING, wire.RUNNING) and not going:
-                found.append(RunningTask(job.run, task, number))
+        for job_id, task, number, phase, _cause in self._c.floor.hosts[name].tasks:
+            job = self._c.jobs.get(job_id)
+            going = (job_id, task, number) in self.evictions
+            if job is not None and phase in (TaskStatus.FETCHING, TaskStatus.RUNNING) and not going:
+                found.append(RunningTask(job.spec, task, number))
         return found
--- a/src/ramptide/failure_history.py
+++ b/src/ramptide/failure_history.py
@@ -1,19 +1,19 @@
 """Which jobs failed on a machine, from which it is judged whether the machine or the jobs are at fault."""
 
-from ramptide import wire
 from ramptide.owned_machine import OwnedMachine
+from ramptide.protocol.agents import TaskOutcome
 
 #: Jobs that a machine's status names as failed there: the message stays small however many jobs were submitted with a
 #: mistake.
 FAILED_JOBS_KEPT = 8
 
 
-def record_outcome(machine: OwnedMachine, ref: str, cause: str | None) -> None:
+def record_outcome(machine: OwnedMachine, job_id: str, cause: str | None) -> None:
     """Record how a task ended: `Floor.failing` judges by the jobs that failed with no success since."""
-    if cause == wire.DONE:
+    if cause == TaskOutcome.SUCCEEDED:
         machine.consecutive_failures = 0
-    elif cause == wire.ERROR and ref not in _failed_since_success(machine):
-        machine.failed_jobs = [*(job for job in machine.failed_jobs if job != ref), ref][-FAILED_JOBS_KEPT:]
+    elif cause == TaskOutcome.FAILED and job_id not in _failed_since_success(machine):
+        machine.failed_jobs = [*(job for job in machine.failed_jobs if job != job_id), job_id][-FAILED_JOBS_KEPT:]
         machine.consecutive_failures = min(machine.consecutive_failures + 1, FAILED_JOBS_KEPT)
 
 
--- a/src/ramptide/fleet.py
+++ b/src/ramptide/fleet.py
@@ -11,8 +11,9 @@
 from enum import Enum, auto
 from typing import Any
 
-from ramptide import wire
 from ramptide.placement import Room, empty_room, fill, needs
+from ramptide.protocol.cloud import MachineType
+from ramptide.protocol.jobs import JobSpec
 from ramptide.records import MachineRecord
 from ramptide.settings import Tuning
 
@@ -32,9 +33,9 @@
 SICK_AFTER = timedelta(seconds=10)
 
 # A card is worth about a dozen cores, and a GB a fiftieth of one; only the order of magnitude matters.
-CARD, RAM = 12.0, 0.02
+GPU_WEIGHT, RAM_GB_WEIGHT = 12.0, 0.02
 
-Kind = tuple[str, str, bool]
+MachineKind = tuple[str, str, bool]
 
 
 @dataclass(slots=True)
@@ -43,7 +44,7 @@
 
     host: str
     record: MachineRecord
-    flavor: wire.Flavor | None
+    machine_type: MachineType | None
     up: bool
     age: timedelta
     silent: timedelta
@@ -62,14 +63,14 @@
     #: Jobs that failed there with nothing done since, whosever fault it was.
     failed: int = 0
     #: What runs here, when that is services only.
-    serving: list[wire.Run] = field(default_factory=list)
+    serving: list[JobSpec] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Demand:
     """Tasks of one job that wait and that its team's limit lets run."""
 
-    run: wire.Run
+    spec: JobSpec
     tasks: int
     waited: timedelta
     placed: Counter[str]
@@ -93,7 +94,7 @@
     stay after all, and that are returned to the cloud.
     """
 
-    rent: Kind | None = None
+    rent: MachineKind | None = None
     count: int = 0
     leave: dict[str, str] = field(default_factory=dict)
     stay: list[str] = field(default_factory=list)
@@ -115,7 +116,7 @@
         self._failing_since: dict[str, timedelta] = {}
         self._serving_since: dict[str, tuple[set[str], timedelta]] = {}
         self._gathered_at = ZERO
-        self._refused: dict[Kind, tuple[timedelta, timedelta]] = {}
+        self._refused: dict[MachineKind, tuple[timedelta, timedelta]] = {}
         self._popular: Counter[str] = Counter()
         self.waiting = 0
         self.long_waiting = 0
@@ -124,12 +125,12 @@
 
     # Signals.
 
-    def refused(self, kind: Kind, now: timedelta) -> None:
+    def refused(self, kind: MachineKind, now: timedelta) -> None:
         """Note that there was no capacity: the kind is not tried for a while, longer after each refusal."""
         pause = min(self._refused.get(kind, (ZERO, REFUSED_FIRST / 2))[1] * 2, REFUSED_MOST)
         self._refused[kind] = (now + pause, pause)
 
-    def rented(self, kind: Kind) -> None:
+    def rented(self, kind: MachineKind) -> None:
         """Note that machines of the kind could be rented, which ends the pause after refusals."""
         self._refused.pop(kind, None)
 
@@ -146,18 +147,18 @@
         """
         rooms = [m.room for m in machines if m.room is not None]
         rooms += [
-            empty_room(m.flavor, m.record.yard, m.record.spot, m.host)
+            empty_room(m.machine_type, m.record.zone, m.record.spot, m.host)
             for m in machines
-            if not (m.up and m.record.opened) and m.flavor is not None and m.record.leaving is None
+            if not (m.up and m.record.registered) and m.machine_type is not None and m.record.drain_reason is None
         ]
         self.waiting = self.long_waiting = 0
         uncovered = []
         for alike in _alike(demands):
-            run, avoids = alike[0].run, alike[0].avoids
+            spec, avoids = alike[0].spec, alike[0].avoids
             open_to = [room for room in rooms if room.host not in avoids] if avoids else rooms
             # What will run on machines that boot counts for the zone rules, or all would be rented in one zone.
             placed = Counter(alike[0].placed)
-            found = fill(run, sum(demand.tasks for demand in alike), open_to, placed)
+            found = fill(spec, sum(demand.tasks for demand in alike), open_to, placed)
             left = 0
             for demand in alike:
                 covered = min(found, demand.tasks)
@@ -193,7 +194,7 @@
         now: timedelta,
         demands: list[Demand],
         machines: list[Machine],
-        flavors: Iterable[wire.Flavor],
+        machine_types: Iterable[MachineType],
         rebuilt: bool,
     ) -> Plan:
         """Decide what to rent and what to return.
@@ -209,10 +210,10 @@
         self._note_serving(now, machines)
         if rebuilt:
             if self.trigger is Trigger.HIGH:
-                plan.rent = self._cheapest(now, uncovered, flavors)
-                plan.count = self._how_many(plan.rent, uncovered, flavors)
+                plan.rent = self._cheapest(now, uncovered, machine_types)
+                plan.count = self._how_many(plan.rent, uncovered, machine_types)
             elif self.trigger is Trigger.QUIET and self._pool_short(machines):
-                plan.rent, plan.count = self._pool_kind(now, flavors), 1
+                plan.rent, plan.count = self._pool_kind(now, machine_types), 1
             self._cool_down(now, machines, uncovered, plan)
             self._gather(now, machines, plan)
         return plan
@@ -222,7 +223,7 @@
         failing = [machine.host for machine in machines if machine.failing >= self.tuning.sick_jobs]
         self._failing_since = {host: self._failing_since.get(host, now) for host in failing}
         for machine in machines:
-            leaving = machine.record.leaving
+            leaving = machine.record.drain_reason
             reason = self._reason_to_leave(now, machine)
             if reason is not None and leaving in (None, "idle"):
                 plan.leave[machine.host] = reason
@@ -251,7 +252,7 @@
 
     def _reason_of_silence(self, machine: Machine) -> str | None:
         """Silence counts from the start of the view at the earliest, as workers need a moment to find their owners."""
-        boot = timedelta(seconds=machine.flavor.boot_s) if machine.flavor is not None else UNKNOWN_BOOT_TIME
+        boot = timedelta(seconds=machine.machine_type.boot_s) if machine.machine_type is not None else UNKNOWN_BOOT_TIME
         if machine.up or machine.listed == "running" and machine.age > boot:
             return "silent"
         return "never up" if machine.age > boot * self.tuning.boot_factor + BOOT_MARGIN else None
@@ -266,7 +267,9 @@
 
     def _keep_pool(self, now: timedelta, machines: list[Machine]) -> None:
         """Choose the idle machines to keep: those that hold the images used most recently."""
-        idle = {m.host: m for m in machines if m.up and not m.tasks and m.room is not None and m.record.leaving is None}
+        idle = {
+            m.host: m for m in machines if m.up and not m.tasks and m.room is not None and m.record.drain_reason is None
+        }
         ordinary = {host for host, machine in idle.items() if not machine.record.spot}
         self._idle_since = {host: self._idle_since.get(host, now) for host in idle}
 
@@ -274,16 +277,16 @@
             machine = idle[host]
             assert machine.room is not None
             images = sum(self._popular[image] for image in machine.room.images)
-            price = machine.flavor.price if machine.flavor is not None else 0.0
+            price = machine.machine_type.price if machine.machine_type is not None else 0.0
             # Where all fails it may be the jobs' fault, but a machine that is not in doubt is the better one to keep.
             return (machine.failed >= self.tuning.sick_jobs, -images, price, host)
 
-        up = sum(m.up and m.record.leaving is None for m in machines)
+        up = sum(m.up and m.record.drain_reason is None for m in machines)
         self.pool_wanted = max(self.tuning.pool_size, round(up * self.tuning.pool_share))
         self.pool = sorted(ordinary, key=worth)[: self.pool_wanted]
 
     def _pool_short(self, machines: list[Machine]) -> bool:
-        booting = sum(not m.up and not m.record.spot and m.record.leaving is None for m in machines)
+        booting = sum(not m.up and not m.record.spot and m.record.drain_reason is None for m in machines)
         return len(self.pool) + booting < self.pool_wanted
 
     def _cool_down(self, now: timedelta, machines: list[Machine], uncovered: list[Demand], plan: Plan) -> None:
@@ -307,9 +310,9 @@
         known, self._serving_since = self._serving_since, {}
         for machine in machines:
             if machine.serving:
-                refs = {run.ref for run in machine.serving}
+                job_ids = {spec.job_id for spec in machine.serving}
                 before, since = known.get(machine.host, (set(), now))
-                self._serving_since[machine.host] = (refs, since if refs <= before else now)
+                self._serving_since[machine.host] = (job_ids, since if job_ids <= before else now)
 
     def _gather(self, now: timedelta, machines: list[Machine], plan: Plan) -> None:
         """Empty and return one machine that runs few services, at most every `gather`, while the trigger is quiet.
@@ -322,73 +325,77 @@
         quiet = self.trigger is Trigger.QUIET and now - self._quiet_since >= self.tuning.cooldown
         if not quiet or now - self._gathered_at < self.tuning.gather:
             return
-        if any(machine.record.leaving == THIN for machine in machines):
+        if any(machine.record.drain_reason == THIN for machine in machines):
             return
         serving = [m for m in machines if m.serving and m.room is not None and m.host not in plan.leave]
 
         def thin(machine: Machine) -> bool:
-            most = machine.flavor.cores * self.tuning.thin_share if machine.flavor is not None else 0.0
+            most = machine.machine_type.cpus * self.tuning.thin_share if machine.machine_type is not None else 0.0
             still = now - self._serving_since[machine.host][1] >= self.tuning.started
-            return sum(run.cores for run in machine.serving) <= most and still
+            return sum(spec.cpus for spec in machine.serving) <= most and still
 
         def worth(machine: Machine) -> tuple[float, str]:
-            rate = machine.flavor.price if machine.flavor is not None else 0.0
-            return -rate / sum(run.cores for run in machine.serving), machine.host
+            rate = machine.machine_type.price if machine.machine_type is not None else 0.0
+            return -rate / sum(spec.cpus for spec in machine.serving), machine.host
 
         for machine in sorted(filter(thin, serving), key=worth):
-            cores = sum(run.cores for run in machine.serving)
+            cpus = sum(spec.cpus for spec in machine.serving)
             rooms = [
                 other.room.copy()
                 for other in serving
                 if other is not machine
                 and other.room is not None
                 and other.owner == machine.owner
-                and sum(run.cores for run in other.serving) >= cores
+                and sum(spec.cpus for spec in other.serving) >= cpus
             ]
-            if all(fill(run, 1, rooms, Counter()) for run in machine.serving):
+            if all(fill(spec, 1, rooms, Counter()) for spec in machine.serving):
                 self._gathered_at = now
                 plan.leave[machine.host] = THIN
                 return
 
-    def _kinds(self, now: timedelta, flavors: Iterable[wire.Flavor]) -> Iterable[tuple[wire.Flavor, str, bool, float]]:
-        for flavor in flavors:
-            for yard in flavor.yards:
-                for spot, price in ((True, flavor.spot_price), (False, flavor.price)):
-                    if self._refused.get((flavor.name, yard, spot), (ZERO, ZERO))[0] <= now:
-                        yield flavor, yard, spot, price
-
-    def _cheapest(self, now: timedelta, uncovered: list[Demand], flavors: Iterable[wire.Flavor]) -> Kind | None:
+    def _kinds(
+        self, now: timedelta, machine_types: Iterable[MachineType]
+    ) -> Iterable[tuple[MachineType, str, bool, float]]:
+        for machine_type in machine_types:
+            for zone in machine_type.zones:
+                for spot, price in ((True, machine_type.spot_price), (False, machine_type.price)):
+                    if self._refused.get((machine_type.name, zone, spot), (ZERO, ZERO))[0] <= now:
+                        yield machine_type, zone, spot, price
+
+    def _cheapest(
+        self, now: timedelta, uncovered: list[Demand], machine_types: Iterable[MachineType]
+    ) -> MachineKind | None:
         """Return the kind with the lowest price for the work that it would take, its boot included."""
-        best: tuple[float, Kind] | None = None
-        for flavor, yard, spot, price in self._kinds(now, flavors):
-            room = empty_room(flavor, yard, spot)
-            boot = timedelta(seconds=flavor.boot_s)
+        best: tuple[float, MachineKind] | None = None
+        for machine_type, zone, spot, price in self._kinds(now, machine_types):
+            room = empty_room(machine_type, zone, spot)
+            boot = timedelta(seconds=machine_type.boot_s)
             work = 0.0
             for demand in uncovered:
-                work += fill(demand.run, demand.tasks, [room], Counter(demand.placed)) * self._weight(demand.run)
+                work += fill(demand.spec, demand.tasks, [room], Counter(demand.placed)) * self._weight(demand.spec)
             if work <= 0:
                 continue
             cost = price * ((boot + self.tuning.horizon) / self.tuning.horizon) / work
             if best is None or cost < best[0]:
-                best = (cost, (flavor.name, yard, spot))
+                best = (cost, (machine_type.name, zone, spot))
         return best[1] if best is not None else None
 
-    def _how_many(self, kind: Kind | None, uncovered: list[Demand], flavors: Iterable[wire.Flavor]) -> int:
+    def _how_many(self, kind: MachineKind | None, uncovered: list[Demand], machine_types: Iterable[MachineType]) -> int:
         """Return how many machines of the kind to rent in this step.
 
         One is the rule; while the waiting tasks would fill more, as they do with hundreds of machines, a step rents
         several, up to `step_most`.
         """
-        flavor = next((one for one in flavors if kind is not None and one.name == kind[0]), None)
-        if kind is None or flavor is None:
+        machine_type = next((one for one in machine_types if kind is not None and one.name == kind[0]), None)
+        if kind is None or machine_type is None:
             return 0
         # What earlier machines of the step would take counts for the zone rules of the later ones.
         left = [replace(demand, placed=Counter(demand.placed)) for demand in uncovered]
         for count in range(self.tuning.step_most):
-            room = empty_room(flavor, kind[1], kind[2])
+            room = empty_room(machine_type, kind[1], kind[2])
             taken = 0
             for demand in left:
-                found = fill(demand.run, demand.tasks, [room], demand.placed)
+                found = fill(demand.spec, demand.tasks, [room], demand.placed)
                 demand.tasks -= found
                 taken += found
             if not taken:
@@ -396,29 +403,31 @@
         return self.tuning.step_most
 
     @staticmethod
-    def _weight(run: wire.Run) -> float:
-        """Return a task's weight when the prices of kinds are compared: its cores, cards and memory as cores."""
-        return run.cores + run.cards * CARD + run.ram_gb * RAM
+    def _weight(spec: JobSpec) -> float:
+        """Return a task's weight when the prices of kinds are compared: its CPUs, GPUs and memory as CPUs."""
+        return spec.cpus + spec.gpus * GPU_WEIGHT + spec.ram_gb * RAM_GB_WEIGHT
 
-    def _pool_kind(self, now: timedelta, flavors: Iterable[wire.Flavor]) -> Kind | None:
+    def _pool_kind(self, now: timedelta, machine_types: Iterable[MachineType]) -> MachineKind | None:
         """Return the cheapest kind that is not spot, for the idle pool; None when none can be had."""
         kinds = [
-            (price, (flavor.name, yard, spot)) for flavor, yard, spot, price in self._kinds(now, flavors) if not spot
+            (price, (machine_type.name, zone, spot))
+            for machine_type, zone, spot, price in self._kinds(now, machine_types)
+            if not spot
         ]
         return min(kinds)[1] if kinds else None
 
 
 def _useful(machine: Machine, demands: list[Demand]) -> bool:
     """Tell whether a waiting task could run on the machine, were its room not kept for others."""
-    if machine.flavor is None:
+    if machine.machine_type is None:
         return False
     record = machine.record
     return any(
         machine.host not in demand.avoids
         and fill(
-            demand.run,
+            demand.spec,
             1,
-            [empty_room(machine.flavor, record.yard, record.spot, machine.host)],
+            [empty_room(machine.machine_type, record.zone, record.spot, machine.host)],
             Counter(demand.placed),
         )
         for demand in demands
@@ -429,6 +438,6 @@
     """Group demands that the same rooms can serve; jobs with zone rules are each a group of their own."""
     groups: dict[Any, list[Demand]] = {}
     for demand in demands:
-        own = demand.run.ref if demand.run.one_zone or demand.run.spread else None
-        groups.setdefault((needs(demand.run), own, demand.avoids), []).append(demand)
+        own = demand.spec.job_id if demand.spec.single_zone or demand.spec.spread_zones else None
+        groups.setdefault((needs(demand.spec), own, demand.avoids), []).append(demand)
     return groups.values()
--- a/src/ramptide/floor.py
+++ b/src/ramptide/floor.py
@@ -5,15 +5,17 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from ramptide import wire
 from ramptide.attempts import Attempt
 from ramptide.job_state import MAX_FAULTY_MACHINES
 from ramptide.jobs import Job
 from ramptide.machine_status import MachineStatus
 from ramptide.placement import Room, empty_room
+from ramptide.protocol.agents import TaskOutcome
+from ramptide.protocol.cloud import MachineType
+from ramptide.protocol.jobs import SERVICE, JobSpec
 from ramptide.records import MachineRecord
 from ramptide.settings import Tuning
-from ramptide.task_state import FINISHED, FINISHED_NAMES, TaskRow
+from ramptide.task_state import FINISHED, FINISHED_NAMES, RUNNING_NAME, TaskRow
 
 ZERO = timedelta(0)
 SILENT, UNTOLD = "silent", "not told our token"
@@ -65,12 +67,12 @@
     def __init__(
         self,
         machines: Mapping[str, MachineRecord],
-        flavors: Mapping[str, wire.Flavor],
+        machine_types: Mapping[str, MachineType],
         jobs: Mapping[str, Job],
         attempts: Callable[[str], Collection[Attempt]],
     ) -> None:
         self._machines = machines
-        self._flavors = flavors
+        self._machine_types = machine_types
         self._jobs = jobs
         self._attempts = attempts
         self.tuning = Tuning()
@@ -80,7 +82,7 @@
         self.pool: list[str] = []
         self._where: dict[str, set[str]] = {}
         #: Jobs that are over and whose tasks are still shown: what they take is known.
-        self._left: dict[str, wire.Run] = {}
+        self._left: dict[str, JobSpec] = {}
         #: What machines ran in the views before, until a report in this one shows what they run now.
         self._ran: dict[str, set[str]] = {}
         #: The machines on which a job failed, as far as they still tell; and those jobs of which some task was done.
@@ -152,12 +154,12 @@
             self.hosts[name] = host.successor()
             return
         host.known = True
-        host.settled, host.up, host.leaving = row.settled, row.up, row.leaving
-        host.quiet = row.silent > 0
-        host.heard = now - timedelta(seconds=row.silent)
-        host.notice = None if row.notice is None else now + timedelta(seconds=row.notice)
-        host.deaf_since = None if row.unreachable is None else now - timedelta(seconds=row.unreachable)
-        host.quick, host.images = row.worker_waiting, row.images
+        host.settled, host.up, host.leaving = row.settled, row.up, row.draining
+        host.quiet = row.silent_s > 0
+        host.heard = now - timedelta(seconds=row.silent_s)
+        host.notice = None if row.preemption_notice_s is None else now + timedelta(seconds=row.preemption_notice_s)
+        host.deaf_since = None if row.unreachable_s is None else now - timedelta(seconds=row.unreachable_s)
+        host.quick, host.images = row.heartbeat_held, row.images
         self._fail(name, row.failed_jobs, row.consecutive_failures)
         self._list(name, row.tasks)
         self._prove(name, host, now)
@@ -169,10 +171,10 @@
             return
         before, after = {row[0] for row in host.tasks}, {row[0] for row in tasks}
         self._count_running(host.tasks, tasks)
-        for ref in before - after:
-            self._leave(ref, name)
-        for ref in after - before:
-            self._where.setdefault(ref, set()).add(name)
+        for job_id in before - after:
+            self._leave(job_id, name)
+        for job_id in after - before:
+            self._where.setdefault(job_id, set()).add(name)
         host.tasks = tasks
         host.busy = sum(row[3] not in FINISHED_NAMES for row in tasks)
         if not self._failed.keys().isdisjoint(before | after):
@@ -180,28 +182,28 @@
 
     def _count_running(self, before: list[TaskRow], after: list[TaskRow]) -> None:
         for row in before:
-            if row[3] == wire.RUNNING:
+            if row[3] == RUNNING_NAME:
                 self.running[row[0]] -= 1
         for row in after:
-            if row[3] == wire.RUNNING:
+            if row[3] == RUNNING_NAME:
                 self.running[row[0]] += 1
 
-    def _leave(self, ref: str, name: str) -> None:
+    def _leave(self, job_id: str, name: str) -> None:
         """The machine shows no task of the job any more."""
-        where = self._where.get(ref, set())
+        where = self._where.get(job_id, set())
         where.discard(name)
         if not where:
-            self._where.pop(ref, None)
-            self._left.pop(ref, None)
-        if not self.running[ref]:
-            del self.running[ref]
+            self._where.pop(job_id, None)
+            self._left.pop(job_id, None)
+        if not self.running[job_id]:
+            del self.running[job_id]
 
-    def _judge_failed(self, refs: set[str], tasks: list[TaskRow]) -> None:
+    def _judge_failed(self, job_ids: set[str], tasks: list[TaskRow]) -> None:
         """Whose fault the failures of these jobs are may have changed with what the machine shows."""
-        for ref in self._failed.keys() & refs:
-            self._stale.update(self._failed[ref])
+        for job_id in self._failed.keys() & job_ids:
+            self._stale.update(self._failed[job_id])
         for row in tasks:
-            if row[4] == wire.DONE:
+            if row[4] == TaskOutcome.SUCCEEDED:
                 self.passed(row[0])
 
     def _prove(self, name: str, host: Host, now: timedelta) -> None:
@@ -246,17 +248,17 @@
             if host.unproven is not None and host.unproven <= started:
                 host.unproven = min(host.unproven, since)
 
-    def job_over(self, ref: str, run: wire.Run, now: timedelta) -> None:
+    def job_over(self, job_id: str, spec: JobSpec, now: timedelta) -> None:
         """Note that a job has left the live jobs, so that its tasks have to be proven gone."""
-        if ref in self._where:
-            self._left[ref] = run
-        for name in [*self._where.get(ref, ()), *(name for name, ran in self._ran.items() if ref in ran)]:
+        if job_id in self._where:
+            self._left[job_id] = spec
+        for name in [*self._where.get(job_id, ()), *(name for name, ran in self._ran.items() if job_id in ran)]:
             host = self.hosts[name]
             host.unproven = host.unproven or now
 
-    def _run(self, ref: str) -> wire.Run | None:
-        job = self._jobs.get(ref)
-        return job.run if job is not None else self._left.get(ref)
+    def _run(self, job_id: str) -> JobSpec | None:
+        job = self._jobs.get(job_id)
+        return job.spec if job is not None else self._left.get(job_id)
 
     def clear(self, host: Host) -> bool:
         """Tell whether all that runs there is counted by some scheduler.
@@ -275,28 +277,32 @@
         host = self.hosts[name]
         before, after = set(host.failed), set(failed)
         host.failed, host.failing = failed, failing
-        for ref in before - after:
-            self._stale.update(self._failed[ref])
-            self._failed[ref].discard(name)
-            if not self._failed[ref]:
-                del self._failed[ref]
-                self._passed.discard(ref)
-        for ref in after - before:
-            self._failed.setdefault(ref, set()).add(name)
-            self._stale.update(self._failed[ref])
-            job = self._jobs.get(ref)
-            if job is not None and job.progress.count or any(row[4] == wire.DONE for _, row in self._shown(ref)):
-                self.passed(ref)
-
-    def passed(self, ref: str) -> None:
+        for job_id in before - after:
+            self._stale.update(self._failed[job_id])
+            self._failed[job_id].discard(name)
+            if not self._failed[job_id]:
+                del self._failed[job_id]
+                self._passed.discard(job_id)
+        for job_id in after - before:
+            self._failed.setdefault(job_id, set()).add(name)
+            self._stale.update(self._failed[job_id])
+            job = self._jobs.get(job_id)
+            if (
+                job is not None
+                and job.progress.count
+                or any(row[4] == TaskOutcome.SUCCEEDED for _, row in self._shown(job_id))
+            ):
+                self.passed(job_id)
+
+    def passed(self, job_id: str) -> None:
         """Note that a task of the job succeeded, so where the job failed the machine may be at fault."""
-        if ref in self._failed and ref not in self._passed:
-            self._passed.add(ref)
-            self._stale.update(self._failed[ref])
+        if job_id in self._failed and job_id not in self._passed:
+            self._passed.add(job_id)
+            self._stale.update(self._failed[job_id])
 
-    def failed_on(self, ref: str) -> set[str]:
+    def failed_on(self, job_id: str) -> set[str]:
         """Return the machines on which the job failed; none when a task of it succeeded."""
-        return set() if ref in self._passed else set(self._failed.get(ref, ()))
+        return set() if job_id in self._passed else set(self._failed.get(job_id, ()))
 
     def failing(self, name: str) -> int:
         """Return how many different jobs indicate that the machine is faulty.
@@ -305,37 +311,42 @@
         indicates nothing, also when it is over.
         """
         host = self.hosts[name]
-        return sum(self._accuses(ref, name) for ref in host.failed[len(host.failed) - host.failing :])
+        return sum(self._accuses(job_id, name) for job_id in host.failed[len(host.failed) - host.failing :])
 
-    def _accuses(self, ref: str, name: str) -> bool:
-        if ref in self._passed:
-            return len(self._failed[ref]) <= MAX_FAULTY_MACHINES
-        return len(self._failed[ref]) == 1 and any(
-            row[3] == wire.RUNNING and other != name for other, row in self._shown(ref)
+    def _accuses(self, job_id: str, name: str) -> bool:
+        if job_id in self._passed:
+            return len(self._failed[job_id]) <= MAX_FAULTY_MACHINES
+        return len(self._failed[job_id]) == 1 and any(
+            row[3] == RUNNING_NAME and other != name for other, row in self._shown(job_id)
         )
 
-    def _shown(self, ref: str) -> Iterator[tuple[str, TaskRow]]:
+    def _shown(self, job_id: str) -> Iterator[tuple[str, TaskRow]]:
         """Return the tasks of the job that machines' owners show, each with its machine."""
-        return ((name, row) for name in self._where.get(ref, ()) for row in self.hosts[name].tasks if row[0] == ref)
+        hosts = self._where.get(job_id, ())
+        return ((name, row) for name in hosts for row in self.hosts[name].tasks if row[0] == job_id)
 
     def failing_jobs(self) -> dict[str, int]:
         """Return the jobs that failed on several machines and succeeded on none, with the number of machines."""
-        return {ref: len(names) for ref, names in self._failed.items() if len(names) > 1 and ref not in self._passed}
+        return {
+            job_id: len(names)
+            for job_id, names in self._failed.items()
+            if len(names) > 1 and job_id not in self._passed
+        }
 
     def silent(self) -> list[str]:
         """Return the machines that came up once and whose reports have stopped."""
         return [
             name
             for name, host in self.hosts.items()
-            if host.known and host.quiet and (host.up or self._machines[name].opened)
+            if host.known and host.quiet and (host.up or self._machines[name].registered)
         ]
 
     def out_of_use(self, name: str) -> str | None:
         """Return why the machine takes no tasks, in words for the operators; None when it does."""
         record, host = self._machines[name], self.hosts.get(name, Host())
         reasons = {
-            record.leaving or "": record.leaving is not None,
-            "booting": not record.opened and not host.up,
+            record.drain_reason or "": record.drain_reason is not None,
+            "booting": not record.registered and not host.up,
             "its owner is not heard": not host.known,
             "not settled": not host.settled,
             "silent": host.quiet,
@@ -345,9 +356,9 @@
         }
         return next((reason for reason, holds in reasons.items() if holds), None)
 
-    def where(self, ref: str) -> list[str]:
+    def where(self, job_id: str) -> list[str]:
         """Return the machines whose owners show a task of the job."""
-        return sorted(self._where.get(ref, ()))
+        return sorted(self._where.get(job_id, ()))
 
     # Room.
 
@@ -367,36 +378,37 @@
 
     def _room(self, name: str) -> Room | None:
         record, host = self._machines.get(name), self.hosts.get(name)
-        if record is None or host is None or not record.opened or not host.settled or not host.up:
+        if record is None or host is None or not record.registered or not host.settled or not host.up:
             return None
-        flavor = self._flavors.get(record.flavor)
-        if flavor is None or record.leaving is not None or host.leaving or host.notice is not None:
+        machine_type = self._machine_types.get(record.machine_type)
+        if machine_type is None or record.drain_reason is not None or host.leaving or host.notice is not None:
             return None
         if host.quiet or host.deaf_since is not None or self.failing(name) >= self.tuning.sick_jobs:
             return None
         here: Counter[str] = Counter(row[0] for row in host.tasks if row[3] not in FINISHED_NAMES)
-        taken: list[tuple[wire.Run, int]] = []
-        for ref, count in here.items():
-            run = self._run(ref)
-            if run is None:
+        taken: list[tuple[JobSpec, int]] = []
+        for job_id, count in here.items():
+            spec = self._run(job_id)
+            if spec is None:
                 # A job that was over before, or that we have yet to hear of: nobody knows what it takes.
                 self._unclear.add(name)
                 return None
-            taken.append((run, count))
+            taken.append((spec, count))
         attempts = self._attempts(name)
         if attempts:
             shown = {row[:3] for row in host.tasks if row[3] not in FINISHED_NAMES}
-            taken += [(a.run, 1) for a in attempts if a.phase not in FINISHED and a.key not in shown]
-        room = empty_room(flavor, record.yard, record.spot, name)
-        for run, count in taken:
-            room.take(run, count)
+            taken += [(a.spec, 1) for a in attempts if a.phase not in FINISHED and a.key not in shown]
+        room = empty_room(machine_type, record.zone, record.spot, name)
+        for spec, count in taken:
+            room.take(spec, count)
         room.images = frozenset(host.images)
         room.idle = not taken
-        room.worker_waiting = host.quick
+        room.heartbeat_held = host.quick
         # Services are what people wait for: the pool is theirs, and part of the machines that run some.
         room.in_pool = not record.spot and name in self.pool
-        room.service_cores = sum((run.cores * count for run, count in taken if run.shape == wire.SERVICE), 0.0)
-        room.service_reserve = (flavor.cores * self.tuning.service_share, flavor.ram_gb * self.tuning.service_share)
+        room.service_cpus = sum((spec.cpus * count for spec, count in taken if spec.kind == SERVICE), 0.0)
+        share = self.tuning.service_share
+        room.service_reserve = (machine_type.cpus * share, machine_type.ram_gb * share)
         return room
 
     def free(self, names: Iterable[str] | None = None) -> Iterator[Room]:
--- a/src/ramptide/job_scheduler.py
+++ b/src/ramptide/job_scheduler.py
@@ -5,11 +5,12 @@
 from collections.abc import Callable, Collection
 from datetime import timedelta
 
-from ramptide import wire
 from ramptide.amounts import Amounts, add_amounts
 from ramptide.attempts import Attempt, AttemptIndex, sum_amounts
 from ramptide.job_state import JobState
 from ramptide.jobs import Job
+from ramptide.protocol.agents import REFUSAL_CAUSES, TaskOutcome
+from ramptide.protocol.jobs import BATCH
 from ramptide.records import Progress
 from ramptide.task_state import FINISHED, NO_TIME, PHASE_BY_NAME, DesiredState, DesiredTaskRow, Phase, TaskKey, TaskRow
 
@@ -58,10 +59,10 @@
         self.needs_round = True
 
     def _update_pending(self, state: JobState) -> None:
-        if state.waiting > 0 and state.job.ref in self.jobs:
-            self.with_pending_tasks[state.job.ref] = state
+        if state.waiting > 0 and state.job.job_id in self.jobs:
+            self.with_pending_tasks[state.job.job_id] = state
         else:
-            self.with_pending_tasks.pop(state.job.ref, None)
+            self.with_pending_tasks.pop(state.job.job_id, None)
 
     # Which jobs are ours.
 
@@ -70,10 +71,10 @@
 
         `failed_on`: where it failed under its former home, should there be one.
         """
-        state = self.jobs.get(job.ref)
+        state = self.jobs.get(job.job_id)
         if state is None:
             state = JobState(job, Progress(job.progress.low, job.progress.bits), now, failed_on=set(failed_on))
-            self.jobs[job.ref] = state
+            self.jobs[job.job_id] = state
             self._back_off(state, now)
             self.needs_round = True
         elif state.job.progress.count > state.done.count:
@@ -81,40 +82,40 @@
         self._update_pending(state)
         return state
 
-    def release_job(self, ref: str) -> None:
+    def release_job(self, job_id: str) -> None:
         """Let go of a job that has another home now, which decides about the attempts from then on."""
-        state = self.jobs.pop(ref, None)
+        state = self.jobs.pop(job_id, None)
         if state is None:
             return
         self._update_pending(state)
-        self.failing.pop(ref, None)
-        for attempt in self.index.of_job(ref):
+        self.failing.pop(job_id, None)
+        for attempt in self.index.of_job(job_id):
             # Counted as ours until the new home says that it counts them, and lowers our allowance for it.
             self._remove(attempt)
-            self.in_transfer.setdefault(ref, []).append(attempt)
+            self.in_transfer.setdefault(job_id, []).append(attempt)
         self.needs_round = True
 
-    def transfer_confirmed(self, ref: str) -> None:
+    def transfer_confirmed(self, job_id: str) -> None:
         """Stop counting the attempts of a job that was handed over, as its new home counts them."""
-        self.in_transfer.pop(ref, None)
+        self.in_transfer.pop(job_id, None)
 
-    def job_over(self, ref: str) -> None:
+    def job_over(self, job_id: str) -> None:
         """Start no task of the job any more; what may be on a machine still counts until it is gone."""
-        state = self.jobs.pop(ref, None)
+        state = self.jobs.pop(job_id, None)
         if state is None:
             return
         self._update_pending(state)
-        self.failing.pop(ref, None)
-        self.with_new_results.discard(ref)
-        for attempt in self.index.of_job(ref):
+        self.failing.pop(job_id, None)
+        self.with_new_results.discard(job_id)
+        for attempt in self.index.of_job(job_id):
             self._set_desired(attempt, DesiredState.REAP if attempt.phase in FINISHED else DesiredState.STOP)
         self.needs_round = True
 
-    def results_recorded(self, ref: str) -> None:
+    def results_recorded(self, job_id: str) -> None:
         """Let workers forget the results of the job that the state service has now."""
-        state = self.jobs.get(ref)
-        for attempt in self.index.of_job(ref):
-            if attempt.phase is Phase.ENDED and state is not None and attempt.task in state.job.progress:
+        state = self.jobs.get(job_id)
+        for attempt in self.index.of_job(job_id):
+            if attempt.phase is Phase.ENDED and state is not None and attempt.task_index in state.job.progress:
                 self._set_desired(attempt, DesiredState.REAP)
 
     # Starting and stopping.
@@ -125,14 +126,14 @@
         state.started_at = now
         if state.failing:
             state.probe = task
-        run = state.job.run
-        attempt = Attempt(run, task, self._next_attempt, host, zone, DesiredState.RUN, self.seq + 1, now)
+        spec = state.job.spec
+        attempt = Attempt(spec, task, self._next_attempt, host, zone, DesiredState.RUN, self.seq + 1, now)
         self._place(state, attempt)
         return attempt
 
     def _place(self, state: JobState, attempt: Attempt) -> None:
         self._add(attempt)
-        state.placed[attempt.task] = attempt
+        state.placed[attempt.task_index] = attempt
         state.zones[attempt.zone] += 1
         self._update_pending(state)
 
@@ -143,19 +144,19 @@
 
     def _set_desired(self, attempt: Attempt, desired: DesiredState, grace: timedelta = NO_TIME) -> None:
         if attempt.desired is not desired:
-            attempt.desired, attempt.grace, attempt.seq = desired, grace, self.seq + 1
+            attempt.desired, attempt.grace, attempt.sequence_number = desired, grace, self.seq + 1
             self.changed_hosts.add(attempt.host)
             self.needs_round = True
 
     def _free_task(self, attempt: Attempt) -> None:
         """Let the task of an attempt that is proven gone be started again."""
-        state = self.jobs.get(attempt.run.ref)
-        if state is None or state.placed.get(attempt.task) is not attempt:
+        state = self.jobs.get(attempt.spec.job_id)
+        if state is None or state.placed.get(attempt.task_index) is not attempt:
             return
-        del state.placed[attempt.task]
+        del state.placed[attempt.task_index]
         state.zones[attempt.zone] -= 1
-        if attempt.task not in state.done:
-            heapq.heappush(state.retry_tasks, attempt.task)
+        if attempt.task_index not in state.done:
+            heapq.heappush(state.retry_tasks, attempt.task_index)
         self._update_pending(state)
         self.needs_round = True
 
@@ -177,10 +178,10 @@
         """Take the owner's list of the tasks on a machine."""
         shown: set[TaskKey] = set()
         entries = self.attempts.get(host, {})
-        for ref, task, number, name, cause in tasks:
-            key = (ref, task, number)
+        for job_id, task, number, name, cause in tasks:
+            key = (job_id, task, number)
             attempt = entries.get(key)
-            if attempt is None and (ref not in self.jobs or task >= self.jobs[ref].job.run.pieces):
+            if attempt is None and (job_id not in self.jobs or task >= self.jobs[job_id].job.spec.task_count):
                 continue
             shown.add(key)
             phase = PHASE_BY_NAME[name]
@@ -199,7 +200,7 @@
         `answered` gives its list for a machine, None while that proves nothing.
         """
         for attempt in list(self.index.unshown.values()):
-            if ack < attempt.seq or answered(attempt.host) is None:
+            if ack < attempt.sequence_number or answered(attempt.host) is None:
                 continue
             if attempt.desired is DesiredState.RUN:
                 # The owner did not know the machine when our desired state came. A later message of ours may still
@@ -211,23 +212,27 @@
             self._prune_transfers(ack, answered)
 
     def _prune_transfers(self, ack: int, answered: Callable[[str], list[TaskRow] | None]) -> None:
-        for ref, attempts in list(self.in_transfer.items()):
+        for job_id, attempts in list(self.in_transfer.items()):
             left = []
             for attempt in attempts:
                 tasks = answered(attempt.host)
-                gone = tasks is not None and ack >= attempt.seq and all(row[:3] != attempt.key for row in tasks)
+                gone = (
+                    tasks is not None
+                    and ack >= attempt.sequence_number
+                    and all(row[:3] != attempt.key for row in tasks)
+                )
                 if not gone:
                     left.append(attempt)
             if left:
-                self.in_transfer[ref] = left
+                self.in_transfer[job_id] = left
             else:
-                del self.in_transfer[ref]
+                del self.in_transfer[job_id]
 
     def _adopt(self, host: str, zone: str, key: TaskKey, phase: Phase, now: timedelta) -> Attempt:
         """Take over an attempt of a job of ours that an earlier home started."""
-        ref, task, number = key
-        state = self.jobs[ref]
-        attempt = Attempt(state.job.run, task, number, host, zone, DesiredState.RUN, self.seq + 1, now, phase)
+        job_id, task, number = key
+        state = self.jobs[job_id]
+        attempt = Attempt(state.job.spec, task, number, host, zone, DesiredState.RUN, self.seq + 1, now, phase)
         attempt.running_since = now if phase is Phase.RUNNING else None
         if phase not in FINISHED and (task in state.done or task in state.placed):
             self._add(attempt)
@@ -246,35 +251,40 @@
             attempt.running_since = now
         if phase not in FINISHED:
             return
-        state = self.jobs.get(attempt.run.ref)
+        state = self.jobs.get(attempt.spec.job_id)
         if before not in FINISHED and state is not None:
             self._take_outcome(state, attempt, cause, now)
         # Reaped only once its result is in the state service: until then the worker keeps it for us.
-        if phase is not Phase.ENDED or cause != wire.DONE or state is None or attempt.task in state.job.progress:
+        if (
+            phase is not Phase.ENDED
+            or cause != TaskOutcome.SUCCEEDED
+            or state is None
+            or attempt.task_index in state.job.progress
+        ):
             self._set_desired(attempt, DesiredState.REAP)
         self._free_task(attempt)
 
     # How tasks end.
 
     def _take_outcome(self, state: JobState, attempt: Attempt, cause: str | None, now: timedelta) -> None:
-        if attempt.phase is Phase.ENDED and cause == wire.DONE:
+        if attempt.phase is Phase.ENDED and cause == TaskOutcome.SUCCEEDED:
             self._task_done(state, attempt)
-        elif attempt.phase is Phase.ENDED and cause == wire.ERROR:
+        elif attempt.phase is Phase.ENDED and cause == TaskOutcome.FAILED:
             self._task_failed(state, attempt, now)
-        elif attempt.phase is Phase.REFUSED or attempt.phase is Phase.ENDED and cause in wire.REFUSED:
+        elif attempt.phase is Phase.REFUSED or attempt.phase is Phase.ENDED and cause in REFUSAL_CAUSES:
             state.excluded_until[attempt.host] = now + EXCLUDED_AFTER_REFUSAL
 
     def _task_done(self, state: JobState, attempt: Attempt) -> None:
         state.longest_failed_run = NO_TIME
         self._clear_failures(state)
-        if state.job.run.shape == wire.BATCH and state.done.add(attempt.task):
-            self.with_new_results.add(attempt.run.ref)
+        if state.job.spec.kind == BATCH and state.done.add(attempt.task_index):
+            self.with_new_results.add(attempt.spec.job_id)
             self._update_pending(state)
             self.needs_round = True
 
     def _task_failed(self, state: JobState, attempt: Attempt, now: timedelta) -> None:
         """Hold the failure against the job, unless the machine is known as faulty."""
-        log.info("%s/%d failed on %s", attempt.run.ref, attempt.task, attempt.host)
+        log.info("%s/%d failed on %s", attempt.spec.job_id, attempt.task_index, attempt.host)
         state.excluded_until[attempt.host] = now + EXCLUDED_AFTER_FAILURE
         if self._faulty(attempt.host):
             return
@@ -285,12 +295,12 @@
 
     def _back_off(self, state: JobState, now: timedelta) -> None:
         if state.failing:
-            self.failing[state.job.ref] = state
+            self.failing[state.job.job_id] = state
             state.back_off(now)
 
     def _clear_failures(self, state: JobState) -> None:
         state.forget_failures()
-        if self.failing.pop(state.job.ref, None) is not None:
+        if self.failing.pop(state.job.job_id, None) is not None:
             self.needs_round = True
 
     def clear_recovered(self, now: timedelta) -> None:
@@ -304,7 +314,7 @@
         for state in self.jobs.values():
             if host in state.failed_on:
                 state.failed_on.discard(host)
-                if not state.failing and state.job.ref in self.failing:
+                if not state.failing and state.job.job_id in self.failing:
                     self._clear_failures(state)
 
     # What the others need to know.
@@ -314,7 +324,9 @@
         entries = self.attempts.get(host)
         if entries is None:
             return None
-        return [(a.run.ref, a.task, a.number, a.desired.label, a.grace.total_seconds()) for a in entries.values()]
+        return [
+            (a.spec.job_id, a.task_index, a.number, a.desired.label, a.grace.total_seconds()) for a in entries.values()
+        ]
 
     def usage(self) -> dict[str, Amounts]:
         """Return what each team's attempts hold: whatever may possibly be on a machine counts."""
@@ -322,7 +334,7 @@
 
     def amounts_in_transfer(self) -> dict[str, dict[str, Amounts]]:
         """Return the same for each job that was handed over and that its new home does not count yet."""
-        return {ref: sum_amounts(attempts) for ref, attempts in self.in_transfer.items()}
+        return {job_id: sum_amounts(attempts) for job_id, attempts in self.in_transfer.items()}
 
     def usage_with_transfers(self) -> dict[str, Amounts]:
         """Return both together: what our allowance has to cover."""
--- a/src/ramptide/job_state.py
+++ b/src/ramptide/job_state.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
-from ramptide import wire
 from ramptide.attempts import Attempt
 from ramptide.jobs import Job
+from ramptide.protocol.jobs import BATCH, SERVICE
 from ramptide.records import PROGRESS_WINDOW, Progress
 from ramptide.task_state import NO_TIME, Phase
 
@@ -53,7 +53,7 @@
     @property
     def waiting(self) -> int:
         """How many tasks are neither done nor placed."""
-        return self.job.run.pieces - self.done.count - len(self.placed)
+        return self.job.spec.task_count - self.done.count - len(self.placed)
 
     @property
     def failing(self) -> bool:
@@ -88,14 +88,14 @@
     @property
     def complete(self) -> bool:
         """Whether all its tasks are done."""
-        return self.job.run.shape == wire.BATCH and self.done.count == self.job.run.pieces
+        return self.job.spec.kind == BATCH and self.done.count == self.job.spec.task_count
 
     def idle_for(self, now: timedelta, wall: datetime) -> timedelta:
         """Return how long nothing of it was started. While it fails it is idle by our own choice."""
         if self.failing:
             return NO_TIME
         if self.started_at is None and not self.placed and not self.done.count:
-            return wall - self.job.submitted
+            return wall - self.job.submitted_at
         return now - (self.started_at or self.since)
 
     def note_wait(self, now: timedelta, waits: bool, without_room: bool) -> None:
@@ -106,17 +106,20 @@
     def next_task(self) -> int | None:
         """Return the next task that waits; it stays next until it is placed."""
         while self.retry_tasks:
-            if self.retry_tasks[0] in self.done or self.retry_tasks[0] in self.placed:
+            if self._is_done_or_placed(self.retry_tasks[0]):
                 heapq.heappop(self.retry_tasks)
             else:
                 return self.retry_tasks[0]
-        pieces = self.job.run.pieces
-        while self.next_new_task < pieces and (self.next_new_task in self.done or self.next_new_task in self.placed):
+        task_count = self.job.spec.task_count
+        while self.next_new_task < task_count and self._is_done_or_placed(self.next_new_task):
             self.next_new_task += 1
-        if self.next_new_task < min(pieces, self.done.low + PROGRESS_WINDOW):
+        if self.next_new_task < min(task_count, self.done.low + PROGRESS_WINDOW):
             return self.next_new_task
         return None
 
+    def _is_done_or_placed(self, task_index: int) -> bool:
+        return task_index in self.done or task_index in self.placed
+
     def back_off(self, now: timedelta) -> None:
         """Put off the next start: what fails together counts once, the next probe that fails doubles the pause."""
         self.waiting_since = None
@@ -132,7 +135,7 @@
     def has_recovered(self, now: timedelta) -> bool:
         """Tell whether a task has run for well over what others took to fail."""
         least = max(self.longest_failed_run * 2, RECOVERED_AFTER)
-        if self.job.run.shape == wire.SERVICE:
+        if self.job.spec.kind == SERVICE:
             least = min(least, SERVICE_RECOVERED_AFTER)
         return any(
             attempt.phase is Phase.RUNNING and attempt.running_since is not None and now - attempt.running_since > least
--- a/src/ramptide/leader.py
+++ b/src/ramptide/leader.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from ramptide import wire
 from ramptide.cloud import MAX_RETURNS_PER_CALL
 from ramptide.context import TimerHandle
 from ramptide.decisions import MachineDecision, log_decisions, written
 from ramptide.fleet import Fleet, Plan
 from ramptide.limits import Priority
 from ramptide.membership import VIEW
-from ramptide.records import FLAVORS_KEY, RENTAL_PREFIX, HostRecord, RentalRecord, to_value
+from ramptide.protocol.cloud import ListedMachine
+from ramptide.records import MACHINE_TYPES_KEY, RENTAL_PREFIX, RentalRecord, RentedMachine, to_value
 from ramptide.store import Transaction, TransactionResult
 
 if TYPE_CHECKING:
@@ -34,9 +34,9 @@
     def __init__(self, controller: "Controller") -> None:
         self._c = controller
         self.fleet = Fleet(controller.tuning, controller.report_every, controller.lease, controller.prove_within)
-        self.flavors_read = False
+        self.machine_types_read = False
         self._lag = timedelta(seconds=controller.settings.cluster.cloud.list_lag_s)
-        self._hired = 0
+        self._rental_count = 0
         self._asking: set[str] = set()
         self._answered: dict[str, list[str]] = {}
         self._refused: set[str] = set()
@@ -46,7 +46,7 @@
         self._gone: set[str] = set()
         self._list_at: timedelta | None = None
         self._listing = False
-        self._listed: dict[str, wire.Rented] = {}
+        self._listed: dict[str, ListedMachine] = {}
         self._listed_since: dict[str, timedelta] = {}
         self._recorded_since: dict[str, timedelta] = {}
         self._missing: set[str] = set()
@@ -88,7 +88,7 @@
             self._return_unproven()
             return
         # Before the watch has shown the view, a former leader's last changes may be missing here.
-        if self._writing or c.mirror.epoch < c.membership.view_stamp:
+        if self._writing or c.mirror.revision < c.membership.view_revision:
             return
         self.fleet.tuning = c.tuning
         listed = {host: rented.status for host, rented in self._listed.items()}
@@ -96,7 +96,7 @@
         # Nothing is rented before a new leader has rebuilt what it knows from reports and a fresh list.
         # Lost machines are given back meanwhile: the answer proves them gone, and that settles them.
         rebuilt = c.latched and self._list_at is not None
-        plan = self.fleet.step(c.context.now, c.knowledge.demands(), machines, c.flavors.values(), rebuilt)
+        plan = self.fleet.step(c.context.now, c.knowledge.demands(), machines, c.machine_types.values(), rebuilt)
         c.floor.keep_pool(self.fleet.pool)
         self._return(plan)
         self._write(plan)
@@ -107,81 +107,85 @@
         assert c.view is not None
         self._log_unsure()
         edits: dict[str, RentalRecord | None] = {}
-        open_ones = {name: rental for name, rental in c.rentals.items() if rental.hosts is None}
+        open_ones = {name: rental for name, rental in c.rentals.items() if rental.machines is None}
         self._answered = {name: hosts for name, hosts in self._answered.items() if name in open_ones}
         self._refused &= open_ones.keys()
         for name, hosts in self._answered.items():
-            new = {host: HostRecord() for host in hosts if host not in c.machines}
-            edits[name] = msgspec.structs.replace(open_ones[name], born=c.view.number, hosts=new) if new else None
+            new = {host: RentedMachine() for host in hosts if host not in c.machines}
+            written_record = msgspec.structs.replace(open_ones[name], created_in_view=c.view.number, machines=new)
+            edits[name] = written_record if new else None
         edits |= dict.fromkeys(self._refused)
         decisions = self._edit_hosts(edits, plan)
         if plan.rent is not None:
-            self._hired += 1
-            name = f"r-{c.view.number}-{c.membership.incarnation}-{self._hired}"
-            flavor, yard, spot = plan.rent
-            edits[name] = RentalRecord(flavor, yard, spot, c.context.wall().timestamp(), plan.count)
+            self._rental_count += 1
+            name = f"r-{c.view.number}-{c.membership.incarnation}-{self._rental_count}"
+            machine_type, zone, spot = plan.rent
+            edits[name] = RentalRecord(machine_type, zone, spot, c.context.wall().timestamp(), plan.count)
         edits |= self._adoptions(decisions)
-        txn = Transaction(when={VIEW: c.membership.view_stamp})
-        if self.flavors_read:
-            self.flavors_read = False
-            txn.puts.append((FLAVORS_KEY, [msgspec.to_builtins(flavor) for flavor in c.flavors.values()], None))
+        transaction = Transaction(conditions={VIEW: c.membership.view_revision})
+        if self.machine_types_read:
+            self.machine_types_read = False
+            machine_types = [msgspec.to_builtins(machine_type) for machine_type in c.machine_types.values()]
+            transaction.puts.append((MACHINE_TYPES_KEY, machine_types, None))
         # What does not fit is found again by the next step.
         fitting: set[str] = set()
         for name, record in edits.items():
-            if txn.size < c.store.limits.txn_ops:
+            if transaction.size < c.store.limits.max_transaction_operations:
                 fitting.add(name)
                 key = RENTAL_PREFIX + name
-                txn.when[key] = c.mirror.stamp(key)
+                transaction.conditions[key] = c.mirror.mod_revision(key)
                 if record is None:
-                    txn.drops.append(key)
+                    transaction.deletes.append(key)
                 else:
-                    txn.puts.append((key, to_value(record), None))
-        if txn.size:
-            self._commit(txn, written(decisions, fitting))
+                    transaction.puts.append((key, to_value(record), None))
+        if transaction.size:
+            self._commit(transaction, written(decisions, fitting))
 
     def _edit_hosts(self, edits: dict[str, RentalRecord | None], plan: Plan) -> list[MachineDecision]:
         """Record machines that are gone, came up, leave or stay after all; `edits` is changed in place."""
         c = self._c
         decisions = []
-        changes: dict[str, HostRecord | None] = {}
+        changes: dict[str, RentedMachine | None] = {}
         for host, record in c.machines.items():
-            if not record.opened and host in c.floor.hosts and c.floor.hosts[host].up:
-                changes[host] = HostRecord(True, record.leaving)
+            if not record.registered and host in c.floor.hosts and c.floor.hosts[host].up:
+                changes[host] = RentedMachine(True, record.drain_reason)
         moves: dict[str, str | None] = dict(plan.leave) | dict.fromkeys(plan.stay)
         for host, reason in moves.items():
             present = c.machines.get(host)
             if present is not None:
-                changes[host] = HostRecord(present.opened or host in changes, reason)
+                changes[host] = RentedMachine(present.registered or host in changes, reason)
                 outcome = reason or "stays after all"
-                decisions.append(MachineDecision(host, present.flavor, present.yard, present.rental, reason, outcome))
+                decisions.append(
+                    MachineDecision(host, present.machine_type, present.zone, present.rental_id, reason, outcome)
+                )
         changes |= dict.fromkeys(host for host in self._gone if host in c.machines)
         for host, change in changes.items():
-            name = c.machines[host].rental
+            name = c.machines[host].rental_id
             rental = edits.get(name, c.rentals.get(name))
-            if rental is None or rental.hosts is None:
+            if rental is None or rental.machines is None:
                 continue
-            hosts = dict(rental.hosts)
+            hosts = dict(rental.machines)
             if change is None:
                 hosts.pop(host, None)
             else:
                 hosts[host] = change
-            edits[name] = msgspec.structs.replace(rental, hosts=hosts) if hosts else None
+            edits[name] = msgspec.structs.replace(rental, machines=hosts) if hosts else None
         return decisions
 
-    def _commit(self, txn: Transaction, decisions: list[MachineDecision]) -> None:
+    def _commit(self, transaction: Transaction, decisions: list[MachineDecision]) -> None:
         self._writing = True
 
         def done(outcome: TransactionResult) -> None:
             self._writing = False
-            if outcome.epoch is None:
-                self._unsure = decisions if outcome.failed is None and outcome.sent else []
+            if outcome.revision is None:
+                self._unsure = decisions if outcome.failed_keys is None and outcome.sent else []
                 return
             log_decisions(decisions)
-            self._c.mirror.applied(outcome.epoch, txn.puts, txn.drops)
+            self._c.mirror.applied(outcome.revision, transaction.puts, transaction.deletes)
             self._ask_again()
 
         # A few changes a second that all else waits for: they do not queue behind the users' commits.
-        self._c.store.commit(txn, done, Priority.LEASE)
+        self._c.store.commit(transaction, done, Priority.LEASE)
 
     def _log_unsure(self) -> None:
         """Log the decisions of a write whose answer was lost, if the records show that it was applied."""
@@ -195,12 +199,12 @@
         """Request the recorded rentals that have no answer yet, a former leader's included, by their names."""
         for name, rental in self._c.rentals.items():
             known = name in self._asking or name in self._answered or name in self._refused
-            if rental.hosts is None and not known:
+            if rental.machines is None and not known:
                 self._ask(name, rental)
 
     def _ask(self, name: str, rental: RentalRecord) -> None:
         self._asking.add(name)
-        kind = (rental.flavor, rental.yard, rental.spot)
+        kind = (rental.machine_type, rental.zone, rental.spot)
 
         def done(hosts: list[str] | None, refused: bool) -> None:
             self._asking.discard(name)
@@ -233,21 +237,23 @@
         found: dict[str, RentalRecord | None] = {}
         asked = {host for hosts in self._answered.values() for host in hosts}
 
-        def adopt(host: str, flavor: str, yard: str, spot: bool, at: float) -> None:
+        def adopt(host: str, machine_type: str, zone: str, spot: bool, at: float) -> None:
             name = f"adopted-{host}"
-            decisions.append(MachineDecision(host, flavor, yard, name, None, "was not expected, taken over"))
-            found[name] = RentalRecord(flavor, yard, spot, at, born=born, hosts={host: HostRecord()})
+            decisions.append(MachineDecision(host, machine_type, zone, name, None, "was not expected, taken over"))
+            found[name] = RentalRecord(
+                machine_type, zone, spot, at, created_in_view=born, machines={host: RentedMachine()}
+            )
 
-        for host, (flavor, yard, spot) in c.syncing.strangers().items():
+        for host, (machine_type, zone, spot) in c.syncing.strangers().items():
             if self._unexpected(host, asked):
-                adopt(host, flavor, yard, spot, wall)
+                adopt(host, machine_type, zone, spot, wall)
         read = self._list_at if self._list_at is not None else ZERO
         for host, rented in self._listed.items() if self._list_at is not None else ():
             # A list may show what is gone, so only what stays listed longer than its lag is taken: as of the
             # moment the list was read, since it may be the last one before an outage.
             old = read - self._listed_since.get(host, read) > self._lag * 2 + LIST_MARGIN
             if old and rented.status != "failed" and self._unexpected(host, asked):
-                adopt(host, rented.rig, rented.yard, rented.spot, wall - rented.age_s)
+                adopt(host, rented.machine_type, rented.zone, rented.spot, wall - rented.age_s)
         return found
 
     def _unexpected(self, host: str, asked: set[str]) -> bool:
@@ -299,18 +305,18 @@
         self._listing = True
         sent, view = c.context.now, c.view
 
-        def done(found: list[wire.Rented] | None) -> None:
+        def done(found: list[ListedMachine] | None) -> None:
             if view is not c.view:
                 return
             self._listing = False
             if found is None:
                 return
             self._list_at = sent
-            self._take_list({rented.ref: rented for rented in found})
+            self._take_list({rented.host: rented for rented in found})
 
         c.cloud.list_machines(done)
 
-    def _take_list(self, listed: dict[str, wire.Rented]) -> None:
+    def _take_list(self, listed: dict[str, ListedMachine]) -> None:
         now = self._c.context.now
         self._listed = listed
         for host in listed:
--- a/src/ramptide/lease_expiry.py
+++ b/src/ramptide/lease_expiry.py
@@ -44,7 +44,7 @@
         """
         ended = []
         for machine in self._table.machines.values():
-            if not machine.silent and now - (machine.last_report or machine.since) > self._silent_after:
+            if not machine.silent and now - (machine.last_heartbeat_at or machine.since) > self._silent_after:
                 machine.silent = True
                 self._table.mark_changed(machine.host)
             last = machine.latest_answer()
@@ -63,9 +63,9 @@
         if settled:
             machine.settled = True
             self._table.mark_changed(machine.host)
-        if machine.last_report is not None and machine.raw_tasks is not None:
-            # Its next true report is of a later tenure; a late one or a copy of this tenure revives nothing.
-            machine.last_report_id = (machine.last_report_id[0] + 1, 0)
+        if machine.last_heartbeat_at is not None and machine.raw_tasks is not None:
+            # Its next true report is of a later epoch; a late one or a copy of this epoch revives nothing.
+            machine.last_heartbeat_id = (machine.last_heartbeat_id[0] + 1, 0)
             machine.raw_tasks = None
         return EndedLease(machine.host, self._give_up_tasks(machine), settled)
 
--- a/src/ramptide/limit_split.py
+++ b/src/ramptide/limit_split.py
@@ -7,7 +7,7 @@
 from ramptide.amounts import NO_LIMIT, Amounts, Grants, add_amounts, use_from_wire
 from ramptide.job_scheduler import JobScheduler
 from ramptide.membership import View
-from ramptide.peers import Sync
+from ramptide.peers import PeerMessage
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
@@ -55,49 +55,50 @@
         held = [self._allowances.most(member, team, offsets) for member in self._granted]
         return all(most == NO_LIMIT or sum(one[side] for one in held) <= most for side, most in enumerate(limit))
 
-    def update(self, home: JobScheduler, view: View, now: timedelta) -> None:
+    def update(self, scheduler: JobScheduler, view: View, now: timedelta) -> None:
         """As leader, split the limits anew; controllers whose share changes hear at once."""
         c = self._c
         if not c.membership.leading or now - self._divided_at < DIVIDE_EVERY:
             return
         self._divided_at = now
-        self.took = self._taken_over(home, view)
-        before, self._granted = self._granted, self._divide(home, view)
+        self.took = self._taken_over(scheduler, view)
+        before, self._granted = self._granted, self._divide(scheduler, view)
         for name, new in self._granted.items():
             if name in c.peers.all and new != before.get(name):
-                c.peers.hurry(c.peers.all[name], AT_ONCE)
+                c.peers.send_within(c.peers.all[name], AT_ONCE)
 
-    def _taken_over(self, home: JobScheduler, view: View) -> list[str]:
+    def _taken_over(self, scheduler: JobScheduler, view: View) -> list[str]:
         """Return jobs that were handed over to us and whose tasks we count now.
 
         Only those that their former scheduler's last message shows as handed over: in an older message it counts them
         among its own, and the grant sent with this would cover them twice.
         """
         found = []
-        for work in home.jobs.values():
-            hand = work.job.record.hand
-            if hand is not None and hand.view == view.number:
-                said = self._c.peers.said(hand.member)
-                if said is not None and work.job.ref in said.limbo and self._c.ready(work):
-                    found.append(work.job.ref)
+        for job_state in scheduler.jobs.values():
+            handover = job_state.job.record.handover
+            if handover is not None and handover.view == view.number:
+                message = self._c.peers.last_message(handover.member)
+                job_id = job_state.job.job_id
+                if message is not None and job_id in message.usage_in_transfer and self._c.ready(job_state):
+                    found.append(job_id)
         return found
 
-    def _divide(self, home: JobScheduler, view: View) -> dict[str, Grants]:
+    def _divide(self, scheduler: JobScheduler, view: View) -> dict[str, Grants]:
         """Return the split; empty until every member has all information."""
         c = self._c
         assert self._allowances is not None
         others = self._messages(view)
         if others is None:
             return {}
-        using = {c.member: home.usage()} | {said.member: self._use_of(said) for said in others}
+        using = {c.member: scheduler.usage()} | {message.member: self._use_of(message) for message in others}
         offsets = c.quota.offsets() if c.quota is not None else None
         # Told with the messages from the next one on: none that bears its number has left yet.
-        grants = self._allowances.divide(home.seq + 1, using, self._policy(home, others), c.member, offsets)
-        self._allowances.acknowledged(c.member, home.seq + 1)
+        grants = self._allowances.divide(scheduler.seq + 1, using, self._policy(scheduler, others), c.member, offsets)
+        self._allowances.acknowledged(c.member, scheduler.seq + 1)
         c.take_grants(grants[c.member])
         return grants
 
-    def _messages(self, view: View) -> list[Sync] | None:
+    def _messages(self, view: View) -> list[PeerMessage] | None:
         """Return the last message of each other member; None while one of them, or we, lacks information."""
         if not self._c.latched:
             return None
@@ -105,23 +106,23 @@
         for member in view.members:
             if member == self._c.member:
                 continue
-            said = self._c.peers.said(member)
-            if said is None or not said.latched:
+            message = self._c.peers.last_message(member)
+            if message is None or not message.reconciled:
                 return None
-            found.append(said)
+            found.append(message)
         return found
 
-    def _use_of(self, said: Sync) -> Grants:
+    def _use_of(self, message: PeerMessage) -> Grants:
         """Return what a member uses, with what it handed over and nobody else counts yet."""
-        using = use_from_wire(said.using)
-        for ref, held in said.limbo.items():
-            for team, amounts in use_from_wire(held).items() if ref not in self.took else ():
+        using = use_from_wire(message.usage)
+        for job_id, held in message.usage_in_transfer.items():
+            for team, amounts in use_from_wire(held).items() if job_id not in self.took else ():
                 add_amounts(using, team, amounts)
         return using
 
-    def _policy(self, home: JobScheduler, others: list[Sync]) -> SplitPolicy:
+    def _policy(self, scheduler: JobScheduler, others: list[PeerMessage]) -> SplitPolicy:
         policy = self._c.quota.split_policy() if self._c.quota is not None else None
         if policy is not None:
             return policy
-        asking = {self._c.member: self._c.knowledge.asking(home)}
-        return ProportionalSplit(asking | {said.member: use_from_wire(said.asking) for said in others})
+        asking = {self._c.member: self._c.knowledge.asking(scheduler)}
+        return ProportionalSplit(asking | {message.member: use_from_wire(message.demand) for message in others})
--- a/src/ramptide/machine_status.py
+++ b/src/ramptide/machine_status.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from ramptide import wire
 from ramptide.failure_history import FAILED_JOBS_KEPT
 from ramptide.owned_machine import OwnedMachine
+from ramptide.protocol.types import Count, Seconds
 from ramptide.task_state import TaskRow
 
 
@@ -20,13 +20,13 @@
 
     settled: bool
     up: bool
-    leaving: bool
-    silent: wire.Seconds
-    notice: wire.Seconds | None
+    draining: bool
+    silent_s: Seconds
+    preemption_notice_s: Seconds | None
     failed_jobs: Annotated[list[str], msgspec.Meta(max_length=FAILED_JOBS_KEPT)]
-    consecutive_failures: wire.Count
-    unreachable: wire.Seconds | None
-    worker_waiting: bool
+    consecutive_failures: Count
+    unreachable_s: Seconds | None
+    heartbeat_held: bool
     images: list[str]
     tasks: list[TaskRow]
     address: str | None = None
@@ -34,18 +34,18 @@
 
 def status_of(machine: OwnedMachine, now: timedelta) -> MachineStatus:
     """Describe a machine in the form that is sent to the other controllers."""
-    silent_for = now - (machine.last_report or machine.since) if machine.silent else None
+    silent_for = now - (machine.last_heartbeat_at or machine.since) if machine.silent else None
     return MachineStatus(
         settled=machine.settled,
         up=machine.up,
-        leaving=machine.record.leaving is not None,
-        silent=0.0 if silent_for is None else silent_for.total_seconds(),
-        notice=None if machine.reclaimed_at is None else (machine.reclaimed_at - now).total_seconds(),
+        draining=machine.record.drain_reason is not None,
+        silent_s=0.0 if silent_for is None else silent_for.total_seconds(),
+        preemption_notice_s=None if machine.preempted_at is None else (machine.preempted_at - now).total_seconds(),
         failed_jobs=machine.failed_jobs,
         consecutive_failures=machine.consecutive_failures,
-        unreachable=None if machine.unreachable_since is None else (now - machine.unreachable_since).total_seconds(),
-        worker_waiting=machine.has_current_token and machine.last_answer is not None and machine.runs_only_services(),
+        unreachable_s=None if machine.unreachable_since is None else (now - machine.unreachable_since).total_seconds(),
+        heartbeat_held=machine.has_current_token and machine.last_reply_at is not None and machine.runs_only_services(),
         images=list(machine.images),
-        tasks=[(e.ref, e.task, e.attempt, e.phase.label, e.cause) for e in machine.entries.values()],
+        tasks=[(e.job_id, e.task_index, e.attempt, e.phase.label, e.cause) for e in machine.entries.values()],
         address=machine.address,
     )
--- a/src/ramptide/machine_table.py
+++ b/src/ramptide/machine_table.py
@@ -2,11 +2,12 @@
 
 from collections.abc import Callable
 
-from ramptide import wire
 from ramptide.owned_machine import OwnedMachine
+from ramptide.protocol.agents import Heartbeat
+from ramptide.protocol.jobs import JobSpec
 from ramptide.task_state import TaskEntry
 
-RunLookup = Callable[[str], wire.Run | None]
+RunLookup = Callable[[str], JobSpec | None]
 
 
 class MachineTable:
@@ -17,7 +18,7 @@
         self.find_run = find_run
         self.machines: dict[str, OwnedMachine] = {}
         #: The last reports of machines that the fleet record lacks.
-        self.unrecorded: dict[str, wire.Beat] = {}
+        self.unrecorded: dict[str, Heartbeat] = {}
         #: Machines of which the others do not know the present state yet.
         self.changed_hosts: set[str] = set()
         #: Machines for whose workers there may be something new to say.
@@ -35,9 +36,12 @@
 
     def add_entry(self, machine: OwnedMachine, entry: TaskEntry) -> None:
         """Add an attempt to a machine and to the index of jobs."""
-        machine.entries[(entry.ref, entry.task, entry.attempt)] = entry
-        self.hosts_by_job.setdefault(entry.ref, set()).add(machine.host)
+        machine.entries[(entry.job_id, entry.task_index, entry.attempt)] = entry
+        self.hosts_by_job.setdefault(entry.job_id, set()).add(machine.host)
 
     def unrecorded_machines(self) -> dict[str, tuple[str, str, bool]]:
         """Return type, zone and kind (spot or not) of the machines that report and that the fleet record lacks."""
-        return {beat.host: (beat.rig, beat.yard, beat.spot) for beat in self.unrecorded.values()}
+        return {
+            heartbeat.host: (heartbeat.machine_type, heartbeat.zone, heartbeat.spot)
+            for heartbeat in self.unrecorded.values()
+        }
--- a/src/ramptide/membership.py
+++ b/src/ramptide/membership.py
@@ -17,8 +17,8 @@
 VIEW = "live/view"
 LEADER = "live/leader"
 MEMBER = "live/member/"
-LIFE = timedelta(seconds=4)
-TOUCH = timedelta(seconds=0.9)
+LEASE_TIMEOUT = timedelta(seconds=4)
+KEEP_ALIVE_INTERVAL = timedelta(seconds=0.9)
 STEP = timedelta(seconds=0.25)
 GATHER = timedelta(seconds=1)
 
@@ -53,7 +53,7 @@
 class Membership:
     """Keeps our grant and member key, runs for leader, and as leader writes the views.
 
-    A view is changed only by a transaction that is conditional on the leader key's stamp and on the view's own stamp: a
+    A view is changed only by a transaction that is conditional on the leader key's revision and on the view's own revision: a
     leader whose grant ran out, or a late copy of its request, changes nothing.
     """
 
@@ -77,9 +77,9 @@
         self._changed = changed
         self.state = State.APPLYING
         self.view: View | None = None
-        self.view_stamp = 0
-        self._grant: int | None = None
-        self._touched = timedelta(0)
+        self.view_revision = 0
+        self._lease_id: int | None = None
+        self._kept_alive_at = timedelta(0)
         self.resting = False
         #: When the last request was sent that found our grant alive: until `LIFE` after it nobody leaves us out.
         self.kept: timedelta | None = None
@@ -109,27 +109,27 @@
 
     # What the mirror tells.
 
-    def on_change(self, path: str, value: Any, stamp: int) -> None:
+    def on_change(self, key: str, value: Any, mod_revision: int) -> None:
         """Take a change of the view, the leader key or a member key; `value` is None for a deleted key."""
-        if path == VIEW:
-            self._take_view(value, stamp)
-        elif path == LEADER:
+        if key == VIEW:
+            self._take_view(value, mod_revision)
+        elif key == LEADER:
             self._leader = value if isinstance(value, dict) else None
             self._judge()
-        elif path.startswith(MEMBER):
-            name = path[len(MEMBER) :]
+        elif key.startswith(MEMBER):
+            name = key[len(MEMBER) :]
             if isinstance(value, dict):
                 self._members[name] = str(value.get("inc"))
             else:
                 self._members.pop(name, None)
 
-    def _take_view(self, value: Any, stamp: int) -> None:
+    def _take_view(self, value: Any, mod_revision: int) -> None:
         try:
             self.view = msgspec.convert(value, View)
         except msgspec.ValidationError as error:
             log.error("broken view: %s", error)
             return
-        self.view_stamp = stamp
+        self.view_revision = mod_revision
         log.info("view %d: leader %s, members %s", self.view.number, self.view.leader, ", ".join(self.view.members))
         self._judge()
         self._changed()
@@ -137,7 +137,7 @@
     def _judge(self) -> None:
         """Derive our state from the grant, the view and the leader key."""
         mine = self.view is not None and self.view.members.get(self.member) == self.incarnation
-        if self._grant is None:
+        if self._lease_id is None:
             wanted = State.APPLYING
         elif not mine:
             wanted = State.STANDING
@@ -161,12 +161,12 @@
         self._context.after(STEP, self._tick)
         if self._mirror.proof is None:
             return
-        if self._grant is None:
+        if self._lease_id is None:
             if not self.resting:
                 self._apply()
-        elif self._context.now - self._touched >= TOUCH:
-            self._touch()
-        if self._grant is None or self._busy:
+        elif self._context.now - self._kept_alive_at >= KEEP_ALIVE_INTERVAL:
+            self._keep_alive()
+        if self._lease_id is None or self._busy:
             return
         if self._members.get(self.member) != self.incarnation:
             self._stand()
@@ -182,32 +182,32 @@
         self._busy = True
         sent = self._context.now
 
-        def done(grant: int | None) -> None:
+        def done(lease_id: int | None) -> None:
             self._busy = False
-            self._grant = grant
-            if grant is not None:
+            self._lease_id = lease_id
+            if lease_id is not None:
                 self.kept = sent
-            self._touched = self._context.now
+            self._kept_alive_at = self._context.now
             self._judge()
 
-        self._store.create_grant(LIFE, done)
+        self._store.create_lease(LEASE_TIMEOUT, done)
 
-    def _touch(self) -> None:
-        sent = self._touched = self._context.now
-        grant = self._grant
-        assert grant is not None
+    def _keep_alive(self) -> None:
+        sent = self._kept_alive_at = self._context.now
+        lease_id = self._lease_id
+        assert lease_id is not None
 
         def done(alive: bool | None) -> None:
-            if alive and self._grant == grant:
+            if alive and self._lease_id == lease_id:
                 self.kept = sent
-            if alive is False and self._grant == grant:
-                self._lose_grant()
+            if alive is False and self._lease_id == lease_id:
+                self._lose_lease()
             elif alive is None:
-                self._touched = min(self._touched, self._context.now - TOUCH + STEP)
+                self._kept_alive_at = min(self._kept_alive_at, self._context.now - KEEP_ALIVE_INTERVAL + STEP)
 
-        self._store.renew_grant(grant, done)
+        self._store.keep_lease_alive(lease_id, done)
 
-    def _lose_grant(self) -> None:
+    def _lose_lease(self) -> None:
         """Continue as another incarnation after the grant ended.
 
         Our key is gone, so any leader may leave us out from now on. As the old incarnation ends here, a member that was
@@ -216,7 +216,7 @@
         self._losses += 1
         self.incarnation = f"{self._process}.{self._losses}"
         log.info("our grant is over: we go on as %s", self.incarnation)
-        self._grant = self.kept = None
+        self._lease_id = self.kept = None
         self._judge()
 
     def step_down(self) -> None:
@@ -224,34 +224,39 @@
 
         We apply again when `resting` is reset.
         """
-        grant = self._grant
-        if grant is not None:
+        lease_id = self._lease_id
+        if lease_id is not None:
             self.resting = True
-            self._lose_grant()
-            self._store.revoke_grant(grant)
+            self._lose_lease()
+            self._store.revoke_lease(lease_id)
 
-    def _commit(self, txn: Transaction) -> None:
+    def _commit(self, transaction: Transaction) -> None:
         self._busy = True
 
         def done(outcome: TransactionResult) -> None:
             self._busy = False
-            if outcome.epoch is not None:
-                self._mirror.applied(outcome.epoch, txn.puts, txn.drops)
+            if outcome.revision is not None:
+                self._mirror.applied(outcome.revision, transaction.puts, transaction.deletes)
             else:
                 # Perhaps for want of a grant: the next touch tells.
-                self._touched = min(self._touched, self._context.now - TOUCH)
+                self._kept_alive_at = min(self._kept_alive_at, self._context.now - KEEP_ALIVE_INTERVAL)
 
-        self._store.commit(txn, done)
+        self._store.commit(transaction, done)
 
     def _stand(self) -> None:
         key = MEMBER + self.member
         self._commit(
-            Transaction(when={key: self._mirror.stamp(key)}, puts=[(key, {"inc": self.incarnation}, self._grant)])
+            Transaction(
+                conditions={key: self._mirror.mod_revision(key)},
+                puts=[(key, {"inc": self.incarnation}, self._lease_id)],
+            )
         )
 
     def _run_for_leader(self) -> None:
         value = {"member": self.member, "inc": self.incarnation}
-        self._commit(Transaction(when={LEADER: self._mirror.stamp(LEADER)}, puts=[(LEADER, value, self._grant)]))
+        self._commit(
+            Transaction(conditions={LEADER: self._mirror.mod_revision(LEADER)}, puts=[(LEADER, value, self._lease_id)])
+        )
 
     def _review(self) -> None:
         """As leader, write a new view when members came, went or restarted."""
@@ -269,11 +274,11 @@
                 return
         lingering = dict(view.lingering) | known if view is not None else {}
         # A member that stands with a new incarnation has proven the end of its old one.
-        lingering = {name: inc for name, inc in lingering.items() if name not in self._members}
+        lingering = {name: incarnation for name, incarnation in lingering.items() if name not in self._members}
         number = view.number + 1 if view is not None else 1
         new = View(number, self.member, dict(self._members), lingering)
-        txn = Transaction(
-            when={LEADER: self._mirror.stamp(LEADER), VIEW: self.view_stamp},
+        transaction = Transaction(
+            conditions={LEADER: self._mirror.mod_revision(LEADER), VIEW: self.view_revision},
             puts=[(VIEW, msgspec.to_builtins(new), None)],
         )
-        self._commit(txn)
+        self._commit(transaction)
--- a/src/ramptide/mirror.py
+++ b/src/ramptide/mirror.py
@@ -6,7 +6,7 @@
 from enum import Enum, auto
 from typing import Any
 
-from ramptide import wire
+from ramptide.protocol.key_value_store import EventBatch, KeyValue
 from ramptide.store import Store
 
 log = logging.getLogger(__name__)
@@ -31,7 +31,7 @@
 
 
 class Mirror:
-    """Reports each change once, in order of revision for a key: `changed(path, value, stamp)`, value None for a drop.
+    """Reports each change once, in order of revision for a key: `changed(key, value, mod_revision)`, value None for a deletion.
 
     `proof` is the moment a request was sent whose answer showed all changes up to then: the copy
     is at least as new as that moment.
@@ -42,12 +42,12 @@
         self._prefix = prefix
         self._changed = changed
         self._loaded = loaded
-        self._stamps: dict[str, int] = {}
+        self._mod_revisions: dict[str, int] = {}
         self._dropped: dict[str, int] = {}
         #: The last drops in the order in which we heard of them; all after `_drops_from` are here, None before a load.
         self._drops: dict[str, int] = {}
         self._drops_from: int | None = None
-        self._epoch = 0
+        self._revision = 0
         self.state = State.LOADING
         self.proof: timedelta | None = None
         self._asking: list[Callable[[bool], None]] = []
@@ -63,28 +63,28 @@
         """Load the keys, then watch them."""
         self._load()
 
-    def stamp(self, path: str) -> int:
+    def mod_revision(self, key: str) -> int:
         """Return the revision of a key's last change, or 0 when there is no such key."""
-        return self._stamps.get(path, 0)
+        return self._mod_revisions.get(key, 0)
 
     @property
-    def epoch(self) -> int:
+    def revision(self) -> int:
         """The revision up to which the copy shows every change."""
-        return self._epoch
+        return self._revision
 
-    def dropped_since(self, epoch: int) -> list[str] | None:
+    def dropped_since(self, revision: int) -> list[str] | None:
         """Return the keys that are known to have been deleted since a revision.
 
         None when this process does not know all of them, for instance because it started later: what an earlier process
         told its users before it ended is not known here.
         """
-        if self._drops_from is None or epoch < self._drops_from:
+        if self._drops_from is None or revision < self._drops_from:
             return None
-        return [path for path, stamp in self._drops.items() if stamp > epoch]
+        return [key for key, mod_revision in self._drops.items() if mod_revision > revision]
 
-    def _keep_drop(self, path: str, stamp: int) -> None:
-        self._drops.pop(path, None)
-        self._drops[path] = stamp
+    def _keep_drop(self, key: str, mod_revision: int) -> None:
+        self._drops.pop(key, None)
+        self._drops[key] = mod_revision
         while len(self._drops) > DROPS_KEPT and self._drops_from is not None:
             self._drops_from = max(self._drops_from, self._drops.pop(next(iter(self._drops))))
 
@@ -116,7 +116,7 @@
             asked.extend(self._asking)
             self._asking.clear()
 
-        def done(changes: wire.Changes | None, gone: bool) -> None:
+        def done(changes: EventBatch | None, gone: bool) -> None:
             self._reading = False
             if not asked:
                 # The call was refused before it left.
@@ -127,42 +127,42 @@
                 one(changes is not None)
             self._plan_read()
 
-        self._store.changes(self._prefix, self._epoch, timedelta(0), done, sending)
+        self._store.watch(self._prefix, self._revision, timedelta(0), done, sending)
 
-    def _apply(self, changes: wire.Changes, sent: timedelta) -> None:
-        for change in changes.news:
-            if change.stamp <= self._epoch:
+    def _apply(self, changes: EventBatch, sent: timedelta) -> None:
+        for change in changes.events:
+            if change.mod_revision <= self._revision:
                 # Two answers cross: what the newer one has shown, a drop above all, the older must not undo.
                 continue
-            if change.put is not None:
-                self._take(change.put, change.v, change.stamp)
-            elif change.drop is not None:
-                self._take(change.drop, None, change.stamp)
-        self._epoch = max(self._epoch, changes.epoch)
+            if change.put_key is not None:
+                self._take(change.put_key, change.value, change.mod_revision)
+            elif change.deleted_key is not None:
+                self._take(change.deleted_key, None, change.mod_revision)
+        self._revision = max(self._revision, changes.revision)
         if self._dropped:
-            self._dropped = {path: stamp for path, stamp in self._dropped.items() if stamp > self._epoch}
+            self._dropped = {key: deleted for key, deleted in self._dropped.items() if deleted > self._revision}
         self._become_current(max(sent, self.proof or sent))
 
-    def applied(self, epoch: int, puts: list[tuple[str, Any, int | None]], drops: list[str]) -> None:
+    def applied(self, revision: int, puts: list[tuple[str, Any, int | None]], drops: list[str]) -> None:
         """Apply a transaction of our own that succeeded, ahead of the watch."""
-        for path, value, _grant in puts:
-            self._take(path, value, epoch)
-        for path in drops:
-            self._take(path, None, epoch)
+        for key, value, _grant in puts:
+            self._take(key, value, revision)
+        for key in drops:
+            self._take(key, None, revision)
 
-    def _take(self, path: str, value: Any, stamp: int) -> None:
-        if not path.startswith(self._prefix):
+    def _take(self, key: str, value: Any, mod_revision: int) -> None:
+        if not key.startswith(self._prefix):
             return
-        if stamp <= self._stamps.get(path, 0) or stamp <= self._dropped.get(path, 0):
+        if mod_revision <= self._mod_revisions.get(key, 0) or mod_revision <= self._dropped.get(key, 0):
             return
         if value is None:
-            self._dropped[path] = stamp
-            self._keep_drop(path, stamp)
-            if self._stamps.pop(path, None) is None:
+            self._dropped[key] = mod_revision
+            self._keep_drop(key, mod_revision)
+            if self._mod_revisions.pop(key, None) is None:
                 return
         else:
-            self._stamps[path] = stamp
-        self._changed(path, value, stamp)
+            self._mod_revisions[key] = mod_revision
+        self._changed(key, value, mod_revision)
 
     def _become_current(self, sent: timedelta) -> None:
         if self.state is not State.CURRENT:
@@ -178,18 +178,18 @@
     def _load(self) -> None:
         sent = self._store.runtime.now
 
-        def done(rows: list[wire.Row] | None, epoch: int) -> None:
+        def done(rows: list[KeyValue] | None, revision: int) -> None:
             if rows is None:
                 self._become_lacking()
                 self._store.runtime.after(RETRY, self._load)
                 return
-            listed = {row.path for row in rows}
-            self._epoch = self._drops_from = epoch
+            listed = {row.key for row in rows}
+            self._revision = self._drops_from = revision
             self._drops.clear()
-            for path in [path for path in self._stamps if path not in listed]:
-                self._take(path, None, epoch)
-            for row in sorted(rows, key=lambda row: row.stamp):
-                self._take(row.path, row.v, row.stamp)
+            for key in [key for key in self._mod_revisions if key not in listed]:
+                self._take(key, None, revision)
+            for row in sorted(rows, key=lambda row: row.mod_revision):
+                self._take(row.key, row.value, row.mod_revision)
             self._become_current(sent)
             self._loaded()
             self._watch()
@@ -200,7 +200,7 @@
         context = self._store.runtime
         sent = context.now
 
-        def done(changes: wire.Changes | None, gone: bool) -> None:
+        def done(changes: EventBatch | None, gone: bool) -> None:
             if changes is None:
                 self._become_lacking()
                 context.after(RETRY, self._load if gone else self._watch)
@@ -210,4 +210,4 @@
             spent = context.now - sent
             context.after(max(PAUSE - spent, timedelta(milliseconds=5)), self._watch)
 
-        self._store.changes(self._prefix, self._epoch, BLOCK, done)
+        self._store.watch(self._prefix, self._revision, BLOCK, done)
--- a/src/ramptide/owned_machine.py
+++ b/src/ramptide/owned_machine.py
@@ -3,8 +3,9 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from ramptide import wire
 from ramptide.placement import ROUNDING
+from ramptide.protocol.cloud import MachineType
+from ramptide.protocol.jobs import SERVICE, JobSpec
 from ramptide.records import MachineRecord
 from ramptide.task_state import FINISHED, NO_TIME, DesiredState, Phase, TaskEntry, TaskKey
 
@@ -16,26 +17,26 @@
     """A machine that this controller owns in the present view.
 
     `settled`: no reply of an earlier view can be carried out any more. `has_current_token`: the last report was made
-    after the worker saw the token of this view. `last_report_id`: tenure and tally of the last report. `raw_tasks`: the
-    encoded list of tasks of the last report that was compared with the entries. `reclaimed_at`: when the cloud takes
+    after the worker saw the token of this view. `last_heartbeat_id`: agent epoch and sequence number of the last heartbeat. `raw_tasks`: the
+    encoded list of tasks of the last report that was compared with the entries. `preempted_at`: when the cloud takes
     the machine back.
     """
 
     host: str
     record: MachineRecord
-    flavor: wire.Flavor | None
+    machine_type: MachineType | None
     settled: bool
     #: No other controller of this view has answered it after this moment; if `bounded`, none of an earlier one either.
     since: timedelta
     bounded: bool = False
     entries: dict[TaskKey, TaskEntry] = field(default_factory=dict)
-    last_report_id: tuple[int, int] = (0, 0)
+    last_heartbeat_id: tuple[int, int] = (0, 0)
     unreachable_since: timedelta | None = None
     silent: bool = False
     raw_tasks: bytes | None = None
-    last_report: timedelta | None = None
-    last_answer: timedelta | None = None
-    reclaimed_at: timedelta | None = None
+    last_heartbeat_at: timedelta | None = None
+    last_reply_at: timedelta | None = None
+    preempted_at: timedelta | None = None
     images: dict[str, None] = field(default_factory=dict)
     up: bool = False
     has_current_token: bool = False
@@ -50,29 +51,29 @@
         return self.unreachable_since is not None
 
     def free(self) -> tuple[float, float, float]:
-        """Return the cores, cards and memory that no attempt holds; none while an unknown job's task is here."""
-        if self.flavor is None:
+        """Return the CPUs, GPUs and memory that no attempt holds; none while an unknown job's task is here."""
+        if self.machine_type is None:
             return 0.0, 0.0, 0.0
-        cores, cards, ram = self.flavor.cores, self.flavor.cards, self.flavor.ram_gb
+        cpus, gpus, ram_gb = self.machine_type.cpus, self.machine_type.gpus, self.machine_type.ram_gb
         for entry in self.entries.values():
             if entry.phase in FINISHED:
                 continue
-            if entry.run is None:
+            if entry.spec is None:
                 return 0.0, 0.0, 0.0
-            cores -= entry.run.cores
-            cards -= entry.run.cards
-            ram -= entry.run.ram_gb
-        return cores, cards, ram
+            cpus -= entry.spec.cpus
+            gpus -= entry.spec.gpus
+            ram_gb -= entry.spec.ram_gb
+        return cpus, gpus, ram_gb
 
-    def has_room_for(self, run: wire.Run) -> bool:
+    def has_room_for(self, spec: JobSpec) -> bool:
         """Tell whether one more task of the job fits."""
-        cores, cards, ram = self.free()
-        return run.cores <= cores + ROUNDING and run.cards <= cards + ROUNDING and run.ram_gb <= ram + ROUNDING
+        cpus, gpus, ram_gb = self.free()
+        return spec.cpus <= cpus + ROUNDING and spec.gpus <= gpus + ROUNDING and spec.ram_gb <= ram_gb + ROUNDING
 
     def runs_only_services(self) -> bool:
         """Tell whether nothing runs here that ends by itself, so that nobody waits for news in the reports."""
         return all(
-            entry.run is not None and entry.run.shape == wire.SERVICE and entry.phase is not Phase.ENDED
+            entry.spec is not None and entry.spec.kind == SERVICE and entry.phase is not Phase.ENDED
             for entry in self.entries.values()
         )
 
@@ -91,8 +92,8 @@
 
     def skip_to(self, report_id: tuple[int, int]) -> None:
         """Count a report that was not taken, so that the next one does not look as if one had gone elsewhere."""
-        if report_id[0] == self.last_report_id[0]:
-            self.last_report_id = max(self.last_report_id, report_id)
+        if report_id[0] == self.last_heartbeat_id[0]:
+            self.last_heartbeat_id = max(self.last_heartbeat_id, report_id)
 
     def latest_answer(self) -> timedelta:
         """Return the last moment at which its worker may have got an answer, as far as this view tells.
@@ -100,4 +101,4 @@
         `since` may lie ahead: a controller that was left out of the view may answer for a moment yet, and our own
         answer may not arrive.
         """
-        return max(self.last_answer or self.since, self.since)
+        return max(self.last_reply_at or self.since, self.since)
