--- a/src/ramptide/peers.py
+++ b/src/ramptide/peers.py
@@ -16,31 +16,57 @@
 from ramptide.context import CBOR, Reply, Runtime
 from ramptide.delta import ReceivedSequence
 from ramptide.machine_status import MachineStatus
+from ramptide.protocol.types import Amount, Count
 from ramptide.task_state import DesiredTaskRow
-from ramptide.wire import Amount, Count
 
 log = logging.getLogger(__name__)
 
-PATH = "/sync"
+PEER_MESSAGES_PATH = "/sync"
 TIMEOUT = timedelta(seconds=1)
 EVERY = timedelta(seconds=0.5)
 #: News for a peer gathers so long: each message costs both sides the same few turns whatever it holds.
 GAP = timedelta(milliseconds=100)
 ZERO = timedelta(0)
 #: Raised when messages change so that another version would misread them.
-WIRE = 5
+MESSAGE_VERSION = 5
 
 
 #: What a team's tasks take, which may be off zero by a rounding; and what it may take, which may have no end.
-Taken = Annotated[float, msgspec.Meta(ge=-1e12, le=1e12)]
-Allowed = Annotated[float, msgspec.Meta(ge=-1e12)]
+SignedAmount = Annotated[float, msgspec.Meta(ge=-1e12, le=1e12)]
+ShareAmount = Annotated[float, msgspec.Meta(ge=-1e12)]
 
 
 #: A job of which tasks wait, how many, for how many seconds, and the machines that it avoids.
-WaitingRow = tuple[str, Count, Amount, list[str]]
-
-
-class Sync(msgspec.Struct, omit_defaults=True):
+WaitingJobRow = tuple[str, Count, Amount, list[str]]
+
+
+class PeerMessage(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={
+        "incarnation": "inc",
+        "sequence_number": "seq",
+        "store_unavailable": "lacks",
+        "revision": "epoch",
+        "version": "wire",
+        "reconciled": "latched",
+        "acknowledged": "acks",
+        "desired_tasks": "wishes",
+        "machine_status": "status",
+        "usage": "using",
+        "demand": "asking",
+        "waiting_jobs": "waiting",
+        "usage_in_transfer": "limbo",
+        "quota_shares": "grants",
+        "quota_shares_acknowledged": "grants_ack",
+        "handovers_taken": "took",
+        "idle_pool": "pool",
+        "cancelled_jobs": "cancelled",
+        "unrecorded_machines": "strangers",
+        "unconfirmed_terminations": "unproven",
+        "preemptions": "evict",
+    },
+):
     """One message between controllers.
 
     Of machines' states and desired tasks it has what changed since `base`, the number up to which the receiver has said
@@ -48,38 +74,47 @@
     """
 
     member: str
-    inc: str
+    incarnation: str
     view: Count
-    seq: Count
-    lacks: bool
+    sequence_number: Count
+    store_unavailable: bool
     #: The sender's copy of the state service shows every change up to this one.
-    epoch: Count = 0
-    wire: int = 0
+    revision: Count = 0
+    version: int = 0
     base: Count = 0
     #: More machines have changed than one message takes. Only the changes up to `seq` are told here, and nothing else.
     more: bool = False
-    latched: bool = False
-    acks: dict[str, Count] = {}
-    wishes: dict[str, list[DesiredTaskRow] | None] = {}
-    status: dict[str, MachineStatus | None] = {}
-    using: dict[str, tuple[Taken, Taken]] = {}
-    asking: dict[str, tuple[Taken, Taken]] = {}
-    waiting: list[WaitingRow] = []
-    limbo: dict[str, dict[str, tuple[Taken, Taken]]] = {}
-    grants: dict[str, tuple[Allowed, Allowed]] | None = None
-    grants_ack: Count = 0
-    took: list[str] = []
-    pool: list[str] = []
-    cancelled: list[str] = []
-    strangers: dict[str, tuple[str, str, bool]] = {}
+    reconciled: bool = False
+    acknowledged: dict[str, Count] = {}
+    desired_tasks: dict[str, list[DesiredTaskRow] | None] = {}
+    machine_status: dict[str, MachineStatus | None] = {}
+    usage: dict[str, tuple[SignedAmount, SignedAmount]] = {}
+    demand: dict[str, tuple[SignedAmount, SignedAmount]] = {}
+    waiting_jobs: list[WaitingJobRow] = []
+    usage_in_transfer: dict[str, dict[str, tuple[SignedAmount, SignedAmount]]] = {}
+    quota_shares: dict[str, tuple[ShareAmount, ShareAmount]] | None = None
+    quota_shares_acknowledged: Count = 0
+    handovers_taken: list[str] = []
+    idle_pool: list[str] = []
+    cancelled_jobs: list[str] = []
+    unrecorded_machines: dict[str, tuple[str, str, bool]] = {}
     #: For how many seconds a task of a job that is over may have been on a silent machine.
-    unproven: dict[str, Amount] = {}
-    evict: list[tuple[str, Count, Count, Amount]] = []
+    unconfirmed_terminations: dict[str, Amount] = {}
+    preemptions: list[tuple[str, Count, Count, Amount]] = []
     #: A message of the quota part, which checks it; None where that part is off.
     quota: Any = None
 
 
-class Answer(msgspec.Struct):
+class PeerReply(
+    msgspec.Struct,
+    rename={
+        "incarnation": "inc",
+        "store_unavailable": "lacks",
+        "newest_view": "newest",
+        "received": "have",
+        "finished_jobs": "over",
+    },
+):
     """The answer to a `Sync` message.
 
     It says whether the receiver cannot reach the state service either, in which view it acts, and the newest that it
@@ -89,12 +124,12 @@
     epoch that it is cancelled (and others that ended); None when it can't tell, as its process was not there then.
     """
 
-    inc: str
+    incarnation: str
     view: int
-    lacks: bool
-    newest: int
-    have: int = 0
-    over: list[str] | None = None
+    store_unavailable: bool
+    newest_view: int
+    received: int = 0
+    finished_jobs: list[str] | None = None
 
 
 @dataclass(slots=True)
@@ -103,17 +138,17 @@
 
     name: str
     address: str
-    busy: bool = False
-    sent: timedelta | None = None
+    in_flight: bool = False
+    sent_at: timedelta | None = None
     inbox: ReceivedSequence = field(default_factory=ReceivedSequence)
-    taken: int = 0
-    due: timedelta = ZERO
-    heard: timedelta | None = None
-    said: Sync | None = None
-    agreed: timedelta | None = None
-    answered: timedelta | None = None
-    inc: str = ""
-    newest: int = 0
+    acknowledged: int = 0
+    due_at: timedelta = ZERO
+    heard_at: timedelta | None = None
+    last_message: PeerMessage | None = None
+    agreed_unavailable_at: timedelta | None = None
+    answered_at: timedelta | None = None
+    incarnation: str = ""
+    newest_view: int = 0
 
 
 class Peers:
@@ -123,15 +158,15 @@
         self,
         context: Runtime,
         siblings: dict[str, str],
-        belongs: Callable[[Sync], bool],
-        receive: Callable[[Sync, Peer], None],
+        belongs: Callable[[PeerMessage], bool],
+        receive: Callable[[PeerMessage, Peer], None],
         call_off: Callable[[list[str]], None],
     ) -> None:
         self._context = context
-        self._belongs = belongs
-        self._receive = receive
-        self._call_off = call_off
-        self.newest = 0
+        self._is_from_member = belongs
+        self._on_message = receive
+        self._on_finished_jobs = call_off
+        self.newest_view = 0
         self._generation = 0
         self.all = {name: Peer(name, address) for name, address in siblings.items()}
 
@@ -139,113 +174,130 @@
         """Forget what was said and acknowledged under the previous view, and send everything again."""
         self._generation += 1
         for peer in self.all.values():
-            peer.said = None
+            peer.last_message = None
             peer.inbox = ReceivedSequence()
-            peer.taken = 0
-            peer.due = ZERO
+            peer.acknowledged = 0
+            peer.due_at = ZERO
 
-    def said(self, member: str) -> Sync | None:
+    def last_message(self, member: str) -> PeerMessage | None:
         """Return the last message of a member in this view, or None when there is none."""
         peer = self.all.get(member)
-        return peer.said if peer is not None else None
+        return peer.last_message if peer is not None else None
 
-    def messages(self) -> list[Sync]:
+    def last_messages(self) -> list[PeerMessage]:
         """Return the last message of each other member of the view that has sent one."""
-        return [peer.said for peer in self.all.values() if peer.said is not None]
+        return [peer.last_message for peer in self.all.values() if peer.last_message is not None]
 
-    def due(self) -> list[Peer]:
+    def due_peers(self) -> list[Peer]:
         """Return the controllers that are to be sent a message now."""
         now = self._context.now
         return [
             peer
             for peer in self.all.values()
-            if peer.due <= now and not peer.busy and (peer.sent is None or now - peer.sent >= GAP)
+            if peer.due_at <= now and not peer.in_flight and (peer.sent_at is None or now - peer.sent_at >= GAP)
         ]
 
-    def hurry_all(self) -> None:
+    def send_all_soon(self) -> None:
         """Send every other controller a message as soon as possible."""
         for peer in self.all.values():
-            self.hurry(peer, ZERO)
+            self.send_within(peer, ZERO)
 
-    def hurry(self, peer: Peer, within: timedelta) -> None:
+    def send_within(self, peer: Peer, within: timedelta) -> None:
         """Send a controller its next message within the given time, as there is news for it."""
-        peer.due = min(peer.due, self._context.now + within)
+        peer.due_at = min(peer.due_at, self._context.now + within)
 
-    def send(self, peer: Peer, sync: Sync, every: timedelta = EVERY) -> None:
+    def send(self, peer: Peer, message: PeerMessage, every: timedelta = EVERY) -> None:
         """Send a message; the next one is due `every` later.
 
         One message at a time is under way to a controller; the next one carries all that is newer.
         """
-        peer.busy = True
+        peer.in_flight = True
         sent, generation = self._context.now, self._generation
-        peer.sent = sent
-        peer.due = sent + every
+        peer.sent_at = sent
+        peer.due_at = sent + every
 
         def done(reply: Reply | None) -> None:
-            peer.busy = False
+            peer.in_flight = False
             if reply is None or reply.status != 200:
                 return
             try:
-                answer = msgspec.convert(cbor2.loads(reply.body), Answer)
+                answer = msgspec.convert(cbor2.loads(reply.body), PeerReply)
             except (msgspec.ValidationError, cbor2.CBORDecodeError, ValueError) as error:
                 log.error("broken answer of %s: %s", peer.name, error)
                 return
-            peer.answered, peer.inc, peer.newest = self._context.now, answer.inc, answer.newest
+            peer.answered_at, peer.incarnation, peer.newest_view = (
+                self._context.now,
+                answer.incarnation,
+                answer.newest_view,
+            )
             if generation == self._generation:
                 # What it could not take for want of an earlier message is sent again from where it stands.
-                peer.taken = min(max(answer.have, 0), sync.seq) if answer.view == sync.view else 0
-            if answer.over:
-                self._call_off(answer.over)
+                peer.acknowledged = (
+                    min(max(answer.received, 0), message.sequence_number) if answer.view == message.view else 0
+                )
+            if answer.finished_jobs:
+                self._on_finished_jobs(answer.finished_jobs)
             # It lacks the state service now, and stands in our view or (just started) in none: nobody
             # there can have moved the view on between our asking and its answer. And whatever it promised its
             # users up to then we know now: a cancellation that nobody tells us of must end with our leases.
-            if sync.lacks and answer.lacks and answer.view in (0, sync.view) and answer.over is not None:
-                peer.agreed = sent
+            if (
+                message.store_unavailable
+                and answer.store_unavailable
+                and answer.view in (0, message.view)
+                and answer.finished_jobs is not None
+            ):
+                peer.agreed_unavailable_at = sent
 
-        self._context.call(peer.address, "POST", PATH, encode(sync), CBOR, TIMEOUT, done)
+        self._context.call(peer.address, "POST", PEER_MESSAGES_PATH, encode(message), CBOR, TIMEOUT, done)
 
-    def agreement(self) -> timedelta | None:
+    def unavailable_agreed_since(self) -> timedelta | None:
         """Return the time since which all others have said that they cannot reach the state service either.
 
         None while some have not said so.
         """
-        moments = [peer.agreed for peer in self.all.values()]
+        moments = [peer.agreed_unavailable_at for peer in self.all.values()]
         known = [moment for moment in moments if moment is not None]
         return min(known, default=self._context.now) if len(known) == len(moments) else None
 
-    def ended(self, member: str, inc: str, view: int) -> timedelta | None:
+    def no_replies_after(self, member: str, incarnation: str, view: int) -> timedelta | None:
         """Return the time by which a process surely answered no more reports under a view before `view`.
 
         It was told of a newer one, or another process has taken its place. None without proof.
         """
         peer = self.all.get(member)
-        if peer is None or peer.answered is None:
+        if peer is None or peer.answered_at is None:
             return None
-        return peer.answered if peer.inc != inc or peer.newest >= view else None
+        return peer.answered_at if peer.incarnation != incarnation or peer.newest_view >= view else None
 
-    def take(self, body: bytes, view: int) -> tuple[Sync, Peer] | None:
+    def receive(self, body: bytes, view: int) -> tuple[PeerMessage, Peer] | None:
         """Take another controller's message; return it with its sender, or None when it can't be read."""
         try:
-            sync = msgspec.convert(cbor2.loads(body), Sync)
+            message = msgspec.convert(cbor2.loads(body), PeerMessage)
         except (msgspec.ValidationError, cbor2.CBORDecodeError, ValueError, RecursionError) as error:
             log.error("broken message between controllers: %s", error)
             return None
-        peer = self.all.get(sync.member)
+        peer = self.all.get(message.member)
         if peer is None:
-            log.error("a message of %s, which the settings do not name", sync.member)
+            log.error("a message of %s, which the settings do not name", message.member)
             return None
-        if sync.wire != WIRE:
-            log.error("%s speaks version %d between controllers, we speak %d", sync.member, sync.wire, WIRE)
+        if message.version != MESSAGE_VERSION:
+            versions = (message.member, message.version, MESSAGE_VERSION)
+            log.error("%s speaks version %d between controllers, we speak %d", *versions)
             return None
-        self.newest = max(self.newest, sync.view)
-        if sync.view == view and view and self._belongs(sync) and peer.inbox.takes(sync.base, sync.seq):
-            peer.heard = self._context.now
-            if not sync.more:
-                peer.said = sync
-            self._receive(sync, peer)
-        return sync, peer
-
-
-def encode(sync: Sync) -> bytes:
+        self.newest_view = max(self.newest_view, message.view)
+        if (
+            message.view == view
+            and view
+            and self._is_from_member(message)
+            and peer.inbox.takes(message.base, message.sequence_number)
+        ):
+            peer.heard_at = self._context.now
+            if not message.more:
+                peer.last_message = message
+            self._on_message(message, peer)
+        return message, peer
+
+
+def encode(message: PeerMessage) -> bytes:
     """Encode a message as CBOR."""
-    return cbor2.dumps(msgspec.to_builtins(sync))
+    return cbor2.dumps(msgspec.to_builtins(message))
--- a/src/ramptide/preemption.py
+++ b/src/ramptide/preemption.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from ramptide import wire
 from ramptide.amounts import NOTHING, Amounts, amounts_of
 from ramptide.placement import Room, admits, zone_room
+from ramptide.protocol.jobs import PRIORITIES, SERVICE, JobSpec
 from ramptide.task_state import TaskKey
 
 #: Far above what other tasks cost: a replica is stopped last, as people wait for its answers.
@@ -18,19 +18,19 @@
 class RunningTask:
     """A task that holds room."""
 
-    run: wire.Run
-    task: int
+    spec: JobSpec
+    task_index: int
     attempt: int
 
     @property
     def key(self) -> TaskKey:
         """The job, the task and the number of the attempt."""
-        return (self.run.ref, self.task, self.attempt)
+        return (self.spec.job_id, self.task_index, self.attempt)
 
 
 def may_claim(
-    run: wire.Run,
-    victim: wire.Run,
+    spec: JobSpec,
+    victim: JobSpec,
     using: Mapping[str, Amounts],
     guarantees: Mapping[str, Amounts],
 ) -> bool:
@@ -39,47 +39,47 @@
     Lower ranks give way to higher ones. Work of any rank that another team runs beyond its own
     guarantee gives way to what a team may run within its guarantee. Nothing else does.
     """
-    if wire.RANKS.index(victim.rank) < wire.RANKS.index(run.rank):
+    if PRIORITIES.index(victim.priority) < PRIORITIES.index(spec.priority):
         return True
-    if victim.team == run.team or run.team not in guarantees:
+    if victim.team == spec.team or spec.team not in guarantees:
         return False
-    if not within_guarantee(run, using, guarantees):
+    if not within_guarantee(spec, using, guarantees):
         return False
     used, going = using.get(victim.team, NOTHING), amounts_of(victim)
     kept = guarantees.get(victim.team, NOTHING)
     return used[0] - going[0] >= kept[0] and used[1] - going[1] >= kept[1]
 
 
-def within_guarantee(run: wire.Run, using: Mapping[str, Amounts], guarantees: Mapping[str, Amounts]) -> bool:
+def within_guarantee(spec: JobSpec, using: Mapping[str, Amounts], guarantees: Mapping[str, Amounts]) -> bool:
     """Tell whether one more task of the job keeps its team within its guarantee."""
-    guaranteed = guarantees.get(run.team)
+    guaranteed = guarantees.get(spec.team)
     if guaranteed is None:
         return False
-    used, task = using.get(run.team, NOTHING), amounts_of(run)
+    used, task = using.get(spec.team, NOTHING), amounts_of(spec)
     return used[0] + task[0] <= guaranteed[0] and used[1] + task[1] <= guaranteed[1]
 
 
 def victims(
-    run: wire.Run,
+    spec: JobSpec,
     room: Room,
     tasks: Iterable[RunningTask],
-    claimable: Callable[[wire.Run], bool],
+    claimable: Callable[[JobSpec], bool],
     placed: Mapping[str, int],
 ) -> tuple[float, list[RunningTask]] | None:
     """Return what is lost when tasks on this machine make room for one of the job, and which tasks these are.
 
     None when that can't be done, or need not.
     """
-    if not admits(run, room) or not zone_room(run, room.zone, placed):
+    if not admits(spec, room) or not zone_room(spec, room.zone, placed):
         return None
     trial, lost, going = room.copy(), 0.0, []
-    for task in sorted((task for task in tasks if claimable(task.run)), key=_loss):
-        if trial.fits(run):
+    for task in sorted((task for task in tasks if claimable(task.spec)), key=_loss):
+        if trial.fits(spec):
             break
-        trial.take(task.run, -1)
+        trial.take(task.spec, -1)
         going.append(task)
         lost += _loss(task)[0]
-    return (lost, going) if going and trial.fits(run) else None
+    return (lost, going) if going and trial.fits(spec) else None
 
 
 def _loss(task: RunningTask) -> tuple[float, str, int]:
@@ -87,11 +87,11 @@
 
     The job and the task make the order of equal ones a fixed one.
     """
-    run = task.run
-    if run.shape == wire.SERVICE:
+    spec = task.spec
+    if spec.kind == SERVICE:
         lost = SERVICE_LOSS
-    elif run.mark_every_s > 0:
-        lost = run.mark_cost_s
+    elif spec.checkpoint_interval_s > 0:
+        lost = spec.checkpoint_cost_s
     else:
-        lost = run.guess_s
-    return (lost * max(run.cores, 1.0) + RANK_LOSS * wire.RANKS.index(run.rank), run.ref, task.task)
+        lost = spec.estimated_runtime_s
+    return (lost * max(spec.cpus, 1.0) + RANK_LOSS * PRIORITIES.index(spec.priority), spec.job_id, task.task_index)
--- a/src/ramptide/quota/exchange.py
+++ b/src/ramptide/quota/exchange.py
@@ -10,20 +10,19 @@
 from ramptide.delta import ChangeLog
 from ramptide.job_scheduler import JobScheduler
 from ramptide.membership import View
-from ramptide.peers import Peer, Sync
+from ramptide.peers import Peer, PeerMessage
 from ramptide.placement import Room, admits
 from ramptide.preemption import within_guarantee
+from ramptide.protocol.jobs import PRIORITIES, JobSpec
 from ramptide.quota.fitting import FittingSplit
 from ramptide.quota.ledger import AccountBook, Ledger
 from ramptide.quota.limit_table import LimitTable
 from ramptide.quota.messages import VERSION, Demands, QuotaMessage, QuotaMessageError, TaskDemand, decode
 from ramptide.quota.share_waits import ShareWaits
-from ramptide.wire import RANKS
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
     from ramptide.job_state import JobState
-    from ramptide.wire import Run
 
 log = logging.getLogger(__name__)
 
@@ -89,72 +88,79 @@
         """Return the leader's split in whole tasks; None while some member does not tell the sizes of its tasks."""
         if not self.ready:
             return None
-        waiting = {name: said.waiting for name, said in self._said.items()}
+        waiting = {name: message.waiting for name, message in self._said.items()}
         return FittingSplit(waiting | {self._c.member: self._waiting})
 
-    def within_guarantee(self, run: "Run") -> bool:
+    def within_guarantee(self, spec: "JobSpec") -> bool:
         """Tell whether a task more of the job lies within its team's guarantee, over all controllers."""
-        return within_guarantee(run, self._team_use, self._c.guarantees)
+        return within_guarantee(spec, self._team_use, self._c.guarantees)
 
-    def unclaimed(self, run: "Run", rooms: list[Room]) -> list[Room]:
+    def unclaimed(self, spec: "JobSpec", rooms: list[Room]) -> list[Room]:
         """Return the rooms that the job may take although its team is beyond its guarantee.
 
         What would fit a job of another controller that waits within its guarantee, of no lower rank, is left to that.
         """
-        jobs = [job.run for said in self._said.values() for ref in said.claims if (job := self._c.jobs.get(ref))]
-        claims = [one for one in jobs if RANKS.index(one.rank) >= RANKS.index(run.rank) and one.team != run.team]
-        if not claims or self.within_guarantee(run):
+        claimants = [job_id for message in self._said.values() for job_id in message.claims]
+        jobs = [job.spec for job_id in claimants if (job := self._c.jobs.get(job_id))]
+        claims = [
+            one
+            for one in jobs
+            if PRIORITIES.index(one.priority) >= PRIORITIES.index(spec.priority) and one.team != spec.team
+        ]
+        if not claims or self.within_guarantee(spec):
             return rooms
         return [room for room in rooms if not any(admits(one, room) and room.fits(one) for one in claims)]
 
-    def _claiming(self, home: JobScheduler, now: timedelta) -> list[str]:
+    def _claiming(self, scheduler: JobScheduler, now: timedelta) -> list[str]:
         """Return our jobs that wait within a guarantee; one that was not tried in this view yet is among them."""
         found = []
-        for work in home.with_pending_tasks.values():
-            tried = work.waiting_since
+        for job_state in scheduler.with_pending_tasks.values():
+            tried = job_state.waiting_since
             recent = tried is None or now - tried < CLAIM_FOR
-            if recent and work.startable and work.retry_at <= now and self.within_guarantee(work.job.run):
-                found.append(work.job.ref)
+            startable = recent and job_state.startable and job_state.retry_at <= now
+            if startable and self.within_guarantee(job_state.job.spec):
+                found.append(job_state.job.job_id)
                 if len(found) >= CLAIMS_TOLD:
                     break
         return found
 
-    def waits_for_limit(self, work: "JobState", using: Grants) -> bool:
+    def waits_for_limit(self, job_state: "JobState", using: Grants) -> bool:
         """Tell whether it is the share of its team's limit, and not room, that keeps a job from starting."""
-        run = work.job.run
-        share = self._c.grants.get(run.team, NOTHING)
-        return self._c.starter.headroom(run, using.get(run.team, NOTHING), share) == 0
+        spec = job_state.job.spec
+        share = self._c.grants.get(spec.team, NOTHING)
+        return self._c.starter.headroom(spec, using.get(spec.team, NOTHING), share) == 0
 
     # The round.
 
-    def review(self, home: JobScheduler, now: timedelta) -> None:
+    def review(self, scheduler: JobScheduler, now: timedelta) -> None:
         """Work out what waits and what we are short of, pass on what others are short of, and ask for ours."""
         c = self._c
         self.limits.review()
-        held = home.usage_with_transfers()
-        self._team_use = c.knowledge.use_of({work.job.run.team for work in home.with_pending_tasks.values()})
-        self._waiting = self._demands(home, now)
+        held = scheduler.usage_with_transfers()
+        teams = {job_state.job.spec.team for job_state in scheduler.with_pending_tasks.values()}
+        self._team_use = c.knowledge.use_of(teams)
+        self._waiting = self._demands(scheduler, now)
         before, self._short = self._short, self._shortfall(held)
-        self._claims = self._claiming(home, now)
-        self.waits.review(self._waiting_for_share(home, held, now), now)
+        self._claims = self._claiming(scheduler, now)
+        self.waits.review(self._waiting_for_share(scheduler, held, now), now)
         if not c.latched or not self.ready:
             return
         for name in self._said:
             self._give_to(name, held)
         if any(team not in before for team in self._short):
             for name in self._members():
-                c.peers.hurry(c.peers.all[name], AT_ONCE)
+                c.peers.send_within(c.peers.all[name], AT_ONCE)
 
     def _members(self) -> list[str]:
         return [name for name in self._view.members if name != self._c.member] if self._view is not None else []
 
-    def _demands(self, home: JobScheduler, now: timedelta) -> Demands:
+    def _demands(self, scheduler: JobScheduler, now: timedelta) -> Demands:
         """Return our waiting tasks of teams with a limit, by size, no more of each than the limit allows at all."""
         counts: dict[str, Counter[Amounts]] = {}
-        for work in home.with_pending_tasks.values():
-            run = work.job.run
-            if run.team in self._c.limits and work.retry_at <= now and not work.frozen:
-                counts.setdefault(run.team, Counter())[amounts_of(run)] += work.startable
+        for job_state in scheduler.with_pending_tasks.values():
+            spec = job_state.job.spec
+            if spec.team in self._c.limits and job_state.retry_at <= now and not job_state.frozen:
+                counts.setdefault(spec.team, Counter())[amounts_of(spec)] += job_state.startable
         return {team: found for team, sizes in counts.items() if (found := self._told(team, sizes))}
 
     def _told(self, team: str, sizes: Counter[Amounts]) -> list[TaskDemand]:
@@ -163,7 +169,7 @@
             fits = tasks_within(self._c.limits[team], size)
             tasks = count if fits is None else min(count, fits)
             if tasks > 0:
-                found.append(TaskDemand(size.cores, size.cards, tasks))
+                found.append(TaskDemand(size.cpus, size.gpus, tasks))
         return found
 
     def _shortfall(self, held: Grants) -> Demands:
@@ -177,7 +183,7 @@
                 left = _less(left, demand.size.times(covered))
                 if covered < demand.count:
                     short.setdefault(team, []).append(
-                        TaskDemand(demand.cores, demand.cards, demand.count - covered),
+                        TaskDemand(demand.cpus, demand.gpus, demand.count - covered),
                     )
         return short
 
@@ -185,16 +191,16 @@
         """Return what of our share is not used."""
         return _less(self._c.grants.get(team, NOTHING), held.get(team, NOTHING))
 
-    def _waiting_for_share(self, home: JobScheduler, held: Grants, now: timedelta) -> set[str]:
+    def _waiting_for_share(self, scheduler: JobScheduler, held: Grants, now: timedelta) -> set[str]:
         """Return the jobs of which no task starts for want of share, although their team's limit has room for one."""
         found = set()
-        for work in home.with_pending_tasks.values():
-            run = work.job.run
-            if run.team not in self._short or work.retry_at > now or not work.startable:
+        for job_state in scheduler.with_pending_tasks.values():
+            spec = job_state.job.spec
+            if spec.team not in self._short or job_state.retry_at > now or not job_state.startable:
                 continue
-            room = _less(self._c.limits[run.team], self._team_use.get(run.team, NOTHING))
-            if tasks_within(room, amounts_of(run)) and self.waits_for_limit(work, held):
-                found.add(work.job.ref)
+            room = _less(self._c.limits[spec.team], self._team_use.get(spec.team, NOTHING))
+            if tasks_within(room, amounts_of(spec)) and self.waits_for_limit(job_state, held):
+                found.add(job_state.job.job_id)
         return found
 
     # Giving and taking.
@@ -213,13 +219,13 @@
                 self._ledger.give(receiver, team, given, spare)
                 self.counters["given"] += 1
                 self._balance_changed([team])
-                self._c.peers.hurry(self._c.peers.all[receiver], AT_ONCE)
+                self._c.peers.send_within(self._c.peers.all[receiver], AT_ONCE)
 
     def _balance_changed(self, teams: list[str]) -> None:
-        home = self._c.scheduler
-        assert home is not None
+        scheduler = self._c.scheduler
+        assert scheduler is not None
         for team in teams:
-            self._changed.mark(team, home.seq + 1)
+            self._changed.mark(team, scheduler.seq + 1)
         self._book.take(self._c.member, self._ledger.account_rows(teams))
         self._c.refresh_shares()
 
@@ -240,38 +246,38 @@
             short=self._short,
             claims=self._claims,
             waiting=self._waiting if leads else {},
-            accounts=self._ledger.account_rows(self._changed.since(peer.taken)) if leads else [],
+            accounts=self._ledger.account_rows(self._changed.since(peer.acknowledged)) if leads else [],
         )
 
-    def take(self, sync: Sync, home: JobScheduler) -> None:
+    def take(self, message: PeerMessage, scheduler: JobScheduler) -> None:
         """Take what another member tells; what can't be taken is refused as a whole, counted and logged."""
-        if sync.quota is None:
+        if message.quota is None:
             return
         try:
-            said = decode(sync.quota)
-            self._check_sender(said, sync)
-            confirmed = self._ledger.confirm(said.sender, said.confirmed)
-            taken = self._ledger.take(said.sender, said.transfers)
+            told = decode(message.quota)
+            self._check_sender(told, message)
+            confirmed = self._ledger.confirm(told.sender, told.confirmed)
+            taken = self._ledger.take(told.sender, told.transfers)
         except QuotaMessageError as error:
             self.counters["refused"] += 1
-            log.error("a message of %s about team limits is refused: %s", sync.member, error)
+            log.error("a message of %s about team limits is refused: %s", message.member, error)
             return
-        self._said[said.sender] = said
-        self._book.take(said.sender, said.accounts)
+        self._said[told.sender] = told
+        self._book.take(told.sender, told.accounts)
         if confirmed or taken:
-            home.needs_round = True
+            scheduler.needs_round = True
         if taken:
             self.counters["taken"] += len(taken)
             self._balance_changed([row.team for row in taken])
 
-    def _check_sender(self, said: QuotaMessage, sync: Sync) -> None:
+    def _check_sender(self, told: QuotaMessage, message: PeerMessage) -> None:
         view = self._view
-        if view is None or said.view != view.number:
-            raise QuotaMessageError(f"it is of view {said.view}")
-        if said.sender != sync.member or view.members.get(said.sender) != said.incarnation:
-            raise QuotaMessageError(f"{said.sender} as {said.incarnation} is no member of view {view.number}")
-        if said.sender == self._c.member or said.receiver != self._c.member:
-            raise QuotaMessageError(f"it is of {said.sender} for {said.receiver}")
+        if view is None or told.view != view.number:
+            raise QuotaMessageError(f"it is of view {told.view}")
+        if told.sender != message.member or view.members.get(told.sender) != told.incarnation:
+            raise QuotaMessageError(f"{told.sender} as {told.incarnation} is no member of view {view.number}")
+        if told.sender == self._c.member or told.receiver != self._c.member:
+            raise QuotaMessageError(f"it is of {told.sender} for {told.receiver}")
 
     # For operators.
 
@@ -281,7 +287,7 @@
 
 
 def _less(amounts: Amounts, taken: Amounts) -> Amounts:
-    return Amounts(amounts.cores - taken.cores, amounts.cards - taken.cards)
+    return Amounts(amounts.cpus - taken.cpus, amounts.gpus - taken.gpus)
 
 
 def _whole_tasks(demands: list[TaskDemand], spare: Amounts, limit: Amounts) -> Amounts:
@@ -290,5 +296,5 @@
     for demand in demands:
         fits = tasks_within(_less(spare, given), demand.size)
         more = demand.size.times(min(fits or 0, demand.count))
-        given = Amounts(given.cores + more.cores, given.cards + more.cards)
+        given = Amounts(given.cpus + more.cpus, given.gpus + more.gpus)
     return Amounts(*(0 if most == NO_LIMIT else one for one, most in zip(given, limit, strict=True)))
--- a/src/ramptide/quota/fitting.py
+++ b/src/ramptide/quota/fitting.py
@@ -35,8 +35,8 @@
     def targets(self, team: str, limit: Amounts, using: Mapping[str, Amounts]) -> dict[str, Amounts]:
         """Return what each member should have, given what each uses."""
         left = Amounts(
-            max(0, limit.cores - sum(used.cores for used in using.values())),
-            max(0, limit.cards - sum(used.cards for used in using.values())),
+            max(0, limit.cpus - sum(used.cpus for used in using.values())),
+            max(0, limit.gpus - sum(used.gpus for used in using.values())),
         )
         portions = [
             _Portion(member, demand)
@@ -49,14 +49,14 @@
         targets = dict(using)
         for portion in portions:
             more, before = portion.demand.size.times(portion.tasks), targets[portion.member]
-            targets[portion.member] = Amounts(before.cores + more.cores, before.cards + more.cards)
+            targets[portion.member] = Amounts(before.cpus + more.cpus, before.gpus + more.gpus)
         return targets
 
 
 def _take(portion: _Portion, tasks: int, left: Amounts) -> Amounts:
     portion.tasks += tasks
     taken = portion.demand.size.times(tasks)
-    return Amounts(left.cores - taken.cores, left.cards - taken.cards)
+    return Amounts(left.cpus - taken.cpus, left.gpus - taken.gpus)
 
 
 def _in_proportion(portions: list[_Portion], left: Amounts) -> Amounts:
@@ -64,10 +64,10 @@
     wanted = NOTHING
     for portion in portions:
         more = portion.demand.size.times(portion.demand.count)
-        wanted = Amounts(wanted.cores + more.cores, wanted.cards + more.cards)
+        wanted = Amounts(wanted.cpus + more.cpus, wanted.gpus + more.gpus)
     # The resource that is shorter decides; a part is numerator by denominator, as whole numbers.
     parts = [(free, need) for free, need in zip(left, wanted, strict=True) if need > free]
-    numerator, denominator = min(parts, key=lambda part: part[0] / part[1], default=(1, 1))
+    numerator, denominator = min(parts, key=lambda shard: shard[0] / shard[1], default=(1, 1))
     for portion in portions:
         left = _take(portion, portion.demand.count * numerator // denominator, left)
     return left
@@ -75,7 +75,7 @@
 
 def _while_any_fits(portions: list[_Portion], left: Amounts) -> None:
     """Give what is left to whole tasks, the largest first, as these fit in the least places."""
-    for portion in sorted(portions, key=lambda one: (-one.demand.cards, -one.demand.cores, one.member)):
+    for portion in sorted(portions, key=lambda one: (-one.demand.gpus, -one.demand.cpus, one.member)):
         fits = tasks_within(left, portion.demand.size)
         tasks = min(MANY if fits is None else fits, portion.demand.count - portion.tasks)
         if tasks > 0:
--- a/src/ramptide/quota/ledger.py
+++ b/src/ramptide/quota/ledger.py
@@ -49,7 +49,7 @@
 
     def row(self) -> TransferRow:
         """Return its form in messages."""
-        return TransferRow(self.number, self.team, self.amounts.cores, self.amounts.cards)
+        return TransferRow(self.number, self.team, self.amounts.cpus, self.amounts.gpus)
 
 
 class _Account:
--- a/src/ramptide/quota/limit_table.py
+++ b/src/ramptide/quota/limit_table.py
@@ -60,28 +60,28 @@
         """
         if not isinstance(changes, dict) or not changes:
             raise LimitError("the changes are not an object of teams")
-        if len(changes) > self._c.store.limits.txn_ops:
-            raise LimitError(f"{len(changes)} teams at once, {self._c.store.limits.txn_ops} at most")
-        txn = Transaction()
+        if len(changes) > self._c.store.limits.max_transaction_operations:
+            raise LimitError(f"{len(changes)} teams at once, {self._c.store.limits.max_transaction_operations} at most")
+        transaction = Transaction()
         for team, wanted in changes.items():
             record = change(team, wanted, self.records.get(team), self._platform.get(team))
-            self._put(txn, key_of(team), record)
-        self._commit(txn, done)
+            self._put(transaction, key_of(team), record)
+        self._commit(transaction, done)
 
-    def _put(self, txn: Transaction, key: str, record: LimitRecord | None) -> None:
-        txn.when[key] = self._c.mirror.stamp(key)
+    def _put(self, transaction: Transaction, key: str, record: LimitRecord | None) -> None:
+        transaction.conditions[key] = self._c.mirror.mod_revision(key)
         if record is None:
-            txn.drops.append(key)
+            transaction.deletes.append(key)
         else:
-            txn.puts.append((key, msgspec.to_builtins(record), None))
+            transaction.puts.append((key, msgspec.to_builtins(record), None))
 
-    def _commit(self, txn: Transaction, done: Callable[[TransactionResult], None]) -> None:
+    def _commit(self, transaction: Transaction, done: Callable[[TransactionResult], None]) -> None:
         def written(outcome: TransactionResult) -> None:
-            if outcome.epoch is not None:
-                self._c.mirror.applied(outcome.epoch, txn.puts, txn.drops)
+            if outcome.revision is not None:
+                self._c.mirror.applied(outcome.revision, transaction.puts, transaction.deletes)
             done(outcome)
 
-        self._c.store.commit(txn, written)
+        self._c.store.commit(transaction, written)
 
     # What the leader does about them.
 
@@ -94,16 +94,16 @@
         if not acted:
             return
         self._committing = True
-        txn = Transaction(when=c.common())
-        for team in acted[: c.store.limits.txn_ops]:
-            self._put(txn, key_of(team), promote(self.records[team], self._platform.get(team)))
+        transaction = Transaction(conditions=c.common())
+        for team in acted[: c.store.limits.max_transaction_operations]:
+            self._put(transaction, key_of(team), promote(self.records[team], self._platform.get(team)))
 
         def done(outcome: TransactionResult) -> None:
             self._committing = False
-            if outcome.epoch is not None:
+            if outcome.revision is not None:
                 log.info("limits in force: %s", ", ".join(acted))
 
-        self._commit(txn, done)
+        self._commit(transaction, done)
 
     def _holds(self, team: str) -> bool:
         """Tell whether all members' shares are surely within what counts while the change is pending."""
--- a/src/ramptide/quota/messages.py
+++ b/src/ramptide/quota/messages.py
@@ -20,14 +20,14 @@
 class TaskDemand(msgspec.Struct, array_like=True, frozen=True):
     """Waiting tasks of one size."""
 
-    cores: Units
-    cards: Units
+    cpus: Units
+    gpus: Units
     count: Number
 
     @property
     def size(self) -> Amounts:
         """What one of the tasks takes of the limit."""
-        return Amounts(self.cores, self.cards)
+        return Amounts(self.cpus, self.gpus)
 
 
 Demands = dict[str, list[TaskDemand]]
@@ -38,13 +38,13 @@
 
     number: Number
     team: str
-    cores: Units
-    cards: Units
+    cpus: Units
+    gpus: Units
 
     @property
     def amounts(self) -> Amounts:
         """How much is passed on."""
-        return Amounts(self.cores, self.cards)
+        return Amounts(self.cpus, self.gpus)
 
 
 class AccountRow(msgspec.Struct, array_like=True, frozen=True):
@@ -52,20 +52,20 @@
 
     member: str
     team: str
-    given_cores: Units
-    given_cards: Units
-    taken_cores: Units
-    taken_cards: Units
+    given_cpus: Units
+    given_gpus: Units
+    taken_cpus: Units
+    taken_gpus: Units
 
     @property
     def given(self) -> Amounts:
         """What was deducted for the other member."""
-        return Amounts(self.given_cores, self.given_cards)
+        return Amounts(self.given_cpus, self.given_gpus)
 
     @property
     def taken(self) -> Amounts:
         """What was taken from the other member."""
-        return Amounts(self.taken_cores, self.taken_cards)
+        return Amounts(self.taken_cpus, self.taken_gpus)
 
 
 class QuotaMessage(msgspec.Struct, frozen=True):
--- a/src/ramptide/quota/operators.py
+++ b/src/ramptide/quota/operators.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from ramptide import wire
 from ramptide.amounts import NOTHING, Amounts, to_number
 from ramptide.context import JSON
 from ramptide.desk import error
+from ramptide.protocol.types import MessageError, decode_json, encode_json
 from ramptide.quota.exchange import QuotaExchange
 from ramptide.quota.overrides import LimitError
 from ramptide.store import TransactionResult
@@ -40,10 +40,10 @@
 
 def team_shares(controller: "Controller", quota: QuotaExchange) -> dict[str, TeamShare]:
     """Return what this controller holds of each limit, by team; empty without a place in the view."""
-    home = controller.scheduler
-    if home is None:
+    scheduler = controller.scheduler
+    if scheduler is None:
         return {}
-    used, everywhere = home.usage_with_transfers(), controller.knowledge.team_use()
+    used, everywhere = scheduler.usage_with_transfers(), controller.knowledge.team_use()
     shares = {}
     for team in controller.limits:
         held = controller.grants.get(team, NOTHING)
@@ -64,7 +64,7 @@
 
 def _beyond(used: Amounts, guaranteed: Amounts) -> Amounts:
     """Return what a team uses beyond its guarantee, by all controllers."""
-    return Amounts(max(0, used.cores - guaranteed.cores), max(0, used.cards - guaranteed.cards))
+    return Amounts(max(0, used.cpus - guaranteed.cpus), max(0, used.gpus - guaranteed.gpus))
 
 
 def quota_status(controller: "Controller", quota: QuotaExchange) -> dict[str, Any]:
@@ -130,23 +130,23 @@
             }
             for name in sorted(self._c.teams.keys() | self._c.limits.keys())
         }
-        answer(200, wire.encode({"members_without": self._quota.missing(), "teams": teams}), JSON)
+        answer(200, encode_json({"members_without": self._quota.missing(), "teams": teams}), JSON)
 
     def change(self, body: bytes, answer: Answer) -> None:
         """Write changes of limits; 202 when they are pending."""
 
         def done(outcome: TransactionResult) -> None:
-            if outcome.epoch is not None:
-                answer(202, wire.encode({"pending": sorted(changes)}), JSON)
-            elif outcome.failed is not None:
+            if outcome.revision is not None:
+                answer(202, encode_json({"pending": sorted(changes)}), JSON)
+            elif outcome.failed_keys is not None:
                 answer(409, error("the limits were changed meanwhile"), JSON)
             else:
                 answer(503, error("the state service does not answer"), JSON)
 
         try:
-            changes = wire.decode(body)
+            changes = decode_json(body)
             self._quota.limits.request(changes, done)
-        except (wire.MessageError, LimitError) as problem:
+        except (MessageError, LimitError) as problem:
             answer(400, error(str(problem)), JSON)
 
 
--- a/src/ramptide/quota/overrides.py
+++ b/src/ramptide/quota/overrides.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from ramptide import wire
 from ramptide.amounts import NOTHING, Amounts, Grants, guarantee_of, limits_of
+from ramptide.protocol.settings_file import Team
 from ramptide.records import LIMIT_PREFIX
 
 RECORD_VERSION = 1
@@ -34,12 +34,12 @@
     gpus_max: Number = 0.0
     removed: bool = False
 
-    def team(self, name: str) -> wire.Team:
+    def team(self, name: str) -> Team:
         """Return it in the form of the platform's settings."""
-        return wire.Team(name, self.cpus, self.cpus_max, self.gpus, self.gpus_max)
+        return Team(name, self.cpus, self.cpus_max, self.gpus, self.gpus_max)
 
     @classmethod
-    def of_team(cls, team: wire.Team | None) -> "TeamLimit":
+    def of_team(cls, team: Team | None) -> "TeamLimit":
         """Return the platform's limit of a team; a team that the platform does not know counts as removed."""
         if team is None:
             return cls(removed=True)
@@ -58,7 +58,7 @@
 class EffectiveLimits:
     """What counts now: the teams of which jobs are accepted, and all limits and guarantees."""
 
-    teams: dict[str, wire.Team]
+    teams: dict[str, Team]
     limits: Grants
     guarantees: Grants
 
@@ -99,7 +99,7 @@
     return record
 
 
-def change(name: str, changes: Any, record: LimitRecord | None, platform: wire.Team | None) -> LimitRecord:
+def change(name: str, changes: Any, record: LimitRecord | None, platform: Team | None) -> LimitRecord:
     """Return the record with a change pending. `changes`: some fields of `TeamLimit`, or None for the platform's limit.
 
     Raises
@@ -133,7 +133,7 @@
             raise LimitError(f"{name}: {field} {guaranteed:g} is more than {field}_max {most:g}")
 
 
-def _check_platform(name: str, wanted: TeamLimit, platform: wire.Team) -> None:
+def _check_platform(name: str, wanted: TeamLimit, platform: Team) -> None:
     for most, allowed, field in (
         (wanted.cpus_max, platform.cpus_max, "cpus_max"),
         (wanted.gpus_max, platform.gpus_max, "gpus_max"),
@@ -142,14 +142,14 @@
             raise LimitError(f"{name}: {field} {most:g} is more than the platform's {allowed:g}")
 
 
-def promote(record: LimitRecord, platform: wire.Team | None) -> LimitRecord | None:
+def promote(record: LimitRecord, platform: Team | None) -> LimitRecord | None:
     """Return the record with what was pending in force; None when that is the platform's limit and needs no record."""
     if record.pending is None or record.pending == TeamLimit.of_team(platform):
         return None
     return LimitRecord(RECORD_VERSION, record.pending)
 
 
-def effective(platform: Mapping[str, wire.Team], records: Mapping[str, LimitRecord]) -> EffectiveLimits:
+def effective(platform: Mapping[str, Team], records: Mapping[str, LimitRecord]) -> EffectiveLimits:
     """Return what counts now."""
     found = EffectiveLimits({}, {}, {})
     for name in platform.keys() | records.keys():
@@ -168,16 +168,16 @@
         return
     # The later one, with the lower limits: what is accepted must be able to run under both.
     lower = [min((most for most in limits if most), default=0.0) for limits in _limits(teams)]
-    found.teams[name] = wire.Team(name, teams[-1].cpus, lower[0], teams[-1].gpus, lower[1])
+    found.teams[name] = Team(name, teams[-1].cpus, lower[0], teams[-1].gpus, lower[1])
     if any(lower):
         found.limits[name] = _lowest([limits_of(team) for team in teams])
     if teams[-1].cpus or teams[-1].gpus:
         found.guarantees[name] = guarantee_of(teams[-1])
 
 
-def _limits(teams: list[wire.Team]) -> list[list[float]]:
+def _limits(teams: list[Team]) -> list[list[float]]:
     return [[team.cpus_max for team in teams], [team.gpus_max for team in teams]]
 
 
 def _lowest(limits: list[Amounts]) -> Amounts:
-    return Amounts(min(one.cores for one in limits), min(one.cards for one in limits))
+    return Amounts(min(one.cpus for one in limits), min(one.gpus for one in limits))
--- a/src/ramptide/quota/planner.py
+++ b/src/ramptide/quota/planner.py
@@ -100,7 +100,7 @@
     """Return how many tasks of a team amounts cover; None where neither resource is bounded."""
     task = Amounts(units_needed(team.task.cores), units_needed(team.task.gpus))
     counts = [
-        units_allowed(most) // each for most, each in ((cores, task.cores), (gpus, task.cards)) if most > 0 and each > 0
+        units_allowed(most) // each for most, each in ((cores, task.cpus), (gpus, task.gpus)) if most > 0 and each > 0
     ]
     return min(counts) if counts else None
 
@@ -210,14 +210,14 @@
         return NOTHING
     model = _solver()
     counts = [_whole_number(model, demand.count) for demand in demands]
-    for side in ("cores", "cards"):
+    for side in ("cpus", "gpus"):
         model.addConstr(
             sum(getattr(demand, side) * one for demand, one in zip(demands, counts, strict=True))
             <= getattr(limit, side)
         )
-    _solve(model, sum((demand.cores + demand.cards) * one for demand, one in zip(demands, counts, strict=True)))
+    _solve(model, sum((demand.cpus + demand.gpus) * one for demand, one in zip(demands, counts, strict=True)))
     tasks = [round(model.val(one)) for one in counts]
     return Amounts(
-        sum(demand.cores * count for demand, count in zip(demands, tasks, strict=True)),
-        sum(demand.cards * count for demand, count in zip(demands, tasks, strict=True)),
+        sum(demand.cpus * count for demand, count in zip(demands, tasks, strict=True)),
+        sum(demand.gpus * count for demand, count in zip(demands, tasks, strict=True)),
     )
--- a/src/ramptide/quota/share_waits.py
+++ b/src/ramptide/quota/share_waits.py
@@ -20,12 +20,12 @@
 
     def review(self, short: set[str], now: timedelta) -> None:
         """Take the jobs that wait for share now; the waits of all others are over."""
-        for ref in self._since.keys() - short:
-            waited = now - self._since.pop(ref)
+        for job_id in self._since.keys() - short:
+            waited = now - self._since.pop(job_id)
             self.total += waited
             self._histogram.record_value(min(max(round(waited / MILLISECOND), LOWEST_MS), HIGHEST_MS))
-        for ref in short - self._since.keys():
-            self._since[ref] = now
+        for job_id in short - self._since.keys():
+            self._since[job_id] = now
 
     def forget(self) -> None:
         """Drop the waits under way: their jobs may have another scheduler in the next view."""
--- a/src/ramptide/records.py
+++ b/src/ramptide/records.py
@@ -7,12 +7,13 @@
 
 import msgspec
 
-from ramptide import wire
+from ramptide.protocol.jobs import MAX_TASKS, JobSpec
+from ramptide.protocol.types import Count, Timestamp
 
 JOB_PREFIX = "live/job/"
-ENDED_PREFIX = "ended/"
+FINISHED_PREFIX = "ended/"
 RENTAL_PREFIX = "live/rental/"
-FLAVORS_KEY = "live/flavors"
+MACHINE_TYPES_KEY = "live/flavors"
 SETTINGS_KEY = "live/settings"
 LIMIT_PREFIX = "live/quota/"
 
@@ -63,9 +64,9 @@
         msgspec.ValidationError, ValueError
             If the value cannot have been made by `encode`.
         """
-        low, bits = msgspec.convert(value, tuple[wire.Count, str])
+        low, bits = msgspec.convert(value, tuple[Count, str])
         raw = base64.b64decode(bits, validate=True)
-        if low > wire.MAX_PIECES or len(raw) > PROGRESS_WINDOW // 8:
+        if low > MAX_TASKS or len(raw) > PROGRESS_WINDOW // 8:
             raise ValueError("more done tasks than a job can have")
         return cls(low, int.from_bytes(raw, "little"))
 
@@ -79,31 +80,41 @@
 
     view: int
     member: str
-    seq: int
-
-
-class JobRecord(msgspec.Struct):
+    sequence_number: int
+
+
+class JobRecord(
+    msgspec.Struct,
+    rename={
+        "spec": "run",
+        "scheduler": "home",
+        "created_in_view": "born",
+        "submitted_timestamp": "at",
+        "progress": "done",
+        "handover": "hand",
+    },
+):
     """A job that is not over."""
 
-    run: wire.Run
-    home: str
-    born: int
-    at: wire.Moment
-    done: list[Any]
-    hand: Handover | None = None
+    spec: JobSpec
+    scheduler: str
+    created_in_view: int
+    submitted_timestamp: Timestamp
+    progress: list[Any]
+    handover: Handover | None = None
 
     @property
-    def submitted(self) -> datetime:
+    def submitted_at(self) -> datetime:
         """The wall-clock time of the submission."""
-        return datetime.fromtimestamp(self.at, UTC)
+        return datetime.fromtimestamp(self.submitted_timestamp, UTC)
 
 
-class EndRecord(msgspec.Struct):
+class FinishedJobRecord(msgspec.Struct, rename={"task_count": "pieces", "done_count": "done"}):
     """What remains of a job that is over."""
 
     status: str
-    pieces: int
-    done: int
+    task_count: int
+    done_count: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,56 +134,66 @@
         The name of its rental.
     """
 
-    flavor: str
-    yard: str
+    machine_type: str
+    zone: str
     spot: bool
-    born: int
-    at: float
-    leaving: str | None = None
-    opened: bool = False
-    rental: str = ""
+    created_in_view: int
+    requested_timestamp: float
+    drain_reason: str | None = None
+    registered: bool = False
+    rental_id: str = ""
 
-    def untouched(self, view: int) -> bool:
+    def is_unused_before(self, view: int) -> bool:
         """Tell whether no view before `view` can have started anything on the machine."""
-        return self.born == view or not self.opened
+        return self.created_in_view == view or not self.registered
 
 
-class HostRecord(msgspec.Struct, array_like=True, frozen=True):
+class RentedMachine(msgspec.Struct, array_like=True, frozen=True):
     """The part of a machine's record that changes while it is rented."""
 
-    opened: bool = False
-    leaving: str | None = None
-
-
-class RentalRecord(msgspec.Struct, frozen=True):
+    registered: bool = False
+    drain_reason: str | None = None
+
+
+class RentalRecord(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "machine_type": "flavor",
+        "zone": "yard",
+        "requested_timestamp": "at",
+        "created_in_view": "born",
+        "machines": "hosts",
+    },
+):
     """A rental, kept under its unique name.
 
-    It is written without `hosts` before the cloud is called, and with them once the cloud has answered. The machines
+    It is written without `machines` before the cloud is called, and with them once the cloud has answered. The machines
     of one rental share a record, so that hundreds of them need few changes.
     """
 
-    flavor: str
-    yard: str
+    machine_type: str
+    zone: str
     spot: bool
-    at: wire.Moment
+    requested_timestamp: Timestamp
     count: int = 1
-    born: int = 0
-    hosts: dict[str, HostRecord] | None = None
+    created_in_view: int = 0
+    machines: dict[str, RentedMachine] | None = None
 
-    def machines(self, name: str) -> dict[str, MachineRecord]:
+    def machine_records(self, name: str) -> dict[str, MachineRecord]:
         """Return the records of the rental's machines; `name` is the rental's."""
         return {
             host: MachineRecord(
-                flavor=self.flavor,
-                yard=self.yard,
+                machine_type=self.machine_type,
+                zone=self.zone,
                 spot=self.spot,
-                born=self.born,
-                at=self.at,
-                leaving=record.leaving,
-                opened=record.opened,
-                rental=name,
+                created_in_view=self.created_in_view,
+                requested_timestamp=self.requested_timestamp,
+                drain_reason=record.drain_reason,
+                registered=record.registered,
+                rental_id=name,
             )
-            for host, record in (self.hosts or {}).items()
+            for host, record in (self.machines or {}).items()
         }
 
 
--- a/src/ramptide/report_intake.py
+++ b/src/ramptide/report_intake.py
@@ -3,10 +3,11 @@
 import logging
 from datetime import timedelta
 
-from ramptide import wire
 from ramptide.failure_history import record_outcome
 from ramptide.machine_table import MachineTable
 from ramptide.owned_machine import OwnedMachine
+from ramptide.protocol.agents import Heartbeat, TaskReport, decode_task_reports, parse_task_id
+from ramptide.protocol.types import MessageError
 from ramptide.task_state import FINISHED, PHASE_BY_NAME, REPORTED, DesiredState, Phase, TaskEntry, TaskKey
 
 log = logging.getLogger(__name__)
@@ -26,25 +27,25 @@
         self._find_run = table.find_run
         self._mark_changed = table.mark_changed
 
-    def take(self, beat: wire.Beat, now: timedelta) -> bool:
+    def take(self, heartbeat: Heartbeat, now: timedelta) -> bool:
         """Take a report; return False when it is an old one, which changes nothing.
 
-        Raises `wire.MessageError` when it names a task that its job does not have.
+        Raises `MessageError` when it names a task that its job does not have.
         """
-        machine = self._table.machines.get(beat.host)
-        current = beat.baton >= self._view
+        machine = self._table.machines.get(heartbeat.host)
+        current = heartbeat.fencing_token >= self._view
         if machine is None:
             # A late copy of what a machine said before it was returned bears an older token.
             if current:
-                self._table.unrecorded[beat.host] = beat
+                self._table.unrecorded[heartbeat.host] = heartbeat
             return True
-        if (beat.tenure, beat.tally) <= machine.last_report_id:
+        if (heartbeat.agent_epoch, heartbeat.sequence_number) <= machine.last_heartbeat_id:
             return False
         tasks = None
-        raw = bytes(beat.pieces)
+        raw = bytes(heartbeat.raw_tasks)
         if raw != machine.raw_tasks or any(entry.phase is Phase.SENT for entry in machine.entries.values()):
             tasks = self._decode_tasks(raw)
-        self._track_arrival(machine, beat, now)
+        self._track_arrival(machine, heartbeat, now)
         if current is not machine.has_current_token or current and not machine.settled:
             self._note_token(machine, current)
         if current and tasks is not None:
@@ -52,14 +53,14 @@
             self._reconcile(machine, tasks)
         return True
 
-    def _decode_tasks(self, raw: bytes) -> dict[TaskKey, wire.Piece]:
+    def _decode_tasks(self, raw: bytes) -> dict[TaskKey, TaskReport]:
         tasks = {}
-        for piece in wire.decode_pieces(raw):
-            ref, task = wire.split_piece(piece.piece)
-            run = self._find_run(ref)
-            if run is not None and task >= run.pieces:
-                raise wire.MessageError(f"piece: {piece.piece!r} is not of the job")
-            tasks[(ref, task, piece.attempt)] = piece
+        for report in decode_task_reports(raw):
+            job_id, task = parse_task_id(report.task_id)
+            spec = self._find_run(job_id)
+            if spec is not None and task >= spec.task_count:
+                raise MessageError(f"piece: {report.task_id!r} is not of the job")
+            tasks[(job_id, task, report.attempt)] = report
         return tasks
 
     def _note_token(self, machine: OwnedMachine, current: bool) -> None:
@@ -75,29 +76,30 @@
 
     # Whether our answers arrive.
 
-    def _track_arrival(self, machine: OwnedMachine, beat: wire.Beat, now: timedelta) -> None:
-        if machine.last_report is not None:
-            # A worker whose report was not answered goes to another controller with the next: a gap in the tally,
-            # or a new tenure, says that our last answer did not reach it.
-            tenure, tally = machine.last_report_id
-            if beat.tenure != tenure or beat.tally != tally + 1:
+    def _track_arrival(self, machine: OwnedMachine, heartbeat: Heartbeat, now: timedelta) -> None:
+        if machine.last_heartbeat_at is not None:
+            # A worker whose report was not answered goes to another controller with the next: a gap in the sequence
+            # numbers, or a new epoch, says that our last answer did not reach it.
+            agent_epoch, sequence_number = machine.last_heartbeat_id
+            if heartbeat.agent_epoch != agent_epoch or heartbeat.sequence_number != sequence_number + 1:
                 self._mark_unreachable(machine, now)
-            elif machine.unreachable_since is not None and now - machine.last_report < ANSWER_MISSED_AFTER:
+            elif machine.unreachable_since is not None and now - machine.last_heartbeat_at < ANSWER_MISSED_AFTER:
                 self._mark_reachable(machine)
-        machine.last_report_id = (beat.tenure, beat.tally)
-        machine.last_report = now
-        machine.address = beat.addr or machine.address
+        machine.last_heartbeat_id = (heartbeat.agent_epoch, heartbeat.sequence_number)
+        machine.last_heartbeat_at = now
+        machine.address = heartbeat.address or machine.address
         if not machine.up or machine.silent:
             machine.up, machine.silent = True, False
             self._mark_changed(machine.host)
-        reclaimed_at = None if beat.notice_s is None else now + timedelta(seconds=max(beat.notice_s, 0.0))
-        moved = reclaimed_at is not machine.reclaimed_at and (
+        notice_s = heartbeat.preemption_notice_s
+        reclaimed_at = None if notice_s is None else now + timedelta(seconds=max(notice_s, 0.0))
+        moved = reclaimed_at is not machine.preempted_at and (
             reclaimed_at is None
-            or machine.reclaimed_at is None
-            or abs(reclaimed_at - machine.reclaimed_at) > RECLAIM_TIME_TOLERANCE
+            or machine.preempted_at is None
+            or abs(reclaimed_at - machine.preempted_at) > RECLAIM_TIME_TOLERANCE
         )
         if moved:
-            machine.reclaimed_at = reclaimed_at
+            machine.preempted_at = reclaimed_at
             self._mark_changed(machine.host)
 
     def _mark_unreachable(self, machine: OwnedMachine, now: timedelta) -> None:
@@ -121,31 +123,33 @@
 
     # What runs there.
 
-    def _reconcile(self, machine: OwnedMachine, tasks: dict[TaskKey, wire.Piece]) -> None:
+    def _reconcile(self, machine: OwnedMachine, tasks: dict[TaskKey, TaskReport]) -> None:
         """Bring the machine's entries in line with what the report shows."""
-        for key, piece in tasks.items():
+        for key, report in tasks.items():
             entry = machine.entries.get(key)
             if entry is None:
                 entry = TaskEntry(key[0], key[1], key[2], Phase.QUEUED, self._find_run(key[0]))
                 self._table.add_entry(machine, entry)
-            self._update_entry(machine, entry, piece)
+            self._update_entry(machine, entry, report)
         for key, entry in list(machine.entries.items()):
             if key not in tasks:
                 self._handle_absent(machine, key, entry)
         self._mark_changed(machine.host)
 
-    def _update_entry(self, machine: OwnedMachine, entry: TaskEntry, piece: wire.Piece) -> None:
-        phase = PHASE_BY_NAME.get(piece.status, Phase.RUNNING)
+    def _update_entry(self, machine: OwnedMachine, entry: TaskEntry, report: TaskReport) -> None:
+        phase = PHASE_BY_NAME.get(report.status, Phase.RUNNING)
         if phase not in REPORTED:
             phase = Phase.RUNNING
         if entry.phase is not phase:
-            log.debug("%s/%d try %d on %s: %s", entry.ref, entry.task, entry.attempt, machine.host, phase.label)
+            log.debug(
+                "%s/%d try %d on %s: %s", entry.job_id, entry.task_index, entry.attempt, machine.host, phase.label
+            )
         if phase is Phase.ENDED and entry.phase is not Phase.ENDED:
-            record_outcome(machine, entry.ref, piece.cause)
+            record_outcome(machine, entry.job_id, report.cause)
         entry.phase = phase
-        entry.cause = piece.cause
-        if entry.run is not None and phase is not Phase.ENDED:
-            machine.record_image_use(entry.run.image)
+        entry.cause = report.cause
+        if entry.spec is not None and phase is not Phase.ENDED:
+            machine.record_image_use(entry.spec.image)
 
     def _handle_absent(self, machine: OwnedMachine, key: TaskKey, entry: TaskEntry) -> None:
         """Take note that a newer report lacks the attempt, so it is not on the machine."""
--- a/src/ramptide/results.py
+++ b/src/ramptide/results.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
-from ramptide import wire
 from ramptide.commits import CommitBatcher
 from ramptide.job_scheduler import JobScheduler
 from ramptide.job_state import JobState
 from ramptide.limits import Priority
-from ramptide.records import ENDED_PREFIX, JOB_PREFIX, EndRecord, to_value
+from ramptide.protocol.jobs import JobStatus
+from ramptide.records import FINISHED_PREFIX, JOB_PREFIX, FinishedJobRecord, to_value
 from ramptide.store import Transaction, TransactionResult
 
 if TYPE_CHECKING:
@@ -33,50 +33,57 @@
         self._next_write: dict[str, timedelta] = {}
         self._in_flight: set[str] = set()
 
-    def forget(self, ref: str) -> None:
+    def forget(self, job_id: str) -> None:
         """Drop what is kept of a job that is over."""
-        self._next_write.pop(ref, None)
+        self._next_write.pop(job_id, None)
 
-    def flush(self, home: JobScheduler, now: timedelta) -> None:
+    def flush(self, scheduler: JobScheduler, now: timedelta) -> None:
         """Write the results of the home's jobs that are due."""
         if self._controller.mirror.lacking:
             return
-        for ref in list(home.with_new_results):
-            work = home.jobs.get(ref)
-            if work is None or not work.has_unrecorded_results:
-                home.with_new_results.discard(ref)
-            elif not work.frozen and ref not in self._in_flight:
-                if work.complete and now >= self._next_write.get(ref, now):
-                    self._write_completion(work, now)
-                elif not work.complete and now >= self._next_write.setdefault(ref, now + PROGRESS_INTERVAL):
-                    self._write_progress(work, now)
-
-    def _write_completion(self, work: JobState, now: timedelta) -> None:
-        job = work.job
-        key, end = JOB_PREFIX + job.ref, EndRecord(wire.DONE, job.run.pieces, job.run.pieces)
-        txn = Transaction(when={key: job.stamp}, puts=[(ENDED_PREFIX + job.ref, to_value(end), None)], drops=[key])
+        for job_id in list(scheduler.with_new_results):
+            job_state = scheduler.jobs.get(job_id)
+            if job_state is None or not job_state.has_unrecorded_results:
+                scheduler.with_new_results.discard(job_id)
+            elif not job_state.frozen and job_id not in self._in_flight:
+                if job_state.complete and now >= self._next_write.get(job_id, now):
+                    self._write_completion(job_state, now)
+                elif not job_state.complete and now >= self._next_write.setdefault(job_id, now + PROGRESS_INTERVAL):
+                    self._write_progress(job_state, now)
+
+    def _write_completion(self, job_state: JobState, now: timedelta) -> None:
+        job = job_state.job
+        key, end = (
+            JOB_PREFIX + job.job_id,
+            FinishedJobRecord(JobStatus.SUCCEEDED, job.spec.task_count, job.spec.task_count),
+        )
+        transaction = Transaction(
+            conditions={key: job.mod_revision},
+            puts=[(FINISHED_PREFIX + job.job_id, to_value(end), None)],
+            deletes=[key],
+        )
 
         def done(result: TransactionResult) -> None:
-            self._write_finished(job.ref, result, txn)
-            if result.epoch is not None:
-                self._controller.desk.ended(job.ref, end)
-
-        self._write_started(job.ref, now + RETRY_DELAY)
-        self._controller.commits.add(txn, done)
-
-    def _write_progress(self, work: JobState, now: timedelta) -> None:
-        job = work.job
-        key = JOB_PREFIX + job.ref
-        record = msgspec.structs.replace(job.record, done=work.done.encode())
-        txn = Transaction(when={key: job.stamp}, puts=[(key, to_value(record), None)])
-        self._write_started(job.ref, now + PROGRESS_INTERVAL)
-        self._progress.add(txn, lambda result: self._write_finished(job.ref, result, txn))
-
-    def _write_started(self, ref: str, next_write: timedelta) -> None:
-        self._in_flight.add(ref)
-        self._next_write[ref] = next_write
-
-    def _write_finished(self, ref: str, result: TransactionResult, txn: Transaction) -> None:
-        self._in_flight.discard(ref)
-        if result.epoch is not None:
-            self._controller.mirror.applied(result.epoch, txn.puts, txn.drops)
+            self._write_finished(job.job_id, result, transaction)
+            if result.revision is not None:
+                self._controller.desk.ended(job.job_id, end)
+
+        self._write_started(job.job_id, now + RETRY_DELAY)
+        self._controller.commits.add(transaction, done)
+
+    def _write_progress(self, job_state: JobState, now: timedelta) -> None:
+        job = job_state.job
+        key = JOB_PREFIX + job.job_id
+        record = msgspec.structs.replace(job.record, progress=job_state.done.encode())
+        transaction = Transaction(conditions={key: job.mod_revision}, puts=[(key, to_value(record), None)])
+        self._write_started(job.job_id, now + PROGRESS_INTERVAL)
+        self._progress.add(transaction, lambda result: self._write_finished(job.job_id, result, transaction))
+
+    def _write_started(self, job_id: str, next_write: timedelta) -> None:
+        self._in_flight.add(job_id)
+        self._next_write[job_id] = next_write
+
+    def _write_finished(self, job_id: str, result: TransactionResult, transaction: Transaction) -> None:
+        self._in_flight.discard(job_id)
+        if result.revision is not None:
+            self._controller.mirror.applied(result.revision, transaction.puts, transaction.deletes)
--- a/src/ramptide/service.py
+++ b/src/ramptide/service.py
@@ -7,7 +7,7 @@
 from datetime import datetime, timedelta
 from typing import Protocol
 
-from ramptide import peers, wire
+from ramptide import peers
 from ramptide.admin import Admin
 from ramptide.app import Controller
 from ramptide.context import CBOR, JSON, Reply, ResponseCallback
@@ -17,6 +17,10 @@
 from ramptide.loop import Loop, Timer
 from ramptide.parts import Parts
 from ramptide.process_statistics import Work
+from ramptide.protocol.agents import HEARTBEAT_PATH
+from ramptide.protocol.jobs import HEALTH_PATH, JOBS_PATH
+from ramptide.protocol.settings_file import Cluster, Settings
+from ramptide.protocol.types import encode_json
 from ramptide.telemetry import Route
 
 CLIENT_IDLE_TIMEOUT = timedelta(seconds=60)
@@ -87,14 +91,14 @@
     outbound: int
 
     @classmethod
-    def for_cluster(cls, cluster: wire.Cluster) -> "_ConnectionLimits":
+    def for_cluster(cls, cluster: Cluster) -> "_ConnectionLimits":
         _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
-        limits = [cluster.quota.fd_limit, hard_limit if hard_limit != resource.RLIM_INFINITY else None]
+        limits = [cluster.process_limits.fd_limit, hard_limit if hard_limit != resource.RLIM_INFINITY else None]
         file_limit = min((limit for limit in limits if limit is not None), default=DEFAULT_FILE_LIMIT)
         total = max(file_limit - RESERVED_FILE_DESCRIPTORS, MIN_CONNECTIONS)
         share = total // MIN_CONNECTION_SHARES
-        outbound = min(BASE_OUTBOUND_CONNECTIONS + OUTBOUND_CONNECTIONS_PER_NODE * cluster.nodes, share)
-        peer_connections = min(PEER_CONNECTIONS_PER_NODE * cluster.nodes, share)
+        outbound = min(BASE_OUTBOUND_CONNECTIONS + OUTBOUND_CONNECTIONS_PER_NODE * cluster.controllers, share)
+        peer_connections = min(PEER_CONNECTIONS_PER_NODE * cluster.controllers, share)
         return cls(total - outbound - peer_connections, peer_connections, outbound)
 
 
@@ -106,7 +110,7 @@
 class Service:
     """One controller with its servers for clients (users and workers) and for peers (controllers and operators)."""
 
-    def __init__(self, settings: wire.Settings, parts: Parts | None = None) -> None:
+    def __init__(self, settings: Settings, parts: Parts | None = None) -> None:
         self.loop = Loop()
         limits = _ConnectionLimits.for_cluster(settings.cluster)
         runtime = LoopRuntime(self.loop, Client(self.loop, limits.outbound))
@@ -114,10 +118,15 @@
         self._measure = self.loop.statistics.measure
         self.admin = Admin(self.controller, self.loop.statistics)
         self.client_server = Server(
-            self.loop, settings.listen, self._handle_client, limits.clients, CLIENT_IDLE_TIMEOUT, deferrable=True
+            self.loop,
+            settings.client_address,
+            self._handle_client,
+            limits.clients,
+            CLIENT_IDLE_TIMEOUT,
+            deferrable=True,
         )
         self.peer_server = Server(
-            self.loop, settings.peer_listen, self._handle_peer, limits.peers, PEER_IDLE_TIMEOUT, MAX_PEER_BODY_BYTES
+            self.loop, settings.peer_address, self._handle_peer, limits.peers, PEER_IDLE_TIMEOUT, MAX_PEER_BODY_BYTES
         )
 
     def run(self) -> None:
@@ -133,24 +142,24 @@
         def answer(status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
             exchange.respond(status, body, JSON, headers or {})
 
-        if path == wire.BEAT:
+        if path == HEARTBEAT_PATH:
             if request.method != "POST":
                 _refuse_method(exchange, "POST")
                 return
             # Leases hang on the workers' reports, so users' requests come after them.
             exchange.prefer()
             controller.counters["reports"] += 1
-            self._measure(Work.REPORTS, lambda: controller.reports.beat(request.body, answer))
-        elif path == wire.HEALTH:
+            self._measure(Work.REPORTS, lambda: controller.reports.receive_heartbeat(request.body, answer))
+        elif path == HEALTH_PATH:
             if request.method not in ("GET", "HEAD"):
                 _refuse_method(exchange, "GET, HEAD")
                 return
             exchange.prefer()
             healthy = controller.healthy()
-            answer(200 if healthy else 503, wire.encode({"healthy": healthy, "lacks": controller.lacks()}))
-        elif path == wire.RUNS or path.startswith(wire.RUNS + "/"):
+            answer(200 if healthy else 503, encode_json({"healthy": healthy, "lacks": controller.lacks()}))
+        elif path == JOBS_PATH or path.startswith(JOBS_PATH + "/"):
             controller.counters["requests"] += 1
-            subpath = path[len(wire.RUNS) + 1 :]
+            subpath = path[len(JOBS_PATH) + 1 :]
             self._measure(Work.USERS, lambda: self._handle_job_request(exchange, subpath, answer))
         else:
             answer(404, error("no such path"))
@@ -185,7 +194,7 @@
     def _handle_peer(self, exchange: Exchange) -> None:
         request = exchange.request
         path = request.target.partition("?")[0]
-        if path == peers.PATH:
+        if path == peers.PEER_MESSAGES_PATH:
             if request.method != "POST":
                 _refuse_method(exchange, "POST")
                 return
--- a/src/ramptide/settings.py
+++ b/src/ramptide/settings.py
@@ -6,15 +6,16 @@
 from pathlib import Path
 from typing import Any
 
-from ramptide import wire
 from ramptide.http.address import parse_address
+from ramptide.protocol.settings_file import AgentTimings, Settings, decode_settings
+from ramptide.protocol.types import MessageError
 
 
 class SettingsError(ValueError):
     """A wrong setting; the message is one line for the operator that names the field."""
 
 
-def load(path: Path) -> wire.Settings:
+def load(path: Path) -> Settings:
     """Read and check the settings file.
 
     Raises
@@ -27,22 +28,22 @@
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from error
     try:
-        settings = wire.decode_settings(body)
-    except wire.MessageError as error:
+        settings = decode_settings(body)
+    except MessageError as error:
         raise SettingsError(f"{path}: {error}") from error
     _check_addresses(path, settings)
     _check_names(path, settings)
-    _check_worker_times(path, settings.cluster.workers)
+    _check_worker_times(path, settings.cluster.agents)
     return settings
 
 
-def _check_addresses(path: Path, settings: wire.Settings) -> None:
+def _check_addresses(path: Path, settings: Settings) -> None:
     addresses = {
-        "client_listen": settings.listen,
-        "peer_bind": settings.peer_listen,
-        "outside.cloud": settings.outside.cloud,
-        "outside.state": settings.outside.state,
-    } | {f"siblings[{index}].addr": sibling.addr for index, sibling in enumerate(settings.siblings)}
+        "client_listen": settings.client_address,
+        "peer_bind": settings.peer_address,
+        "outside.cloud": settings.services.cloud,
+        "outside.state": settings.services.key_value_store,
+    } | {f"siblings[{index}].addr": sibling.address for index, sibling in enumerate(settings.peers)}
     for field_name, address in addresses.items():
         try:
             parse_address(address)
@@ -50,8 +51,8 @@
             raise SettingsError(f"{path}: {error} - at `$.{field_name}`") from error
 
 
-def _check_names(path: Path, settings: wire.Settings) -> None:
-    names = [settings.member, *(sibling.member for sibling in settings.siblings)]
+def _check_names(path: Path, settings: Settings) -> None:
+    names = [settings.member, *(sibling.member for sibling in settings.peers)]
     if len(set(names)) != len(names):
         raise SettingsError(f"{path}: two controllers have the same name - at `$.siblings`")
     teams = [team.name for team in settings.cluster.teams]
@@ -59,10 +60,10 @@
         raise SettingsError(f"{path}: two teams have the same name - at `$.cluster.teams`")
 
 
-def _check_worker_times(path: Path, workers: wire.Workers) -> None:
-    if workers.lease_s <= workers.report_s:
+def _check_worker_times(path: Path, workers: AgentTimings) -> None:
+    if workers.lease_s <= workers.heartbeat_interval_s:
         raise SettingsError(f"{path}: must be longer than report_s - at `$.cluster.workers.lease_s`")
-    if workers.cancel_s <= workers.lease_s:
+    if workers.cancel_timeout_s <= workers.lease_s:
         raise SettingsError(f"{path}: must be longer than lease_s - at `$.cluster.workers.cancel_s`")
 
 
--- a/src/ramptide/shard.py
+++ b/src/ramptide/shard.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable, Mapping
 from datetime import timedelta
 
-from ramptide import wire
 from ramptide.command_delivery import CommandDelivery
 from ramptide.lease_expiry import LeaseExpiry
 from ramptide.machine_status import MachineStatus, status_of
 from ramptide.machine_table import MachineTable, RunLookup
 from ramptide.owned_machine import OwnedMachine
+from ramptide.protocol.cloud import MachineType
 from ramptide.records import MachineRecord
 from ramptide.report_intake import ReportIntake
 from ramptide.task_state import DesiredState, DesiredTaskRow, Phase, TaskEntry, TaskKey
@@ -34,7 +34,7 @@
         self,
         host: str,
         record: MachineRecord,
-        flavor: wire.Flavor | None,
+        machine_type: MachineType | None,
         now: timedelta,
         images: list[str],
         until: timedelta | None = None,
@@ -46,13 +46,15 @@
         machine = self.machines.get(host)
         if machine is None:
             # Nobody starts on a machine that is not recorded as opened, so this one may be empty for sure.
-            machine = OwnedMachine(host, record, flavor, record.untouched(self.view), now if until is None else until)
+            machine = OwnedMachine(
+                host, record, machine_type, record.is_unused_before(self.view), now if until is None else until
+            )
             machine.bounded = until is not None
             machine.images = dict.fromkeys(images)
             self.machines[host] = machine
             self.unrecorded.pop(host, None)
         machine.record = record
-        machine.flavor = flavor or machine.flavor
+        machine.machine_type = machine_type or machine.machine_type
         self.mark_changed(host)
 
     def remove_machine(self, host: str) -> None:
@@ -95,8 +97,8 @@
             machine = self.machines.get(host)
             if machine is None:
                 continue
-            for ref, task, attempt, name, grace in rows or ():
-                key, desired = (ref, task, attempt), DesiredState(name)
+            for job_id, task, attempt, name, grace in rows or ():
+                key, desired = (job_id, task, attempt), DesiredState(name)
                 self._apply_desired_state(machine, sender, key, desired, timedelta(seconds=grace), allowed)
             self.hosts_to_notify.add(host)
             self.mark_changed(host)
@@ -114,9 +116,9 @@
         if entry is None:
             if desired is not DesiredState.RUN:
                 return
-            run = self.find_run(key[0])
-            entry = TaskEntry(key[0], key[1], key[2], Phase.QUEUED, run, requested_by=sender)
-            if run is None or machine.unreachable or not allowed(machine) or not machine.has_room_for(run):
+            spec = self.find_run(key[0])
+            entry = TaskEntry(key[0], key[1], key[2], Phase.QUEUED, spec, requested_by=sender)
+            if spec is None or machine.unreachable or not allowed(machine) or not machine.has_room_for(spec):
                 entry.phase = Phase.REFUSED
             self.add_entry(machine, entry)
         if entry.desired is DesiredState.REAP or entry.desired is DesiredState.STOP and desired is DesiredState.RUN:
@@ -127,13 +129,13 @@
         if desired is DesiredState.REAP and entry.phase in (Phase.REFUSED, Phase.GONE):
             del machine.entries[key]
 
-    def job_over(self, ref: str) -> None:
+    def job_over(self, job_id: str) -> None:
         """Stop the tasks of a job that is no longer live, whoever asked for them."""
-        for host in self.hosts_by_job.pop(ref, ()):
+        for host in self.hosts_by_job.pop(job_id, ()):
             machine = self.machines.get(host)
             if machine is not None:
                 for key, entry in list(machine.entries.items()):
-                    if entry.ref == ref:
+                    if entry.job_id == job_id:
                         machine.clear_away(key, entry)
             self.hosts_to_notify.add(host)
             self.mark_changed(host)
--- a/src/ramptide/store.py
+++ b/src/ramptide/store.py
@@ -8,9 +8,26 @@
 from typing import Any, TypeVar
 from urllib.parse import quote, urlencode
 
-from ramptide import wire
 from ramptide.context import JSON, Reply, ResponseCallback, Runtime
 from ramptide.limits import Priority, RateLimiter, TokenBucket
+from ramptide.protocol.key_value_store import (
+    KEYS_PATH,
+    LEASES_PATH,
+    TRANSACTION_PATH,
+    WATCH_PATH,
+    EventBatch,
+    KeyValue,
+    decode_commit_revision,
+    decode_events,
+    decode_failed_keys,
+    decode_key_value,
+    decode_key_value_page,
+    decode_lease_id,
+    encode_lease_request,
+    encode_transaction,
+)
+from ramptide.protocol.settings_file import KeyValueStoreLimits
+from ramptide.protocol.types import MessageError
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +43,7 @@
 RENEWAL_TIMEOUT = timedelta(seconds=1)
 #: How much longer than its block a watch waits for the answer.
 WATCH_TIMEOUT_MARGIN = timedelta(seconds=1)
-ROWS_PAGE_SIZE = 500
+PAGE_SIZE = 500
 #: The part of the service's limits that all controllers together use.
 USED_PART_OF_LIMITS = 0.95
 MAX_LOGGED_BODY_BYTES = 200
@@ -39,21 +56,21 @@
     Attributes
     ----------
     when
-        The stamp that each of these keys must have.
+        The modification revision that each of these keys must have; 0 for one that must not exist.
     puts
         Keys with their new value and the grant, if any, with which they expire.
     drops
         Keys to delete.
     """
 
-    when: dict[str, int] = field(default_factory=dict)
+    conditions: dict[str, int] = field(default_factory=dict)
     puts: list[tuple[str, Any, int | None]] = field(default_factory=list)
-    drops: list[str] = field(default_factory=list)
+    deletes: list[str] = field(default_factory=list)
 
     @property
     def size(self) -> int:
         """The number of changes."""
-        return len(self.puts) + len(self.drops)
+        return len(self.puts) + len(self.deletes)
 
 
 @dataclass(slots=True)
@@ -72,8 +89,8 @@
         Whether it was rejected for the service's rate limit, or waited too long for our share of it.
     """
 
-    epoch: int | None = None
-    failed: list[str] | None = None
+    revision: int | None = None
+    failed_keys: list[str] | None = None
     sent: bool = True
     full: bool = False
 
@@ -93,12 +110,12 @@
         The number of controllers.
     """
 
-    def __init__(self, runtime: Runtime, address: str, limits: wire.StateLimits, nodes: int) -> None:
+    def __init__(self, runtime: Runtime, address: str, limits: KeyValueStoreLimits, nodes: int) -> None:
         self.runtime = runtime
         self.address = address
         self.limits = limits
-        calls = limits.rps * USED_PART_OF_LIMITS
-        writes = limits.write_rps * USED_PART_OF_LIMITS
+        calls = limits.requests_per_second * USED_PART_OF_LIMITS
+        writes = limits.writes_per_second * USED_PART_OF_LIMITS
         # The load differs: the leader writes more. A single controller never takes more than half of the whole rate,
         # and what is rejected for that was not carried out.
         self.writes = TokenBucket(writes / nodes, writes / nodes, writes / 2)
@@ -129,7 +146,7 @@
         self.rate_limiter.submit(priority, writes, MAX_QUEUE_TIME[priority], send, reject or (lambda: done(None)))
 
     def get(
-        self, key: str, done: Callable[[wire.Row | None, bool], None], sending: Callable[[], None] | None = None
+        self, key: str, done: Callable[[KeyValue | None, bool], None], sending: Callable[[], None] | None = None
     ) -> None:
         """Read one key.
 
@@ -147,12 +164,12 @@
             if reply is not None and reply.status == HTTPStatus.NOT_FOUND:
                 done(None, True)
                 return
-            row = _decode_success(wire.decode_row, reply)
+            row = _decode_success(decode_key_value, reply)
             done(row, row is not None)
 
-        self._call(Priority.READ, "GET", f"{wire.KV}/{quote(key, safe='/')}", b"", answered, sending=sending)
+        self._call(Priority.READ, "GET", f"{KEYS_PATH}/{quote(key, safe='/')}", b"", answered, sending=sending)
 
-    def list(self, prefix: str, done: Callable[[list[wire.Row] | None, int], None]) -> None:
+    def list(self, prefix: str, done: Callable[[list[KeyValue] | None, int], None]) -> None:
         """Read all keys with a prefix.
 
         Parameters
@@ -162,34 +179,34 @@
         done
             Called with the rows, or None, and the epoch of the first page: a watch from there misses nothing.
         """
-        rows: list[wire.Row] = []
-        epochs: list[int] = []
+        rows: list[KeyValue] = []
+        revisions: list[int] = []
 
         def request_page(after: str | None) -> None:
-            query = {"prefix": prefix, "limit": str(ROWS_PAGE_SIZE)} | ({"since": after} if after else {})
+            query = {"prefix": prefix, "limit": str(PAGE_SIZE)} | ({"since": after} if after else {})
 
             def answered(reply: Reply | None) -> None:
-                page = _decode_success(wire.decode_rows, reply)
+                page = _decode_success(decode_key_value_page, reply)
                 if page is None:
                     done(None, 0)
                     return
-                epochs.append(page.epoch)
-                rows.extend(page.rows)
-                if page.more and (not page.rows or page.rows[-1].path <= (after or "")):
+                revisions.append(page.revision)
+                rows.extend(page.key_values)
+                if page.more and (not page.key_values or page.key_values[-1].key <= (after or "")):
                     log.error("broken answer of the state service: a page that leads nowhere")
                     done(None, 0)
                 elif page.more:
-                    request_page(page.rows[-1].path)
+                    request_page(page.key_values[-1].key)
                 else:
-                    done(rows, epochs[0])
+                    done(rows, revisions[0])
 
-            self._call(Priority.LEASE, "GET", f"{wire.KV}?{urlencode(query)}", b"", answered)
+            self._call(Priority.LEASE, "GET", f"{KEYS_PATH}?{urlencode(query)}", b"", answered)
 
         request_page(None)
 
     def commit(
         self,
-        txn: Transaction,
+        transaction: Transaction,
         done: Callable[[TransactionResult], None],
         priority: Priority = Priority.COMMIT,
     ) -> None:
@@ -198,44 +215,44 @@
         def answered(reply: Reply | None) -> None:
             done(_transaction_result(reply))
 
-        body = wire.encode_txn(txn.when, txn.puts, txn.drops)
+        body = encode_transaction(transaction.conditions, transaction.puts, transaction.deletes)
         self._call(
             priority,
             "POST",
-            wire.TXN,
+            TRANSACTION_PATH,
             body,
             answered,
-            writes=txn.size,
+            writes=transaction.size,
             reject=lambda: done(TransactionResult(sent=False, full=True)),
         )
 
-    def create_grant(self, life: timedelta, done: Callable[[int | None], None]) -> None:
+    def create_lease(self, life: timedelta, done: Callable[[int | None], None]) -> None:
         """Create a grant, which expires unless it is renewed within `life`, with the keys written under it."""
 
         def answered(reply: Reply | None) -> None:
-            done(_decode_success(wire.decode_grant, reply))
+            done(_decode_success(decode_lease_id, reply))
 
-        self._call(Priority.LEASE, "POST", wire.GRANTS, wire.encode_grant(life), answered)
+        self._call(Priority.LEASE, "POST", LEASES_PATH, encode_lease_request(life), answered)
 
-    def renew_grant(self, grant: int, done: Callable[[bool | None], None]) -> None:
+    def keep_lease_alive(self, lease_id: int, done: Callable[[bool | None], None]) -> None:
         """Renew a grant; `done` is told whether it is alive, or None when that is not known."""
 
         def answered(reply: Reply | None) -> None:
             status = reply.status if reply is not None else 0
             done(True if status == HTTPStatus.OK else False if status == HTTPStatus.NOT_FOUND else None)
 
-        self._call(Priority.LEASE, "POST", f"{wire.GRANTS}/{grant}/touch", b"", answered, timeout=RENEWAL_TIMEOUT)
+        self._call(Priority.LEASE, "POST", f"{LEASES_PATH}/{lease_id}/touch", b"", answered, timeout=RENEWAL_TIMEOUT)
 
-    def revoke_grant(self, grant: int) -> None:
+    def revoke_lease(self, lease_id: int) -> None:
         """End a grant at once; if the request is lost, the grant expires."""
-        self._call(Priority.LEASE, "DELETE", f"{wire.GRANTS}/{grant}", b"", lambda reply: None)
+        self._call(Priority.LEASE, "DELETE", f"{LEASES_PATH}/{lease_id}", b"", lambda reply: None)
 
-    def changes(
+    def watch(
         self,
         prefix: str,
         since: int,
         block: timedelta,
-        done: Callable[[wire.Changes | None, bool], None],
+        done: Callable[[EventBatch | None, bool], None],
         sending: Callable[[], None] | None = None,
     ) -> None:
         """Read the changes after an epoch.
@@ -258,11 +275,11 @@
 
         def answered(reply: Reply | None) -> None:
             gone = reply is not None and reply.status == HTTPStatus.GONE
-            done(_decode_success(wire.decode_changes, reply), gone)
+            done(_decode_success(decode_events, reply), gone)
 
         priority = Priority.LEASE if block else Priority.READ
         timeout = block + WATCH_TIMEOUT_MARGIN
-        self._call(priority, "GET", f"{wire.CHANGES}?{query}", b"", answered, timeout=timeout, sending=sending)
+        self._call(priority, "GET", f"{WATCH_PATH}?{query}", b"", answered, timeout=timeout, sending=sending)
 
 
 def _transaction_result(reply: Reply | None) -> TransactionResult:
@@ -270,9 +287,9 @@
         return TransactionResult()
     if reply.status == HTTPStatus.OK:
         # A broken answer leaves `epoch` None: nobody knows.
-        return TransactionResult(epoch=_decode(wire.decode_committed, reply.body))
+        return TransactionResult(revision=_decode(decode_commit_revision, reply.body))
     if reply.status == HTTPStatus.CONFLICT:
-        return TransactionResult(failed=_decode(wire.decode_failed, reply.body))
+        return TransactionResult(failed_keys=_decode(decode_failed_keys, reply.body))
     if reply.status not in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
         log.error("transaction refused with %d: %r", reply.status, reply.body[:MAX_LOGGED_BODY_BYTES])
     return TransactionResult(sent=False, full=reply.status == HTTPStatus.TOO_MANY_REQUESTS)
@@ -286,6 +303,6 @@
 def _decode(decode: Callable[[bytes], T], body: bytes) -> T | None:
     try:
         return decode(body)
-    except wire.MessageError as error:
+    except MessageError as error:
         log.error("broken answer of the state service: %s", error)
         return None
--- a/src/ramptide/syncing.py
+++ b/src/ramptide/syncing.py
@@ -15,7 +15,7 @@
 from ramptide.machine_status import MachineStatus
 from ramptide.membership import View
 from ramptide.owned_machine import OwnedMachine
-from ramptide.peers import EVERY, WIRE, Answer, Peer, Sync
+from ramptide.peers import EVERY, MESSAGE_VERSION, Peer, PeerMessage, PeerReply
 from ramptide.records import JOB_PREFIX
 from ramptide.shard import Shard
 from ramptide.task_state import DesiredTaskRow, TaskRow
@@ -58,10 +58,10 @@
         self._prune_at = PRUNE_EVERY
         self.limit_split.new_view(view)
 
-    def cancelled(self, ref: str) -> None:
+    def cancelled(self, job_id: str) -> None:
         """Tell the others directly of a confirmed cancellation, in case the state service fails now."""
-        self._cancelled.append((self._c.context.now, ref))
-        self._c.peers.hurry_all()
+        self._cancelled.append((self._c.context.now, job_id))
+        self._c.peers.send_all_soon()
 
     # What comes in.
 
@@ -69,75 +69,77 @@
         """Take another controller's message and return the encoded answer, or None when it is broken."""
         c = self._c
         number = c.view.number if c.view is not None and c.shard is not None else 0
-        taken = c.peers.take(body, number)
+        taken = c.peers.receive(body, number)
         if taken is None:
             return None
-        sync, peer = taken
-        answer = Answer(
+        message, peer = taken
+        answer = PeerReply(
             c.membership.incarnation,
             number,
             c.mirror.lacking,
-            max(number, c.peers.newest),
+            max(number, c.peers.newest_view),
             peer.inbox.seq,
-            self._over_since(sync.epoch) if sync.lacks else None,
+            self._over_since(message.revision) if message.store_unavailable else None,
         )
         return cbor2.dumps(msgspec.to_builtins(answer))
 
-    def _over_since(self, epoch: int) -> list[str] | None:
+    def _over_since(self, revision: int) -> list[str] | None:
         """Return every job that a user may have been told is cancelled and that a copy as of `epoch` still has.
 
         An answer to a user rests on our own change or on a read, and our copy shows both. None when this can't be told.
         """
-        dropped = self._c.mirror.dropped_since(epoch)
+        dropped = self._c.mirror.dropped_since(revision)
         if dropped is None:
             return None
         over = {path.removeprefix(JOB_PREFIX) for path in dropped if path.startswith(JOB_PREFIX)}
-        return sorted(over | {ref for _, ref in self._cancelled})
+        return sorted(over | {job_id for _, job_id in self._cancelled})
 
-    def belongs(self, sync: Sync) -> bool:
+    def belongs(self, message: PeerMessage) -> bool:
         """Tell whether the sender is the process that is a member of our view."""
         c = self._c
-        return c.view is not None and c.scheduler is not None and sync.inc == c.view.members.get(sync.member)
+        if c.view is None or c.scheduler is None:
+            return False
+        return message.incarnation == c.view.members.get(message.member)
 
-    def on_sync(self, sync: Sync, peer: Peer) -> None:
+    def on_sync(self, message: PeerMessage, peer: Peer) -> None:
         """Apply a message of a member of our view."""
         c = self._c
-        home, part, view = c.scheduler, c.shard, c.view
-        if home is None or part is None or view is None:
+        scheduler, shard, view = c.scheduler, c.shard, c.view
+        if scheduler is None or shard is None or view is None:
             return
         now = c.context.now
-        c.others_heard.setdefault(sync.member, now)
-        c.call_off(sync.cancelled)
-        part.apply_desired(sync.member, sync.seq, sync.wishes, self.takes_tasks)
-        if sync.wishes:
-            c.peers.hurry(peer, AT_ONCE)
-        if sync.member == view.leader and not sync.more:
-            self._follow_leader(sync, home)
-        for name, row in sync.status.items():
-            if c.owner(name) == sync.member:
+        c.others_heard.setdefault(message.member, now)
+        c.call_off(message.cancelled_jobs)
+        shard.apply_desired(message.member, message.sequence_number, message.desired_tasks, self.takes_tasks)
+        if message.desired_tasks:
+            c.peers.send_within(peer, AT_ONCE)
+        if message.member == view.leader and not message.more:
+            self._follow_leader(message, scheduler)
+        for name, row in message.machine_status.items():
+            if c.owner(name) == message.member:
                 c.read_row(name, row)
-        home.needs_round = True
-        if sync.more:
+        scheduler.needs_round = True
+        if message.more:
             return
-        self.acknowledge(home, sync.member, sync.acks.get(c.member, 0))
-        self.limit_split.acknowledged(sync.member, sync.grants_ack)
-        c.floor.recall(sync.unproven, now)
+        self.acknowledge(scheduler, message.member, message.acknowledged.get(c.member, 0))
+        self.limit_split.acknowledged(message.member, message.quota_shares_acknowledged)
+        c.floor.recall(message.unconfirmed_terminations, now)
         if c.quota is not None:
-            c.quota.take(sync, home)
+            c.quota.take(message, scheduler)
 
-    def _follow_leader(self, sync: Sync, home: JobScheduler) -> None:
+    def _follow_leader(self, message: PeerMessage, scheduler: JobScheduler) -> None:
         c = self._c
-        c.floor.keep_pool(sync.pool)
-        if sync.grants is not None:
+        c.floor.keep_pool(message.idle_pool)
+        if message.quota_shares is not None:
             # Both at once: the new grants leave out what the leader took over.
-            c.take_grants(grants_from_wire(sync.grants))
-            self.grants_ack = sync.seq
-            for ref in sync.took:
-                home.transfer_confirmed(ref)
-        for ref, task, number, grace in sync.evict:
-            c.evictor.evict(ref, task, number, timedelta(seconds=grace))
-
-    def acknowledge(self, home: JobScheduler, owner: str, ack: int) -> None:
+            c.take_grants(grants_from_wire(message.quota_shares))
+            self.grants_ack = message.sequence_number
+            for job_id in message.handovers_taken:
+                scheduler.transfer_confirmed(job_id)
+        for job_id, task, number, grace in message.preemptions:
+            c.evictor.evict(job_id, task, number, timedelta(seconds=grace))
+
+    def acknowledge(self, scheduler: JobScheduler, owner: str, ack: int) -> None:
         """Note that the owner has processed our messages up to `ack`, and that its rows are as of then."""
         c = self._c
 
@@ -149,143 +151,147 @@
                 return []
             return host.tasks if host.settled else None
 
-        home.acknowledged(ack, answered)
+        scheduler.acknowledged(ack, answered)
 
     def takes_tasks(self, machine: OwnedMachine) -> bool:
         """Tell whether tasks may be started on one of our machines now."""
         record = machine.record
         return (
             machine.settled
-            and record.opened
-            and record.leaving is None
-            and machine.reclaimed_at is None
+            and record.registered
+            and record.drain_reason is None
+            and machine.preempted_at is None
             and self._c.may_start()
         )
 
     # What goes out.
 
-    def mark(self, home: JobScheduler, part: Shard, changed: set[str]) -> None:
+    def mark(self, scheduler: JobScheduler, shard: Shard, changed: set[str]) -> None:
         """Enter what changed since the last round into the tables, and plan when each controller is told."""
         c = self._c
-        if not changed and not home.changed_hosts:
+        if not changed and not scheduler.changed_hosts:
             return
-        home.seq += 1
-        ours = self._mark_desired(home)
-        part.apply_desired(c.member, home.seq, ours, self.takes_tasks)
+        scheduler.seq += 1
+        ours = self._mark_desired(scheduler)
+        shard.apply_desired(c.member, scheduler.seq, ours, self.takes_tasks)
         # The next message says that we have processed our own wishes, so it has to show what came of them: who takes
         # over one of our jobs relies on that.
         for count, host in enumerate([*ours, *changed], 1):
-            self._rows.mark(host, home.seq)
+            self._rows.mark(host, scheduler.seq)
             if count % MACHINES_PER_NUMBER == 0:
-                home.seq += 1
-        self._hurry_for(part, changed)
+                scheduler.seq += 1
+        self._hurry_for(shard, changed)
 
-    def _mark_desired(self, home: JobScheduler) -> dict[str, list[DesiredTaskRow] | None]:
+    def _mark_desired(self, scheduler: JobScheduler) -> dict[str, list[DesiredTaskRow] | None]:
         """Enter what the scheduler asks for; return what it asks of our own machines."""
         c = self._c
         ours: dict[str, list[DesiredTaskRow] | None] = {}
-        hosts, home.changed_hosts = home.changed_hosts, set()
+        hosts, scheduler.changed_hosts = scheduler.changed_hosts, set()
         for host in hosts:
             c.floor.touch(host)
             owner = c.owner(host)
             if owner == c.member:
-                ours[host] = home.desired_tasks(host)
+                ours[host] = scheduler.desired_tasks(host)
             elif owner in self._wishes:
-                self._wishes[owner].mark(host, home.seq)
-                c.peers.hurry(c.peers.all[owner], AT_ONCE)
+                self._wishes[owner].mark(host, scheduler.seq)
+                c.peers.send_within(c.peers.all[owner], AT_ONCE)
         return ours
 
-    def _hurry_for(self, part: Shard, changed: set[str]) -> None:
+    def _hurry_for(self, shard: Shard, changed: set[str]) -> None:
         """Controllers that wait for news of these machines hear at once, the leader soon."""
         c = self._c
         assert c.view is not None
         waiting_for: set[str] = set()
         for host in changed:
-            waiting_for |= part.waiting_schedulers(host)
+            waiting_for |= shard.waiting_schedulers(host)
         for peer in c.peers.all.values():
             if peer.name in waiting_for:
-                c.peers.hurry(peer, AT_ONCE)
+                c.peers.send_within(peer, AT_ONCE)
             elif changed and (peer.name == c.view.leader or not c.latched):
-                c.peers.hurry(peer, SOON)
+                c.peers.send_within(peer, SOON)
 
-    def _prune(self, part: Shard) -> None:
+    def _prune(self, shard: Shard) -> None:
         c = self._c
         assert c.view is not None
-        taken = [peer.taken for name, peer in c.peers.all.items() if name in c.view.members]
-        self._rows.prune(min(taken, default=0), part.machines)
+        taken = [peer.acknowledged for name, peer in c.peers.all.items() if name in c.view.members]
+        self._rows.prune(min(taken, default=0), shard.machines)
         for name, ledger in self._wishes.items():
-            ledger.prune(c.peers.all[name].taken, c.scheduler.attempts if c.scheduler is not None else ())
+            ledger.prune(c.peers.all[name].acknowledged, c.scheduler.attempts if c.scheduler is not None else ())
 
-    def send(self, home: JobScheduler, part: Shard, now: timedelta) -> None:
+    def send(self, scheduler: JobScheduler, shard: Shard, now: timedelta) -> None:
         """Send messages to the controllers that are due one."""
         c = self._c
         view = c.view
         assert view is not None
-        self.limit_split.update(home, view, now)
-        due = c.peers.due()
+        self.limit_split.update(scheduler, view, now)
+        due = c.peers.due_peers()
         if not due:
             return
-        home.seq += 1
-        self._forget_old(part, now)
-        base = self._base(home, part, view)
-        statuses = _Statuses(part, now)
+        scheduler.seq += 1
+        self._forget_old(shard, now)
+        base = self._base(scheduler, shard, view)
+        statuses = _Statuses(shard, now)
         unproven = c.floor.all_unproven(now)
         for peer in due:
-            split = self._rows.split_after(peer.taken, MACHINES_PER_MESSAGE) if peer.name in view.members else None
-            changes = self._changes_for(peer, view, home, statuses, split)
+            split = (
+                self._rows.split_after(peer.acknowledged, MACHINES_PER_MESSAGE) if peer.name in view.members else None
+            )
+            changes = self._changes_for(peer, view, scheduler, statuses, split)
             if split is not None:
                 c.peers.send(peer, _part_of(base, split, changes), AT_ONCE)
                 continue
             first = peer.name == view.leader
             granted = self.limit_split.granted(peer.name)
-            sync = msgspec.structs.replace(
+            message = msgspec.structs.replace(
                 base,
                 base=changes.base,
-                status=changes.status,
-                wishes=changes.wishes,
-                grants=grants_to_wire(granted) if granted is not None else None,
-                asking=grants_to_wire(c.knowledge.asking(home)) if first else {},
-                waiting=c.knowledge.waiting_rows(home, now) if first else [],
-                strangers=part.unrecorded_machines() if first else {},
-                unproven=unproven,
+                machine_status=changes.status,
+                desired_tasks=changes.wishes,
+                quota_shares=grants_to_wire(granted) if granted is not None else None,
+                demand=grants_to_wire(c.knowledge.asking(scheduler)) if first else {},
+                waiting_jobs=c.knowledge.waiting_rows(scheduler, now) if first else [],
+                unrecorded_machines=shard.unrecorded_machines() if first else {},
+                unconfirmed_terminations=unproven,
                 quota=c.quota.message_for(peer) if c.quota is not None else None,
             )
             calm = c.latched and not c.mirror.lacking and not first
-            c.peers.send(peer, sync, CALM if calm else EVERY)
+            c.peers.send(peer, message, CALM if calm else EVERY)
 
-    def _forget_old(self, part: Shard, now: timedelta) -> None:
+    def _forget_old(self, shard: Shard, now: timedelta) -> None:
         seq = self._c.scheduler.seq if self._c.scheduler is not None else 0
         if seq >= self._prune_at:
             self._prune_at = seq + PRUNE_EVERY
-            self._prune(part)
+            self._prune(shard)
         while self._cancelled and now - self._cancelled[0][0] > CANCELLED_KEPT:
             self._cancelled.popleft()
 
-    def _base(self, home: JobScheduler, part: Shard, view: View) -> Sync:
+    def _base(self, scheduler: JobScheduler, shard: Shard, view: View) -> PeerMessage:
         """Return a message with all that every controller is told."""
         c = self._c
         leads = c.membership.leading
-        return Sync(
+        return PeerMessage(
             member=c.member,
-            inc=c.membership.incarnation,
+            incarnation=c.membership.incarnation,
             view=view.number,
-            seq=home.seq,
-            lacks=c.mirror.lacking,
-            epoch=c.mirror.epoch,
-            wire=WIRE,
-            latched=c.latched,
-            acks=part.acks,
-            using=grants_to_wire(home.usage()),
-            limbo={ref: grants_to_wire(amounts) for ref, amounts in home.amounts_in_transfer().items()},
-            grants_ack=self.grants_ack,
-            took=self.limit_split.took,
-            pool=c.floor.pool if leads else [],
-            evict=[(*key, one.grace) for key, one in c.evictor.evictions.items()] if leads else [],
-            cancelled=[ref for _, ref in self._cancelled],
+            sequence_number=scheduler.seq,
+            store_unavailable=c.mirror.lacking,
+            revision=c.mirror.revision,
+            version=MESSAGE_VERSION,
+            reconciled=c.latched,
+            acknowledged=shard.acks,
+            usage=grants_to_wire(scheduler.usage()),
+            usage_in_transfer={
+                job_id: grants_to_wire(amounts) for job_id, amounts in scheduler.amounts_in_transfer().items()
+            },
+            quota_shares_acknowledged=self.grants_ack,
+            handovers_taken=self.limit_split.took,
+            idle_pool=c.floor.pool if leads else [],
+            preemptions=[(*key, one.grace_s) for key, one in c.evictor.evictions.items()] if leads else [],
+            cancelled_jobs=[job_id for _, job_id in self._cancelled],
         )
 
     def _changes_for(
-        self, peer: Peer, view: View, home: JobScheduler, statuses: "_Statuses", split: int | None
+        self, peer: Peer, view: View, scheduler: JobScheduler, statuses: "_Statuses", split: int | None
     ) -> "_Changes":
         """Return what has changed for a controller since what it took, up to the number `split` if there is one.
 
@@ -293,32 +299,34 @@
         """
         inside = peer.name in view.members
         return _Changes(
-            base=peer.taken,
-            status={host: statuses.of(host) for host in self._rows.since(peer.taken, split)} if inside else {},
-            wishes={host: home.desired_tasks(host) for host in self._wishes[peer.name].since(peer.taken, split)},
+            base=peer.acknowledged,
+            status={host: statuses.of(host) for host in self._rows.since(peer.acknowledged, split)} if inside else {},
+            wishes={
+                host: scheduler.desired_tasks(host) for host in self._wishes[peer.name].since(peer.acknowledged, split)
+            },
         )
 
     def send_outside(self) -> None:
         """Without a place in a view, tell the others only that this process is there."""
         c = self._c
-        for peer in c.peers.due():
-            lacks, epoch = c.mirror.lacking, c.mirror.epoch
-            c.peers.send(peer, Sync(c.member, c.membership.incarnation, 0, 0, lacks, epoch, WIRE))
+        for peer in c.peers.due_peers():
+            lacks, revision = c.mirror.lacking, c.mirror.revision
+            c.peers.send(peer, PeerMessage(c.member, c.membership.incarnation, 0, 0, lacks, revision, MESSAGE_VERSION))
 
     def strangers(self) -> dict[str, tuple[str, str, bool]]:
         """Return type, zone and kind (spot or not) of machines that report and are not in the fleet record."""
         c = self._c
         found = c.shard.unrecorded_machines() if c.shard is not None else {}
-        for said in c.peers.messages():
-            found |= said.strangers
+        for message in c.peers.last_messages():
+            found |= message.unrecorded_machines
         return {host: kind for host, kind in found.items() if host not in c.machines}
 
 
 class _Statuses:
     """The states of machines as of one moment, each worked out once for all messages."""
 
-    def __init__(self, part: Shard, now: timedelta) -> None:
-        self._part = part
+    def __init__(self, shard: Shard, now: timedelta) -> None:
+        self._part = shard
         self._now = now
         self._known: dict[str, MachineStatus | None] = {}
 
@@ -338,22 +346,22 @@
     wishes: dict[str, list[DesiredTaskRow] | None]
 
 
-def _part_of(whole: Sync, up_to: int, changes: _Changes) -> Sync:
+def _part_of(whole: PeerMessage, up_to: int, changes: _Changes) -> PeerMessage:
     """Return a message with the changes up to a number, after which more follow.
 
     It has nothing that says how far we are in all else: what it lacks of our machines is still to be told.
     """
-    return Sync(
+    return PeerMessage(
         member=whole.member,
-        inc=whole.inc,
+        incarnation=whole.incarnation,
         view=whole.view,
-        seq=up_to,
-        lacks=whole.lacks,
-        epoch=whole.epoch,
-        wire=whole.wire,
+        sequence_number=up_to,
+        store_unavailable=whole.store_unavailable,
+        revision=whole.revision,
+        version=whole.version,
         base=changes.base,
         more=True,
-        status=changes.status,
-        wishes=changes.wishes,
-        cancelled=whole.cancelled,
+        machine_status=changes.status,
+        desired_tasks=changes.wishes,
+        cancelled_jobs=whole.cancelled_jobs,
     )
--- a/src/ramptide/task_state.py
+++ b/src/ramptide/task_state.py
@@ -5,7 +5,9 @@
 from enum import Enum
 from typing import Literal
 
-from ramptide import wire
+from ramptide.protocol.agents import TaskStatus
+from ramptide.protocol.jobs import JobSpec
+from ramptide.protocol.types import Amount, Count
 
 NO_TIME = timedelta(0)
 
@@ -15,9 +17,9 @@
 PhaseName = Literal["queued", "sent", "fetching", "running", "flushing", "ended", "refused", "gone"]
 DesiredStateName = Literal["run", "stop", "reap"]
 #: Job, task, attempt, phase and the cause of an end, as an owner tells the other controllers.
-TaskRow = tuple[str, wire.Count, wire.Count, PhaseName, str | None]
+TaskRow = tuple[str, Count, Count, PhaseName, str | None]
 #: Job, task, attempt, desired state and the seconds of grace, as a scheduler asks an owner for it.
-DesiredTaskRow = tuple[str, wire.Count, wire.Count, DesiredStateName, wire.Amount]
+DesiredTaskRow = tuple[str, Count, Count, DesiredStateName, Amount]
 
 
 class Phase(Enum):
@@ -31,21 +33,22 @@
 
     QUEUED = "queued"
     SENT = "sent"
-    FETCHING = wire.FETCHING
-    RUNNING = wire.RUNNING
-    FLUSHING = wire.FLUSHING
-    ENDED = wire.ENDED
+    FETCHING = TaskStatus.FETCHING.value
+    RUNNING = TaskStatus.RUNNING.value
+    CHECKPOINTING = TaskStatus.CHECKPOINTING.value
+    ENDED = TaskStatus.ENDED.value
     REFUSED = "refused"
     GONE = "gone"
 
 
+RUNNING_NAME = Phase.RUNNING.label
 PHASE_BY_NAME: dict[str, Phase] = {phase.label: phase for phase in Phase}
 
 #: The attempt holds no room and is certainly not running on the machine.
 FINISHED = frozenset({Phase.ENDED, Phase.REFUSED, Phase.GONE})
 FINISHED_NAMES = frozenset(phase.label for phase in FINISHED)
 #: A report of the worker has shown the attempt.
-REPORTED = frozenset({Phase.FETCHING, Phase.RUNNING, Phase.FLUSHING, Phase.ENDED})
+REPORTED = frozenset({Phase.FETCHING, Phase.RUNNING, Phase.CHECKPOINTING, Phase.ENDED})
 
 
 class DesiredState(Enum):
@@ -66,13 +69,13 @@
     `run` is None while the job is not known; `requested_by` is the controller whose scheduler asked for the attempt.
     """
 
-    ref: str
-    task: int
+    job_id: str
+    task_index: int
     attempt: int
     phase: Phase
-    run: wire.Run | None
+    spec: JobSpec | None
     desired: DesiredState | None = None
     requested_by: str | None = None
     grace: timedelta = NO_TIME
     cause: str | None = None
-    kill_sent_at: timedelta | None = None
+    stop_sent_at: timedelta | None = None
--- a/src/ramptide/team_usage.py
+++ b/src/ramptide/team_usage.py
@@ -46,10 +46,11 @@
 
     Empty on a controller without a place in the view, which decides no starts.
     """
-    home = controller.scheduler
-    if home is None:
+    scheduler = controller.scheduler
+    if scheduler is None:
         return {}
-    totals = _Totals(controller.knowledge.team_use(), home.usage_with_transfers(), waiting_for_limits(controller, home))
+    used, share_used = controller.knowledge.team_use(), scheduler.usage_with_transfers()
+    totals = _Totals(used, share_used, waiting_for_limits(controller, scheduler))
     return {name: _usage_of(controller, name, totals) for name in controller.teams}
 
 
@@ -70,15 +71,15 @@
     return TeamUsage(cores=resource(0), gpus=resource(1))
 
 
-def waiting_for_limits(controller: "Controller", home: JobScheduler) -> dict[str, Amounts]:
+def waiting_for_limits(controller: "Controller", scheduler: JobScheduler) -> dict[str, Amounts]:
     """Return what waiting tasks need, by team, of jobs of which the team's share lets no task run."""
-    now, held = controller.context.now, home.usage_with_transfers()
+    now, held = controller.context.now, scheduler.usage_with_transfers()
     waiting: Grants = {}
-    for work in home.with_pending_tasks.values():
-        run = work.job.run
-        if work.retry_at > now or not work.startable:
+    for job_state in scheduler.with_pending_tasks.values():
+        spec = job_state.job.spec
+        if job_state.retry_at > now or not job_state.startable:
             continue
-        share = controller.grants.get(run.team, NOTHING)
-        if controller.starter.headroom(run, held.get(run.team, NOTHING), share) == 0:
-            add_amounts(waiting, run.team, amounts_of(run).times(work.startable))
+        share = controller.grants.get(spec.team, NOTHING)
+        if controller.starter.headroom(spec, held.get(spec.team, NOTHING), share) == 0:
+            add_amounts(waiting, spec.team, amounts_of(spec).times(job_state.startable))
     return waiting
--- a/src/ramptide/urgency.py
+++ b/src/ramptide/urgency.py
@@ -5,8 +5,8 @@
 from enum import IntEnum
 from typing import Any
 
-from ramptide import wire
 from ramptide.jobs import Job
+from ramptide.protocol.jobs import PRIORITIES, SERVICE
 
 #: Sorts jobs without a deadline after all others.
 NO_DEADLINE = datetime.max.replace(tzinfo=UTC)
@@ -29,16 +29,16 @@
     Room goes first to what can still be in time: under pressure, what is lost already must not take others along.
     A job of which nothing was started for long goes before all with a few tasks, so that none waits for ever.
     """
-    if job.run.shape == wire.SERVICE:
+    if job.spec.kind == SERVICE:
         return Chance.IN_TIME
     if idle > patience:
         return Chance.STARVED
-    if job.due is None:
+    if job.deadline is None:
         return Chance.IN_TIME
-    end = now + timedelta(seconds=job.run.guess_s * SHORTEST_RUN_SHARE)
-    if end <= job.due:
+    end = now + timedelta(seconds=job.spec.estimated_runtime_s * SHORTEST_RUN_SHARE)
+    if end <= job.deadline:
         return Chance.IN_TIME
-    return Chance.LATE if end <= job.due + (job.due - job.submitted) / 2 else Chance.TOO_LATE
+    return Chance.LATE if end <= job.deadline + (job.deadline - job.submitted_at) / 2 else Chance.TOO_LATE
 
 
 def urgency(
@@ -57,15 +57,15 @@
     within its guarantee where that is told, then the classes that are to start promptly, then what can still be made,
     each by its deadline, then the order of submission.
     """
-    run = job.run
+    spec = job.spec
     return (
         idle <= begin_within,
-        -wire.RANKS.index(run.rank),
+        -PRIORITIES.index(spec.priority),
         not within_guarantee,
-        run.job_class not in prompt,
-        run.shape != wire.SERVICE,
+        spec.job_class not in prompt,
+        spec.kind != SERVICE,
         chance(job, idle, now, patience),
-        job.due or NO_DEADLINE,
-        job.submitted,
-        run.ref,
+        job.deadline or NO_DEADLINE,
+        job.submitted_at,
+        spec.job_id,
     )
--- a/src/ramptide/workers.py
+++ b/src/ramptide/workers.py
@@ -6,8 +6,9 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from ramptide import wire
 from ramptide.owned_machine import OwnedMachine
+from ramptide.protocol.agents import Heartbeat, decode_heartbeat, encode_heartbeat_reply, encode_redirect
+from ramptide.protocol.types import MessageError, encode_json
 
 if TYPE_CHECKING:
     from ramptide.app import Controller
@@ -16,14 +17,14 @@
 
 ZERO = timedelta(0)
 
-BeatAnswer = Callable[[int, bytes], None]
+HeartbeatReply = Callable[[int, bytes], None]
 
 
 @dataclass(slots=True)
 class Held:
     """A report whose answer is delayed for a short time, in case a task is started on the machine."""
 
-    answer: BeatAnswer
+    answer: HeartbeatReply
     until: timedelta
 
 
@@ -40,7 +41,7 @@
         held, self._held = self._held, {}
         for host, one in held.items():
             if c.may_answer() and c.owner(host) != c.member:
-                one.answer(421, wire.encode_foreman(c.owner(host)))
+                one.answer(421, encode_redirect(c.owner(host)))
             else:
                 self._reply(host, one.answer)
 
@@ -50,67 +51,67 @@
         if held is not None:
             held.answer(503, b"")
 
-    def beat(self, body: bytes, answer: BeatAnswer) -> None:
+    def receive_heartbeat(self, body: bytes, answer: HeartbeatReply) -> None:
         """Take a worker's report (a heartbeat) and answer it now or, while no news is expected, later."""
         c = self._c
         try:
-            beat = wire.decode_beat(body)
-        except wire.MessageError as error:
-            answer(400, wire.encode({"error": str(error)}))
+            heartbeat = decode_heartbeat(body)
+        except MessageError as error:
+            answer(400, encode_json({"error": str(error)}))
             return
         view = c.view
         if view is None or c.mirror.proof is None:
             answer(503, b"{}")
             return
-        owner = c.owner(beat.host)
+        owner = c.owner(heartbeat.host)
         if owner != c.member:
             self._not_ours(owner, answer)
             return
-        if c.shard is None or not c.may_answer() or beat.baton > view.number:
+        if c.shard is None or not c.may_answer() or heartbeat.fencing_token > view.number:
             answer(503, b"{}")
             return
         try:
-            fresh = c.shard.reports.take(beat, c.context.now)
-        except wire.MessageError as error:
-            answer(400, wire.encode({"error": str(error)}))
+            fresh = c.shard.reports.take(heartbeat, c.context.now)
+        except MessageError as error:
+            answer(400, encode_json({"error": str(error)}))
             return
         if not fresh:
             # A late copy: it may not use up an order, nor count as answered.
             answer(503, b"{}")
             return
-        self.forget(beat.host)
-        machine = c.shard.machines.get(beat.host)
-        if machine is not None and self._worth_holding(machine) and not c.shard.commands.pending(beat.host):
-            self._held[beat.host] = Held(answer, c.context.now + c.tuning.hold)
+        self.forget(heartbeat.host)
+        machine = c.shard.machines.get(heartbeat.host)
+        if machine is not None and self._worth_holding(machine) and not c.shard.commands.pending(heartbeat.host):
+            self._held[heartbeat.host] = Held(answer, c.context.now + c.tuning.hold)
             return
-        self._reply(beat.host, answer)
+        self._reply(heartbeat.host, answer)
 
-    def take_direct(self, beat: wire.Beat) -> None:
+    def take_direct(self, heartbeat: Heartbeat) -> None:
         """Take the report with which a worker responded to the announcement of our token.
 
         Only as the first one of the view: until then no reply of ours can be under way to the worker, so what the
         report lacks is not there. Other controllers may have answered it up to now, and its lease counts from then on.
         """
         c = self._c
-        machine = c.shard.machines.get(beat.host) if c.shard is not None else None
-        if machine is None or c.shard is None or beat.baton != c.shard.view:
+        machine = c.shard.machines.get(heartbeat.host) if c.shard is not None else None
+        if machine is None or c.shard is None or heartbeat.fencing_token != c.shard.view:
             return
-        if machine.last_report is not None:
-            machine.skip_to((beat.tenure, beat.tally))
+        if machine.last_heartbeat_at is not None:
+            machine.skip_to((heartbeat.agent_epoch, heartbeat.sequence_number))
             return
         try:
-            fresh = c.may_answer() and c.shard.reports.take(beat, c.context.now)
-        except wire.MessageError as error:
-            log.debug("report of %s: %s", beat.host, error)
+            fresh = c.may_answer() and c.shard.reports.take(heartbeat, c.context.now)
+        except MessageError as error:
+            log.debug("report of %s: %s", heartbeat.host, error)
             return
         if fresh:
             machine.since = max(machine.since, c.context.now)
 
-    def _not_ours(self, owner: str, answer: BeatAnswer) -> None:
+    def _not_ours(self, owner: str, answer: HeartbeatReply) -> None:
         if not self._c.may_renew():
             answer(503, b"{}")
         else:
-            answer(421, wire.encode_foreman(owner))
+            answer(421, encode_redirect(owner))
 
     def _worth_holding(self, machine: OwnedMachine) -> bool:
         """Tell whether the answer may wait for a start: no task is there that ends and would be reported."""
@@ -118,12 +119,12 @@
             self._c.tuning.hold > ZERO
             and machine.has_current_token
             and not machine.unreachable
-            and machine.record.leaving is None
-            and machine.reclaimed_at is None
+            and machine.record.drain_reason is None
+            and machine.preempted_at is None
             and machine.runs_only_services()
         )
 
-    def _reply(self, host: str, answer: BeatAnswer) -> None:
+    def _reply(self, host: str, answer: HeartbeatReply) -> None:
         c = self._c
         if c.shard is None or c.view is None or not c.may_answer():
             answer(503, b"{}")
@@ -131,15 +132,16 @@
         machine = c.shard.machines.get(host)
         orders = c.shard.commands.take(host, c.context.now, c.may_start())
         if machine is not None:
-            machine.last_answer = c.context.now
-        answer(200, wire.encode_beat_answer(c.view.number, orders))
+            machine.last_reply_at = c.context.now
+        answer(200, encode_heartbeat_reply(c.view.number, orders))
 
     def answer_held(self, now: timedelta) -> None:
         """Answer the delayed reports that are due or whose machines have commands."""
-        part = self._c.shard
+        shard = self._c.shard
         for host, held in list(self._held.items()):
-            if held.until <= now or part is not None and host in part.hosts_to_notify and part.commands.pending(host):
+            notify = shard is not None and host in shard.hosts_to_notify and shard.commands.pending(host)
+            if held.until <= now or notify:
                 del self._held[host]
                 self._reply(host, held.answer)
-        if part is not None:
-            part.hosts_to_notify.clear()
+        if shard is not None:
+            shard.hosts_to_notify.clear()
--- a/tests/compatibility/codecs.py
+++ b/tests/compatibility/codecs.py
@@ -14,8 +14,9 @@
 import cbor2
 import msgspec
 
-from ramptide import admin, cli, membership, peers, records, settings, syncing, wire
+from ramptide import admin, cli, membership, peers, records, settings, syncing
 from ramptide import parts as parts_file
+from ramptide.protocol import agents, cloud, jobs, key_value_store, settings_file, types
 from ramptide.quota import messages as quota_messages
 from ramptide.quota import overrides, plan_file
 
@@ -30,39 +31,39 @@
 
 def _record(kind: Any) -> Codec:
     def again(body: bytes) -> bytes:
-        return wire.encode(records.to_value(msgspec.convert(wire.decode(body), kind)))
+        return types.encode_json(records.to_value(msgspec.convert(types.decode_json(body), kind)))
 
     return again
 
 
 def _job_record(body: bytes) -> bytes:
     """Also the set of done tasks goes through its own type."""
-    record = msgspec.convert(wire.decode(body), records.JobRecord)
-    done = records.Progress.decode(record.done).encode()
-    return wire.encode(records.to_value(msgspec.structs.replace(record, done=done)))
+    record = msgspec.convert(types.decode_json(body), records.JobRecord)
+    done = records.Progress.decode(record.progress).encode()
+    return types.encode_json(records.to_value(msgspec.structs.replace(record, progress=done)))
 
 
 def _flavors_record(body: bytes) -> bytes:
-    flavors = msgspec.convert(wire.decode(body), list[wire.Flavor])
-    return wire.encode([msgspec.to_builtins(flavor) for flavor in flavors])
+    flavors = msgspec.convert(types.decode_json(body), list[cloud.MachineType])
+    return types.encode_json([msgspec.to_builtins(flavor) for flavor in flavors])
 
 
 def _limit_record(body: bytes) -> bytes:
-    return wire.encode(msgspec.to_builtins(overrides.decode_record(wire.decode(body))))
+    return types.encode_json(msgspec.to_builtins(overrides.decode_record(types.decode_json(body))))
 
 
 def _view_record(body: bytes) -> bytes:
-    return wire.encode(msgspec.to_builtins(msgspec.convert(wire.decode(body), membership.View)))
+    return types.encode_json(msgspec.to_builtins(msgspec.convert(types.decode_json(body), membership.View)))
 
 
 def _settings_record(body: bytes) -> bytes:
     """The operators' settings: what is stored, with the default of each that is not."""
-    return wire.encode(settings.Tuning.from_value(wire.decode(body)).to_value())
+    return types.encode_json(settings.Tuning.from_value(types.decode_json(body)).to_value())
 
 
 RECORDS: dict[str, Codec] = {
     "job": _job_record,
-    "ended": _record(records.EndRecord),
+    "ended": _record(records.FinishedJobRecord),
     "rental": _record(records.RentalRecord),
     "flavors": _flavors_record,
     "settings": _settings_record,
@@ -73,26 +74,35 @@
 
 def machines_of_rental(name: str, body: bytes) -> Any:
     """What a rental's record says of each of its machines, in the order of the fields."""
-    rental = msgspec.convert(wire.decode(body), records.RentalRecord)
+    rental = msgspec.convert(types.decode_json(body), records.RentalRecord)
     return {
-        host: [one.flavor, one.yard, one.spot, one.born, one.at, one.leaving, one.opened, one.rental]
-        for host, one in rental.machines(name).items()
+        host: [
+            one.machine_type,
+            one.zone,
+            one.spot,
+            one.created_in_view,
+            one.requested_timestamp,
+            one.drain_reason,
+            one.registered,
+            one.rental_id,
+        ]
+        for host, one in rental.machine_records(name).items()
     }
 
 
 def done_tasks(body: bytes) -> list[int]:
     """The done tasks of a job's record."""
-    progress = records.Progress.decode(msgspec.convert(wire.decode(body), records.JobRecord).done)
-    return [task for task in range(wire.MAX_PIECES) if task in progress]
+    progress = records.Progress.decode(msgspec.convert(types.decode_json(body), records.JobRecord).progress)
+    return [task for task in range(jobs.MAX_TASKS) if task in progress]
 
 
 def record_keys(team: str) -> dict[str, str]:
     """The key of each kind of record; the prefix where there are many of a kind."""
     return {
         "job": records.JOB_PREFIX,
-        "ended": records.ENDED_PREFIX,
+        "ended": records.FINISHED_PREFIX,
         "rental": records.RENTAL_PREFIX,
-        "flavors": records.FLAVORS_KEY,
+        "flavors": records.MACHINE_TYPES_KEY,
         "settings": records.SETTINGS_KEY,
         "limit": overrides.key_of(team),
         "team of the limit": overrides.team_of(overrides.key_of(team)),
@@ -106,79 +116,79 @@
 
 
 def _plain(decode: Callable[[bytes], Any]) -> Codec:
-    return lambda body: wire.encode(decode(body))
+    return lambda body: types.encode_json(decode(body))
 
 
 def _heartbeat(body: bytes) -> bytes:
-    heartbeat = wire.decode_beat(body)
-    tasks = wire.decode_pieces(heartbeat.pieces)
-    return wire.encode([heartbeat, tasks])
+    heartbeat = agents.decode_heartbeat(body)
+    tasks = agents.decode_task_reports(heartbeat.raw_tasks)
+    return types.encode_json([heartbeat, tasks])
 
 
 def _task_name(body: bytes) -> bytes:
-    return wire.encode(wire.split_piece(body.decode()))
+    return types.encode_json(agents.parse_task_id(body.decode()))
 
 
 INCOMING: dict[str, Codec] = {
-    "submission": _plain(wire.decode_run),
+    "submission": _plain(jobs.decode_job_spec),
     "heartbeat": _heartbeat,
     "task name": _task_name,
-    "flavors": _plain(wire.decode_flavors),
-    "rentals": _plain(wire.decode_rented),
-    "hosts": _plain(wire.decode_hired),
-    "row": _plain(wire.decode_row),
-    "rows": _plain(wire.decode_rows),
-    "changes": _plain(wire.decode_changes),
-    "committed": _plain(wire.decode_committed),
-    "failed": _plain(wire.decode_failed),
-    "grant": _plain(wire.decode_grant),
-    "settings": _plain(wire.decode_settings),
+    "flavors": _plain(cloud.decode_machine_types),
+    "rentals": _plain(cloud.decode_machine_page),
+    "hosts": _plain(cloud.decode_rented_hosts),
+    "row": _plain(key_value_store.decode_key_value),
+    "rows": _plain(key_value_store.decode_key_value_page),
+    "changes": _plain(key_value_store.decode_events),
+    "committed": _plain(key_value_store.decode_commit_revision),
+    "failed": _plain(key_value_store.decode_failed_keys),
+    "grant": _plain(key_value_store.decode_lease_id),
+    "settings": _plain(settings_file.decode_settings),
 }
 
 
 def outgoing() -> dict[str, bytes]:
     """Each message that the service makes, of fixed values."""
     commands = [
-        wire.launch("j-000412", 4, 2),
-        wire.kill("j-000377", 1, 1, timedelta(seconds=10)),
-        wire.kill("j-000377", 2, 3, timedelta(seconds=2.5)),
-        wire.kill("j-000377", 3, 1, timedelta(0)),
-        wire.reap("j-000398", 0, 1),
+        agents.start_command("j-000412", 4, 2),
+        agents.stop_command("j-000377", 1, 1, timedelta(seconds=10)),
+        agents.stop_command("j-000377", 2, 3, timedelta(seconds=2.5)),
+        agents.stop_command("j-000377", 3, 1, timedelta(0)),
+        agents.reap_command("j-000398", 0, 1),
     ]
     conditions = {"a/b": 0, "c/d": 412}
     puts = [("a/b", {"x": 1}, 7), ("c/d", [1, "two", None], None)]
     return {
-        "direct commands": wire.encode_orders(41, 3, commands),
-        "direct commands, none": wire.encode_orders(41, 3, []),
-        "answer to a heartbeat": wire.encode_beat_answer(41, commands),
-        "redirect": wire.encode_foreman("rig-2"),
-        "redirect to nobody": wire.encode_foreman(None),
-        "accepted job": wire.encode_job("j-000412", "pending"),
-        "polled job": wire.encode_job("j-000412", "running", 3, 2),
-        "rent": wire.encode_hire("r-17", "g8", "a", True, 12),
-        "return": wire.encode_return(["vm-000231", "vm-000232"]),
-        "lease": wire.encode_grant(timedelta(milliseconds=5000)),
-        "transaction": wire.encode_txn(conditions, puts, ["e/f"]),
-        "comparison": wire.encode_txn(conditions, [], []),
+        "direct commands": agents.encode_commands(41, 3, commands),
+        "direct commands, none": agents.encode_commands(41, 3, []),
+        "answer to a heartbeat": agents.encode_heartbeat_reply(41, commands),
+        "redirect": agents.encode_redirect("rig-2"),
+        "redirect to nobody": agents.encode_redirect(None),
+        "accepted job": jobs.encode_job_status("j-000412", "pending"),
+        "polled job": jobs.encode_job_status("j-000412", "running", 3, 2),
+        "rent": cloud.encode_rent_request("r-17", "g8", "a", True, 12),
+        "return": cloud.encode_return_request(["vm-000231", "vm-000232"]),
+        "lease": key_value_store.encode_lease_request(timedelta(milliseconds=5000)),
+        "transaction": key_value_store.encode_transaction(conditions, puts, ["e/f"]),
+        "comparison": key_value_store.encode_transaction(conditions, [], []),
     }
 
 
 def paths() -> dict[str, str]:
     """The path of each call."""
     return {
-        "jobs": wire.RUNS,
-        "health": wire.HEALTH,
-        "heartbeat": wire.BEAT,
-        "commands": wire.ORDERS,
-        "inspect": wire.INSPECT,
-        "machine types": wire.FLAVORS,
-        "rentals": wire.RENTALS,
-        "return": wire.RETURN,
-        "keys": wire.KV,
-        "transaction": wire.TXN,
-        "leases": wire.GRANTS,
-        "changes": wire.CHANGES,
-        "peers": peers.PATH,
+        "jobs": jobs.JOBS_PATH,
+        "health": jobs.HEALTH_PATH,
+        "heartbeat": agents.HEARTBEAT_PATH,
+        "commands": agents.COMMANDS_PATH,
+        "inspect": agents.INSPECT_PATH,
+        "machine types": cloud.MACHINE_TYPES_PATH,
+        "rentals": cloud.RENTALS_PATH,
+        "return": cloud.RETURN_PATH,
+        "keys": key_value_store.KEYS_PATH,
+        "transaction": key_value_store.TRANSACTION_PATH,
+        "leases": key_value_store.LEASES_PATH,
+        "changes": key_value_store.WATCH_PATH,
+        "peers": peers.PEER_MESSAGES_PATH,
         "settings": admin.SETTINGS_PATH,
         "status": admin.STATUS_PATH,
         "metrics": admin.METRICS_PATH,
@@ -190,11 +200,11 @@
 
 
 def _peer_message(body: bytes) -> bytes:
-    return peers.encode(msgspec.convert(cbor2.loads(body), peers.Sync))
+    return peers.encode(msgspec.convert(cbor2.loads(body), peers.PeerMessage))
 
 
 def _peer_answer(body: bytes) -> bytes:
-    return cbor2.dumps(msgspec.to_builtins(msgspec.convert(cbor2.loads(body), peers.Answer)))
+    return cbor2.dumps(msgspec.to_builtins(msgspec.convert(cbor2.loads(body), peers.PeerReply)))
 
 
 def _quota_message(body: bytes) -> bytes:
@@ -206,7 +216,7 @@
 
 def peer_versions() -> dict[str, int]:
     """The version numbers that messages between controllers and records bear."""
-    return {"peers": peers.WIRE, "quota": quota_messages.VERSION, "limit record": overrides.RECORD_VERSION}
+    return {"peers": peers.MESSAGE_VERSION, "quota": quota_messages.VERSION, "limit record": overrides.RECORD_VERSION}
 
 
 @contextmanager
@@ -226,7 +236,7 @@
 def change_limit(team: str, changes: Any, record: Any, platform: Any) -> Any:
     """An operator's change of a team's limit: the record that is written. `platform`: the team in the settings."""
     before = None if record is None else overrides.decode_record(record)
-    known = None if platform is None else msgspec.convert(platform, wire.Team)
+    known = None if platform is None else msgspec.convert(platform, settings_file.Team)
     return msgspec.to_builtins(overrides.change(team, changes, before, known))
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,11 +18,11 @@
 
 from world import Reply, World
 
-from ramptide import wire
 from ramptide.context import JSON
 from ramptide.http.client import Client
 from ramptide.http.server import Exchange, Server
 from ramptide.loop import Loop
+from ramptide.protocol.agents import COMMANDS_PATH
 
 ROOT = Path(__file__).resolve().parent.parent
 HOUR = timedelta(hours=1)
@@ -54,7 +54,7 @@
         self.worker_addresses: dict[str, str] = {}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         for name in self.names:
-            reached = SimpleNamespace(reports=SimpleNamespace(beat=self.beat_to(name)))
+            reached = SimpleNamespace(reports=SimpleNamespace(receive_heartbeat=self.beat_to(name)))
             self.nodes[name] = SimpleNamespace(ask=lambda call, dead, to=reached: call(to))  # type: ignore[assignment]
 
     @property
@@ -95,7 +95,7 @@
                 raw = body if isinstance(body, bytes) else json.dumps(body).encode()
                 exchange.respond(status, raw)
 
-            if exchange.request.target == wire.ORDERS:
+            if exchange.request.target == COMMANDS_PATH:
                 self.workers[host].take_orders(json.loads(exchange.request.body), answer)
             else:
                 self.workers[host].inspect(answer)
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -8,9 +8,9 @@
 from test_meetings import full_world, watch
 from world import Reply, S, World, leader
 
-from ramptide import wire
 from ramptide.announcements import MAX_IN_FLIGHT, TokenAnnouncer
 from ramptide.app import Controller
+from ramptide.protocol.agents import COMMANDS_PATH, decode_heartbeat
 from ramptide.task_state import DesiredState, Phase
 
 
@@ -39,7 +39,7 @@
         timeout: timedelta,
         done: Callable[[Reply | None], None],
     ) -> None:
-        assert (method, target) == ("POST", wire.ORDERS)
+        assert (method, target) == ("POST", COMMANDS_PATH)
         self.requests.append((address, json.loads(body), done))
 
 
@@ -135,9 +135,9 @@
     controller, host = controller_with_a_launch_under_way(world)
     assert controller.shard is not None
     machine = controller.shard.machines[host]
-    tenure, tally = machine.last_report_id
+    tenure, tally = machine.last_heartbeat_id
     before = {key: (entry.phase, entry.desired) for key, entry in machine.entries.items()}
-    controller.reports.take_direct(wire.decode_beat(report(host, controller.shard.view, tenure, tally + 1)))
+    controller.reports.take_direct(decode_heartbeat(report(host, controller.shard.view, tenure, tally + 1)))
     assert {key: (entry.phase, entry.desired) for key, entry in machine.entries.items()} == before
     assert any(state == (Phase.SENT, DesiredState.RUN) for state in before.values())
 
@@ -152,9 +152,9 @@
     for controller in rest:
         assert controller.shard is not None
         machines = controller.shard.machines.values()
-        assert world.run_until(lambda machines=machines: any(one.last_report is not None for one in machines), 2)  # type: ignore[misc]
-        told = [one for one in machines if one.last_report is not None and one.last_answer is None]
-        assert told and all(one.latest_answer() == one.last_report > controller.view_at for one in told)
+        assert world.run_until(lambda machines=machines: any(one.last_heartbeat_at is not None for one in machines), 2)  # type: ignore[misc]
+        told = [one for one in machines if one.last_heartbeat_at is not None and one.last_reply_at is None]
+        assert told and all(one.latest_answer() == one.last_heartbeat_at > controller.view_at for one in told)
 
 
 def test_a_direct_report_that_is_not_taken_does_not_make_the_next_one_look_astray() -> None:
@@ -165,13 +165,13 @@
         for node in world.nodes.values()
         if node.controller is not None and node.controller.shard is not None
         for host, machine in node.controller.shard.machines.items()
-        if machine.last_report is not None
+        if machine.last_heartbeat_at is not None
     )
     assert controller.shard is not None
     machine = controller.shard.machines[host]
-    tenure, tally = machine.last_report_id
-    controller.reports.take_direct(wire.decode_beat(report(host, controller.shard.view, tenure, tally + 1)))
-    following = wire.decode_beat(report(host, controller.shard.view, tenure, tally + 2))
+    tenure, tally = machine.last_heartbeat_id
+    controller.reports.take_direct(decode_heartbeat(report(host, controller.shard.view, tenure, tally + 1)))
+    following = decode_heartbeat(report(host, controller.shard.view, tenure, tally + 2))
     assert controller.shard.reports.take(following, world.now) and not machine.unreachable
-    astray = wire.decode_beat(report(host, controller.shard.view, tenure, tally + 4))
+    astray = decode_heartbeat(report(host, controller.shard.view, tenure, tally + 4))
     assert controller.shard.reports.take(astray, world.now) and machine.unreachable
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -17,8 +17,10 @@
 from test_world import busy_world
 from world import S, World, job, owner, started
 
-from ramptide import peers, wire
+from ramptide import peers
 from ramptide.job_scheduler import JobScheduler
+from ramptide.protocol.agents import decode_heartbeat, decode_task_reports
+from ramptide.protocol.key_value_store import KEYS_PATH
 from ramptide.records import Progress
 from ramptide.settings import SettingsError, Tuning, load
 from ramptide.shard import Shard
@@ -166,7 +168,7 @@
     world = started(3)
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller._take_flavors([{"name": "m", "cores": 8, "ramGb": 32, "yards": ["a"]}])
+        node.controller._take_machine_types([{"name": "m", "cores": 8, "ramGb": 32, "yards": ["a"]}])
     assert answers(world, "c0", json.dumps(job("j-1", spread=True)).encode())[0][0] == 422
 
 
@@ -276,9 +278,9 @@
     machine = part.machines[host]
     entries = [(key, entry.phase, entry.cause) for key, entry in sorted(machine.entries.items())]
     return (
-        machine.last_report_id,
-        machine.last_report,
-        machine.reclaimed_at,
+        machine.last_heartbeat_id,
+        machine.last_heartbeat_at,
+        machine.preempted_at,
         entries,
         machine.failed_jobs,
         machine.consecutive_failures,
@@ -304,14 +306,14 @@
     for _ in range(1500):
         body, before = broken(rng, beat, to_json), shown(controller.shard, worker.host)
         got: list[int] = []
-        controller.reports.beat(body, lambda status, said, got=got: got.append(status))  # type: ignore[misc]
+        controller.reports.receive_heartbeat(body, lambda status, said, got=got: got.append(status))  # type: ignore[misc]
         if got and got[0] != 200:
             refused += 1
             assert got[0] in (400, 421, 503), body
             assert shown(controller.shard, worker.host) == before, body
         else:
             # Taken, so it is well-formed: a few bytes of a name or a number may have changed.
-            wire.decode_pieces(wire.decode_beat(body).pieces)
+            decode_task_reports(decode_heartbeat(body).raw_tasks)
         world.run(0.01)
     assert refused > 1000
     world.run(20)
@@ -341,10 +343,10 @@
             "tally": worker.tally + 1, "baton": worker.baton, "pieces": []}  # fmt: skip
     got: list[int] = []
     body = to_json(beat | changes)
-    controller.reports.beat(body, lambda status, said: got.append(status))
+    controller.reports.receive_heartbeat(body, lambda status, said: got.append(status))
     assert got == [400] and shown(controller.shard, worker.host) == before
     deep = to_json(beat).replace(b'"pieces": []', b'"pieces": ' + DEEP)
-    controller.reports.beat(deep, lambda status, said: got.append(status))
+    controller.reports.receive_heartbeat(deep, lambda status, said: got.append(status))
     assert got == [400, 400] and shown(controller.shard, worker.host) == before
 
 
@@ -356,7 +358,7 @@
                 "pieces": []}  # fmt: skip
         for name in world.names:
             got: list[int] = []
-            world.ask(name, lambda c, got=got, beat=beat: c.reports.beat(  # type: ignore[misc]
+            world.ask(name, lambda c, got=got, beat=beat: c.reports.receive_heartbeat(  # type: ignore[misc]
                 to_json(beat), lambda status, said: got.append(status)))  # fmt: skip
             assert got == [400]
     world.run(5)
@@ -370,7 +372,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
 
-        def noted(sync: peers.Sync) -> bytes:
+        def noted(sync: peers.PeerMessage) -> bytes:
             body = send(sync)
             found.extend((name, body) for name in world.names if name != sync.member)
             return body
@@ -394,13 +396,17 @@
         value = cbor2.loads(body) | {"base": 0, "seq": 10**6 + taken}
         controller = world.nodes[name].controller
         assert controller is not None and controller.scheduler is not None
-        before = (dict(controller.scheduler.jobs), sorted(controller.scheduler.changed_hosts), controller.peers.newest)
+        before = (
+            dict(controller.scheduler.jobs),
+            sorted(controller.scheduler.changed_hosts),
+            controller.peers.newest_view,
+        )
         if controller.syncing.take(broken(rng, value, cbor2.dumps)) is None:
             refused += 1
             assert (
                 dict(controller.scheduler.jobs),
                 sorted(controller.scheduler.changed_hosts),
-                controller.peers.newest,
+                controller.peers.newest_view,
             ) == before
         else:
             taken += 1
@@ -560,7 +566,7 @@
     asked: list[str] = []
 
     def handle(caller: str, method: str, target: str, body: bytes, answer: Callable[[int, Any], None]) -> None:
-        if target.startswith(wire.KV + "?") and world.now < 3 * S:
+        if target.startswith(KEYS_PATH + "?") and world.now < 3 * S:
             asked.append(target)
             answer(200, pages if len(asked) % 2 else pages | {"rows": []})
         else:
@@ -600,7 +606,7 @@
             world.run(0.5)
     world.run(3)
     for node in world.nodes.values():
-        assert node.controller is not None and node.controller.jobs["j-1"].run.pieces == 6
+        assert node.controller is not None and node.controller.jobs["j-1"].spec.task_count == 6
     assert len(world.rules.on_machines()) == 6 and world.rules.broken == []
 
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -12,12 +12,15 @@
 from users import submit
 from world import Reply, S, VirtualContext, World, job, leader, started
 
-from ramptide import wire
 from ramptide.commits import CommitBatcher
 from ramptide.delta import ChangeLog, ReceivedSequence
 from ramptide.limits import TokenBucket
 from ramptide.mirror import Mirror
-from ramptide.peers import WIRE
+from ramptide.peers import MESSAGE_VERSION
+from ramptide.protocol.agents import Heartbeat, decode_heartbeat
+from ramptide.protocol.cloud import MachineType
+from ramptide.protocol.jobs import decode_job_spec
+from ramptide.protocol.settings_file import KeyValueStoreLimits
 from ramptide.records import MachineRecord
 from ramptide.shard import Shard
 from ramptide.store import Store, Transaction, TransactionResult
@@ -119,7 +122,9 @@
         self.context = VirtualContext(self.world.nodes["c0"])
         self.calls: list[tuple[str, bytes, Any]] = []
         self.context.call = self.call  # type: ignore[method-assign]
-        self.limits = wire.StateLimits(rps=1000.0, write_rps=1000.0, value_kb=16.0, txn_ops=12)
+        self.limits = KeyValueStoreLimits(
+            requests_per_second=1000.0, writes_per_second=1000.0, max_value_kb=16.0, max_transaction_operations=12
+        )
         self.store = Store(self.context, "state", self.limits, 1)
 
     def call(
@@ -176,15 +181,15 @@
     commits = CommitBatcher(state.store, lambda: {"live/view": 7})
     outcomes: dict[str, TransactionResult] = {}
     for name in ("a", "b", "c"):
-        txn = Transaction(when={name: 0}, puts=[(name, 1, None)])
+        txn = Transaction(conditions={name: 0}, puts=[(name, 1, None)])
         commits.add(txn, lambda outcome, name=name: outcomes.update({name: outcome}))  # type: ignore[misc]
     state.world.run(0.1)
     assert len(state.calls) == 1 and len(json.loads(state.calls[0][1])["then"]) == 3
     state.answer(0, 409, {"failed": ["b"], "epoch": 5})
-    assert list(outcomes) == ["b"] and outcomes["b"].failed == ["b"]
+    assert list(outcomes) == ["b"] and outcomes["b"].failed_keys == ["b"]
     state.world.run(0.1)
     state.answer(1, 200, {"epoch": 6})
-    assert outcomes["a"].epoch == outcomes["c"].epoch == 6
+    assert outcomes["a"].revision == outcomes["c"].revision == 6
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
@@ -196,7 +201,7 @@
     done: list[int] = []
     for number, (key, ops, wait) in enumerate(changes):
         puts = [(f"{key}{n}", number, None) for n in range(ops)]
-        commits.add(Transaction(when={key: 0}, puts=puts), lambda outcome, number=number: done.append(number))  # type: ignore[misc]
+        commits.add(Transaction(conditions={key: 0}, puts=puts), lambda outcome, number=number: done.append(number))  # type: ignore[misc]
         state.world.run(wait * 0.01)
     answered = 0
     while len(done) < len(changes):
@@ -223,23 +228,23 @@
 
 
 def a_part() -> Shard:
-    run = wire.decode_run(json.dumps(job("j-1", cores=1.0, pieces=100)).encode())
+    run = decode_job_spec(json.dumps(job("j-1", cores=1.0, pieces=100)).encode())
     part = Shard(5, 8 * S, 1 * S, lambda ref: run if ref == "j-1" else None)
     record = MachineRecord("m", "a", False, 1, 0.0, None, True, "r")
-    part.add_machine("vm-1", record, wire.Flavor(name="m", cores=8.0, ram_gb=32.0, yards=["a"]), timedelta(0), [])
+    part.add_machine("vm-1", record, MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"]), timedelta(0), [])
     return part
 
 
-def beat(tenure: int, tally: int, baton: int, *tasks: int) -> wire.Beat:
+def beat(tenure: int, tally: int, baton: int, *tasks: int) -> Heartbeat:
     pieces = [{"piece": f"j-1/{task}", "try": task, "status": "running"} for task in tasks]
     machine = {"host": "vm-1", "rig": "m", "yard": "a", "loaners": False}
     message = machine | {"tenure": tenure, "tally": tally, "baton": baton, "pieces": pieces}
-    return wire.decode_beat(json.dumps(message).encode())
+    return decode_heartbeat(json.dumps(message).encode())
 
 
 def test_late_copies_of_reports_change_nothing() -> None:
     """Within a tenure, over tenures, from before the view, and after the lease has certainly run out."""
-    part, plain = a_part(), dict[tuple[int, int], wire.Beat]()
+    part, plain = a_part(), dict[tuple[int, int], Heartbeat]()
     machine = part.machines["vm-1"]
     assert part.reports.take(beat(1, 1, 4, 1, 2), 0 * S) and not machine.settled, (
         "it may be from before the token was seen"
@@ -251,14 +256,16 @@
         tenure = 1 + tally // 10
         report = beat(tenure, tally, 5, *rng.sample(range(8), 3))
         assert part.reports.take(report, now)
-        machine.last_answer = now
+        machine.last_reply_at = now
         shown = {key: entry.phase for key, entry in machine.entries.items()}
-        heard, answered = machine.last_report, machine.last_answer
+        heard, answered = machine.last_heartbeat_at, machine.last_reply_at
         plain[tenure, tally] = report
         for copy in rng.sample(sorted(plain), min(3, len(plain))):
             assert not part.reports.take(plain[copy], now + 0.3 * S)
         assert shown == {key: entry.phase for key, entry in machine.entries.items()}
-        assert (machine.last_report, machine.last_answer) == (heard, answered), "they extend no lease in our reckoning"
+        assert (machine.last_heartbeat_at, machine.last_reply_at) == (heard, answered), (
+            "they extend no lease in our reckoning"
+        )
     assert machine.settled
     part.leases.expire(now + 9.2 * S, 0 * S)
     assert all(entry.phase is Phase.GONE for entry in machine.entries.values())
@@ -272,9 +279,9 @@
     part = a_part()
     machine = part.machines["vm-1"]
     assert part.reports.take(beat(1, 1, 5, 1), 0 * S)
-    machine.last_answer = 0 * S
+    machine.last_reply_at = 0 * S
     part.leases.expire(10 * S, 0 * S)
-    machine.last_report_id = (1, 1)
+    machine.last_heartbeat_id = (1, 1)
     assert part.reports.take(beat(1, 2, 5, 1), 11 * S)
     assert any(entry.phase is Phase.RUNNING for entry in machine.entries.values())
 
@@ -305,8 +312,13 @@
     assert take(b"") is None and take(b"\xff" * 99) is None and take(cbor2.dumps([1])) is None
     old = {"member": "c1", "inc": "c1-1", "view": 1, "seq": 10**6, "lacks": False}
     assert take(cbor2.dumps(old)) is None and "version 0 between controllers" in caplog.text
-    assert take(cbor2.dumps(old | {"wire": WIRE - 1})) is None and f"version {WIRE - 1} between" in caplog.text
-    whole = cbor2.dumps(old | {"wire": WIRE, "base": 10**6, "view": controller.view.number if controller.view else 0})
+    assert (
+        take(cbor2.dumps(old | {"wire": MESSAGE_VERSION - 1})) is None
+        and f"version {MESSAGE_VERSION - 1} between" in caplog.text
+    )
+    whole = cbor2.dumps(
+        old | {"wire": MESSAGE_VERSION, "base": 10**6, "view": controller.view.number if controller.view else 0}
+    )
     assert take(whole[: len(whole) // 2]) is None
     answer = take(whole)
     assert answer is not None and cbor2.loads(answer)["have"] < 10**6, "it says from where it needs the changes"
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -60,7 +60,7 @@
     def look() -> None:
         check(world)
         for controller in controllers(world):
-            found.update(host for host, record in controller.machines.items() if record.leaving == SICK)
+            found.update(host for host, record in controller.machines.items() if record.drain_reason == SICK)
 
     for half in range(seconds * 2):
         world.after(half * 0.5 * S, look)
@@ -354,7 +354,7 @@
     work = work_of(world, "j-1")
     assert world.run_until(lambda: bool(work.failed_on), 10)
     for controller in controllers(world):
-        controller.machines[one.host] = replace(controller.machines[one.host], leaving=SICK)
+        controller.machines[one.host] = replace(controller.machines[one.host], drain_reason=SICK)
         if controller.scheduler is not None:
             controller.scheduler.machine_faulty(one.host)
     other._finish(second, "error")
@@ -453,8 +453,8 @@
     (ref,) = submit_bad(world, 1, 0.3, pieces=8, cores=0.5)
     world.run(40)
     work = work_of(world, ref)
-    other = next(name for name in world.names if name != work.job.record.home)
-    before, record = world.rules.starts_of[ref], msgspec.structs.replace(work.job.record, home=other)
+    other = next(name for name in world.names if name != work.job.record.scheduler)
+    before, record = world.rules.starts_of[ref], msgspec.structs.replace(work.job.record, scheduler=other)
     world.state._apply([(f"live/job/{ref}", msgspec.to_builtins(record), None)], [])
     world.run(10)
     assert work_of(world, ref) is not work
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -10,10 +10,10 @@
 from users import submit
 from world import S, Task, Worker, World, leader
 
-from ramptide import wire
 from ramptide.app import Controller
 from ramptide.floor import Floor
 from ramptide.parts import Parts, QuotaPart
+from ramptide.protocol.jobs import decode_job_spec
 from ramptide.records import JobRecord, Progress, to_value
 from ramptide.starts import Starter
 
@@ -37,7 +37,7 @@
         yard = "ab"[first // RENTED_TOGETHER % 2]
         record = {"flavor": "m", "yard": yard, "spot": False, "at": 0.0, "count": len(hosts), "born": 0}
         put(world, f"live/rental/r-{first}", record | {"hosts": {host: [True, None] for host in hosts}})
-        run = wire.decode_run(json.dumps(world.jobs[ref]).encode())
+        run = decode_job_spec(json.dumps(world.jobs[ref]).encode())
         home = world.names[first // RENTED_TOGETHER % members]
         put(world, f"live/job/{ref}", to_value(JobRecord(run, home, 0, 0.0, Progress().encode())))
         for number, host in enumerate(hosts):
@@ -129,7 +129,7 @@
     answers: list[int] = []
 
     def handle() -> None:
-        c.reports.beat(body, lambda status, _: answers.append(status))
+        c.reports.receive_heartbeat(body, lambda status, _: answers.append(status))
         c._round(home, part, now, False)
 
     calls = python_calls(handle)
@@ -215,7 +215,7 @@
     told = len(one.shard.machines)
     base = other.peers.all[one.member].inbox.seq
     world.run(2)
-    assert other.peers.all[one.member].inbox.seq > base and one.peers.all[other.member].taken > base
+    assert other.peers.all[one.member].inbox.seq > base and one.peers.all[other.member].acknowledged > base
     assert told > LARGE / 4 and world.longest_message < LONGEST_MESSAGE_BYTES
     shown = {host: other.floor.hosts[host].tasks for host in one.shard.machines}
     assert all(len(tasks) == TASKS_ON_EACH for tasks in shown.values())
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -10,14 +10,14 @@
 from users import submit, withdraw
 from world import Answer, S, Task, Worker, World, leader, owner, started
 
-from ramptide import wire
 from ramptide.app import Controller
 from ramptide.floor import Floor, Host
 from ramptide.job_scheduler import JobScheduler
 from ramptide.limit_split import LimitSplit
 from ramptide.membership import View
 from ramptide.mirror import Mirror
-from ramptide.peers import Peer, Peers, Sync
+from ramptide.peers import Peer, PeerMessage, Peers
+from ramptide.protocol.key_value_store import TRANSACTION_PATH
 from ramptide.records import Handover
 from ramptide.settings import Tuning
 from ramptide.shard import Shard
@@ -168,7 +168,7 @@
     name = leader(world)
     controller = world.nodes[name].controller
     assert controller is not None
-    record, stamp = controller.jobs["j-1"].record, controller.jobs["j-1"].stamp
+    record, stamp = controller.jobs["j-1"].record, controller.jobs["j-1"].mod_revision
     controller.call_off(["j-1"])
     assert "j-1" not in controller.jobs
     controller._on_change("live/job/j-1", msgspec.to_builtins(record), stamp + 1)
@@ -296,7 +296,7 @@
     handle, swallowed = world.state.handle, []
 
     def handled(caller: str, method: str, target: str, body: bytes, answer: Answer) -> None:
-        if target == wire.TXN and b'"hand":[' in body and not swallowed:
+        if target == TRANSACTION_PATH and b'"hand":[' in body and not swallowed:
             swallowed.append(body)
             if late is not None:
                 world.after(late * S, lambda: handle(caller, method, target, body, lambda status, told: None))
@@ -354,11 +354,11 @@
     send = home.peers.send
     home.peers.send = lambda peer, sync, every=S: peer.name != new and send(peer, sync, every)  # type: ignore
     world.run(0.5)
-    said = lead.peers.said(old)
+    said = lead.peers.last_message(old)
     assert said is not None
     job = home.jobs[ref]
-    hand = Handover(home.view.number, old, said.seq)
-    record = msgspec.structs.replace(job.record, home=new, hand=hand)
+    hand = Handover(home.view.number, old, said.sequence_number)
+    record = msgspec.structs.replace(job.record, scheduler=new, handover=hand)
     world.state._apply([(f"live/job/{ref}", msgspec.to_builtins(record), None)], [])
     watch(world, 2)
     home.peers.send = send  # type: ignore[method-assign]
@@ -381,7 +381,7 @@
 
 def test_when_it_counts_before_its_team_uses_its_limit_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     def taken(split: LimitSplit, home: JobScheduler, view: View) -> list[str]:
-        return [w.job.ref for w in home.jobs.values() if w.job.record.hand is not None and split._c.ready(w)]
+        return [w.job.job_id for w in home.jobs.values() if w.job.record.handover is not None and split._c.ready(w)]
 
     monkeypatch.setattr(LimitSplit, "_taken_over", taken)
     world = few_world()
@@ -398,9 +398,9 @@
         told: dict[tuple[str, str], set[tuple[str, int, int]]] = {}
 
         def send(  # type: ignore[no-untyped-def]
-            peer: Peer, sync: Sync, every: timedelta = S, c: Controller = controller, told=told
+            peer: Peer, sync: PeerMessage, every: timedelta = S, c: Controller = controller, told=told
         ) -> None:
-            for host, row in sync.status.items():
+            for host, row in sync.machine_status.items():
                 told[peer.name, host] = {task[:3] for task in row.tasks} if row is not None else set()
             for host, machine in c.shard.machines.items() if c.shard is not None and sync.view else ():
                 ours = {
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -11,7 +11,6 @@
 from hypothesis import strategies as st
 from world import S, job
 
-from ramptide import wire
 from ramptide.allowances import Allowances, ProportionalSplit
 from ramptide.amounts import UNITS, Amounts
 from ramptide.fleet import Demand, Fleet, Machine, Trigger
@@ -20,6 +19,8 @@
 from ramptide.limits import TokenBucket
 from ramptide.membership import owner_of
 from ramptide.placement import Room
+from ramptide.protocol.cloud import MachineType
+from ramptide.protocol.jobs import decode_job_spec
 from ramptide.records import PROGRESS_WINDOW, JobRecord, MachineRecord, Progress, to_value
 from ramptide.settings import Tuning
 
@@ -38,7 +39,7 @@
 
 
 def test_a_job_of_100000_tasks_fits_a_small_value_and_is_walked_once() -> None:
-    run = wire.decode_run(json.dumps(job("j-1", pieces=100_000)).encode())
+    run = decode_job_spec(json.dumps(job("j-1", pieces=100_000)).encode())
     work = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, Progress().encode()), 1), Progress(), timedelta(0))
     largest = 0
     for _ in range(100_000):
@@ -55,7 +56,7 @@
 
 
 def test_tasks_past_the_window_wait_for_the_oldest() -> None:
-    run = wire.decode_run(json.dumps(job("j-1", pieces=100_000)).encode())
+    run = decode_job_spec(json.dumps(job("j-1", pieces=100_000)).encode())
     done = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW)))
     work = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, done.encode()), 1), done, timedelta(0))
     assert work.next_task() == 0
@@ -159,11 +160,11 @@
     assert all(two[host] == three[host] for host in hosts if three[host] != "c")
 
 
-FLAVOR = wire.Flavor(name="m", cores=8.0, ram_gb=32.0, yards=["a"], price=1.0, spot_price=0.4, boot_s=30.0)
+FLAVOR = MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"], price=1.0, spot_price=0.4, boot_s=30.0)
 
 
 def machine(host: str, up: bool = True, tasks: int = 0, age: float = 100.0, **fields: object) -> Machine:
-    record = MachineRecord("m", "a", False, 1, 0.0, opened=up)
+    record = MachineRecord("m", "a", False, 1, 0.0, registered=up)
     room = Room(host, "m", "a", False, 8.0, 0.0, 32.0) if up else None
     known = {"silent": timedelta(0), "notice": None, "failing": 0, "drained": False} | fields
     return Machine(host, record, FLAVOR, up, age * S, tasks=tasks, room=room, **known)  # type: ignore[arg-type]
@@ -177,7 +178,7 @@
 
 
 def demand(tasks: int, waited: float = 1.0) -> Demand:
-    run = wire.decode_run(json.dumps(job("j-1", pieces=tasks, cores=4.0)).encode())
+    run = decode_job_spec(json.dumps(job("j-1", pieces=tasks, cores=4.0)).encode())
     return Demand(run, tasks, waited * S, Counter())
 
 
@@ -222,9 +223,9 @@
 
     def left(zone: str) -> dict[str, str]:
         fleet = Fleet(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S), S, 10 * S, 30 * S)
-        run = wire.decode_run(json.dumps(job("j-1", pieces=4, cores=4.0, yard=zone)).encode())
+        run = decode_job_spec(json.dumps(job("j-1", pieces=4, cores=4.0, yard=zone)).encode())
         kept = machine("vm-0")
-        assert kept.room is not None and kept.record.yard == "a"
+        assert kept.room is not None and kept.record.zone == "a"
         # What is kept for services is no room for an array, yet of use to it before long.
         kept.room.in_pool = True
         found: dict[str, str] = {}
@@ -242,13 +243,13 @@
 def test_a_machine_with_few_services_is_emptied_when_they_find_room_with_others() -> None:
     def serving(host: str, services: int, **fields: object) -> Machine:
         runs = [
-            wire.decode_run(json.dumps(job(f"j-{host[3:]}{n}", shape="service", pieces=1, cores=2.0)).encode())
+            decode_job_spec(json.dumps(job(f"j-{host[3:]}{n}", shape="service", pieces=1, cores=2.0)).encode())
             for n in range(services)
         ]
         found = machine(host, tasks=services, serving=runs, **fields)
         for run in runs if found.room is not None else ():
             found.room.take(run)
-            found.room.service_cores += run.cores
+            found.room.service_cpus += run.cpus
         return found
 
     def left(*machines: Machine, waiting: int = 0) -> dict[str, str]:
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -347,9 +347,9 @@
     world = busy_world(guessS=300.0)
     controller = of(world, "c0")
     known = controller.jobs["j-1"]
-    right, known.stamp = known.stamp, known.stamp - 1
+    right, known.mod_revision = known.mod_revision, known.mod_revision - 1
     world.ask("c0", lambda c: c.desk.cancel("j-1", lambda *said: None))
-    known.stamp = right
+    known.mod_revision = right
     world.run(3)
     assert {key: count for key, count in counts(controller)[0].items() if key[0] == "cancel"} == {("cancel", 200): 1}
 
@@ -447,7 +447,7 @@
     assert told() == []
     end()
     world.run(20)
-    assert all(of(world, name).machines[host].leaving == "silent" for name in world.names for host in hosts)
+    assert all(of(world, name).machines[host].drain_reason == "silent" for name in world.names for host in hosts)
     assert sorted(host for line in told() for host in line.split(" (")[0].split(", ")) == hosts
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,17 +9,18 @@
 from hypothesis import strategies as st
 from world import job
 
-from ramptide import wire
 from ramptide.amounts import UNITS, Amounts
 from ramptide.jobs import Job
 from ramptide.placement import Reach, Room, can_ever_run, choose, fill, may_use, zone_room
 from ramptide.preemption import RunningTask, may_claim, victims
+from ramptide.protocol.cloud import MachineType
+from ramptide.protocol.jobs import JobSpec, decode_job_spec
 from ramptide.records import JobRecord, Progress
 from ramptide.urgency import urgency
 
 
-def run_of(**fields: object) -> wire.Run:
-    return wire.decode_run(json.dumps(job("j-1", **fields)).encode())
+def run_of(**fields: object) -> JobSpec:
+    return decode_job_spec(json.dumps(job("j-1", **fields)).encode())
 
 
 RUNS = st.builds(
@@ -50,26 +51,30 @@
     return rooms
 
 
-def allowed(run: wire.Run, rooms: list[Room], where: tuple[int, ...]) -> bool:
+def allowed(run: JobSpec, rooms: list[Room], where: tuple[int, ...]) -> bool:
     """The rules, task by task: may these rooms hold one task each in this order?"""
     zones = [rooms[index].zone for index in where]
     for index in set(where):
         room, count = rooms[index], where.count(index)
-        if run.rigs is not None and room.flavor not in run.rigs or run.yard not in (None, room.zone):
+        if (
+            run.machine_types is not None
+            and room.machine_type not in run.machine_types
+            or run.zone not in (None, room.zone)
+        ):
             return False
         if room.spot and not run.spot:
             return False
-        if run.cores * count > room.cores or run.cards * count > room.cards or run.ram_gb * count > room.ram_gb:
+        if run.cpus * count > room.cpus or run.gpus * count > room.gpus or run.ram_gb * count > room.ram_gb:
             return False
-    if run.one_zone and len(set(zones)) > 1:
+    if run.single_zone and len(set(zones)) > 1:
         return False
-    return not run.spread or all(zones.count(zone) <= (run.pieces + 1) // 2 for zone in zones)
+    return not run.spread_zones or all(zones.count(zone) <= (run.task_count + 1) // 2 for zone in zones)
 
 
-def greedy(run: wire.Run, rooms: list[Room]) -> list[int]:
+def greedy(run: JobSpec, rooms: list[Room]) -> list[int]:
     where: list[int] = []
     placed: dict[str, int] = {}
-    while len(where) < run.pieces and (room := choose(run, rooms, placed)) is not None:
+    while len(where) < run.task_count and (room := choose(run, rooms, placed)) is not None:
         room.take(run)
         placed[room.zone] = placed.get(room.zone, 0) + 1
         where.append(rooms.index(room))
@@ -78,14 +83,14 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(RUNS, ROOMS)
-def test_placement_keeps_the_rules_and_starts_as_many_as_can_be(run: wire.Run, rooms: list[Room]) -> None:
+def test_placement_keeps_the_rules_and_starts_as_many_as_can_be(run: JobSpec, rooms: list[Room]) -> None:
     before = named(rooms)
-    copies = [Room(r.host, r.flavor, r.zone, r.spot, r.cores, r.cards, r.ram_gb) for r in before]
+    copies = [Room(r.host, r.machine_type, r.zone, r.spot, r.cpus, r.gpus, r.ram_gb) for r in before]
     where = greedy(run, copies)
     assert allowed(run, before, tuple(where))
     best = max(
         count
-        for count in range(run.pieces + 1)
+        for count in range(run.task_count + 1)
         if any(allowed(run, before, each) for each in itertools.product(range(len(before)), repeat=count))
     )
     assert len(where) == best
@@ -93,19 +98,19 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(RUNS, ROOMS)
-def test_counting_finds_no_more_room_than_there_is(run: wire.Run, rooms: list[Room]) -> None:
+def test_counting_finds_no_more_room_than_there_is(run: JobSpec, rooms: list[Room]) -> None:
     before = named(rooms)
-    copies = [Room(r.host, r.flavor, r.zone, r.spot, r.cores, r.cards, r.ram_gb) for r in before]
-    found = fill(run, run.pieces, copies, Counter())
-    assert found <= run.pieces
+    copies = [Room(r.host, r.machine_type, r.zone, r.spot, r.cpus, r.gpus, r.ram_gb) for r in before]
+    found = fill(run, run.task_count, copies, Counter())
+    assert found <= run.task_count
     for room, copy in zip(before, copies, strict=True):
-        used = round((room.cores - copy.cores) / run.cores)
-        assert used == 0 or may_use(run, room.flavor, room.zone, room.spot)
-        assert used <= zone_room(run, room.zone, {}) and copy.cores >= -1e-6
+        used = round((room.cpus - copy.cpus) / run.cpus)
+        assert used == 0 or may_use(run, room.machine_type, room.zone, room.spot)
+        assert used <= zone_room(run, room.zone, {}) and copy.cpus >= -1e-6
 
 
-def flavor(**fields: object) -> wire.Flavor:
-    return wire.Flavor(**({"name": "m", "cores": 8.0, "ram_gb": 32.0, "yards": ["a", "b"]} | fields))  # type: ignore[arg-type]
+def flavor(**fields: object) -> MachineType:
+    return MachineType(**({"name": "m", "cpus": 8.0, "ram_gb": 32.0, "zones": ["a", "b"]} | fields))  # type: ignore[arg-type]
 
 
 def test_what_can_never_run() -> None:
@@ -123,10 +128,10 @@
     def room(host: str, **fields: object) -> Room:
         return Room(host, "m", "a", False, 8.0, 0.0, 32.0, **fields)  # type: ignore[arg-type]
 
-    cold = room("vm-0", worker_waiting=True, service_cores=1.0, service_reserve=(7.0, 0.0))
-    warm = room("vm-1", worker_waiting=True, service_cores=1.0, service_reserve=(7.0, 0.0), images=frozenset(["img"]))
+    cold = room("vm-0", heartbeat_held=True, service_cpus=1.0, service_reserve=(7.0, 0.0))
+    warm = room("vm-1", heartbeat_held=True, service_cpus=1.0, service_reserve=(7.0, 0.0), images=frozenset(["img"]))
     mixed = room("vm-2", images=frozenset(["img"]))
-    pool = room("vm-3", worker_waiting=True, in_pool=True, idle=True, images=frozenset(["img"]))
+    pool = room("vm-3", heartbeat_held=True, in_pool=True, idle=True, images=frozenset(["img"]))
     assert choose(run_of(shape="service"), [cold, warm, mixed, pool], {}) is warm
     assert choose(run_of(shape="service"), [cold, mixed, pool], {}) is cold, "services go together"
     assert choose(run_of(shape="service"), [mixed, pool], {}) is pool
@@ -137,7 +142,7 @@
     assert choose(run_of(), [cold, warm], {}, Reach.ALL) is warm, "what waited out its patience"
     assert choose(run_of(cores=1.0), [cold, warm], {}) is warm, "beyond their share the rest is free for all"
     small, large = room("vm-4", images=frozenset(["img"])), room("vm-5")
-    small.cores = 2.0
+    small.cpus = 2.0
     assert choose(run_of(shape="service"), [small, large], {}) is large, "opened for several"
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -212,8 +212,8 @@
     for node in world.nodes.values():
         assert node.controller is not None
         share = node.controller.grants["tight"]
-        held = Amounts(held.cores + share.cores, held.cards)
-    assert held.cores == LIMIT * UNITS
+        held = Amounts(held.cpus + share.cpus, held.gpus)
+    assert held.cpus == LIMIT * UNITS
 
 
 # What happens without the guards.
@@ -276,7 +276,7 @@
     """A message of another member to this one, as it was last taken."""
     controller = world.nodes[name].controller
     assert controller is not None
-    return next(peer.said for peer in controller.peers.all.values() if peer.said is not None)
+    return next(peer.last_message for peer in controller.peers.all.values() if peer.last_message is not None)
 
 
 @pytest.mark.parametrize(
@@ -311,7 +311,7 @@
     assert len([one for one in caplog.records if "refused" in one.message]) == 1
     row = [1, "tight", UNITS, 0]
     controller.quota.take(msgspec.structs.replace(sync, quota=good | {"transfers": [row]}), controller.scheduler)
-    assert controller.grants["tight"].cores == before["tight"].cores + UNITS
+    assert controller.grants["tight"].cpus == before["tight"].cpus + UNITS
 
 
 def test_without_the_check_of_the_view_a_late_transfer_counts(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -323,11 +323,11 @@
         world.run(3)
         controller = world.nodes["c0"].controller
         assert controller is not None and controller.quota is not None and controller.scheduler is not None
-        before = controller.grants["tight"].cores
+        before = controller.grants["tight"].cpus
         controller.quota.take(
             msgspec.structs.replace(sync_of(world, "c0"), quota=late_message(world, late)), controller.scheduler
         )
-        assert controller.grants["tight"].cores - before == gained
+        assert controller.grants["tight"].cpus - before == gained
 
 
 def late_message(world: World, change: dict[str, Any]) -> dict[str, Any]:
@@ -382,7 +382,7 @@
     world = started(1, teams=TEAMS)
     assert all(node.controller is not None and node.controller.quota is None for node in world.nodes.values())
     controller = world.nodes["c0"].controller
-    assert controller is not None and all(said.quota is None for said in controller.peers.messages())
+    assert controller is not None and all(said.quota is None for said in controller.peers.last_messages())
 
 
 # Guarantees.
@@ -455,7 +455,7 @@
     told = json.loads(got["/admin/status"])["quota"]
     assert told["members_without"] == [] and told["transfers"]["given"] == controller.quota.counters["given"]
     share = told["teams"]["tight"]["cores"]
-    assert share["held"] * UNITS == controller.grants["tight"].cores and share["borrowed"] > 0
+    assert share["held"] * UNITS == controller.grants["tight"].cpus and share["borrowed"] > 0
     assert set(share) == {"held", "used", "borrowed", "in_transfer"} and told["teams"]["tight"]["pending"] is False
     metrics = got["/metrics"].decode()
     for text in (
--- a/tests/test_quota_ledger.py
+++ b/tests/test_quota_ledger.py
@@ -249,7 +249,7 @@
     "row",
     [
         TransferRow(1, "nobody", UNITS, 0),
-        TransferRow(1, TEAM, LIMIT.cores + 1, 0),
+        TransferRow(1, TEAM, LIMIT.cpus + 1, 0),
         TransferRow(1, TEAM, 0, 0),
         TransferRow(2, TEAM, UNITS, 0),
         TransferRow(1, "cores only", UNITS, 1),
@@ -303,11 +303,11 @@
 ) -> None:
     policy = FittingSplit({name: {TEAM: [demand]} for name, demand in waiting.items()})
     targets = policy.targets(TEAM, limit, dict.fromkeys(MEMBERS, NOTHING))
-    given = Amounts(sum(one.cores for one in targets.values()), sum(one.cards for one in targets.values()))
-    assert given.cores <= limit.cores and given.cards <= limit.cards
-    left = Amounts(limit.cores - given.cores, limit.cards - given.cards)
+    given = Amounts(sum(one.cpus for one in targets.values()), sum(one.gpus for one in targets.values()))
+    assert given.cpus <= limit.cpus and given.gpus <= limit.gpus
+    left = Amounts(limit.cpus - given.cpus, limit.gpus - given.gpus)
     for name, demand in waiting.items():
-        tasks = targets[name].cores // demand.cores
+        tasks = targets[name].cpus // demand.cpus
         assert targets[name] == demand.size.times(tasks) and tasks <= demand.count
         assert tasks == demand.count or not tasks_within(left, demand.size)
     assert sum(given) <= sum(most_used(limit, list(waiting.values()))), "the oracle is the best there is"
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -6,9 +6,9 @@
 import pytest
 from world import World, leader, started
 
-from ramptide import wire
 from ramptide.amounts import NO_LIMIT, UNITS, Amounts
 from ramptide.parts import Parts, QuotaPart
+from ramptide.protocol.settings_file import Team
 from ramptide.quota.limit_table import LimitTable
 from ramptide.quota.overrides import (
     LimitError,
@@ -24,7 +24,7 @@
 from ramptide.store import TransactionResult
 
 ON = Parts(QuotaPart(True))
-PLATFORM = wire.Team("tight", cpus=4.0, cpus_max=12.0)
+PLATFORM = Team("tight", cpus=4.0, cpus_max=12.0)
 
 
 def cores(count: int) -> Amounts:
@@ -245,4 +245,6 @@
     for most in (5, 6):
         controller.quota.limits.request({"tight": {"cpus_max": most}}, results.append)
     world.run(2)
-    assert [one.epoch is not None for one in results] == [True, False] and results[1].failed == [key_of("tight")]
+    assert [one.revision is not None for one in results] == [True, False] and results[1].failed_keys == [
+        key_of("tight")
+    ]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,9 +7,10 @@
 import pytest
 from world import World, job, leader, started
 
-from ramptide import wire
 from ramptide.admin import METRICS_PATH, SETTINGS_PATH, STATUS_PATH, Admin
 from ramptide.cli import main
+from ramptide.protocol.jobs import decode_job_spec
+from ramptide.protocol.types import MessageError
 from ramptide.settings import BOUNDS, SettingsError, Tuning, load
 
 FILE: dict[str, Any] = {
@@ -30,7 +31,7 @@
 
 
 def test_the_file_is_taken_with_unknown_fields(tmp_path: Path) -> None:
-    assert load(written(tmp_path / "s.json")).cluster.workers.lease_s == 5.0
+    assert load(written(tmp_path / "s.json")).cluster.agents.lease_s == 5.0
 
 
 @pytest.mark.parametrize(
@@ -56,7 +57,7 @@
 def test_a_quota_that_is_missing_or_names_no_processor_is_taken(tmp_path: Path, quota: dict[str, Any] | None) -> None:
     cluster = {name: value for name, value in FILE["cluster"].items() if name != "quota"}
     cluster |= {"quota": quota} if quota is not None else {}
-    found = load(written(tmp_path / "s.json", cluster=cluster)).cluster.quota
+    found = load(written(tmp_path / "s.json", cluster=cluster)).cluster.process_limits
     assert found.cpu is None and found.fd_limit == (quota or {}).get("fd_limit")
 
 
@@ -145,14 +146,14 @@
     ],
 )  # fmt: skip
 def test_malformed_submissions(changes: dict[str, Any]) -> None:
-    with pytest.raises(wire.MessageError):
-        wire.decode_run(json.dumps(job("j-1") | changes).encode())
+    with pytest.raises(MessageError):
+        decode_job_spec(json.dumps(job("j-1") | changes).encode())
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{", b"null", b'{"ref": NaN}', b"\xff\xfe", b"[" * 5000])
 def test_what_is_no_submission(body: bytes) -> None:
-    with pytest.raises(wire.MessageError):
-        wire.decode_run(body)
+    with pytest.raises(MessageError):
+        decode_job_spec(body)
 
 
 def test_statuses_of_submissions_polls_and_cancellations() -> None:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -13,7 +13,7 @@
 from ramptide.app import Controller
 from ramptide.attempts import sum_amounts
 from ramptide.floor import Floor, Host
-from ramptide.membership import LIFE
+from ramptide.membership import LEASE_TIMEOUT
 from ramptide.peers import Peers
 from ramptide.report_intake import ReportIntake
 from ramptide.shard import Shard
@@ -672,9 +672,9 @@
 
 
 def test_when_agreement_counts_like_a_living_grant_tasks_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    agreement = Peers.agreement
-    later = lambda peers: at + LIFE if (at := agreement(peers)) is not None else None  # noqa: E731
-    monkeypatch.setattr(Peers, "agreement", later)
+    agreement = Peers.unavailable_agreed_since
+    later = lambda peers: at + LEASE_TIMEOUT if (at := agreement(peers)) is not None else None  # noqa: E731
+    monkeypatch.setattr(Peers, "unavailable_agreed_since", later)
     world = busy_world(guessS=500.0)
     refuse_all_then_serve_two(world)
     assert any("ran_twice" in rule for rule in world.rules.broken)
--- a/tests/world.py
+++ b/tests/world.py
@@ -14,9 +14,12 @@
 from typing import Any, Protocol
 from urllib.parse import parse_qs, unquote, urlsplit
 
-from ramptide import wire
 from ramptide.app import Controller
 from ramptide.parts import Parts
+from ramptide.protocol.agents import COMMANDS_PATH, INSPECT_PATH
+from ramptide.protocol.cloud import MACHINE_TYPES_PATH, RETURN_PATH
+from ramptide.protocol.key_value_store import KEYS_PATH, LEASES_PATH, TRANSACTION_PATH, WATCH_PATH
+from ramptide.protocol.settings_file import decode_settings
 
 S = timedelta(seconds=1)
 MS = timedelta(milliseconds=1)
@@ -327,7 +330,7 @@
                 self.node.awake(self, lambda: done(reply))
 
         self._show_call(address, method, target, kind, body, timeout)
-        if address == STATE and target == wire.TXN and self.rng.random() < self.world.late_writes:
+        if address == STATE and target == TRANSACTION_PATH and self.rng.random() < self.world.late_writes:
             # No answer, and it is carried out well after newer ones of the same controller.
             late = self.world.rng.uniform(2, 12) * S
             name, state = self.node.name, self.world.state
@@ -345,10 +348,10 @@
                 self.world.cloud.handle(method, target, body, answer)
             elif address in self.world.workers:
                 worker = self.world.workers[address]
-                if target == wire.ORDERS:
+                if target == COMMANDS_PATH:
                     worker.take_orders(json.loads(body), answer)
                 else:
-                    assert (method, target) == ("GET", wire.INSPECT)
+                    assert (method, target) == ("GET", INSPECT_PATH)
                     worker.inspect(answer)
             else:
                 told = self.world.observed(address, answer)
@@ -429,7 +432,7 @@
         self._starts += 1
         self._context = VirtualContext(self)
         names = self.world.names
-        settings = wire.decode_settings(
+        settings = decode_settings(
             json.dumps(
                 {
                     "member": self.name, "area": "a", "client_listen": "h:1", "peer_bind": "h:2",
@@ -504,11 +507,11 @@
         self._expire()
         parts = urlsplit(target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
-        if parts.path == wire.CHANGES and not self.down and caller not in self.refuses:
+        if parts.path == WATCH_PATH and not self.down and caller not in self.refuses:
             self._watch(query["prefix"], int(query["since"]), self.world.now + int(query["blockMs"]) * MS, answer)
         elif self.down or caller in self.refuses:
             answer(503, {})
-        elif parts.path == wire.KV:
+        elif parts.path == KEYS_PATH:
             rows = [
                 {"path": key, "v": row[0], "stamp": row[1]}
                 for key, row in sorted(self.data.items())
@@ -516,15 +519,15 @@
             ]
             limit = int(query.get("limit", 1000))
             answer(200, {"rows": rows[:limit], "more": len(rows) > limit, "epoch": self.epoch})
-        elif parts.path.startswith(wire.KV + "/"):
-            key = unquote(parts.path[len(wire.KV) + 1 :])
+        elif parts.path.startswith(KEYS_PATH + "/"):
+            key = unquote(parts.path[len(KEYS_PATH) + 1 :])
             row = self.data.get(key)
             answer(404, {"epoch": self.epoch}) if row is None else answer(
                 200, {"path": key, "v": row[0], "stamp": row[1]}
             )
-        elif parts.path == wire.TXN:
+        elif parts.path == TRANSACTION_PATH:
             self._txn(json.loads(body), answer)
-        elif parts.path == wire.GRANTS:
+        elif parts.path == LEASES_PATH:
             number, life = next(self._grant), json.loads(body)["lifeMs"] * MS
             self.grants[number] = (self.world.now + life, life)
             answer(200, {"tenancy": number})
@@ -585,13 +588,13 @@
         path = urlsplit(target).path
         if self.down:
             answer(503, {"error": "trouble"})
-        elif path == wire.FLAVORS:
+        elif path == MACHINE_TYPES_PATH:
             rig = {
                 "name": "m", "cores": self.CORES, "cards": 0, "ramGb": self.RAM, "cacheGb": 20, "fetchGbPerS": 1.0,
                 "rate": 1.0, "spotPrice": 0.4, "bootS": 4, "yards": ["a", "b"],
             }  # fmt: skip
             answer(200, {"rigs": [rig]})
-        elif path == wire.RETURN:
+        elif path == RETURN_PATH:
             for host in json.loads(body)["hosts"]:
                 worker = self.world.workers.get(host)
                 if worker is not None:
@@ -713,7 +716,7 @@
 
         def request(answer: Answer) -> None:
             told = self.world.observed(target, answer)
-            self.world.nodes[target].ask(lambda c: c.reports.beat(body, told), lambda: answer(503, {}))
+            self.world.nodes[target].ask(lambda c: c.reports.receive_heartbeat(body, told), lambda: answer(503, {}))
 
         self.world.send(self.host, target, request, 4 * S, lambda reply: self._answered(sent, tenure, reply))
 
--- a/tools/measure_quota.py
+++ b/tools/measure_quota.py
@@ -119,7 +119,7 @@
     for team, limit in TEAMS.items():
         used = sum(home.usage_with_transfers().get(team, (0, 0))[0] for home in homes)
         left = limit - used / UNITS
-        sizes = [w.job.run.cores for home in homes for w in home.with_pending_tasks.values() if w.job.run.team == team]
+        sizes = [w.job.spec.cpus for home in homes for w in home.with_pending_tasks.values() if w.job.spec.team == team]
         if not sizes:
             continue
         result.samples += 1
@@ -142,10 +142,10 @@
         policies: dict[str, SplitPolicy] = {"in proportion": ProportionalSplit(asking), "whole": FittingSplit(waiting)}
         for name, policy in policies.items():
             shares = policy.targets("t", limit, nothing)
-            used[name] += sum(shares[m].cores // demand.cores * demand.cores for m, demand in demands.items())
-        used["best"] += most_used(Amounts(limit.cores, 0), list(demands.values())).cores
+            used[name] += sum(shares[m].cpus // demand.cpus * demand.cpus for m, demand in demands.items())
+        used["best"] += most_used(Amounts(limit.cpus, 0), list(demands.values())).cpus
     for name, units in used.items():
-        print(f"split {name}: whole tasks use {100 * units / rounds / limit.cores:.1f} % of the limit")
+        print(f"split {name}: whole tasks use {100 * units / rounds / limit.cpus:.1f} % of the limit")
 
 
 def main() -> None:
