--- a/tests/compatibility/freeze.py
+++ b/tests/compatibility/freeze.py
@@ -124,7 +124,7 @@
     }
     frozen.write_text("record_meaning.json", text(meaning) + "\n")
     world, _ = traffic.record("rough_day")
-    stored_state = {key: [value, revision] for key, (value, revision, lease) in world.state.data.items()}
+    stored_state = {key: [entry.value, entry.mod_revision] for key, entry in world.store.entries.items()}
     frozen.write_text("stored_state.json", json.dumps(stored_state, indent=1) + "\n")
 
 
--- a/tests/compatibility/http_calls.py
+++ b/tests/compatibility/http_calls.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 import cbor2
-from loopback import ROOT, LoopWorld
-from world import job
+from virtual import job_spec
+from virtual.loopback import ROOT, LoopWorld
 
 from compatibility import codecs
 
@@ -31,7 +31,7 @@
 
 
 def calls_of_users() -> list[tuple[str, str, bytes]]:
-    spec = job("j-1", pieces=2, shape="service")
+    spec = job_spec("j-1", pieces=2, shape="service")
     found = [
         ("POST", "/v2/runs", body(spec)),
         ("POST", "/v2/runs", b"{"),
@@ -167,13 +167,13 @@
     world = LoopWorld(folder, teams={"team": 0.0, "tight": 4.0}, parts=parts)
     world.log_level = "error"
     try:
-        for name in world.names:
+        for name in world.controller_names:
             world.start(name)
-        assert world.until(lambda: all(world.healthy(name) for name in world.names), 30)
-        world.jobs["j-8"] = job("j-8", pieces=1, shape="service")
-        submission = body(world.jobs["j-8"])
+        assert world.until(lambda: all(world.is_healthy(name) for name in world.controller_names), 30)
+        world.job_specs["j-8"] = job_spec("j-8", pieces=1, shape="service")
+        submission = body(world.job_specs["j-8"])
         assert world.until(lambda: world.status("c0", "POST", "/v2/runs", submission) in (200, 201), 20)
-        assert world.until(lambda: len(world.rules.on_machines()) == 1, 30)
+        assert world.until(lambda: len(world.invariants.running_tasks()) == 1, 30)
         assert world.until(lambda: content_of(call(world, PEERS, "GET", "/admin/status", b""))["machines"] != {}, 20)
         found: dict[str, Any] = {}
         if parts is None:
@@ -193,14 +193,14 @@
     """A controller that has just started and cannot reach the state service."""
     world = LoopWorld(folder)
     world.log_level = "error"
-    world.state.down = True
+    world.store.is_down = True
     try:
         world.start("c0")
         assert world.until(lambda: world.status("c0", "GET", "/healthz") == 503, 20)
         world.until(lambda: False, 1)
         calls = [
             ("GET", "/healthz", b""),
-            ("POST", "/v2/runs", body(job("j-1"))),
+            ("POST", "/v2/runs", body(job_spec("j-1"))),
             ("GET", "/v2/runs/j-1", b""),
             ("POST", "/v2/runs/j-1/cancel", b""),
             ("POST", "/agent/beat", body(BEAT)),
--- a/tests/compatibility/test_records.py
+++ b/tests/compatibility/test_records.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 import pytest
-from world import World
+from virtual import Entry, World
 
 from compatibility import codecs, frozen
 
@@ -45,29 +45,29 @@
     world = World(1, capacity=6)
     stored = frozen.read_json("stored_state.json")
     kept = {key: row for key, row in stored.items() if not key.startswith(("live/member/", "live/leader"))}
-    world.state.epoch = max(revision for _, revision in stored.values())
-    world.state.data = {key: (value, revision, None) for key, (value, revision) in kept.items()}
+    world.store.revision = max(revision for _, revision in stored.values())
+    world.store.entries = {key: Entry(value, revision, None) for key, (value, revision) in kept.items()}
     for key, (record, _) in kept.items():
         ref = key.rpartition("/")[2]
         if key.startswith("live/job/"):
-            world.jobs[ref] = record["run"]
+            world.job_specs[ref] = record["run"]
         elif key.startswith("ended/"):
-            world.submit(ref, pieces=record["pieces"])
-            world.rules.finished |= {(ref, number) for number in range(record["done"])}
+            world.define_job(ref, pieces=record["pieces"])
+            world.invariants.finished_tasks |= {(ref, number) for number in range(record["done"])}
     for node in world.nodes.values():
         node.start()
     world.run(20)
-    view = world.state.data["live/view"][0]
-    assert view["number"] > kept["live/view"][0]["number"] and sorted(view["members"]) == world.names
+    view = world.store.entries["live/view"].value
+    assert view["number"] > kept["live/view"][0]["number"] and sorted(view["members"]) == world.controller_names
     over = [key for key in kept if key.startswith("ended/")]
     live = [key for key in kept if key.startswith("live/job/")]
     assert over and live
     for key in over:
         record = kept[key][0]
         told = {"ref": key[len("ended/") :], "status": record["status"], "done": record["done"], "running": 0}
-        assert world.poll(told["ref"], "c1") == (200, told)
-        assert json.dumps(world.state.data[key][0]) == json.dumps(record)
+        assert world.poll_job(told["ref"], "c1") == (200, told)
+        assert json.dumps(world.store.entries[key].value) == json.dumps(record)
     for key in live:
-        answer = world.poll(key[len("live/job/") :], "c2")
+        answer = world.poll_job(key[len("live/job/") :], "c2")
         assert answer is not None and answer[0] == 200 and answer[1]["done"] + answer[1]["running"] > 0
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
--- a/tests/compatibility/traffic.py
+++ b/tests/compatibility/traffic.py
@@ -11,7 +11,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from world import STATE, VirtualContext, Worker, World, leader, started
+from virtual import STORE, VirtualRuntime, Worker, World, leader_of, started_world
 
 from compatibility import codecs
 
@@ -38,13 +38,13 @@
 
     def look(self, world: World) -> None:
         """Note the words that the status of any controller has now."""
-        for name in world.names:
+        for name in world.controller_names:
             for path, value in words(json.loads(operator_answer(world, name, "/admin/status") or "{}")):
                 self.words.setdefault(path, set()).add(value)
 
     def listen(self, stack: ExitStack) -> None:
         """Record until the stack is closed."""
-        call, send = VirtualContext.call, World.send
+        call, send = VirtualRuntime.call, World.send
 
         def recorded_call(context: Any, address: str, method: str, target: str, body: bytes, kind: str, *rest: Any):  # type: ignore[no-untyped-def]
             self.keep(context.node.name, address, f"{method} {target} {kind}", _text(body, kind == CBOR))
@@ -54,12 +54,12 @@
             def recorded_request(answer: Callable[[int, Any], None]) -> None:
                 def recorded_answer(status: int, body: Any) -> None:
                     if isinstance(body, bytes):
-                        self.keep(target, source, f"answer {status}", _text(body, source in world.names))
+                        self.keep(target, source, f"answer {status}", _text(body, source in world.controller_names))
                     answer(status, body)
 
                 request(recorded_answer)
 
-            return send(world, source, target, recorded_request if target in world.names else request, *rest)
+            return send(world, source, target, recorded_request if target in world.controller_names else request, *rest)
 
         run = World.run
 
@@ -71,14 +71,14 @@
             run(world, seconds % STEP)
 
         stack.enter_context(patch.object(World, "run", sampled_run))
-        stack.enter_context(patch.object(VirtualContext, "call", recorded_call))
+        stack.enter_context(patch.object(VirtualRuntime, "call", recorded_call))
         stack.enter_context(patch.object(World, "send", recorded_send))
 
 
 def operator_answer(world: World, name: str, path: str) -> str:
     """What a controller answers to an operator; nothing when it is dead or stands still."""
     got: list[str] = []
-    world.nodes[name].ask(
+    world.nodes[name].request(
         lambda c: codecs.operator_call(c, "GET", path, lambda status, body, kind: _answered(got, body))
     )
     return got[0] if got else ""
@@ -102,7 +102,7 @@
 
 def last_answers(world: World) -> Iterator[list[str]]:
     """The status and the metrics of each controller in the end, without what differs from process to process."""
-    for name in world.names:
+    for name in world.controller_names:
         for path in ("/admin/status", "/admin/quota", "/metrics"):
             told = operator_answer(world, name, path)
             kept = [line for line in told.splitlines() if "ramptide_process_" not in line]
@@ -115,64 +115,64 @@
 
 def plain_day() -> World:
     """Jobs of each kind are accepted, run, finish and are cancelled; a small limit makes work wait."""
-    world = started(7, teams={"team": 0.0, "tight": 6.0}, capacity=8)
-    world.submit("j-1", pieces=3, guessS=3.0)
-    world.submit("j-2", shape="service", pieces=2, loaners=True, rank="high", markEveryS=5.0, markCostS=1.0)
-    world.submit("j-3", owner="tight", pieces=5, oneZone=True, rigs=["m"], yard="b", dueS=60.0)
-    for name, ref in zip(world.names, ("j-1", "j-2", "j-3"), strict=True):
-        assert world.accepted(ref, name)
+    world = started_world(7, teams={"team": 0.0, "tight": 6.0}, capacity=8)
+    world.define_job("j-1", pieces=3, guessS=3.0)
+    world.define_job("j-2", shape="service", pieces=2, loaners=True, rank="high", markEveryS=5.0, markCostS=1.0)
+    world.define_job("j-3", owner="tight", pieces=5, oneZone=True, rigs=["m"], yard="b", dueS=60.0)
+    for name, ref in zip(world.controller_names, ("j-1", "j-2", "j-3"), strict=True):
+        assert world.submit_until_accepted(ref, name)
     world.run(8)
-    assert world.cancel("j-2", "c1")
+    assert world.cancel_job("j-2", "c1")
     world.run(8)
-    for name in world.names:
-        assert world.poll("j-1", name) == (200, {"ref": "j-1", "status": "done", "done": 3, "running": 0})
-        assert world.poll("j-404", name) == (404, {"error": "no such job"})
+    for name in world.controller_names:
+        assert world.poll_job("j-1", name) == (200, {"ref": "j-1", "status": "done", "done": 3, "running": 0})
+        assert world.poll_job("j-404", name) == (404, {"error": "no such job"})
     return world
 
 
 def rough_day() -> World:
     """A controller ends, the state service is out for a while, a machine hangs, and important work needs room."""
-    world = started(11, capacity=3)
-    world.submit("j-10", shape="service", pieces=10, cores=2.0, rank="low", markEveryS=5.0, markCostS=1.0)
-    assert world.accepted("j-10", "c0")
+    world = started_world(11, capacity=3)
+    world.define_job("j-10", shape="service", pieces=10, cores=2.0, rank="low", markEveryS=5.0, markCostS=1.0)
+    assert world.submit_until_accepted("j-10", "c0")
     world.run(14)
-    world.submit("j-11", pieces=2, cores=4.0, rank="production", guessS=4.0)
-    world.submit("j-12", pieces=1, cores=1.0, rank="production", guessS=4.0)
-    assert world.accepted("j-11", "c1") and world.accepted("j-12", "c2")
+    world.define_job("j-11", pieces=2, cores=4.0, rank="production", guessS=4.0)
+    world.define_job("j-12", pieces=1, cores=1.0, rank="production", guessS=4.0)
+    assert world.submit_until_accepted("j-11", "c1") and world.submit_until_accepted("j-12", "c2")
     world.run(4)
-    world.cloud.listed.pop(sorted(world.cloud.listed)[0], None)
+    world.cloud.listing.pop(sorted(world.cloud.listing)[0], None)
     world.workers[sorted(world.workers)[0]].hang(6)
     world.run(4)
-    world.nodes[leader(world)].kill()
+    world.nodes[leader_of(world)].kill()
     world.run(10)
-    world.bad["j-13"] = 0.5
-    world.submit("j-13", pieces=1, cores=1.0, rank="production")
-    world.accepted("j-13", next(name for name, node in world.nodes.items() if node.controller is not None))
-    world.state.outage(6)
+    world.failure_delays["j-13"] = 0.5
+    world.define_job("j-13", pieces=1, cores=1.0, rank="production")
+    world.submit_until_accepted("j-13", next(name for name, node in world.nodes.items() if node.controller is not None))
+    world.store.start_outage(6)
     world.run(10)
     return world
 
 
 def cut_day() -> World:
     """A controller loses its workers, a worker its controllers; users cancel while the state service is out for one."""
-    world = started(13, capacity=6)
-    world.submit("j-40", shape="service", pieces=8, cores=2.0)
-    world.submit("j-41", pieces=6, cores=2.0, guessS=30.0, loaners=True)
-    assert world.accepted("j-40", "c0") and world.accepted("j-41", "c1")
+    world = started_world(13, capacity=6)
+    world.define_job("j-40", shape="service", pieces=8, cores=2.0)
+    world.define_job("j-41", pieces=6, cores=2.0, guessS=30.0, loaners=True)
+    assert world.submit_until_accepted("j-40", "c0") and world.submit_until_accepted("j-41", "c1")
     world.run(10)
-    follower = next(name for name in world.names if name != leader(world))
-    world.isolate(follower, STATE, *world.names)
+    follower = next(name for name in world.controller_names if name != leader_of(world))
+    world.isolate(follower, STORE, *world.controller_names)
     world.run(8)
     world.heal()
     world.run(4)
-    world.state.refuses.add(follower)
-    world.cancel("j-41", leader(world))
+    world.store.refused_callers.add(follower)
+    world.cancel_job("j-41", leader_of(world))
     world.run(6)
-    world.state.refuses.clear()
+    world.store.refused_callers.clear()
     world.run(6)
-    lonely = leader(world)
+    lonely = leader_of(world)
     for host in world.workers:
-        world.cut(lonely, host)
+        world.cut_link(lonely, host)
     world.run(10)
     world.heal()
     world.run(3)
@@ -181,36 +181,36 @@
 
 def worn_day() -> World:
     """Machines that fail all tasks, never come up, fall silent, hear nothing, are taken back or have little to do."""
-    world = started(17, capacity=12)
-    world.cloud.boots = (1.0, 2.0)
-    world.submit("j-50", shape="service", pieces=14, cores=1.0)
-    world.submit("j-51", shape="service", pieces=16, cores=3.0)
-    assert world.accepted("j-51", "c0") and world.accepted("j-50", "c0")
+    world = started_world(17, capacity=12)
+    world.cloud.boot_seconds = (1.0, 2.0)
+    world.define_job("j-50", shape="service", pieces=14, cores=1.0)
+    world.define_job("j-51", shape="service", pieces=16, cores=3.0)
+    assert world.submit_until_accepted("j-51", "c0") and world.submit_until_accepted("j-50", "c0")
     world.run(10)
     sick, failed, silent, deaf, taken = sorted(host for host, worker in world.workers.items() if worker.booted)[:5]
-    world.workers[sick].sick = True
+    world.workers[sick].is_faulty = True
     for task in world.workers[sick].tasks.values():
         task.status, task.cause = "ended", "error"
     world.workers[failed].die()
-    world.cloud.listed[failed]["status"] = "failed"
+    world.cloud.listing[failed]["status"] = "failed"
     world.workers[silent].die()
-    world.deaf.add(deaf)
-    state = Worker._state
+    world.hosts_without_responses.add(deaf)
+    encode_status = Worker.encode_status
 
-    def with_notice(worker: Worker, tenure: int) -> bytes:
-        told = json.loads(state(worker, tenure))
+    def with_notice(worker: Worker) -> bytes:
+        told = json.loads(encode_status(worker))
         return json.dumps(told | ({"warningS": 0.3} if worker.host == taken else {})).encode()
 
-    world.cloud.boots = (500.0, 600.0)
-    world.bad["j-52"] = 0.3
-    world.submit("j-52", pieces=2, cores=0.5, rank="production")
-    with patch.object(Worker, "_state", with_notice):
-        assert world.accepted("j-52", "c2")
+    world.cloud.boot_seconds = (500.0, 600.0)
+    world.failure_delays["j-52"] = 0.3
+    world.define_job("j-52", pieces=2, cores=0.5, rank="production")
+    with patch.object(Worker, "encode_status", with_notice):
+        assert world.submit_until_accepted("j-52", "c2")
         for _ in range(40):
-            for host, row in world.cloud.listed.items():
+            for host, row in world.cloud.listing.items():
                 row["status"] = "running" if world.workers[host].booted or host == failed else "booting"
             world.run(1)
-        assert world.cancel("j-51", "c1")
+        assert world.cancel_job("j-51", "c1")
         world.run(50)
     return world
 
@@ -218,9 +218,9 @@
 def many_machines() -> World:
     """Messages that take no more than two machines, so that the tables come in parts."""
     with codecs.small_messages(2):
-        world = started(5, capacity=10)
-        world.submit("j-20", pieces=30, cores=2.0, guessS=4.0)
-        assert world.accepted("j-20", "c0")
+        world = started_world(5, capacity=10)
+        world.define_job("j-20", pieces=30, cores=2.0, guessS=4.0)
+        assert world.submit_until_accepted("j-20", "c0")
         world.run(6)
         world.nodes["c2"].kill()
         world.nodes["c2"].start()
@@ -236,11 +236,11 @@
     for node in world.nodes.values():
         node.start()
     world.run(6)
-    world.submit("j-30", pieces=12, guessS=3.0)
-    world.submit("j-31", owner="tight", pieces=5, guessS=3.0)
-    world.submit("j-32", owner="tight", shape="service", pieces=2)
-    for name, ref in zip(world.names, ("j-30", "j-31", "j-32"), strict=True):
-        assert world.accepted(ref, name)
+    world.define_job("j-30", pieces=12, guessS=3.0)
+    world.define_job("j-31", owner="tight", pieces=5, guessS=3.0)
+    world.define_job("j-32", owner="tight", shape="service", pieces=2)
+    for name, ref in zip(world.controller_names, ("j-30", "j-31", "j-32"), strict=True):
+        assert world.submit_until_accepted(ref, name)
     world.run(8)
     return world
 
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -3,12 +3,27 @@
 from datetime import timedelta
 
 import pytest
-from chaos import longest_beside_room, play
-from test_meetings import full_world, on_machines, restart, watch
-from test_world import busy_world, calm
-from troubles import SLOW_LINKS, Scene, Trouble
-from users import submit, withdraw
-from world import CLOUD, STATE, S, World, leader, started
+from virtual import (
+    CLOUD,
+    SLOW_LINK_FAULTS,
+    STORE,
+    Fault,
+    FaultContext,
+    S,
+    World,
+    busy_world,
+    cancel_job,
+    end_faults,
+    full_world,
+    leader_of,
+    longest_starvation,
+    play,
+    restart_controller,
+    run_with_checks,
+    running_attempts,
+    started_world,
+    submit_job,
+)
 
 from ramptide.settings import Tuning
 
@@ -24,35 +39,35 @@
     """Each second every controller is asked for every accepted job: the longest that any was silent about any."""
     answered: dict[tuple[str, str], timedelta] = {}
     began = world.now
-    asked = [(ref, name) for ref in sorted(world.accepted_jobs) for name in world.names]
+    asked = [(ref, name) for ref in sorted(world.accepted_jobs) for name in world.controller_names]
 
     def ask(ref: str, name: str) -> None:
         def told(status: int, body: bytes, headers: object) -> None:
             if status == 200:
                 answered[ref, name] = world.now
             elif status == 404:
-                world.rules.broken.append(f"forgotten {ref} by {name}")
+                world.invariants.violations.append(f"forgotten {ref} by {name}")
 
-        world.ask(name, lambda controller: controller.desk.poll(ref, told))
+        world.request(name, lambda controller: controller.desk.poll(ref, told))
 
     worst = (timedelta(0), "")
     for _ in range(seconds):
         for ref, name in asked:
             ask(ref, name)
         world.run(1.0)
-        world.rules.check()
+        world.invariants.check()
         worst = max([worst, *((world.now - answered.get(one, began), f"{one[0]} at {one[1]}") for one in asked)])
     return worst
 
 
 def finish_all(world: World, seconds: float) -> list[str]:
     """The users cancel their services; the accepted jobs that have not come to an end after that."""
-    for ref in sorted(world.accepted_jobs - world.cancelled.keys()):
-        if world.jobs[ref]["shape"] == "service":
-            withdraw(world, world.rng, ref)
+    for ref in sorted(world.accepted_jobs - world.cancelled_at.keys()):
+        if world.job_specs[ref]["shape"] == "service":
+            cancel_job(world, world.rng, ref)
 
     def left() -> list[str]:
-        return [ref for ref in sorted(world.accepted_jobs) if f"ended/{ref}" not in world.state.data]
+        return [ref for ref in sorted(world.accepted_jobs) if f"ended/{ref}" not in world.store.entries]
 
     world.run_until(lambda: not left(), seconds)
     return left()
@@ -60,14 +75,14 @@
 
 def judge_after_troubles(world: World) -> None:
     """What must hold once the troubles of a history are over."""
-    assert world.rules.broken == []
-    calm(world)
+    assert world.invariants.violations == []
+    end_faults(world)
     silent, job = longest_unanswered(world, 30)
     assert silent < WELL_BEFORE, f"no answer about {job}"
-    waited, ref = longest_beside_room(world, 95)
+    waited, ref = longest_starvation(world, 95)
     assert waited < BESIDE_ROOM, f"{ref} waits beside room"
     assert finish_all(world, 150) == []
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 @pytest.mark.parametrize("seed", range(300, 316))
@@ -88,26 +103,26 @@
     seconds, per_second = int(LARGEST_BEGIN) + 60, 3
     for number in range(seconds * per_second):
         ref = f"j-{number + 100}"
-        world.submit(ref, pieces=1, cores=2.0, guessS=8.0, **fields)
+        world.define_job(ref, pieces=1, cores=2.0, guessS=8.0, **fields)
         at = number / per_second * S
-        world.after(at, lambda ref=ref: submit(world, world.rng, ref))  # type: ignore[misc]
+        world.after(at, lambda ref=ref: submit_job(world, world.rng, ref))  # type: ignore[misc]
 
 
 def job_begins(world: World, flow: dict[str, object], job: dict[str, object]) -> float:
     """How long after its acceptance the first task of a job starts, amid the flow; endless if it doesn't."""
     flow_of_small_jobs(world, **flow)
     world.run(30)
-    world.submit("j-1", **job)
-    submit(world, world.rng, "j-1")
+    world.define_job("j-1", **job)
+    submit_job(world, world.rng, "j-1")
     began = world.now
-    if not world.run_until(lambda: world.rules.starts_of["j-1"] > 0, LARGEST_BEGIN + 20):
+    if not world.run_until(lambda: world.invariants.starts_by_job["j-1"] > 0, LARGEST_BEGIN + 20):
         return float("inf")
     return (world.now - began) / S
 
 
 #: As urgent as the large jobs, and with a deadline.
 URGENT: dict[str, object] = {"dueS": 120.0}
-LARGE = {
+LARGE: dict[str, dict[str, object]] = {
     "array": {"pieces": 60, "cores": 2.0, "guessS": 20.0},
     "whole machines": {"pieces": 12, "cores": 8.0, "guessS": 20.0},
     "one zone": {"pieces": 20, "cores": 8.0, "guessS": 20.0, "oneZone": True},
@@ -119,9 +134,9 @@
 
 @pytest.mark.parametrize("large", LARGE.values(), ids=LARGE.keys())
 def test_the_largest_job_begins_within_four_minutes_of_a_flow_of_small_ones(large: dict[str, object]) -> None:
-    world = started(11, capacity=5)
+    world = started_world(11, capacity=5)
     assert job_begins(world, URGENT, large) < LARGEST_BEGIN
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 LOW: dict[str, object] = {"rank": "low", "pieces": 40, "cores": 2.0, "guessS": 20.0}
@@ -130,13 +145,13 @@
 @pytest.mark.parametrize(("rank", "shape"), [("normal", "batch"), ("production", "batch"), ("high", "service")])
 def test_a_job_of_low_rank_begins_within_four_minutes_of_a_flow_of_higher_ranks(rank: str, shape: str) -> None:
     """Patience alone reorders jobs of one rank: a job of low rank waited for as long as more urgent work came."""
-    world = started(12, capacity=5)
+    world = started_world(12, capacity=5)
     assert job_begins(world, {"rank": rank}, LOW | {"shape": shape}) < LARGEST_BEGIN
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 def test_when_rank_always_goes_first_a_job_of_low_rank_does_not_begin() -> None:
-    world = started(12, capacity=5)
+    world = started_world(12, capacity=5)
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller.tuning = node.controller.floor.tuning = Tuning(begin_within=1000 * S)
@@ -144,7 +159,7 @@
 
 
 def test_without_patience_the_flow_keeps_the_largest_job_waiting() -> None:
-    world = started(11, capacity=5)
+    world = started_world(11, capacity=5)
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller.tuning = node.controller.floor.tuning = Tuning(
@@ -158,9 +173,9 @@
 
 def slow_everything(world: World, in_order: bool) -> None:
     """Between all hosts, those of machines yet to come excepted."""
-    for name in world.names:
-        world.slow_down(name, [STATE, CLOUD, *sorted(world.workers)], in_order)
-        world.slow_down(name, [other for other in world.names if other != name], in_order)
+    for name in world.controller_names:
+        world.slow_down_links(name, [STORE, CLOUD, *sorted(world.workers)], in_order)
+        world.slow_down_links(name, [other for other in world.controller_names if other != name], in_order)
 
 
 def more_work_than_room(world: World) -> list[str]:
@@ -169,7 +184,7 @@
     refs = [f"j-{number}" for number in range(24)]
     for number, ref in enumerate(refs):
         urgent = number % 3 == 0
-        world.submit(
+        world.define_job(
             ref,
             owner=("team", "few")[number % 2],
             rank=("normal", "high", "low")[number % 3],
@@ -179,50 +194,50 @@
             dueS=45.0 if urgent else None,
             **bounds[number % 4],
         )
-        world.after(number * 1.5 * S, lambda ref=ref: submit(world, world.rng, ref, USER_TRIES))  # type: ignore[misc]
+        world.after(number * 1.5 * S, lambda ref=ref: submit_job(world, world.rng, ref, USER_TRIES))  # type: ignore[misc]
     return refs
 
 
 @pytest.mark.parametrize("in_order", [True, False], ids=["in order", "in any order"])
 @pytest.mark.parametrize("seed", range(3))
 def test_more_work_than_room_urgent_and_not_over_slow_links(seed: int, in_order: bool) -> None:
-    world = started(seed, teams={"team": 0.0, "few": 16.0}, capacity=6)
-    world.cloud.kind_capacity = 3
+    world = started_world(seed, teams={"team": 0.0, "few": 16.0}, capacity=6)
+    world.cloud.pool_capacity = 3
     refs = more_work_than_room(world)
     world.run(5)
     for _ in range(8):
         slow_everything(world, in_order)
-        watch(world, 5)
-    world.speed_up()
-    calm(world)
-    assert world.rules.broken == []
+        run_with_checks(world, 5)
+    world.restore_link_speed()
+    end_faults(world)
+    assert world.invariants.violations == []
     assert set(refs) <= world.accepted_jobs
     silent, job = longest_unanswered(world, 10)
     assert silent < WELL_BEFORE, f"no answer about {job}"
-    waited, ref = longest_beside_room(world, 100)
+    waited, ref = longest_starvation(world, 100)
     assert waited < BESIDE_ROOM, f"{ref} waits beside room"
     assert finish_all(world, 300) == []
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
-@pytest.mark.parametrize("slow_links", SLOW_LINKS.values(), ids=SLOW_LINKS.keys())
+@pytest.mark.parametrize("slow_links", SLOW_LINK_FAULTS.values(), ids=SLOW_LINK_FAULTS.keys())
 @pytest.mark.parametrize("seed", range(2))
-def test_a_slow_link_for_a_minute_breaks_no_rule_and_cancellations_end_in_time(slow_links: Trouble, seed: int) -> None:
+def test_a_slow_link_for_a_minute_breaks_no_rule_and_cancellations_end_in_time(slow_links: Fault, seed: int) -> None:
     world = busy_world(seed + 20, guessS=500.0)
-    slow_links(Scene(world, world.rng, 60 * S, leader(world), []))
-    watch(world, 5)
-    withdraw(world, world.rng, "j-1")
-    watch(world, 55)
-    world.speed_up()
-    calm(world)
-    assert "j-1" in world.cancelled and on_machines(world, "j-1") == set()
-    assert world.rules.broken == []
+    slow_links(FaultContext(world, world.rng, 60 * S, leader_of(world), []))
+    run_with_checks(world, 5)
+    cancel_job(world, world.rng, "j-1")
+    run_with_checks(world, 55)
+    world.restore_link_speed()
+    end_faults(world)
+    assert "j-1" in world.cancelled_at and running_attempts(world, "j-1") == set()
+    assert world.invariants.violations == []
 
 
 def order_of_arrival(in_order: bool) -> list[int]:
     """The numbers of fifty messages, sent one every 50 ms over a slow link, as they arrive."""
     world = World(1)
-    world.slow_down("c0", ["c1"], in_order)
+    world.slow_down_links("c0", ["c1"], in_order)
     heard: list[int] = []
     for number in range(50):
         world.send("c0", "c1", lambda answer, number=number: heard.append(number), 9 * S, lambda reply: None)  # type: ignore[misc]
@@ -247,14 +262,14 @@
 def test_copies_of_all_reports_up_to_five_leases_late_break_nothing(seed: int) -> None:
     """Leaders change meanwhile, so old reports reach new owners, too."""
     world = busy_world(seed + 40, guessS=25.0)
-    world.late_reports = 1.0
+    world.late_heartbeat_rate = 1.0
     for number in range(3):
-        world.submit(f"j-{number + 2}", pieces=5, cores=2.0, guessS=6.0)
-        submit(world, world.rng, f"j-{number + 2}")
-        watch(world, 8)
-        restart(world, leader(world))
-    watch(world, 20)
-    calm(world)
+        world.define_job(f"j-{number + 2}", pieces=5, cores=2.0, guessS=6.0)
+        submit_job(world, world.rng, f"j-{number + 2}")
+        run_with_checks(world, 8)
+        restart_controller(world, leader_of(world))
+    run_with_checks(world, 20)
+    end_faults(world)
     judge_after_troubles(world)
 
 
@@ -262,18 +277,18 @@
 def test_machines_that_hear_no_answer_across_a_change_of_leader_run_nothing_twice(seed: int) -> None:
     """Their reports arrive all the time, at one controller after the other."""
     world = full_world()
-    busy = sorted({worker.host for worker, _ in world.rules.on_machines()})
-    world.deaf.update(world.rng.sample(busy, 4))
-    watch(world, 3 + seed)
-    restart(world, leader(world))
-    withdraw(world, world.rng, "j-1")
-    watch(world, 30)
-    assert world.rules.broken == [] and on_machines(world, "j-1") == set()
+    busy = sorted({worker.host for worker, _ in world.invariants.running_tasks()})
+    world.hosts_without_responses.update(world.rng.sample(busy, 4))
+    run_with_checks(world, 3 + seed)
+    restart_controller(world, leader_of(world))
+    cancel_job(world, world.rng, "j-1")
+    run_with_checks(world, 30)
+    assert world.invariants.violations == [] and running_attempts(world, "j-1") == set()
 
 
 def alone_with_workers(world: World, name: str) -> None:
-    for other in (STATE, *(each for each in world.names if each != name)):
-        world.cut(name, other)
+    for other in (STORE, *(each for each in world.controller_names if each != name)):
+        world.cut_link(name, other)
 
 
 @pytest.mark.parametrize("lead", [True, False])
@@ -281,14 +296,14 @@
 def test_a_controller_that_loses_the_state_service_and_its_peers_ends_what_others_cancel(lead: bool, away: int) -> None:
     """Workers and users still reach it, and the cloud does."""
     world = busy_world(guessS=500.0)
-    name = leader(world) if lead else next(each for each in world.names if each != leader(world))
+    name = leader_of(world) if lead else next(each for each in world.controller_names if each != leader_of(world))
     alone_with_workers(world, name)
-    watch(world, 1)
-    withdraw(world, world.rng, "j-1")
-    watch(world, away)
+    run_with_checks(world, 1)
+    cancel_job(world, world.rng, "j-1")
+    run_with_checks(world, away)
     world.heal()
-    watch(world, 25)
-    assert "j-1" in world.cancelled and on_machines(world, "j-1") == set()
+    run_with_checks(world, 25)
+    assert "j-1" in world.cancelled_at and running_attempts(world, "j-1") == set()
     judge_after_troubles(world)
 
 
@@ -297,18 +312,18 @@
 def test_processes_back_within_a_fraction_of_a_second_in_an_election_lose_nothing(away: float, wait: float) -> None:
     """The leader goes for good; those that run for its place are killed and back while the members change."""
     world = full_world()
-    before = on_machines(world, "j-1")
-    gone = leader(world)
+    before = running_attempts(world, "j-1")
+    gone = leader_of(world)
     world.nodes[gone].kill()
-    watch(world, wait)
-    for name in world.names:
+    run_with_checks(world, wait)
+    for name in world.controller_names:
         if name != gone:
             world.nodes[name].kill()
             world.after(away * S, world.nodes[name].start)
-            watch(world, 0.7)
-    watch(world, 12)
-    assert len(before & on_machines(world, "j-1")) == len(before), "no task was lost"
+            run_with_checks(world, 0.7)
+    run_with_checks(world, 12)
+    assert len(before & running_attempts(world, "j-1")) == len(before), "no task was lost"
     world.nodes[gone].start()
-    watch(world, 15)
-    assert len(on_machines(world, "j-1")) == 16
-    assert world.rules.broken == []
+    run_with_checks(world, 15)
+    assert len(running_attempts(world, "j-1")) == 16
+    assert world.invariants.violations == []
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -5,12 +5,11 @@
 from datetime import timedelta
 
 import pytest
-from test_meetings import full_world, watch
-from world import Reply, S, World, leader
+from virtual import Response, S, World, full_world, leader_of, run_with_checks
 
 from ramptide.announcements import MAX_IN_FLIGHT, TokenAnnouncer
 from ramptide.app import Controller
-from ramptide.protocol.agents import COMMANDS_PATH, decode_heartbeat
+from ramptide.protocol.agents import COMMANDS_PATH, Heartbeat, decode_heartbeat
 from ramptide.task_state import DesiredState, Phase
 
 
@@ -27,7 +26,7 @@
     """A runtime that keeps the requests until the test answers them."""
 
     def __init__(self) -> None:
-        self.requests: list[tuple[str, dict[str, object], Callable[[Reply | None], None]]] = []
+        self.requests: list[tuple[str, dict[str, object], Callable[[Response | None], None]]] = []
 
     def call(
         self,
@@ -37,7 +36,7 @@
         body: bytes,
         content_type: str,
         timeout: timedelta,
-        done: Callable[[Reply | None], None],
+        done: Callable[[Response | None], None],
     ) -> None:
         assert (method, target) == ("POST", COMMANDS_PATH)
         self.requests.append((address, json.loads(body), done))
@@ -47,14 +46,14 @@
     """How long after the change of membership all that are left start tasks again, with sixteen tasks on machines."""
     world = full_world()
     world.run(5)
-    gone = leader(world)
+    gone = leader_of(world)
     silence(world, gone)
     rest = [node.controller for name, node in world.nodes.items() if name != gone and node.controller is not None]
     assert world.run_until(lambda: all(c.view is not None and gone not in c.view.members for c in rest), 10)
     began = world.now
     assert world.run_until(lambda: all(controller.latched for controller in rest), 20)
-    watch(world, 20)
-    assert world.rules.broken == []
+    run_with_checks(world, 20)
+    assert world.invariants.violations == []
     return (world.now - began - 20 * S) / S
 
 
@@ -78,31 +77,34 @@
 
 
 def test_a_worker_of_another_session_is_asked_again_once() -> None:
-    workers, taken = Workers(), []
+    workers = Workers()
+    taken: list[Heartbeat] = []
     TokenAnnouncer(workers, taken.append).announce(7, {"vm-0": "vm-0"})  # type: ignore[arg-type]
-    workers.requests[0][2](Reply(409, report("vm-0", 6, tenure=3)))
+    workers.requests[0][2](Response(409, report("vm-0", 6, tenure=3)))
     assert [request["tenure"] for _, request, _ in workers.requests] == [1, 3] and taken == []
-    workers.requests[1][2](Reply(409, report("vm-0", 6, tenure=4)))
+    workers.requests[1][2](Response(409, report("vm-0", 6, tenure=4)))
     assert len(workers.requests) == 2, "it will report by itself"
 
 
 def test_what_a_worker_says_of_an_earlier_token_or_of_another_host_is_not_taken() -> None:
-    workers, taken = Workers(), []
+    workers = Workers()
+    taken: list[Heartbeat] = []
     announcer = TokenAnnouncer(workers, taken.append)  # type: ignore[arg-type]
     announcer.announce(7, {"vm-0": "vm-0", "vm-1": "vm-1", "vm-2": "vm-2"})
-    workers.requests[1][2](Reply(200, report("vm-9", 7)))
-    workers.requests[2][2](Reply(200, b"no report"))
+    workers.requests[1][2](Response(200, report("vm-9", 7)))
+    workers.requests[2][2](Response(200, b"no report"))
     announcer.announce(8, {})
-    workers.requests[0][2](Reply(200, report("vm-0", 7)))
+    workers.requests[0][2](Response(200, report("vm-0", 7)))
     assert taken == []
 
 
 def test_machines_that_do_not_respond_hold_up_only_their_places() -> None:
-    workers, taken = Workers(), []
+    workers = Workers()
+    taken: list[Heartbeat] = []
     TokenAnnouncer(workers, taken.append).announce(7, {f"vm-{n}": f"vm-{n}" for n in range(40)})  # type: ignore[arg-type]
     assert len(workers.requests) == MAX_IN_FLIGHT
     for host, _, done in list(workers.requests[1:]):
-        done(Reply(200, report(host, 7)))
+        done(Response(200, report(host, 7)))
     assert len(taken) == MAX_IN_FLIGHT - 1 and len(workers.requests) == 2 * MAX_IN_FLIGHT - 1
 
 
@@ -129,9 +131,9 @@
 def test_a_direct_report_after_the_first_one_of_the_view_changes_nothing() -> None:
     """It may have been made before the worker heard our last answer: what it lacks may yet be started."""
     world = full_world()
-    world.submit("j-2", pieces=12, cores=1.0, guessS=500.0)
-    body = json.dumps(world.jobs["j-2"]).encode()
-    world.ask("c0", lambda controller: controller.desk.submit(body, lambda status, *_: None))
+    world.define_job("j-2", pieces=12, cores=1.0, guessS=500.0)
+    body = json.dumps(world.job_specs["j-2"]).encode()
+    world.request("c0", lambda controller: controller.desk.submit(body, lambda status, *_: None))
     controller, host = controller_with_a_launch_under_way(world)
     assert controller.shard is not None
     machine = controller.shard.machines[host]
@@ -145,7 +147,7 @@
 def test_a_lease_counts_from_the_direct_report_on() -> None:
     """Until the worker saw the token, a controller of an earlier view may have answered it."""
     world = full_world()
-    gone = leader(world)
+    gone = leader_of(world)
     world.nodes[gone].kill()
     rest = [node.controller for name, node in world.nodes.items() if name != gone and node.controller is not None]
     assert world.run_until(lambda: all(c.view is not None and gone not in c.view.members for c in rest), 10)
@@ -154,7 +156,8 @@
         machines = controller.shard.machines.values()
         assert world.run_until(lambda machines=machines: any(one.last_heartbeat_at is not None for one in machines), 2)  # type: ignore[misc]
         told = [one for one in machines if one.last_heartbeat_at is not None and one.last_reply_at is None]
-        assert told and all(one.latest_answer() == one.last_heartbeat_at > controller.view_at for one in told)
+        assert told and all(one.latest_answer() == one.last_heartbeat_at for one in told)
+        assert all(one.last_heartbeat_at is not None and one.last_heartbeat_at > controller.view_at for one in told)
 
 
 def test_a_direct_report_that_is_not_taken_does_not_make_the_next_one_look_astray() -> None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -4,6 +4,7 @@
 import json
 import random
 from collections.abc import Callable, Iterator
+from datetime import timedelta
 from pathlib import Path
 from typing import Any
 
@@ -13,9 +14,20 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from test_settings import FILE
-from test_world import busy_world
-from world import S, World, job, owner, started
+from virtual import (
+    CLOUD,
+    SETTINGS_FILE,
+    STORE,
+    Cloud,
+    KeyValueStore,
+    Respond,
+    S,
+    World,
+    busy_world,
+    job_spec,
+    owner_of,
+    started_world,
+)
 
 from ramptide import peers
 from ramptide.job_scheduler import JobScheduler
@@ -36,21 +48,23 @@
 
 def answers(world: World, node: str, body: bytes, seconds: float = 3.0) -> list[tuple[int, dict[str, Any]]]:
     got: list[tuple[int, dict[str, Any]]] = []
-    world.ask(node, lambda c: c.desk.submit(body, lambda status, said, headers: got.append((status, json.loads(said)))))
+    world.request(
+        node, lambda c: c.desk.submit(body, lambda status, said, headers: got.append((status, json.loads(said))))
+    )
     world.run(seconds)
     return got
 
 
 def known(world: World) -> set[str]:
     """The jobs that anybody has ever accepted."""
-    return {key.split("/")[-1] for key in world.state.data if key.startswith(("live/job/", "ended/"))}
+    return {key.split("/")[-1] for key in world.store.entries if key.startswith(("live/job/", "ended/"))}
 
 
 # Submissions.
 
 
 def malformed() -> Iterator[tuple[str, bytes]]:
-    spec = job("j-1", rigs=None, yard=None, dueS=None)
+    spec = job_spec("j-1", rigs=None, yard=None, dueS=None)
     yield from missing_or_of_another_type(spec)
     yield from malformed_numbers(spec)
     yield from malformed_values(spec)
@@ -106,9 +120,9 @@
 
 
 def test_malformed_submissions_get_400_and_are_never_accepted() -> None:
-    world = started(3)
+    world = started_world(3)
     for number, (what, body) in enumerate(malformed()):
-        got = answers(world, world.names[number % 3], body, 0.0)
+        got = answers(world, world.controller_names[number % 3], body, 0.0)
         assert [status for status, _ in got] == [400], what
         assert got[0][1]["error"], what
     world.run(3)
@@ -116,9 +130,9 @@
 
 
 def test_fields_that_may_be_null_may_be_omitted_and_others_are_ignored() -> None:
-    world = started(3)
-    assert answers(world, "c0", json.dumps(job("j-1", rigs=None, yard=None, dueS=None)).encode())[0][0] == 201
-    assert answers(world, "c1", json.dumps(job("j-2", cores=2, else_={"deep": [1]})).encode())[0][0] == 201
+    world = started_world(3)
+    assert answers(world, "c0", json.dumps(job_spec("j-1", rigs=None, yard=None, dueS=None)).encode())[0][0] == 201
+    assert answers(world, "c1", json.dumps(job_spec("j-2", cores=2, else_={"deep": [1]})).encode())[0][0] == 201
     assert known(world) == {"j-1", "j-2"}
 
 
@@ -139,9 +153,9 @@
 
 @pytest.mark.parametrize("changes", NEVER, ids=str)
 def test_what_can_never_run_gets_422(changes: dict[str, Any]) -> None:
-    world = started(3, teams={"team": 0.0, "tight": 4.0})
-    for name in world.names:
-        got = answers(world, name, json.dumps(job("j-1") | changes).encode())
+    world = started_world(3, teams={"team": 0.0, "tight": 4.0})
+    for name in world.controller_names:
+        got = answers(world, name, json.dumps(job_spec("j-1") | changes).encode())
         assert [status for status, _ in got] == [422] and got[0][1]["error"]
     assert known(world) == set()
 
@@ -160,32 +174,32 @@
     ids=str,
 )
 def test_what_may_run_is_accepted(changes: dict[str, Any]) -> None:
-    world = started(3, teams={"team": 0.0, "tight": 4.0})
-    assert answers(world, "c1", json.dumps(job("j-1") | changes).encode())[0][0] == 201
+    world = started_world(3, teams={"team": 0.0, "tight": 4.0})
+    assert answers(world, "c1", json.dumps(job_spec("j-1") | changes).encode())[0][0] == 201
 
 
 def test_spread_with_a_single_zone_gets_422(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = started(3)
+    world = started_world(3)
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller._take_machine_types([{"name": "m", "cores": 8, "ramGb": 32, "yards": ["a"]}])
-    assert answers(world, "c0", json.dumps(job("j-1", spread=True)).encode())[0][0] == 422
+    assert answers(world, "c0", json.dumps(job_spec("j-1", spread=True)).encode())[0][0] == 422
 
 
 @pytest.mark.parametrize("cloud_down", [False, True])
 def test_none_is_accepted_whatever_a_controller_has_loaded_so_far(cloud_down: bool) -> None:
     """Asked from the first moment on: 503 until the controller can tell, and then what the page says."""
     world = World(7, teams={"team": 0.0, "tight": 4.0})
-    world.cloud.down = cloud_down
+    world.cloud.is_down = cloud_down
     got: dict[int, list[int]] = {400: [], 422: []}
-    bodies = [(400, json.dumps(job("j-1", rigs=[])).encode())]
-    bodies += [(422, json.dumps(job("j-1") | changes).encode()) for changes in NEVER]
+    bodies = [(400, json.dumps(job_spec("j-1", rigs=[])).encode())]
+    bodies += [(422, json.dumps(job_spec("j-1") | changes).encode()) for changes in NEVER]
     for node in world.nodes.values():
         node.start()
     for moment in range(120):
         right, body = bodies[moment % len(bodies)]
-        for name in world.names:
-            world.ask(name, lambda c, right=right, body=body: c.desk.submit(  # type: ignore[misc]
+        for name in world.controller_names:
+            world.request(name, lambda c, right=right, body=body: c.desk.submit(  # type: ignore[misc]
                 body, lambda status, *rest: got[right].append(status)))  # fmt: skip
         world.run(0.05)
     world.run(3)
@@ -195,51 +209,53 @@
 
 
 def test_503_while_the_state_service_is_lacking() -> None:
-    world = started(3)
-    world.state.outage(90)
+    world = started_world(3)
+    world.store.start_outage(90)
     world.run(4)
     for changes in [{}, *NEVER]:
-        assert answers(world, "c0", json.dumps(job("j-1") | changes).encode())[0][0] == 503
+        assert answers(world, "c0", json.dumps(job_spec("j-1") | changes).encode())[0][0] == 503
     assert answers(world, "c0", b"{}")[0][0] == 400
 
 
 def test_a_repeat_gets_200_and_the_state_and_changes_nothing() -> None:
     world = busy_world(guessS=60.0)
     world.run(3)
-    before = copy.deepcopy(world.state.data["live/job/j-1"][0]["run"])
-    for name in world.names:
-        assert answers(world, name, json.dumps(world.jobs["j-1"]).encode()) == [
+    before = copy.deepcopy(world.store.entries["live/job/j-1"][0]["run"])
+    for name in world.controller_names:
+        assert answers(world, name, json.dumps(world.job_specs["j-1"]).encode()) == [
             (200, {"ref": "j-1", "status": "running", "done": 0, "running": 6})
         ]
     # The page knows no other answer to a ref that was accepted: what was accepted first stays.
-    other = answers(world, "c1", json.dumps(world.jobs["j-1"] | {"pieces": 2, "cores": 1.0}).encode())
-    assert other[0][0] == 200 and world.state.data["live/job/j-1"][0]["run"] == before
-    assert answers(world, "c1", json.dumps(world.jobs["j-1"] | {"owner": "nobody"}).encode())[0][0] == 200
-    assert answers(world, "c1", json.dumps(world.jobs["j-1"] | {"pieces": "2"}).encode())[0][0] == 400
-    assert world.cancel("j-1", "c2")
-    assert answers(world, "c0", json.dumps(world.jobs["j-1"]).encode())[0] == (
+    other = answers(world, "c1", json.dumps(world.job_specs["j-1"] | {"pieces": 2, "cores": 1.0}).encode())
+    assert other[0][0] == 200 and world.store.entries["live/job/j-1"][0]["run"] == before
+    assert answers(world, "c1", json.dumps(world.job_specs["j-1"] | {"owner": "nobody"}).encode())[0][0] == 200
+    assert answers(world, "c1", json.dumps(world.job_specs["j-1"] | {"pieces": "2"}).encode())[0][0] == 400
+    assert world.cancel_job("j-1", "c2")
+    assert answers(world, "c0", json.dumps(world.job_specs["j-1"]).encode())[0] == (
         200, {"ref": "j-1", "status": "withdrawn", "done": 0, "running": 0}
     )  # fmt: skip
 
 
 def cancelled(world: World, ref: str, node: str) -> tuple[int, dict[str, Any]]:
     got: list[tuple[int, dict[str, Any]]] = []
-    world.ask(node, lambda c: c.desk.cancel(ref, lambda status, body, headers: got.append((status, json.loads(body)))))
+    world.request(
+        node, lambda c: c.desk.cancel(ref, lambda status, body, headers: got.append((status, json.loads(body))))
+    )
     world.run(3)
     (answer,) = got
     return answer
 
 
 def test_cancels_and_polls_of_what_is_done_or_unknown() -> None:
-    world = started(4)
-    world.submit("j-1", pieces=2, guessS=2.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: world.done("j-1"), 60)
-    for name in world.names:
+    world = started_world(4)
+    world.define_job("j-1", pieces=2, guessS=2.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: world.is_done("j-1"), 60)
+    for name in world.controller_names:
         assert cancelled(world, "j-1", name) == (200, {"ref": "j-1", "status": "done"})
         for ref in ("j-999", "j-", "", "x", "j-1%2f", "j-" + "9" * 300, "j-1\n", "../j-1", "\u0661"):
             assert cancelled(world, ref, name)[0] == 404
-            polled = world.poll(ref, name)
+            polled = world.poll_job(ref, name)
             assert polled is not None and polled[0] == 404, ref
     assert cancelled(world, "j-1", "c1")[1]["status"] == "done" and known(world) == {"j-1"}
 
@@ -292,15 +308,16 @@
 def test_broken_reports_change_nothing(seed: int) -> None:
     """A report that is not taken leaves all as it was; one that is well-formed in spite of it all may be taken."""
     world = busy_world(guessS=500.0)
-    worker, task = world.rules.on_machines()[0]
-    name = owner(world, worker.host)
+    worker, task = world.invariants.running_tasks()[0]
+    name = owner_of(world, worker.host)
     controller = world.nodes[name].controller
     assert controller is not None and controller.shard is not None
     rng = random.Random(seed)
     beat = {
-        "host": worker.host, "addr": "h:1", "rig": "m", "yard": worker.yard, "loaners": False, "tenure": worker.tenure,
-        "tally": worker.tally + 1, "baton": worker.baton, "warningS": None,
-        "pieces": [{"piece": f"{task.ref}/{task.number}", "try": task.attempt, "status": "running", "cause": None}],
+        "host": worker.host, "addr": "h:1", "rig": "m", "yard": worker.zone, "loaners": False,
+        "tenure": worker.agent_epoch, "tally": worker.sequence_number + 1, "baton": worker.fencing_token,
+        "warningS": None,
+        "pieces": [{"piece": f"{task.job_id}/{task.index}", "try": task.attempt, "status": "running", "cause": None}],
     }  # fmt: skip
     refused = 0
     for _ in range(1500):
@@ -335,12 +352,12 @@
 )  # fmt: skip
 def test_reports_that_no_worker_sends_are_refused(changes: dict[str, Any]) -> None:
     world = busy_world(guessS=500.0)
-    worker, _ = world.rules.on_machines()[0]
-    controller = world.nodes[owner(world, worker.host)].controller
+    worker, _ = world.invariants.running_tasks()[0]
+    controller = world.nodes[owner_of(world, worker.host)].controller
     assert controller is not None and controller.shard is not None
     before = shown(controller.shard, worker.host)
-    beat = {"host": worker.host, "rig": "m", "yard": worker.yard, "loaners": False, "tenure": worker.tenure,
-            "tally": worker.tally + 1, "baton": worker.baton, "pieces": []}  # fmt: skip
+    beat = {"host": worker.host, "rig": "m", "yard": worker.zone, "loaners": False, "tenure": worker.agent_epoch,
+            "tally": worker.sequence_number + 1, "baton": worker.fencing_token, "pieces": []}  # fmt: skip
     got: list[int] = []
     body = to_json(beat | changes)
     controller.reports.receive_heartbeat(body, lambda status, said: got.append(status))
@@ -352,17 +369,17 @@
 
 def test_a_machine_with_a_strange_name_stops_no_leader() -> None:
     """What reports and is not recorded is taken over under its name: the state service takes no such key."""
-    world = started(3)
+    world = started_world(3)
     for host in ("vm 1", "vm-\n", "v" * 190, "\u00e9" * 60):
         beat = {"host": host, "rig": "m", "yard": "a", "loaners": False, "tenure": 1, "tally": 1, "baton": 9,
                 "pieces": []}  # fmt: skip
-        for name in world.names:
+        for name in world.controller_names:
             got: list[int] = []
-            world.ask(name, lambda c, got=got, beat=beat: c.reports.receive_heartbeat(  # type: ignore[misc]
+            world.request(name, lambda c, got=got, beat=beat: c.reports.receive_heartbeat(  # type: ignore[misc]
                 to_json(beat), lambda status, said: got.append(status)))  # fmt: skip
             assert got == [400]
     world.run(5)
-    assert all(len(key.encode()) <= 200 and not set(key) & set(" \n") for key in world.state.data)
+    assert all(len(key.encode()) <= 200 and not set(key) & set(" \n") for key in world.store.entries)
 
 
 def messages(world: World, seconds: float) -> list[tuple[str, bytes]]:
@@ -374,7 +391,7 @@
 
         def noted(sync: peers.PeerMessage) -> bytes:
             body = send(sync)
-            found.extend((name, body) for name in world.names if name != sync.member)
+            found.extend((name, body) for name in world.controller_names if name != sync.member)
             return body
 
         patch.setattr(peers, "encode", noted)
@@ -385,8 +402,8 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_broken_messages_of_controllers_change_nothing(seed: int) -> None:
     world = busy_world(guessS=500.0)
-    world.submit("j-2", pieces=20, cores=1.0, guessS=3.0)
-    assert world.accepted("j-2", "c0")
+    world.define_job("j-2", pieces=20, cores=1.0, guessS=3.0)
+    assert world.submit_until_accepted("j-2", "c0")
     rng = random.Random(seed)
     said = messages(world, 4)
     refused = taken = 0
@@ -418,7 +435,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_broken_answers_of_controllers_lose_no_change(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    world = started(seed)
+    world = started_world(seed)
     rng, take = random.Random(seed), Syncing.take
     rate = [0.4]
 
@@ -437,12 +454,12 @@
 
     monkeypatch.setattr(Syncing, "take", flawed)
     for number in range(6):
-        world.submit(f"j-{number}", pieces=8, guessS=4.0)
-        assert world.accepted(f"j-{number}", world.names[number % 3])
+        world.define_job(f"j-{number}", pieces=8, guessS=4.0)
+        assert world.submit_until_accepted(f"j-{number}", world.controller_names[number % 3])
     world.run(20)
     rate[0] = 0.0
-    assert world.run_until(lambda: all(world.done(f"j-{number}") for number in range(6)), 90)
-    assert world.rules.broken == []
+    assert world.run_until(lambda: all(world.is_done(f"j-{number}") for number in range(6)), 90)
+    assert world.invariants.violations == []
 
 
 @pytest.mark.parametrize(
@@ -479,11 +496,11 @@
 class Flawed:
     """A service of which some answers are broken on their way."""
 
-    def __init__(self, world: World, service: Any, rate: float, seed: int) -> None:
+    def __init__(self, service: KeyValueStore | Cloud, rate: float, seed: int) -> None:
         self.rng = random.Random(seed)
         self.rate = rate
         self.broken = 0
-        carry_out = service.handle
+        carry_out: Callable[..., None] = service.handle
 
         def handle(*request: Any) -> None:
             answer = request[-1]
@@ -499,7 +516,7 @@
 
             carry_out(*request[:-1], flawed)
 
-        service.handle = handle
+        service.handle = handle  # type: ignore[method-assign, assignment]
 
 
 def broken_answer(rng: random.Random, value: Any) -> bytes:
@@ -513,20 +530,20 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize("service", ["state", "cloud"])
+@pytest.mark.parametrize("service", [STORE, CLOUD])
 def test_broken_answers_end_no_process_and_break_no_rule(service: str, seed: int) -> None:
-    world = started(seed)
-    flawed = Flawed(world, getattr(world, service), 0.2 if service == "state" else 0.5, seed)
+    world = started_world(seed)
+    flawed = Flawed(world.store, 0.2, seed) if service == STORE else Flawed(world.cloud, 0.5, seed)
     for number in range(6):
-        world.submit(f"j-{number}", pieces=4, guessS=4.0)
-        assert world.accepted(f"j-{number}", world.names[number % 3], tries=60)
+        world.define_job(f"j-{number}", pieces=4, guessS=4.0)
+        assert world.submit_until_accepted(f"j-{number}", world.controller_names[number % 3], tries=60)
     for _ in range(60):
         world.run(0.5)
-        world.rules.check()
+        world.invariants.check()
     flawed.rate = 0.0
     assert flawed.broken > 5
-    assert world.run_until(lambda: all(world.done(f"j-{number}") for number in range(6)), 90)
-    assert world.rules.broken == []
+    assert world.run_until(lambda: all(world.is_done(f"j-{number}") for number in range(6)), 90)
+    assert world.invariants.violations == []
 
 
 BROKEN_ANSWERS = [
@@ -541,38 +558,38 @@
 @pytest.mark.parametrize("body", BROKEN_ANSWERS, ids=str)
 def test_a_put_without_a_value_drops_no_job(body: bytes) -> None:
     world = busy_world(guessS=60.0)
-    carry_out = world.state._watch
+    carry_out = world.store._watch
     sent: list[int] = []
 
-    def watch(prefix: str, since: int, until: Any, answer: Callable[[int, Any], None]) -> None:
+    def watch(prefix: str, since: int, deadline: timedelta, respond: Respond) -> None:
         if len(sent) < 3:
             sent.append(since)
-            answer(200, body)
+            respond(200, body)
         else:
-            carry_out(prefix, since, until, answer)
+            carry_out(prefix, since, deadline, respond)
 
-    world.state._watch = watch  # type: ignore[method-assign]
+    world.store._watch = watch  # type: ignore[method-assign]
     world.run(3)
     assert len(sent) == 3
     for node in world.nodes.values():
         assert node.controller is not None and "j-1" in node.controller.jobs
-    assert len(world.rules.on_machines()) == 6
+    assert len(world.invariants.running_tasks()) == 6
 
 
 def test_a_page_that_leads_nowhere_is_not_read_for_ever() -> None:
     world = World(5)
     pages = {"rows": [{"path": "live/x", "v": 1, "stamp": 1}], "more": True, "epoch": 1}
-    carry_out = world.state.handle
+    carry_out = world.store.handle
     asked: list[str] = []
 
-    def handle(caller: str, method: str, target: str, body: bytes, answer: Callable[[int, Any], None]) -> None:
+    def handle(caller: str, method: str, target: str, body: bytes, respond: Respond) -> None:
         if target.startswith(KEYS_PATH + "?") and world.now < 3 * S:
             asked.append(target)
-            answer(200, pages if len(asked) % 2 else pages | {"rows": []})
+            respond(200, pages if len(asked) % 2 else pages | {"rows": []})
         else:
-            carry_out(caller, method, target, body, answer)
+            carry_out(caller, method, target, body, respond)
 
-    world.state.handle = handle  # type: ignore[method-assign]
+    world.store.handle = handle  # type: ignore[method-assign]
     for node in world.nodes.values():
         node.start()
     world.run(3)
@@ -584,14 +601,14 @@
 
 RECORDS: list[Any] = [
     *JUNK,
-    {"run": job("j-1")},
-    {"run": job("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": []},
-    {"run": job("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": [-1, ""]},
-    {"run": job("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": [0, "*"]},
-    {"run": job("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": [10**9, ""]},
-    {"run": job("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": [0, "A" * 4000]},
-    {"run": job("j-1"), "home": "c0", "born": 1, "at": 1e300, "done": [0, ""]},
-    {"run": job("j-1", rank="urgent"), "home": "c0", "born": 1, "at": 0.0, "done": [0, ""]},
+    {"run": job_spec("j-1")},
+    {"run": job_spec("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": []},
+    {"run": job_spec("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": [-1, ""]},
+    {"run": job_spec("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": [0, "*"]},
+    {"run": job_spec("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": [10**9, ""]},
+    {"run": job_spec("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": [0, "A" * 4000]},
+    {"run": job_spec("j-1"), "home": "c0", "born": 1, "at": 1e300, "done": [0, ""]},
+    {"run": job_spec("j-1", rank="urgent"), "home": "c0", "born": 1, "at": 0.0, "done": [0, ""]},
     {"flavor": "m", "yard": "a", "spot": False, "at": -1e300, "hosts": {}},
     {"flavor": "m", "yard": "a", "spot": False, "at": 1.0, "hosts": {"vm-1": [1, 2, 3]}},
 ]
@@ -602,12 +619,12 @@
     world = busy_world(guessS=60.0)
     for record in RECORDS:
         if record is not None:
-            world.state._apply([(path, record, None)], [])
+            world.store.put(path, record)
             world.run(0.5)
     world.run(3)
     for node in world.nodes.values():
         assert node.controller is not None and node.controller.jobs["j-1"].spec.task_count == 6
-    assert len(world.rules.on_machines()) == 6 and world.rules.broken == []
+    assert len(world.invariants.running_tasks()) == 6 and world.invariants.violations == []
 
 
 @pytest.mark.parametrize("value", [[], [0], [0, 1], ["0", ""], [0, "A"], [-1, ""], [True, ""], None, {}])
@@ -624,7 +641,7 @@
         if (c := node.controller) is not None and c.scheduler and "j-1" in c.scheduler.jobs
     )
     home: JobScheduler = controller.scheduler  # type: ignore[assignment]
-    host = world.rules.on_machines()[0][0].host
+    host = world.invariants.running_tasks()[0][0].host
     rows = list(controller.floor.hosts[host].tasks)
     home.apply_status(host, "a", [*rows, ("j-1", 99_999, 7, "ended", "done")], world.now)
     assert home.jobs["j-1"].done.count == 0 and 99_999 not in home.jobs["j-1"].placed
@@ -641,12 +658,12 @@
 
 
 def test_teams_zones_objectives_and_fields_of_any_kind_are_taken(tmp_path: Path) -> None:
-    cluster = FILE["cluster"] | {
+    cluster = SETTINGS_FILE["cluster"] | {
         "zones": ["never", "heard", "of"], "teams": [{"name": "new \u00e9", "cpus_max": 5, "colour": "red"}],
         "objectives": [{"kind": "unheard-of", "weight": [1]}, {"kind": "wait"}], "more": {"fields": [None]},
     }  # fmt: skip
     path = tmp_path / "s.json"
-    path.write_text(json.dumps(FILE | {"cluster": cluster}))
+    path.write_text(json.dumps(SETTINGS_FILE | {"cluster": cluster}))
     assert load(path).cluster.teams[0].cpus_max == 5.0
 
 
@@ -659,11 +676,14 @@
 
 
 @hypothesis_settings(derandomize=True, max_examples=400, deadline=None)
-@given(st.sampled_from(list(paths(FILE))), st.sampled_from([*JUNK, "a:b\n:1", "h:99999", "h:-1", float("nan"), ...]))
+@given(
+    st.sampled_from(list(paths(SETTINGS_FILE))),
+    st.sampled_from([*JUNK, "a:b\n:1", "h:99999", "h:-1", float("nan"), ...]),
+)
 def test_a_settings_file_that_cannot_hold_is_named_in_one_line(
     tmp_path_factory: pytest.TempPathFactory, place: tuple[str, ...], value: Any
 ) -> None:
-    whole = copy.deepcopy(FILE)
+    whole = copy.deepcopy(SETTINGS_FILE)
     inner = whole
     for key in place[:-1]:
         inner = inner[key]
@@ -704,7 +724,7 @@
 )
 def test_settings_that_contradict_themselves_are_named(tmp_path: Path, cluster: dict[str, Any], named: str) -> None:
     path = tmp_path / "s.json"
-    path.write_text(json.dumps(FILE | {"cluster": FILE["cluster"] | cluster}))
+    path.write_text(json.dumps(SETTINGS_FILE | {"cluster": SETTINGS_FILE["cluster"] | cluster}))
     with pytest.raises(SettingsError, match=named) as error:
         load(path)
     assert "\n" not in str(error.value)
--- a/tests/test_behavior_digest.py
+++ b/tests/test_behavior_digest.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from world import S, World
+from virtual import S, World
 
 TOOLS = Path(__file__).resolve().parent.parent / "tools"
 sys.path.insert(0, str(TOOLS))
@@ -35,8 +35,8 @@
     assert digest_of_seed(SEED, SECONDS) == before
     observed = World.observed
 
-    def longer(world: World, node: str, answer: Callable[..., None]) -> Callable[..., None]:
-        told = observed(world, node, answer)
+    def longer(world: World, controller_name: str, respond: Callable[..., None]) -> Callable[..., None]:
+        told = observed(world, controller_name, respond)
         return lambda status, body, *headers: told(status, body + b" ", *headers)
 
     monkeypatch.setattr(World, "observed", longer)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -9,8 +9,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from users import submit
-from world import Reply, S, VirtualContext, World, job, leader, started
+from virtual import Response, S, VirtualRuntime, World, job_spec, leader_of, started_world, submit_job
 
 from ramptide.commits import CommitBatcher
 from ramptide.delta import ChangeLog, ReceivedSequence
@@ -119,7 +118,7 @@
 
     def __init__(self) -> None:
         self.world = World(1)
-        self.context = VirtualContext(self.world.nodes["c0"])
+        self.context = VirtualRuntime(self.world.nodes["c0"])
         self.calls: list[tuple[str, bytes, Any]] = []
         self.context.call = self.call  # type: ignore[method-assign]
         self.limits = KeyValueStoreLimits(
@@ -128,13 +127,13 @@
         self.store = Store(self.context, "state", self.limits, 1)
 
     def call(
-        self, address: str, method: str, target: str, body: bytes, kind: str, timeout: timedelta, done: Any
+        self, address: str, method: str, target: str, body: bytes, content_type: str, timeout: timedelta, done: Any
     ) -> None:
         self.calls.append((target, body, done))
 
     def answer(self, index: int, status: int, value: Any) -> None:
         _, _, done = self.calls[index]
-        done(Reply(status, json.dumps(value).encode()))
+        done(Response(status, json.dumps(value).encode()))
 
 
 def test_an_answer_that_crosses_a_newer_one_brings_nothing_back() -> None:
@@ -228,7 +227,7 @@
 
 
 def a_part() -> Shard:
-    run = decode_job_spec(json.dumps(job("j-1", cores=1.0, pieces=100)).encode())
+    run = decode_job_spec(json.dumps(job_spec("j-1", cores=1.0, pieces=100)).encode())
     part = Shard(5, 8 * S, 1 * S, lambda ref: run if ref == "j-1" else None)
     record = MachineRecord("m", "a", False, 1, 0.0, None, True, "r")
     part.add_machine("vm-1", record, MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"]), timedelta(0), [])
@@ -292,8 +291,8 @@
     part.remove_machine("vm-1")
     assert part.reports.take(beat(1, 1, 4), 20 * S) and not part.unrecorded_machines(), "from before this view"
     assert part.reports.take(beat(1, 2, 5), 21 * S) and part.unrecorded_machines(), "the leader knows what it returned"
-    world = started(5)
-    controller = world.nodes[leader(world)].controller
+    world = started_world(5)
+    controller = world.nodes[leader_of(world)].controller
     assert controller is not None and controller.shard is not None
     controller.leader._returned["vm-1"] = controller.context.now
     controller.shard.unrecorded["vm-1"] = beat(1, 2, 99)
@@ -305,7 +304,7 @@
 
 
 def test_what_is_no_message_of_ours_is_refused_and_asked_for_again(caplog: pytest.LogCaptureFixture) -> None:
-    world = started(5)
+    world = started_world(5)
     controller = world.nodes["c0"].controller
     assert controller is not None
     take = controller.syncing.take
@@ -331,18 +330,18 @@
 ) -> World:
     """Five controllers and many machines; services and then arrays are submitted, fifty a second."""
     world = World(seed, members=5, capacity=capacity)
-    world.limits |= {"rps": 200.0, "write_rps": 50.0, "value_kb": 4.0}
-    world.cloud.boots = boots
+    world.store_limits |= {"rps": 200.0, "write_rps": 50.0, "value_kb": 4.0}
+    world.cloud.boot_seconds = boots
     for node in world.nodes.values():
         node.start()
     world.run(5)
     for number in range(services):
-        world.submit(f"j-{number}", shape="service", pieces=1, cores=1.0, rank="high")
+        world.define_job(f"j-{number}", shape="service", pieces=1, cores=1.0, rank="high")
     for number, fields in enumerate(arrays, services):
-        world.submit(f"j-{number}", **fields)
+        world.define_job(f"j-{number}", **fields)
     rng = random.Random(seed)
-    for number, ref in enumerate(world.jobs):
-        world.after(number * 0.02 * S, lambda ref=ref: submit(world, rng, ref))  # type: ignore[misc]
+    for number, ref in enumerate(world.job_specs):
+        world.after(number * 0.02 * S, lambda ref=ref: submit_job(world, rng, ref))  # type: ignore[misc]
     return world
 
 
@@ -353,16 +352,16 @@
     world.run(20)
     assert len(world.workers) > 150, "the fleet grows in time"
     world.run(25)
-    world.calls.clear()
+    world.call_counts.clear()
     world.sent_bytes.clear()
     world.run(20)
-    assert world.rules.broken == []
-    assert world.rules.starts > 3000 and sum(world.done(f"j-{number}") for number in range(150, 180)) == 30
+    assert world.invariants.violations == []
+    assert world.invariants.start_count > 3000 and sum(world.is_done(f"j-{number}") for number in range(150, 180)) == 30
     seconds = 20
-    state = sum(count for call, count in world.calls.items() if not call.startswith("POST sync"))
-    assert state / seconds < 200 and world.calls["POST rentals"] <= 28
-    assert world.calls["POST sync"] / seconds < 100
-    assert sum(world.sent_bytes[name] for name in world.names) / seconds < 200_000
+    state = sum(count for call, count in world.call_counts.items() if not call.startswith("POST sync"))
+    assert state / seconds < 200 and world.call_counts["POST rentals"] <= 28
+    assert world.call_counts["POST sync"] / seconds < 100
+    assert sum(world.sent_bytes[name] for name in world.controller_names) / seconds < 200_000
 
 
 def test_a_thousand_machines_and_one_survivor_of_five() -> None:
@@ -371,10 +370,10 @@
     world.run(14)
     up = sum(worker.alive for worker in world.workers.values())
     assert up > 700, "the fleet grows in time"
-    values = [len(json.dumps(value)) for value, _, _ in world.state.data.values()]
+    values = [len(json.dumps(value)) for value, _, _ in world.store.entries.values()]
     assert max(values) < 4096, "every record fits a value"
 
-    gone = [name for name in world.names if name != "c3"]
+    gone = [name for name in world.controller_names if name != "c3"]
     for name in gone:
         world.nodes[name].kill()
     survivor = world.nodes["c3"].controller
@@ -382,10 +381,12 @@
     assert world.run_until(lambda: survivor.view is not None and list(survivor.view.members) == ["c3"], 10)
     assert world.run_until(lambda: survivor.latched, 12), "the lease is 8 s"
     assert survivor.shard is not None and len(survivor.shard.machines) > 700
-    world.calls.clear()
+    world.call_counts.clear()
     world.run(6)
-    assert sum(world.done(f"j-{number}") for number in range(100, 122)) > 0
-    assert sum(task.ref == "j-1" for _, task in world.rules.on_machines()) == 1
-    state = sum(count for call, count in world.calls.items() if not call.startswith(("POST sync", "POST rentals")))
+    assert sum(world.is_done(f"j-{number}") for number in range(100, 122)) > 0
+    assert sum(task.job_id == "j-1" for _, task in world.invariants.running_tasks()) == 1
+    state = sum(
+        count for call, count in world.call_counts.items() if not call.startswith(("POST sync", "POST rentals"))
+    )
     assert state / 6 < 100, "half of the state service's limit at most"
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -5,13 +5,10 @@
 from collections.abc import Callable
 from dataclasses import replace
 from datetime import timedelta
-from typing import Any
 
 import msgspec
 import pytest
-from chaos import play
-from test_world import agree, calm
-from world import S, World, leader, owner, started
+from virtual import S, World, check_indexes, end_faults, leader_of, owner_of, play, started_world
 
 from ramptide import fleet
 from ramptide.app import Controller
@@ -39,21 +36,21 @@
 def submit_bad(world: World, count: int, after: float = 0.5, **fields: object) -> list[str]:
     refs = [f"j-9{number}" for number in range(count)]
     for number, ref in enumerate(refs):
-        world.bad[ref] = after
-        world.submit(ref, **fields)
-        assert world.accepted(ref, world.names[number % len(world.names)])
+        world.failure_delays[ref] = after
+        world.define_job(ref, **fields)
+        assert world.submit_until_accepted(ref, world.controller_names[number % len(world.controller_names)])
     return refs
 
 
 def submit_good(world: World, count: int, **fields: object) -> list[str]:
     refs = [f"j-{number}" for number in range(count)]
     for number, ref in enumerate(refs):
-        world.submit(ref, **fields)
-        assert world.accepted(ref, world.names[number % len(world.names)])
+        world.define_job(ref, **fields)
+        assert world.submit_until_accepted(ref, world.controller_names[number % len(world.controller_names)])
     return refs
 
 
-def watch(world: World, seconds: int, check: Callable[[World], None] = agree) -> set[str]:
+def watch(world: World, seconds: int, check: Callable[[World], None] = check_indexes) -> set[str]:
     """The machines that are marked as sick from now on; the indexes are compared with a walk meanwhile."""
     found: set[str] = set()
 
@@ -69,33 +66,33 @@
 
 def mixed(seed: int, after: float) -> tuple[World, set[str], set[str], list[str]]:
     """Good and bad jobs on good machines and two sick ones; what was drained, what is sick, the bad jobs."""
-    world = started(seed, capacity=10)
+    world = started_world(seed, capacity=10)
     found = watch(world, 200)
     services = [f"j-7{number}" for number in range(4)]
     for ref in services:
-        world.submit(ref, shape="service", pieces=2, cores=1.0)
-        assert world.accepted(ref, "c0")
+        world.define_job(ref, shape="service", pieces=2, cores=1.0)
+        assert world.submit_until_accepted(ref, "c0")
     warm = [f"j-8{number}" for number in range(4)]
     for ref in warm:
-        world.submit(ref, pieces=4, cores=4.0, guessS=6.0)
-        assert world.accepted(ref, "c0")
-    assert world.run_until(lambda: len({worker.host for worker, _ in world.rules.on_machines()}) >= 6, 30)
+        world.define_job(ref, pieces=4, cores=4.0, guessS=6.0)
+        assert world.submit_until_accepted(ref, "c0")
+    assert world.run_until(lambda: len({worker.host for worker, _ in world.invariants.running_tasks()}) >= 6, 30)
     bad = submit_bad(world, 4, after, pieces=3)
     world.run(5)
-    sick = {host for host, worker in world.workers.items() if worker.alive and worker.baton}
+    sick = {host for host, worker in world.workers.items() if worker.alive and worker.fencing_token}
     sick = set(world.rng.sample(sorted(sick), 2))
     for host in sick:
-        world.workers[host].sick = True
+        world.workers[host].is_faulty = True
     good = submit_good(world, 24, pieces=4, guessS=4.0)
     world.run(90)
-    assert all(world.done(ref) for ref in good + warm)
-    assert world.rules.broken == []
+    assert all(world.is_done(ref) for ref in good + warm)
+    assert world.invariants.violations == []
     for ref in bad:
-        answer = world.poll(ref, world.rng.choice(world.names))
+        answer = world.poll_job(ref, world.rng.choice(world.controller_names))
         assert answer is not None and (answer[0], answer[1]["done"]) == (200, 0)
-        assert world.cancel(ref, world.rng.choice(world.names))
+        assert world.cancel_job(ref, world.rng.choice(world.controller_names))
     world.run(20)
-    assert not {t.ref for w in world.workers.values() for t in w.tasks.values()} & set(bad)
+    assert not {t.job_id for w in world.workers.values() for t in w.tasks.values()} & set(bad)
     return world, found, sick, bad
 
 
@@ -104,22 +101,22 @@
 def test_good_jobs_get_done_and_only_sick_machines_are_drained(seed: int, after: float) -> None:
     world, found, sick, bad = mixed(seed, after)
     assert found and found <= sick
-    assert max(world.rules.starts_of[ref] for ref in bad) <= 20
+    assert max(world.invariants.starts_by_job[ref] for ref in bad) <= 20
 
 
-def blamed(after: float = 0.5, cancel: bool = False, check: Callable[[World], None] = agree) -> set[str]:
+def blamed(after: float = 0.5, cancel: bool = False, check: Callable[[World], None] = check_indexes) -> set[str]:
     """Healthy machines that run services, so that nothing is ever done there, and get bad jobs; those called sick."""
-    world = started(3, capacity=6)
-    world.submit("j-1", shape="service", pieces=6, cores=3.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 6, 30)
+    world = started_world(3, capacity=6)
+    world.define_job("j-1", shape="service", pieces=6, cores=3.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30)
     found = watch(world, 100, check)
     bad = submit_bad(world, 3, after, pieces=2)
     world.run(20)
     for ref in bad if cancel else ():
-        assert world.cancel(ref, "c1")
+        assert world.cancel_job(ref, "c1")
     world.run(60)
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
     return found
 
 
@@ -142,10 +139,10 @@
 
 def probed_elsewhere(after: float) -> set[str]:
     """Two bad jobs fail on one machine first; the next tasks of both run elsewhere for a while before they fail."""
-    world = started(4, capacity=6, members=1)
-    world.submit("j-1", shape="service", pieces=2, cores=5.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 2, 30)
+    world = started_world(4, capacity=6, members=1)
+    world.define_job("j-1", shape="service", pieces=2, cores=5.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 2, 30)
     found = watch(world, 60)
     submit_bad(world, 2, after, pieces=1, cores=1.0)
     world.run(50)
@@ -162,57 +159,58 @@
 
 
 def test_a_sick_machine_is_drained_and_its_jobs_run_elsewhere() -> None:
-    world = started(2, members=1)
+    world = started_world(2, members=1)
     for number in range(3):
-        world.submit(f"j-{number}", pieces=2, cores=1.0, guessS=60.0)
-    assert world.accepted("j-0", "c0")
-    assert world.run_until(lambda: bool(world.rules.on_machines()), 20)
-    sick = world.rules.on_machines()[0][0]
-    sick.sick = True
+        world.define_job(f"j-{number}", pieces=2, cores=1.0, guessS=60.0)
+    assert world.submit_until_accepted("j-0", "c0")
+    assert world.run_until(lambda: bool(world.invariants.running_tasks()), 20)
+    sick = world.invariants.running_tasks()[0][0]
+    sick.is_faulty = True
     found = watch(world, 60)
     for number in (1, 2):
-        assert world.accepted(f"j-{number}", "c0")
+        assert world.submit_until_accepted(f"j-{number}", "c0")
     assert world.run_until(lambda: not sick.alive, 40)
     assert found == {sick.host}
-    assert world.run_until(lambda: all(world.done(f"j-{number}") for number in range(3)), 120)
-    assert world.rules.broken == []
+    assert world.run_until(lambda: all(world.is_done(f"j-{number}") for number in range(3)), 120)
+    assert world.invariants.violations == []
 
 
 def test_a_good_job_whose_home_has_only_sick_machines_runs_on_others() -> None:
     """It failed on both before anything speaks against them; its probes must not stay with them."""
-    world = started(3, capacity=9)
-    world.submit("j-1", shape="service", pieces=9, cores=5.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 9, 30)
-    parts = Counter(owner(world, host) for host in world.workers)
-    home = max((name for name in world.names if name != leader(world)), key=lambda name: parts[name])
+    world = started_world(3, capacity=9)
+    world.define_job("j-1", shape="service", pieces=9, cores=5.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 9, 30)
+    parts = Counter(owner_of(world, host) for host in world.workers)
+    home = max((name for name in world.controller_names if name != leader_of(world)), key=lambda name: parts[name])
     for host, worker in world.workers.items():
-        worker.sick = owner(world, host) == home
-    world.submit("j-2", pieces=2, cores=1.0)
-    record = json.dumps(world.jobs["j-2"]).encode()
+        worker.is_faulty = owner_of(world, host) == home
+    world.define_job("j-2", pieces=2, cores=1.0)
+    record = json.dumps(world.job_specs["j-2"]).encode()
     for controller in controllers(world):
         controller.desk._home_for = lambda run: home
-    world.ask("c0", lambda c: c.desk.submit(record, lambda status, *rest: None))
-    assert sum(worker.sick for worker in world.workers.values()) >= 2
-    assert world.run_until(lambda: world.done("j-2"), 60)
+    world.request("c0", lambda c: c.desk.submit(record, lambda status, *rest: None))
+    assert sum(worker.is_faulty for worker in world.workers.values()) >= 2
+    assert world.run_until(lambda: world.is_done("j-2"), 60)
 
 
 def done_though_the_first_are_sick(count: int, seconds: float) -> bool:
     """The first machines that are rented are all sick, so that nothing shows that the jobs are good."""
-    world = started(2, members=1)
-    machine, sick = world.cloud._machine, []
+    world = started_world(2, members=1)
+    create_worker = world.cloud._create_worker
+    sick: list[str] = []
 
-    def rented(wish: dict[str, Any]) -> str:
-        host = machine(wish)
+    def rented(zone: str, spot: bool) -> str:
+        host = create_worker(zone, spot)
         if len(sick) < count:
             sick.append(host)
-            world.workers[host].sick = True
+            world.workers[host].is_faulty = True
         return host
 
-    world.cloud._machine = rented  # type: ignore[method-assign]
+    world.cloud._create_worker = rented  # type: ignore[method-assign]
     refs = submit_good(world, 4, pieces=1, cores=1.0, guessS=3.0)
-    done = world.run_until(lambda: all(world.done(ref) for ref in refs), seconds)
-    assert len(sick) == count and world.rules.broken == []
+    done = world.run_until(lambda: all(world.is_done(ref) for ref in refs), seconds)
+    assert len(sick) == count and world.invariants.violations == []
     return done
 
 
@@ -233,57 +231,59 @@
     """The only machine, which runs a service and has room for more, is sick."""
     (controller,) = controllers(world)
     controller.tuning = controller.floor.tuning = replace(controller.tuning, pool_size=0, pool_share=0.0)
-    world.submit("j-1", shape="service", pieces=1, cores=4.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: bool(world.rules.on_machines()), 30)
+    world.define_job("j-1", shape="service", pieces=1, cores=4.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: bool(world.invariants.running_tasks()), 30)
     world.run(60)
     (sick,) = [worker for worker in world.workers.values() if worker.alive]
-    sick.sick = True
-    world.submit("j-2", pieces=1, cores=1.0, guessS=3.0)
-    assert world.accepted("j-2", "c0")
-    done = world.run_until(lambda: world.done("j-2"), 150)
-    assert world.rules.broken == [] and sick.alive
+    sick.is_faulty = True
+    world.define_job("j-2", pieces=1, cores=1.0, guessS=3.0)
+    assert world.submit_until_accepted("j-2", "c0")
+    done = world.run_until(lambda: world.is_done("j-2"), 150)
+    assert world.invariants.violations == [] and sick.alive
     return done
 
 
 def test_a_job_that_failed_on_the_only_machine_gets_another() -> None:
-    assert done_off_the_only_machine(started(2, members=1))
+    assert done_off_the_only_machine(started_world(2, members=1))
 
 
 def test_when_that_machine_counts_as_room_it_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(JobState, "avoids", property(lambda self: set()))
-    assert not done_off_the_only_machine(started(2, members=1))
+    assert not done_off_the_only_machine(started_world(2, members=1))
 
 
 @pytest.mark.parametrize("seed", range(300, 308))
 def test_no_rule_is_broken_in_generated_histories_with_bad_jobs(seed: int) -> None:
     def look(world: World) -> None:
-        world.bad |= {"j-0": 0.4, "j-1": 3.0, "j-2": 8.0}
-        agree(world)
+        world.failure_delays |= {"j-0": 0.4, "j-1": 3.0, "j-2": 8.0}
+        check_indexes(world)
 
     world = play(seed, look=look)
-    assert world.rules.broken == [] and any(world.rules.starts_of[ref] for ref in world.bad)
-    calm(world)
-    for ref in world.bad:
-        answers = {name: world.poll(ref, name) for name in world.names}
-        live = f"live/job/{ref}" in world.state.data or f"ended/{ref}" in world.state.data
+    assert world.invariants.violations == [] and any(
+        world.invariants.starts_by_job[ref] for ref in world.failure_delays
+    )
+    end_faults(world)
+    for ref in world.failure_delays:
+        answers = {name: world.poll_job(ref, name) for name in world.controller_names}
+        live = f"live/job/{ref}" in world.store.entries or f"ended/{ref}" in world.store.entries
         assert all(answer is not None and answer[0] == (200 if live else 404) for answer in answers.values()), answers
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 # The pace of a job that fails everywhere, and what it takes from others.
 
 
 def starts_of_a_bad_job(**fields: object) -> int:
-    world = started(5, capacity=6)
+    world = started_world(5, capacity=6)
     (ref,) = submit_bad(world, 1, 0.3, **({"pieces": 8, "cores": 1.0} | fields))
     world.run(180)
-    answer = world.poll(ref, "c2")
+    answer = world.poll_job(ref, "c2")
     assert answer is not None and (answer[0], answer[1]["status"]) == (200, "pending")
-    assert world.cancel(ref, "c0")
-    before = world.rules.starts_of[ref]
+    assert world.cancel_job(ref, "c0")
+    before = world.invariants.starts_by_job[ref]
     world.run(70)
-    assert world.rules.starts_of[ref] == before and world.rules.broken == []
+    assert world.invariants.starts_by_job[ref] == before and world.invariants.violations == []
     return before
 
 
@@ -310,45 +310,45 @@
 
 
 def test_a_bad_job_that_stops_failing_runs_to_the_end() -> None:
-    world = started(5, capacity=6)
+    world = started_world(5, capacity=6)
     found = watch(world, 300)
     refs = submit_bad(world, 2, 0.3, pieces=8, cores=1.0)
     world.run(60)
-    world.bad.clear()
-    assert world.run_until(lambda: all(world.done(ref) for ref in refs), 150)
+    world.failure_delays.clear()
+    assert world.run_until(lambda: all(world.is_done(ref) for ref in refs), 150)
     world.run(30)
-    assert world.rules.broken == [] and found == set()
+    assert world.invariants.violations == [] and found == set()
 
 
 def all_run_again(world: World) -> bool:
     """Tasks of a job fail on two machines, while its others run on."""
-    world.submit("j-1", pieces=6, cores=4.0, guessS=60.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 6, 30)
-    two = sorted({worker.host for worker, _ in world.rules.on_machines()})[:2]
-    for worker, task in world.rules.on_machines():
+    world.define_job("j-1", pieces=6, cores=4.0, guessS=60.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30)
+    two = sorted({worker.host for worker, _ in world.invariants.running_tasks()})[:2]
+    for worker, task in world.invariants.running_tasks():
         if worker.host in two:
             worker._finish(task, "error")
     work = work_of(world, "j-1")
     assert world.run_until(lambda: bool(work.failing), 10), "two machines are the least that speaks against a job"
-    return world.run_until(lambda: len(world.rules.on_machines()) == 6, 12)
+    return world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 12)
 
 
 def test_a_job_of_which_tasks_run_on_is_not_held_back() -> None:
-    assert all_run_again(started(3))
+    assert all_run_again(started_world(3))
 
 
 def test_without_that_it_waits_for_one_to_be_done(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(JobScheduler, "clear_recovered", lambda self, now: None)
-    assert not all_run_again(started(3))
+    assert not all_run_again(started_world(3))
 
 
 def blamed_for_machines(world: World) -> bool:
     """A job fails on a machine that is already known as sick, and on another."""
-    world.submit("j-1", pieces=4, cores=4.0, guessS=60.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len({worker.host for worker, _ in world.rules.on_machines()}) >= 2, 30)
-    tasks = {worker.host: (worker, task) for worker, task in world.rules.on_machines()}
+    world.define_job("j-1", pieces=4, cores=4.0, guessS=60.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len({worker.host for worker, _ in world.invariants.running_tasks()}) >= 2, 30)
+    tasks = {worker.host: (worker, task) for worker, task in world.invariants.running_tasks()}
     (one, first), (other, second) = list(tasks.values())[:2]
     one._finish(first, "error")
     work = work_of(world, "j-1")
@@ -363,22 +363,22 @@
 
 
 def test_a_job_is_not_blamed_for_a_sick_machine() -> None:
-    assert not blamed_for_machines(started(3))
+    assert not blamed_for_machines(started_world(3))
 
 
 def test_without_that_it_is(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(JobScheduler, "machine_faulty", lambda self, host: None)
-    assert blamed_for_machines(started(3))
+    assert blamed_for_machines(started_world(3))
 
 
 def rented_for_bad_jobs() -> tuple[int, int]:
     """How many machines and changes of the state service two large bad jobs cost in two minutes after the first."""
-    world = started(6, capacity=40)
+    world = started_world(6, capacity=40)
     submit_bad(world, 2, 0.3, pieces=60, cores=4.0)
     world.run(40)
-    machines, changes = len(world.workers), world.calls["POST txn"]
+    machines, changes = len(world.workers), world.call_counts["POST txn"]
     world.run(120)
-    return len(world.workers) - machines, world.calls["POST txn"] - changes
+    return len(world.workers) - machines, world.call_counts["POST txn"] - changes
 
 
 def test_bad_jobs_rent_and_write_little() -> None:
@@ -392,10 +392,10 @@
 
 
 def preemptions_for_a_bad_job() -> int:
-    world = started(4, capacity=2)
-    world.submit("j-1", pieces=8, cores=2.0, rank="low", guessS=400.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 8, 30)
+    world = started_world(4, capacity=2)
+    world.define_job("j-1", pieces=8, cores=2.0, rank="low", guessS=400.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 8, 30)
     submit_bad(world, 1, 0.3, pieces=2, cores=4.0, rank="production")
     world.run(30)
     before = sum(controller.counters["preemptions"] for controller in controllers(world))
@@ -414,14 +414,14 @@
 
 def others_done() -> bool:
     """A team at its limit has a large bad job and good ones, another team at its limit only good ones."""
-    world = started(7, teams={"one": 12.0, "two": 8.0}, capacity=8)
+    world = started_world(7, teams={"one": 12.0, "two": 8.0}, capacity=8)
     submit_bad(world, 1, 0.3, owner="one", pieces=100, cores=2.0, rank="high")
     world.run(20)
     for number in range(6):
-        world.submit(f"j-{number}", owner="one" if number % 2 else "two", pieces=6, cores=2.0, guessS=3.0)
-        assert world.accepted(f"j-{number}", world.names[number % 3])
-    done = world.run_until(lambda: all(world.done(f"j-{number}") for number in range(6)), 40)
-    assert world.rules.broken == []
+        world.define_job(f"j-{number}", owner="one" if number % 2 else "two", pieces=6, cores=2.0, guessS=3.0)
+        assert world.submit_until_accepted(f"j-{number}", world.controller_names[number % 3])
+    done = world.run_until(lambda: all(world.is_done(f"j-{number}") for number in range(6)), 40)
+    assert world.invariants.violations == []
     return done
 
 
@@ -435,7 +435,7 @@
 
 
 def test_a_bad_job_has_no_share_of_those_that_waited_long() -> None:
-    world = started(5, capacity=6)
+    world = started_world(5, capacity=6)
     (ref,) = submit_bad(world, 1, 0.3, pieces=8)
     world.run(30)
     work, controller = work_of(world, ref), controllers(world)[0]
@@ -447,36 +447,36 @@
 
 def handed_over(world: World) -> int:
     """A bad job gets another home; how many of its tasks start within 10 s."""
-    world.submit("j-1", shape="service", pieces=4, cores=5.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 4, 30)
+    world.define_job("j-1", shape="service", pieces=4, cores=5.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 4, 30)
     (ref,) = submit_bad(world, 1, 0.3, pieces=8, cores=0.5)
     world.run(40)
     work = work_of(world, ref)
-    other = next(name for name in world.names if name != work.job.record.scheduler)
-    before, record = world.rules.starts_of[ref], msgspec.structs.replace(work.job.record, scheduler=other)
-    world.state._apply([(f"live/job/{ref}", msgspec.to_builtins(record), None)], [])
+    other = next(name for name in world.controller_names if name != work.job.record.scheduler)
+    before, record = world.invariants.starts_by_job[ref], msgspec.structs.replace(work.job.record, scheduler=other)
+    world.store.put(f"live/job/{ref}", msgspec.to_builtins(record))
     world.run(10)
     assert work_of(world, ref) is not work
-    return world.rules.starts_of[ref] - before
+    return world.invariants.starts_by_job[ref] - before
 
 
 def test_its_next_home_knows_where_a_job_failed() -> None:
-    assert handed_over(started(4, capacity=6)) <= 3
+    assert handed_over(started_world(4, capacity=6)) <= 3
 
 
 def test_without_that_all_its_tasks_start_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Floor, "failed_on", lambda self, ref: set())
-    assert handed_over(started(4, capacity=6)) > 6
+    assert handed_over(started_world(4, capacity=6)) > 6
 
 
 def test_rows_stay_small_however_many_bad_jobs_there_are() -> None:
-    world = started(5, capacity=2)
+    world = started_world(5, capacity=2)
     submit_bad(world, 12, 0.3, pieces=1, cores=0.5)
     world.run(20)
     hosts = [host for controller in controllers(world) for host in controller.floor.hosts.values()]
     assert max(len(host.failed) for host in hosts) == FAILED_JOBS_KEPT
-    agree(world)
+    check_indexes(world)
 
 
 def test_what_a_machine_tells_of_failures() -> None:
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -1,9 +1,7 @@
 """The leader keeps the fleet record true to the cloud's list, also across changes of leader."""
 
 import pytest
-from test_meetings import full_world
-from test_world import busy_world
-from world import S, World, leader
+from virtual import S, World, busy_world, full_world, leader_of
 
 from ramptide.leader import Leader
 
@@ -13,13 +11,13 @@
 def machines_lost_with_their_leader() -> tuple[World, set[str]]:
     """Machines are gone and off the cloud's list before the next leader reads that list for the first time."""
     world = full_world()
-    old = leader(world)
+    old = leader_of(world)
     world.run(10)
     world.nodes[old].kill()
     lost = [worker for worker in world.workers.values() if worker.alive][:MORE_THAN_A_VIEW_RETURNS_AT_ONCE]
     for worker in lost:
         worker.die()
-        del world.cloud.listed[worker.host]
+        del world.cloud.listing[worker.host]
     world.after(30 * S, world.nodes[old].start)
     return world, {worker.host for worker in lost}
 
@@ -27,7 +25,7 @@
 def recorded(world: World) -> set[str]:
     return {
         host
-        for key, (value, _, _) in world.state.data.items()
+        for key, (value, _, _) in world.store.entries.items()
         if key.startswith("live/rental/")
         for host in value["hosts"] or {}
     }
@@ -37,8 +35,8 @@
     world, lost = machines_lost_with_their_leader()
     assert len(lost) == MORE_THAN_A_VIEW_RETURNS_AT_ONCE
     assert world.run_until(lambda: lost.isdisjoint(recorded(world)), 15)
-    world.rules.check()
-    assert world.rules.broken == []
+    world.invariants.check()
+    assert world.invariants.violations == []
 
 
 def test_when_it_trusts_only_what_it_saw_listed_the_record_keeps_the_machine(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -7,8 +7,7 @@
 from typing import Any
 
 import pytest
-from users import submit
-from world import S, Task, Worker, World, leader
+from virtual import Entry, S, Task, Worker, World, leader_of, submit_job
 
 from ramptide.app import Controller
 from ramptide.floor import Floor
@@ -29,16 +28,16 @@
 ) -> World:
     """Controllers that all start at once, and find machines that run the tasks of one job each for fifty of them."""
     world = World(5, teams=teams, capacity=machines, members=members, parts=parts)
-    world.limits |= {"rps": 300.0, "write_rps": 60.0, "value_kb": 4.0}
+    world.store_limits |= {"rps": 300.0, "write_rps": 60.0, "value_kb": 4.0}
     for first in range(0, machines, RENTED_TOGETHER):
         ref = f"j-{first}"
-        world.submit(ref, pieces=RENTED_TOGETHER * TASKS_ON_EACH, cores=0.5, ramGb=1.0, guessS=5000.0)
+        world.define_job(ref, pieces=RENTED_TOGETHER * TASKS_ON_EACH, cores=0.5, ramGb=1.0, guessS=5000.0)
         hosts = [f"vm-{number:06d}" for number in range(first, min(first + RENTED_TOGETHER, machines))]
         yard = "ab"[first // RENTED_TOGETHER % 2]
         record = {"flavor": "m", "yard": yard, "spot": False, "at": 0.0, "count": len(hosts), "born": 0}
         put(world, f"live/rental/r-{first}", record | {"hosts": {host: [True, None] for host in hosts}})
-        run = decode_job_spec(json.dumps(world.jobs[ref]).encode())
-        home = world.names[first // RENTED_TOGETHER % members]
+        run = decode_job_spec(json.dumps(world.job_specs[ref]).encode())
+        home = world.controller_names[first // RENTED_TOGETHER % members]
         put(world, f"live/job/{ref}", to_value(JobRecord(run, home, 0, 0.0, Progress().encode())))
         for number, host in enumerate(hosts):
             add_machine(world, host, yard, _tasks(ref, number))
@@ -53,15 +52,15 @@
 
 
 def put(world: World, key: str, value: dict[str, Any]) -> None:
-    world.state.epoch += 1
-    world.state.data[key] = (value, world.state.epoch, None)
+    world.store.revision += 1
+    world.store.entries[key] = Entry(value, world.store.revision, None)
 
 
 def add_machine(world: World, host: str, yard: str, tasks: list[Task]) -> None:
     worker = world.workers[host] = Worker(world, host, yard, False)
-    worker.tasks = {(task.ref, task.number, task.attempt): task for task in tasks}
+    worker.tasks = {(task.job_id, task.index, task.attempt): task for task in tasks}
     row = {"ref": host, "rig": "m", "yard": yard, "loaners": False, "status": "running"}
-    world.cloud.listed[host] = row
+    world.cloud.listing[host] = row
     world.after(world.rng.random() * S, worker.boot)
 
 
@@ -73,7 +72,7 @@
     return all(c.latched for c in controllers(world))
 
 
-def python_calls(action: Callable[[], None]) -> int:
+def python_calls(action: Callable[[], object]) -> int:
     """How many Python functions are called meanwhile."""
     calls = Counter[str]()
 
@@ -109,8 +108,8 @@
     for c in controllers(large):
         assert len(c.machines) == LARGE and c.shard is not None
         assert sum(c.floor.running.values()) == LARGE * TASKS_ON_EACH
-    assert large.rules.broken == []
-    assert max(len(json.dumps(value)) for value, _, _ in large.state.data.values()) < 4096
+    assert large.invariants.violations == []
+    assert max(len(json.dumps(value)) for value, _, _ in large.store.entries.values()) < 4096
 
 
 def work_of_a_report(world: World, changed: bool) -> int:
@@ -118,12 +117,12 @@
     world.run(1.0)
     c = next(c for c in controllers(world) if not c.membership.leading)
     assert c.shard is not None and c.scheduler is not None
-    worker = next(world.workers[host] for host in c.shard.machines if world.workers[host].baton == c.shard.view)
+    worker = next(world.workers[host] for host in c.shard.machines if world.workers[host].fencing_token == c.shard.view)
     task = next(iter(worker.tasks.values()))
     if changed:
         task.status = "flushing"
-    worker.tally += 1
-    body = worker._state(worker.tenure)
+    worker.sequence_number += 1
+    body = worker.encode_status()
     home, part, now = c.scheduler, c.shard, c.context.now
     c._round(home, part, now, False)
     answers: list[int] = []
@@ -148,9 +147,9 @@
     c = next(c for c in controllers(world) if c.membership.leading)
     home, part = c.scheduler, c.shard
     assert home is not None and part is not None
-    world.submit(ref, pieces=1, cores=2.0, guessS=5000.0)
-    assert world.accepted(ref, leader(world))
-    assert world.run_until(lambda: any(task.ref == ref for _, task in world.rules.on_machines()), 10)
+    world.define_job(ref, pieces=1, cores=2.0, guessS=5000.0)
+    assert world.submit_until_accepted(ref, leader_of(world))
+    assert world.run_until(lambda: any(task.job_id == ref for _, task in world.invariants.running_tasks()), 10)
     return python_calls(lambda: c.starter.place(home, c.context.now))
 
 
@@ -175,8 +174,8 @@
     small: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for number in range(20):
-        small.submit(f"j-80000{number}", pieces=3, cores=6.0, guessS=5000.0)
-        submit(small, small.rng, f"j-80000{number}")
+        small.define_job(f"j-80000{number}", pieces=3, cores=6.0, guessS=5000.0)
+        submit_job(small, small.rng, f"j-80000{number}")
     small.run(5)
     c = next(c for c in controllers(small) if c.membership.leading)
     assert c.scheduler is not None and len(c.scheduler.with_pending_tasks) >= 20
@@ -204,19 +203,19 @@
     """Two that do not lead cannot reach each other while each machine of theirs changes."""
     world = large
     one, other = [c for c in controllers(world) if not c.membership.leading][:2]
-    world.cut(one.member, other.member)
+    world.cut_link(one.member, other.member)
     world.run(1)
     assert one.shard is not None and other.shard is not None
     for host in one.shard.machines:
         one.shard.mark_changed(host)
     world.run(1)
-    world.longest_message = 0
+    world.longest_body = 0
     world.heal()
     told = len(one.shard.machines)
     base = other.peers.all[one.member].inbox.seq
     world.run(2)
     assert other.peers.all[one.member].inbox.seq > base and one.peers.all[other.member].acknowledged > base
-    assert told > LARGE / 4 and world.longest_message < LONGEST_MESSAGE_BYTES
+    assert told > LARGE / 4 and world.longest_body < LONGEST_MESSAGE_BYTES
     shown = {host: other.floor.hosts[host].tasks for host in one.shard.machines}
     assert all(len(tasks) == TASKS_ON_EACH for tasks in shown.values())
 
@@ -228,23 +227,23 @@
     for worker in hung:
         worker.hang(60)
     world.run(4)
-    world.longest_message = 0
-    gone = leader(world)
+    world.longest_body = 0
+    gone = leader_of(world)
     world.nodes[gone].freeze(60)
     left = [c for c in controllers(world) if c.member != gone]
     assert world.run_until(lambda: all(gone not in (c.view.members if c.view else {}) for c in left), 8)
 
     def told() -> bool:
         number = left[0].view.number if left[0].view is not None else 0
-        return sum(worker.baton == number for worker in healthy) > 0.99 * len(healthy)
+        return sum(worker.fencing_token == number for worker in healthy) > 0.99 * len(healthy)
 
     healthy = [worker for worker in world.workers.values() if worker not in hung]
     begun = world.now
     assert world.run_until(told, 9)
     assert world.now - begun < 1.5 * S, "a worker whose report the lost controller has waits 4 s before it asks another"
     assert world.run_until(lambda: all(c.latched for c in left), 14), "the lease is 8 s"
-    assert world.longest_message < LONGEST_MESSAGE_BYTES
-    assert world.rules.broken == []
+    assert world.longest_body < LONGEST_MESSAGE_BYTES
+    assert world.invariants.violations == []
     alive = sum(worker.alive for worker in healthy)
     assert alive == len(healthy), "no machine that reports is given up"
 
@@ -256,16 +255,16 @@
     assert world.run_until(lambda: settled(world), 20)
     world.run(2)
     for number in range(3):
-        world.submit(f"j-9{number}", owner=f"t-{number}", pieces=20, cores=2.0, guessS=5000.0)
-        assert world.accepted(f"j-9{number}", world.names[number])
+        world.define_job(f"j-9{number}", owner=f"t-{number}", pieces=20, cores=2.0, guessS=5000.0)
+        assert world.submit_until_accepted(f"j-9{number}", world.controller_names[number])
     world.run(2)
     controller = next(c for c in controllers(world) if c.scheduler is not None and c.scheduler.with_pending_tasks)
     quota, home = controller.quota, controller.scheduler
     assert quota is not None and home is not None and quota.ready
     peer = next(iter(controller.peers.all.values()))
     round_calls = python_calls(lambda: quota.review(home, controller.context.now))
-    message_calls = python_calls(lambda: quota.message_for(peer) and None)
-    assert world.rules.broken == []
+    message_calls = python_calls(lambda: quota.message_for(peer))
+    assert world.invariants.violations == []
     return round_calls, message_calls
 
 
--- a/tests/test_loopback_quota.py
+++ b/tests/test_loopback_quota.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import pytest
-from loopback import ROOT, LoopWorld
-from world import S
+from virtual import S
+from virtual.loopback import ROOT, LoopWorld
 
 from ramptide.context import JSON
 
@@ -33,8 +33,8 @@
 def world(tmp_path: Path) -> Iterator[LoopWorld]:
     world = LoopWorld(tmp_path, teams=TEAMS, capacity=14, parts=ROOT / "deploy" / "parts.toml")
     world.log_level = "error"
-    world.limits = world.limits | {"rps": 2000.0, "write_rps": 1000.0}
-    for name in world.names:
+    world.store_limits = world.store_limits | {"rps": 2000.0, "write_rps": 1000.0}
+    for name in world.controller_names:
         world.start(name)
     yield world
     world.close()
@@ -50,7 +50,7 @@
         team, at = rng.choice(list(TEAMS)), rng.uniform(0, FLOOD_S)
         for number in range(JOBS_A_BURST):
             ref = f"j-{burst * JOBS_A_BURST + number}"
-            world.submit(
+            world.define_job(
                 ref, owner=team, pieces=rng.choice([1, 1, 2]), cores=rng.choice([0.5, 1.0, 1.5]), ramGb=1.0,
                 guessS=rng.choice([0.1, 0.3]),
             )  # fmt: skip
@@ -66,40 +66,45 @@
 def send(world: LoopWorld, ref: str, counts: Counter[str]) -> None:
     if ref in world.accepted_jobs:
         return
-    body = json.dumps(world.jobs[ref]).encode()
+    body = json.dumps(world.job_specs[ref]).encode()
 
     def done(reply: object) -> None:
         if reply is not None and reply.status in (200, 201):  # type: ignore[attr-defined]
             world.accepted_jobs.add(ref)
             counts["accepted"] += 1
 
-    for name in world.names:
+    for name in world.controller_names:
         counts["sent"] += 1
-        world.client.call(world.users(name), "POST", "/v2/runs", body, JSON, timedelta(seconds=5), done)
+        world.client.call(world.users_address(name), "POST", "/v2/runs", body, JSON, timedelta(seconds=5), done)
     world.after(3 * S, lambda: send(world, ref, counts))
 
 
 def test_racing_submissions_never_pass_a_limit_while_controllers_freeze_and_end(world: LoopWorld) -> None:
-    assert world.until(lambda: all(world.healthy(name) for name in world.names), 60)
+    assert world.until(lambda: all(world.is_healthy(name) for name in world.controller_names), 60)
     rng = random.Random(1)
     counts = race(world, rng)
     for number in range(SHORT_FREEZES):
-        freeze_for(world, rng.choice(world.names), 8.0 + number * 1.4, SHORT_FREEZE_S)
+        freeze_for(world, rng.choice(world.controller_names), 8.0 + number * 1.4, SHORT_FREEZE_S)
     for begin, name in ((32.0, "c0"), (39.0, "c1"), (46.0, "c2")):
         freeze_for(world, name, begin, LONG_FREEZE_S)
     world.after(44 * S, lambda: world.kill("c2"))
     world.after(44.3 * S, lambda: world.start("c2"))
     assert world.until(lambda: len(world.accepted_jobs) == JOBS, 120)
-    assert world.until(lambda: all(world.done(ref) for ref in world.jobs), 180)
-    assert world.rules.broken == []
-    assert counts["sent"] >= SUBMISSIONS and world.rules.starts >= JOBS
-    given = [line for name in world.names for line in world.metrics(name).splitlines() if 'outcome="given"' in line]
+    assert world.until(lambda: all(world.is_done(ref) for ref in world.job_specs), 180)
+    assert world.invariants.violations == []
+    assert counts["sent"] >= SUBMISSIONS and world.invariants.start_count >= JOBS
+    given = [
+        line
+        for name in world.controller_names
+        for line in world.metrics(name).splitlines()
+        if 'outcome="given"' in line
+    ]
     assert sum(float(line.split()[-1]) for line in given) > 10
     assert all(process.poll() is None for process in world.processes.values())
     # An operator changes a limit, as the page for operators says.
     assert world.operator("c1", "quota", "red", "cpus_max=5")[0] == 0
-    assert world.until(lambda: "live/quota/red" in world.state.data, 10)
-    assert world.until(lambda: "pending" not in world.state.data["live/quota/red"][0], 30)
+    assert world.until(lambda: "live/quota/red" in world.store.entries, 10)
+    assert world.until(lambda: "pending" not in world.store.entries["live/quota/red"][0], 30)
     status, shown = world.operator("c0", "quota")
     assert status == 0 and json.loads(shown)["teams"]["red"]["limit"]["cores"] == 5.0
     assert world.operator("c2", "quota", "red")[0] == 2
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -2,13 +2,30 @@
 
 import json
 from datetime import timedelta
+from typing import Any
 
 import msgspec
 import pytest
-from chaos import longest_beside_room
-from test_world import busy_world, calm
-from users import submit, withdraw
-from world import Answer, S, Task, Worker, World, leader, owner, started
+from virtual import (
+    Respond,
+    S,
+    Task,
+    Worker,
+    World,
+    busy_world,
+    cancel_job,
+    end_faults,
+    full_world,
+    ignore_response,
+    leader_of,
+    longest_starvation,
+    owner_of,
+    restart_controller,
+    run_with_checks,
+    running_attempts,
+    started_world,
+    submit_job,
+)
 
 from ramptide.app import Controller
 from ramptide.floor import Floor, Host
@@ -24,30 +41,18 @@
 from ramptide.syncing import Syncing
 from ramptide.task_state import DesiredState
 
-
-def watch(world: World, seconds: float) -> None:
-    """Time passes, and the plain model looks at what is on the machines."""
-    for _ in range(int(seconds * 10)):
-        world.run(0.1)
-        world.rules.check()
-
-
-def on_machines(world: World, ref: str) -> set[tuple[str, int, int]]:
-    return {(task.ref, task.number, task.attempt) for _, task in world.rules.on_machines() if task.ref == ref}
-
-
 # The state service refuses the leader alone, another controller confirms cancellations, then all lack it.
 
 
 def gap(world: World, teller: str, outage: float, restart: bool = False) -> None:
     """`restart`: the controller that confirmed is killed before it can tell anybody, and is back in a moment."""
-    old = leader(world)
-    world.state.refuses.add(old)
+    old = leader_of(world)
+    world.store.refused_callers.add(old)
     world.run(0.5)
     cancel(world, "j-1", teller, outage, restart)
-    watch(world, outage)
-    world.state.refuses.clear()
-    watch(world, 15)
+    run_with_checks(world, outage)
+    world.store.refused_callers.clear()
+    run_with_checks(world, 15)
 
 
 def cancel(world: World, ref: str, teller: str, outage: float, restart: bool) -> None:
@@ -55,44 +60,44 @@
 
     def told(status: int, body: bytes, headers: object) -> None:
         assert status == 200 and b"withdrawn" in body
-        world.cancelled[ref] = world.now
-        world.state.outage(outage)
+        world.cancelled_at[ref] = world.now
+        world.store.start_outage(outage)
         if restart:
             world.nodes[teller].kill()
             world.after(0.3 * S, world.nodes[teller].start)
 
-    world.ask(teller, lambda c: c.desk.cancel(ref, told))
-    assert world.run_until(lambda: ref in world.cancelled, 3)
+    world.request(teller, lambda c: c.desk.cancel(ref, told))
+    assert world.run_until(lambda: ref in world.cancelled_at, 3)
 
 
 def two_jobs(seed: int) -> World:
     """Two long jobs run; the second one is nobody's to cancel."""
     world = busy_world(seed, guessS=500.0, pieces=6, cores=2.0)
-    world.submit("j-2", pieces=6, cores=2.0, guessS=500.0)
-    assert world.accepted("j-2", "c1")
-    assert world.run_until(lambda: len(on_machines(world, "j-2")) == 6, 30)
+    world.define_job("j-2", pieces=6, cores=2.0, guessS=500.0)
+    assert world.submit_until_accepted("j-2", "c1")
+    assert world.run_until(lambda: len(running_attempts(world, "j-2")) == 6, 30)
     return world
 
 
 def others(world: World) -> list[str]:
-    return [name for name in world.names if name != leader(world)]
+    return [name for name in world.controller_names if name != leader_of(world)]
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_a_cancellation_confirmed_elsewhere_ends_in_time_in_an_outage_and_nothing_else_does(seed: int) -> None:
     world = two_jobs(seed)
-    before = on_machines(world, "j-2")
+    before = running_attempts(world, "j-2")
     gap(world, others(world)[seed % 2], 40)
-    assert world.rules.broken == []
-    assert on_machines(world, "j-1") == set() and on_machines(world, "j-2") == before
+    assert world.invariants.violations == []
+    assert running_attempts(world, "j-1") == set() and running_attempts(world, "j-2") == before
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_it_ends_in_time_too_when_the_controller_that_confirmed_it_starts_anew(seed: int) -> None:
     world = two_jobs(seed)
     gap(world, others(world)[seed % 2], 40, restart=True)
-    assert world.rules.broken == []
-    assert on_machines(world, "j-1") == set()
+    assert world.invariants.violations == []
+    assert running_attempts(world, "j-1") == set()
 
 
 def test_without_the_memory_of_what_a_peer_may_have_confirmed_it_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -100,7 +105,7 @@
     monkeypatch.setattr(Mirror, "dropped_since", lambda mirror, epoch: [])
     world = two_jobs(1)
     gap(world, others(world)[1], 40, restart=True)
-    assert any("ran_cancelled" in rule for rule in world.rules.broken)
+    assert any("ran_cancelled" in rule for rule in world.invariants.violations)
 
 
 def unheard_pushes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -111,10 +116,10 @@
 def test_the_agreement_itself_carries_what_was_cancelled(monkeypatch: pytest.MonkeyPatch) -> None:
     unheard_pushes(monkeypatch)
     world = two_jobs(2)
-    before = on_machines(world, "j-2")
+    before = running_attempts(world, "j-2")
     gap(world, others(world)[0], 40)
-    assert world.rules.broken == []
-    assert on_machines(world, "j-1") == set() and on_machines(world, "j-2") == before
+    assert world.invariants.violations == []
+    assert running_attempts(world, "j-1") == set() and running_attempts(world, "j-2") == before
 
 
 def test_when_it_carries_nothing_a_cancelled_task_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -122,18 +127,18 @@
     monkeypatch.setattr(Mirror, "dropped_since", lambda mirror, epoch: [])
     world = two_jobs(2)
     gap(world, others(world)[0], 40)
-    assert any("ran_cancelled" in rule for rule in world.rules.broken)
+    assert any("ran_cancelled" in rule for rule in world.invariants.violations)
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
 def test_a_slow_state_service_before_and_after_changes_nothing_of_that(seed: int) -> None:
     world = two_jobs(seed)
-    world.slow_state = 1.0
+    world.max_store_delay_s = 1.0
     world.run(3)
     gap(world, others(world)[seed % 2], 40)
-    assert world.rules.broken == [] and on_machines(world, "j-1") == set()
-    for name in world.names:
-        answer = world.poll("j-1", name) or world.poll("j-1", name)
+    assert world.invariants.violations == [] and running_attempts(world, "j-1") == set()
+    for name in world.controller_names:
+        answer = world.poll_job("j-1", name) or world.poll_job("j-1", name)
         assert answer is None or answer[0] == 503 or answer[1]["status"] == "withdrawn"
 
 
@@ -146,26 +151,26 @@
         world.run(0.2)
         world.nodes[name].start()
         world.run(4)
-    assert world.run_until(lambda: len(on_machines(world, "j-2")) == 6, 30)
-    world.submit("j-1", pieces=6, cores=2.0, guessS=500.0)
-    world.submit("j-3", pieces=6, cores=2.0, guessS=500.0)
-    assert world.accepted("j-3", third)
-    assert world.run_until(lambda: len(on_machines(world, "j-3")) == 6, 30)
-    world.state.refuses.add(leader(world))
+    assert world.run_until(lambda: len(running_attempts(world, "j-2")) == 6, 30)
+    world.define_job("j-1", pieces=6, cores=2.0, guessS=500.0)
+    world.define_job("j-3", pieces=6, cores=2.0, guessS=500.0)
+    assert world.submit_until_accepted("j-3", third)
+    assert world.run_until(lambda: len(running_attempts(world, "j-3")) == 6, 30)
+    world.store.refused_callers.add(leader_of(world))
     world.run(1)
     teller = others(world)[0]
     cancel(world, "j-3", teller, 30, restart=True)
-    watch(world, 30)
-    world.state.refuses.clear()
-    watch(world, 10)
-    assert world.rules.broken == [] and on_machines(world, "j-3") == set()
-    assert world.run_until(lambda: len(on_machines(world, "j-2")) == 6, 40), "what nobody cancelled runs again"
+    run_with_checks(world, 30)
+    world.store.refused_callers.clear()
+    run_with_checks(world, 10)
+    assert world.invariants.violations == [] and running_attempts(world, "j-3") == set()
+    assert world.run_until(lambda: len(running_attempts(world, "j-2")) == 6, 40), "what nobody cancelled runs again"
 
 
 def test_a_job_that_peers_say_is_over_does_not_come_back_by_a_late_answer() -> None:
     """The watch of a controller that was refused shows an older record of the job first, its end only later."""
     world = two_jobs(4)
-    name = leader(world)
+    name = leader_of(world)
     controller = world.nodes[name].controller
     assert controller is not None
     record, stamp = controller.jobs["j-1"].record, controller.jobs["j-1"].mod_revision
@@ -182,56 +187,42 @@
 
 def hung_and_cancelled(world: World, *troubles: str, machines: int = 1) -> list[Worker]:
     """Machines with tasks of a cancelled job hang, in the troubles named; past its lease nothing there can run."""
-    hung = list({worker.host: worker for worker, _ in world.rules.on_machines()}.values())[:machines]
+    hung = list({worker.host: worker for worker, _ in world.invariants.running_tasks()}.values())[:machines]
     for worker in hung:
         worker.hang(45)
-    assert world.run_until(lambda: world.cancel("j-1", others(world)[0]), 10)
+    assert world.run_until(lambda: world.cancel_job("j-1", others(world)[0]), 10)
     world.run(3)
     if "outage" in troubles:
-        world.state.outage(40)
+        world.store.start_outage(40)
     if "owner" in troubles:
-        restart(world, owner(world, worker.host))
+        restart_controller(world, owner_of(world, worker.host))
     if "leader" in troubles:
-        restart(world, leader(world))
+        restart_controller(world, leader_of(world))
     if "elections" in troubles:
         for number in range(2):
-            world.after(number * 7 * S, lambda: restart(world, leader(world)))
-    watch(world, 50)
+            world.after(number * 7 * S, lambda: restart_controller(world, leader_of(world)))
+    run_with_checks(world, 50)
     return hung
 
 
-def restart(world: World, name: str) -> None:
-    world.nodes[name].kill()
-    world.after(2 * S, lambda: world.nodes[name].controller is None and world.nodes[name].start())
-
-
 @pytest.mark.parametrize("trouble", ["none", "outage", "owner", "leader", "elections"])
 def test_a_machine_that_hangs_with_a_cancelled_task_is_returned_in_time(trouble: str) -> None:
     world = busy_world(guessS=500.0)
     hung = hung_and_cancelled(world, trouble)
-    assert world.rules.broken == [] and not hung[0].alive
-
-
-def full_world() -> World:
-    """More machines than a new view returns rather than waits for."""
-    world = started(3)
-    world.submit("j-1", pieces=16, cores=4.0, guessS=500.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 16, 40)
-    return world
+    assert world.invariants.violations == [] and not hung[0].alive
 
 
 def test_many_that_hang_while_leaders_change_are_returned_in_time() -> None:
     world = full_world()
     hung = hung_and_cancelled(world, "elections", machines=6)
-    assert world.rules.broken == [] and not any(worker.alive for worker in hung)
+    assert world.invariants.violations == [] and not any(worker.alive for worker in hung)
 
 
 def test_without_that_return_the_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("ramptide.app.PROVE_WITHIN", 10.0)
     world = busy_world(guessS=500.0)
     hung_and_cancelled(world)
-    assert any("ran_cancelled" in rule for rule in world.rules.broken)
+    assert any("ran_cancelled" in rule for rule in world.invariants.violations)
 
 
 def test_without_the_memory_of_the_view_before_it_goes_on_when_views_change(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -248,15 +239,15 @@
     monkeypatch.setattr(Floor, "new_view", forgetful)
     world = full_world()
     hung_and_cancelled(world, "elections", machines=6)
-    assert any("ran_cancelled" in rule for rule in world.rules.broken)
+    assert any("ran_cancelled" in rule for rule in world.invariants.violations)
 
 
 def test_machines_that_hang_with_nothing_cancelled_are_kept() -> None:
     world = busy_world(guessS=500.0)
-    worker, _ = world.rules.on_machines()[0]
+    worker, _ = world.invariants.running_tasks()[0]
     worker.hang(18)
-    watch(world, 30)
-    assert worker.alive and world.rules.broken == []
+    run_with_checks(world, 30)
+    assert worker.alive and world.invariants.violations == []
 
 
 # Room that is kept for services.
@@ -264,20 +255,20 @@
 
 def array_beside_services() -> World:
     """All machines that there are run services, and leave a quarter free for more of them."""
-    world = started(8, capacity=2)
+    world = started_world(8, capacity=2)
     for number in range(2):
-        world.submit(f"j-{number}", shape="service", pieces=1, cores=6.0)
-        assert world.accepted(f"j-{number}", "c0")
-        assert world.run_until(lambda: len(world.rules.on_machines()) == number + 1, 30)  # noqa: B023
-    world.submit("j-5", pieces=4, cores=2.0, guessS=5.0)
-    assert world.accepted("j-5", "c1")
+        world.define_job(f"j-{number}", shape="service", pieces=1, cores=6.0)
+        assert world.submit_until_accepted(f"j-{number}", "c0")
+        assert world.run_until(lambda: len(world.invariants.running_tasks()) == number + 1, 30)  # noqa: B023
+    world.define_job("j-5", pieces=4, cores=2.0, guessS=5.0)
+    assert world.submit_until_accepted("j-5", "c1")
     return world
 
 
 def test_no_job_is_left_waiting_beside_room_that_is_kept_for_services() -> None:
     world = array_beside_services()
-    assert longest_beside_room(world, 100)[0] < 90 * S
-    assert world.run_until(lambda: world.done("j-5"), 300)
+    assert longest_starvation(world, 100)[0] < 90 * S
+    assert world.run_until(lambda: world.is_done("j-5"), 300)
 
 
 def test_when_that_room_is_kept_for_ever_it_waits() -> None:
@@ -285,7 +276,7 @@
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller.tuning = node.controller.floor.tuning = Tuning(share_wait=1000 * S, patience=1000 * S)
-    assert longest_beside_room(world, 100)[0] >= 90 * S
+    assert longest_starvation(world, 100)[0] >= 90 * S
 
 
 # A handover whose transaction is not answered.
@@ -293,43 +284,44 @@
 
 def swallow_a_handover(world: World, late: float | None) -> None:
     """The first one is never carried out, or `late` seconds after it was sent."""
-    handle, swallowed = world.state.handle, []
+    handle = world.store.handle
+    swallowed: list[bytes] = []
 
-    def handled(caller: str, method: str, target: str, body: bytes, answer: Answer) -> None:
+    def handled(caller: str, method: str, target: str, body: bytes, respond: Respond) -> None:
         if target == TRANSACTION_PATH and b'"hand":[' in body and not swallowed:
             swallowed.append(body)
             if late is not None:
-                world.after(late * S, lambda: handle(caller, method, target, body, lambda status, told: None))
+                world.after(late * S, lambda: handle(caller, method, target, body, ignore_response))
         else:
-            handle(caller, method, target, body, answer)
+            handle(caller, method, target, body, respond)
 
-    world.state.handle = handled  # type: ignore[method-assign]
+    world.store.handle = handled  # type: ignore[method-assign]
 
 
 def job_for_another_part(world: World) -> None:
     """A job whose home is not the leader, and for which its home's own part has no room."""
-    world.submit("j-1", pieces=30, cores=4.0, guessS=6.0)
-    assert world.accepted("j-1", others(world)[0])
+    world.define_job("j-1", pieces=30, cores=4.0, guessS=6.0)
+    assert world.submit_until_accepted("j-1", others(world)[0])
     home = others(world)[0]
-    value, stamp, grant = world.state.data["live/job/j-1"]
-    world.state._apply([("live/job/j-1", value | {"home": home}, grant)], [])
+    entry = world.store.entries["live/job/j-1"]
+    world.store.put("live/job/j-1", entry.value | {"home": home}, entry.lease_id)
 
 
 @pytest.mark.parametrize("late", [None, 4.0])
 def test_a_handover_that_is_not_answered_leaves_no_job_behind(late: float | None) -> None:
-    world = started(3)
+    world = started_world(3)
     swallow_a_handover(world, late)
     job_for_another_part(world)
-    assert world.run_until(lambda: world.done("j-1"), 100)
-    assert world.rules.broken == []
+    assert world.run_until(lambda: world.is_done("j-1"), 100)
+    assert world.invariants.violations == []
 
 
 def test_when_nobody_asks_again_the_job_stays_where_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("ramptide.handover.HAND_OVER_AGAIN", 1000 * S)
-    world = started(3)
+    world = started_world(3)
     swallow_a_handover(world, None)
     job_for_another_part(world)
-    assert not world.run_until(lambda: world.done("j-1"), 100)
+    assert not world.run_until(lambda: world.is_done("j-1"), 100)
 
 
 # A job is handed over while the old home's messages are slow.
@@ -338,7 +330,7 @@
 def handed_over_at_the_limit(world: World) -> None:
     """A team is at its limit with one job, and another of it waits at the same home. The first goes to the leader, who
     hears nothing new of the old home for a moment."""
-    new, old = leader(world), others(world)[0]
+    new, old = leader_of(world), others(world)[0]
     home, lead = world.nodes[old].controller, world.nodes[new].controller
     assert home is not None and lead is not None and home.view is not None and home.scheduler is not None
     for controller in (home, lead):
@@ -347,10 +339,10 @@
         assert node.controller is not None
         node.controller.desk._home_for = lambda run: old
     for ref in ("j-1", "j-2"):
-        world.submit(ref, owner="few", pieces=3, cores=4.0, guessS=300.0)
-        assert world.accepted(ref, old)
-    assert world.run_until(lambda: len(on_machines(world, "j-1") | on_machines(world, "j-2")) == 3, 40)
-    ref = "j-1" if on_machines(world, "j-1") else "j-2"
+        world.define_job(ref, owner="few", pieces=3, cores=4.0, guessS=300.0)
+        assert world.submit_until_accepted(ref, old)
+    assert world.run_until(lambda: len(running_attempts(world, "j-1") | running_attempts(world, "j-2")) == 3, 40)
+    ref = "j-1" if running_attempts(world, "j-1") else "j-2"
     send = home.peers.send
     home.peers.send = lambda peer, sync, every=S: peer.name != new and send(peer, sync, every)  # type: ignore
     world.run(0.5)
@@ -359,24 +351,24 @@
     job = home.jobs[ref]
     hand = Handover(home.view.number, old, said.sequence_number)
     record = msgspec.structs.replace(job.record, scheduler=new, handover=hand)
-    world.state._apply([(f"live/job/{ref}", msgspec.to_builtins(record), None)], [])
-    watch(world, 2)
+    world.store.put(f"live/job/{ref}", msgspec.to_builtins(record))
+    run_with_checks(world, 2)
     home.peers.send = send  # type: ignore[method-assign]
-    watch(world, 5)
+    run_with_checks(world, 5)
 
 
 def few_world() -> World:
-    world = started(3, teams={"team": 0.0, "few": 12.0})
-    world.submit("j-9", pieces=12, cores=4.0, guessS=500.0)
-    assert world.accepted("j-9", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 12, 40)
+    world = started_world(3, teams={"team": 0.0, "few": 12.0})
+    world.define_job("j-9", pieces=12, cores=4.0, guessS=500.0)
+    assert world.submit_until_accepted("j-9", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 12, 40)
     return world
 
 
 def test_a_job_counts_as_taken_over_only_when_its_old_home_has_let_it_go() -> None:
     world = few_world()
     handed_over_at_the_limit(world)
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 def test_when_it_counts_before_its_team_uses_its_limit_twice(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -386,7 +378,7 @@
     monkeypatch.setattr(LimitSplit, "_taken_over", taken)
     world = few_world()
     handed_over_at_the_limit(world)
-    assert any("quota" in rule for rule in world.rules.broken)
+    assert any("quota" in rule for rule in world.invariants.violations)
 
 
 def untold_wishes(world: World) -> list[str]:
@@ -414,14 +406,14 @@
 
         controller.peers.send = send  # type: ignore[method-assign]
     for number in range(6):
-        world.submit(f"j-{number}", pieces=6, guessS=3.0)
-        assert world.accepted(f"j-{number}", world.names[number % 3])
+        world.define_job(f"j-{number}", pieces=6, guessS=3.0)
+        assert world.submit_until_accepted(f"j-{number}", world.controller_names[number % 3])
     world.run(20)
     return found
 
 
 def test_what_is_said_to_be_processed_is_shown_with_it() -> None:
-    assert untold_wishes(started(5)) == []
+    assert untold_wishes(started_world(5)) == []
 
 
 def test_without_that_a_new_home_would_miss_a_start(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -433,7 +425,7 @@
             del syncing._rows._last_change[host]
 
     monkeypatch.setattr(Syncing, "mark", late)
-    assert untold_wishes(started(5))
+    assert untold_wishes(started_world(5))
 
 
 # Changes of leader in the middle of other troubles.
@@ -441,79 +433,85 @@
 
 def away(world: World, seconds: float) -> None:
     """All controllers end, and are back after longer than a lease; machines go on reporting to nobody."""
-    for name in world.names:
+    for name in world.controller_names:
         world.nodes[name].kill()
-    watch(world, seconds)
-    for name in world.names:
+    run_with_checks(world, seconds)
+    for name in world.controller_names:
         world.nodes[name].start()
 
 
 def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
     world = two_jobs(1)
-    assert world.cancel("j-1", "c0")
+    assert world.cancel_job("j-1", "c0")
     away(world, 12)
-    watch(world, 30)
-    assert world.rules.broken == []
-    assert on_machines(world, "j-1") == set() and len(on_machines(world, "j-2")) == 6
+    run_with_checks(world, 30)
+    assert world.invariants.violations == []
+    assert running_attempts(world, "j-1") == set() and len(running_attempts(world, "j-2")) == 6
 
 
 def ten_leaders(world: World) -> None:
     """One leader after the other ends within two minutes, half of the time in an outage; each is back in a moment."""
     for number in range(10):
-        old = leader(world)
+        old = leader_of(world)
         if number % 4 == 3:
-            world.state.outage(6)
+            world.store.start_outage(6)
         world.nodes[old].kill()
         world.after((0.3 if number % 2 else 2.5) * S, world.nodes[old].start)
-        watch(world, 12)
+        run_with_checks(world, 12)
 
 
 def many_jobs(world: World) -> list[str]:
     """Of two teams, one of them at its limit; long and short, bound to a zone or not."""
-    kinds = [{}, {"owner": "few"}, {"oneZone": True}, {"spread": True}, {"yard": "a", "owner": "few"}]
+    kinds: list[dict[str, Any]] = [
+        {},
+        {"owner": "few"},
+        {"oneZone": True},
+        {"spread": True},
+        {"yard": "a", "owner": "few"},
+    ]
     refs = [f"j-{number}" for number in range(20)]
     for number, ref in enumerate(refs):
-        world.submit(ref, pieces=3, cores=2.0, guessS=(4.0, 15.0, 30.0)[number % 3], **kinds[number % 5])
-        world.after(number * 5 * S, lambda ref=ref: submit(world, world.rng, ref))  # type: ignore[misc]
+        world.define_job(ref, pieces=3, cores=2.0, guessS=(4.0, 15.0, 30.0)[number % 3], **kinds[number % 5])
+        world.after(number * 5 * S, lambda ref=ref: submit_job(world, world.rng, ref))  # type: ignore[misc]
     return refs
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_ten_leaders_in_two_minutes_starve_nobody(seed: int) -> None:
-    world = started(seed, teams={"team": 0.0, "few": 8.0})
+    world = started_world(seed, teams={"team": 0.0, "few": 8.0})
     refs = many_jobs(world)
     world.run(5)
     ten_leaders(world)
-    calm(world)
-    assert longest_beside_room(world, 60)[0] < 60 * S
-    assert world.rules.broken == []
+    end_faults(world)
+    assert longest_starvation(world, 60)[0] < 60 * S
+    assert world.invariants.violations == []
     # One whose controller ended while it was asked may not have been accepted, and its user asks no more here.
     assert len(world.accepted_jobs) >= len(refs) - 3
-    assert world.run_until(lambda: all(world.done(ref) for ref in world.accepted_jobs), 60)
+    assert world.run_until(lambda: all(world.is_done(ref) for ref in world.accepted_jobs), 60)
 
 
 def unreachable_then_led_anew(world: World, how: str) -> None:
     """Machines with long tasks are cut off, or hear no answers, when the leader ends. Nothing can be returned."""
-    world.cloud.down = True
-    hosts = sorted({worker.host for worker, _ in world.rules.on_machines()})[:4]
+    world.cloud.is_down = True
+    hosts = sorted({worker.host for worker, _ in world.invariants.running_tasks()})[:4]
     for host in hosts:
         if how == "deaf":
-            world.deaf.add(host)
+            world.hosts_without_responses.add(host)
         else:
-            for name in world.names:
-                world.cut(host, name)
-    restart(world, leader(world))
-    watch(world, 25)
+            for name in world.controller_names:
+                world.cut_link(host, name)
+    restart_controller(world, leader_of(world))
+    run_with_checks(world, 25)
     world.heal()
-    world.cloud.down = False
-    watch(world, 40)
+    world.cloud.is_down = False
+    run_with_checks(world, 40)
 
 
 @pytest.mark.parametrize("how", ["deaf", "cut"])
 def test_machines_that_the_new_leader_cannot_reach_run_nothing_twice(how: str) -> None:
     world = full_world()
     unreachable_then_led_anew(world, how)
-    assert world.rules.broken == [] and len(world.rules.on_machines()) == 16
+    assert world.invariants.violations == [] and len(world.invariants.running_tasks()) == 16
 
 
 @pytest.mark.parametrize("how", ["deaf", "cut"])
@@ -521,76 +519,76 @@
     monkeypatch.setattr(Controller, "unsettled", lambda controller: {})
     world = full_world()
     unreachable_then_led_anew(world, how)
-    assert any("ran_twice" in rule for rule in world.rules.broken)
+    assert any("ran_twice" in rule for rule in world.invariants.violations)
 
 
 def limit_and_cancellation(world: World) -> None:
     """A team is at its limit when the leader ends, half of its machines can't be asked, and one job is cancelled."""
     for ref in ("j-1", "j-2", "j-3"):
-        world.submit(ref, owner="few", pieces=6, cores=2.0, guessS=300.0)
-        assert world.accepted(ref, "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 12, 40)
-    world.cloud.down = True
-    for host in sorted({worker.host for worker, _ in world.rules.on_machines()})[::2]:
-        for name in world.names:
-            world.cut(host, name)
-    restart(world, leader(world))
-    running = next(ref for ref in ("j-1", "j-2", "j-3") if on_machines(world, ref))
-    world.after(3 * S, lambda: withdraw(world, world.rng, running))
-    watch(world, 25)
+        world.define_job(ref, owner="few", pieces=6, cores=2.0, guessS=300.0)
+        assert world.submit_until_accepted(ref, "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 12, 40)
+    world.cloud.is_down = True
+    for host in sorted({worker.host for worker, _ in world.invariants.running_tasks()})[::2]:
+        for name in world.controller_names:
+            world.cut_link(host, name)
+    restart_controller(world, leader_of(world))
+    running = next(ref for ref in ("j-1", "j-2", "j-3") if running_attempts(world, ref))
+    world.after(3 * S, lambda: cancel_job(world, world.rng, running))
+    run_with_checks(world, 25)
     world.heal()
-    world.cloud.down = False
-    watch(world, 40)
+    world.cloud.is_down = False
+    run_with_checks(world, 40)
 
 
 def test_a_limit_holds_while_machines_cannot_be_asked_and_a_job_is_cancelled() -> None:
-    world = started(2, teams={"team": 0.0, "few": 24.0})
+    world = started_world(2, teams={"team": 0.0, "few": 24.0})
     limit_and_cancellation(world)
-    assert world.rules.broken == [] and len(world.rules.on_machines()) == 12
+    assert world.invariants.violations == [] and len(world.invariants.running_tasks()) == 12
 
 
 def test_without_waiting_for_them_the_limit_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Controller, "unsettled", lambda controller: {})
-    world = started(2, teams={"team": 0.0, "few": 24.0})
+    world = started_world(2, teams={"team": 0.0, "few": 24.0})
     limit_and_cancellation(world)
-    assert any("quota" in rule or "ran_twice" in rule for rule in world.rules.broken)
+    assert any("quota" in rule or "ran_twice" in rule for rule in world.invariants.violations)
 
 
 @pytest.mark.parametrize("fields", [{"oneZone": True}, {"spread": True}, {"yard": "a"}], ids=str)
 def test_jobs_bound_to_zones_lose_machines_and_go_on_where_they_may(fields: dict[str, object]) -> None:
-    world = started(6)
-    world.submit("j-1", pieces=10, cores=4.0, guessS=40.0, **fields)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(on_machines(world, "j-1")) >= 8, 40)
+    world = started_world(6)
+    world.define_job("j-1", pieces=10, cores=4.0, guessS=40.0, **fields)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(running_attempts(world, "j-1")) >= 8, 40)
     for number in range(3):
-        world.rules.on_machines()[0][0].die()
+        world.invariants.running_tasks()[0][0].die()
         if number == 1:
-            restart(world, leader(world))
-        watch(world, 8)
-    watch(world, 20)
-    assert world.run_until(lambda: world.done("j-1"), 150)
-    assert world.rules.broken == []
+            restart_controller(world, leader_of(world))
+        run_with_checks(world, 8)
+    run_with_checks(world, 20)
+    assert world.run_until(lambda: world.is_done("j-1"), 150)
+    assert world.invariants.violations == []
 
 
 def test_tasks_that_end_far_apart_across_changes_of_leader_are_all_counted() -> None:
     """The first task of each job ends before the leader does, the last one after its successor has ended, too."""
-    world = started(5)
+    world = started_world(5)
     for ref in ("j-1", "j-2"):
-        world.submit(ref, pieces=3, cores=2.0, guessS=2.0)
-        assert world.accepted(ref, "c1")
+        world.define_job(ref, pieces=3, cores=2.0, guessS=2.0)
+        assert world.submit_until_accepted(ref, "c1")
     ends = iter([2.0, 14.0, 30.0] * 4)
-    begin = Worker._start
+    begin = Worker._run
 
     def start(worker: Worker, task: Task, spec: dict[str, object]) -> None:
         begin(worker, task, spec | {"guessS": next(ends, 5.0)})
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Worker, "_start", start)
+        patch.setattr(Worker, "_run", start)
         for _ in range(2):
-            watch(world, 10)
-            restart(world, leader(world))
-        assert world.run_until(lambda: world.done("j-1") and world.done("j-2"), 90)
-    assert world.rules.broken == []
+            run_with_checks(world, 10)
+            restart_controller(world, leader_of(world))
+        assert world.run_until(lambda: world.is_done("j-1") and world.is_done("j-2"), 90)
+    assert world.invariants.violations == []
 
 
 # The end of a job's last task meets its cancellation, questions and a repeated submission.
@@ -598,7 +596,7 @@
 
 def at_the_end(world: World, offset: float) -> set[str]:
     """Asked around the moment of the end, at different controllers; then all are asked for what became of it."""
-    body = json.dumps(world.jobs["j-1"]).encode()
+    body = json.dumps(world.job_specs["j-1"]).encode()
     said: list[str] = []
 
     def hear(status: int, body: bytes, headers: object) -> None:
@@ -606,15 +604,15 @@
             said.append(json.loads(body)["status"])
 
     def ask() -> None:
-        world.ask("c0", lambda c: c.desk.cancel("j-1", hear))
-        world.ask("c1", lambda c: c.desk.poll("j-1", hear))
-        world.ask("c2", lambda c: c.desk.submit(body, hear))
-
-    world.rules.ending = lambda ref: world.after(offset * S, ask)
-    assert world.run_until(lambda: len(world.rules.finished) == 2, 40)
-    watch(world, 8)
-    for name in world.names:
-        answer = world.poll("j-1", name)
+        world.request("c0", lambda c: c.desk.cancel("j-1", hear))
+        world.request("c1", lambda c: c.desk.poll("j-1", hear))
+        world.request("c2", lambda c: c.desk.submit(body, hear))
+
+    world.invariants.on_job_done = lambda ref: world.after(offset * S, ask)
+    assert world.run_until(lambda: len(world.invariants.finished_tasks) == 2, 40)
+    run_with_checks(world, 8)
+    for name in world.controller_names:
+        answer = world.poll_job("j-1", name)
         assert answer is not None and answer[0] == 200
         said.append(answer[1]["status"])
     return set(said)
@@ -622,11 +620,11 @@
 
 @pytest.mark.parametrize("offset", [0.0, 0.05, 0.2, 0.5, 0.8, 1.1, 1.5])
 def test_nobody_hears_two_ends_of_one_job(offset: float) -> None:
-    world = started(7)
-    world.submit("j-1", pieces=2, guessS=3.0)
-    assert world.accepted("j-1", "c0")
+    world = started_world(7)
+    world.define_job("j-1", pieces=2, guessS=3.0)
+    assert world.submit_until_accepted("j-1", "c0")
     ends = at_the_end(world, offset)
     assert ends in ({"done"}, {"withdrawn"})
     if "done" in ends:
-        assert world.done("j-1")
-    assert world.rules.broken == []
+        assert world.is_done("j-1")
+    assert world.invariants.violations == []
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -5,8 +5,7 @@
 from datetime import timedelta
 from typing import Any
 
-from users import submit
-from world import World, started
+from virtual import World, started_world, submit_job
 
 from ramptide.app import Controller
 
@@ -46,18 +45,18 @@
     """Forty arrays and ten services come and go; then all machines but the pool leave."""
     for number in range(first, first + 50):
         service = number % 5 == 0
-        world.submit(f"j-{number}", shape="service" if service else "batch", pieces=1 if service else 6, guessS=2.0)
-        submit(world, world.rng, f"j-{number}")
+        world.define_job(f"j-{number}", shape="service" if service else "batch", pieces=1 if service else 6, guessS=2.0)
+        submit_job(world, world.rng, f"j-{number}")
         world.run(0.5)
     for number in range(first, first + 50, 5):
-        assert world.run_until(lambda number=number: world.cancel(f"j-{number}", "c0"), 20)  # type: ignore[misc]
-    assert world.run_until(lambda: not any(key.startswith("live/job/") for key in world.state.data), 120)
+        assert world.run_until(lambda number=number: world.cancel_job(f"j-{number}", "c0"), 20)  # type: ignore[misc]
+    assert world.run_until(lambda: not any(key.startswith("live/job/") for key in world.store.entries), 120)
     world.run(90)
     assert sum(worker.alive for worker in world.workers.values()) <= 2
 
 
 def test_tables_return_to_what_they_were() -> None:
-    world = started(4, capacity=14)
+    world = started_world(4, capacity=14)
     busy_time(world, 0)
     before = [kept(node.controller) for node in world.nodes.values() if node.controller is not None]
     machines = len(world.workers)
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from world import S, job
+from virtual import S, job_spec
 
 from ramptide.allowances import Allowances, ProportionalSplit
 from ramptide.amounts import UNITS, Amounts
@@ -39,7 +39,7 @@
 
 
 def test_a_job_of_100000_tasks_fits_a_small_value_and_is_walked_once() -> None:
-    run = decode_job_spec(json.dumps(job("j-1", pieces=100_000)).encode())
+    run = decode_job_spec(json.dumps(job_spec("j-1", pieces=100_000)).encode())
     work = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, Progress().encode()), 1), Progress(), timedelta(0))
     largest = 0
     for _ in range(100_000):
@@ -56,7 +56,7 @@
 
 
 def test_tasks_past_the_window_wait_for_the_oldest() -> None:
-    run = decode_job_spec(json.dumps(job("j-1", pieces=100_000)).encode())
+    run = decode_job_spec(json.dumps(job_spec("j-1", pieces=100_000)).encode())
     done = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW)))
     work = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, done.encode()), 1), done, timedelta(0))
     assert work.next_task() == 0
@@ -178,7 +178,7 @@
 
 
 def demand(tasks: int, waited: float = 1.0) -> Demand:
-    run = decode_job_spec(json.dumps(job("j-1", pieces=tasks, cores=4.0)).encode())
+    run = decode_job_spec(json.dumps(job_spec("j-1", pieces=tasks, cores=4.0)).encode())
     return Demand(run, tasks, waited * S, Counter())
 
 
@@ -223,7 +223,7 @@
 
     def left(zone: str) -> dict[str, str]:
         fleet = Fleet(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S), S, 10 * S, 30 * S)
-        run = decode_job_spec(json.dumps(job("j-1", pieces=4, cores=4.0, yard=zone)).encode())
+        run = decode_job_spec(json.dumps(job_spec("j-1", pieces=4, cores=4.0, yard=zone)).encode())
         kept = machine("vm-0")
         assert kept.room is not None and kept.record.zone == "a"
         # What is kept for services is no room for an array, yet of use to it before long.
@@ -243,7 +243,7 @@
 def test_a_machine_with_few_services_is_emptied_when_they_find_room_with_others() -> None:
     def serving(host: str, services: int, **fields: object) -> Machine:
         runs = [
-            decode_job_spec(json.dumps(job(f"j-{host[3:]}{n}", shape="service", pieces=1, cores=2.0)).encode())
+            decode_job_spec(json.dumps(job_spec(f"j-{host[3:]}{n}", shape="service", pieces=1, cores=2.0)).encode())
             for n in range(services)
         ]
         found = machine(host, tasks=services, serving=runs, **fields)
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -9,10 +9,24 @@
 from typing import Any
 
 import pytest
-from chaos import longest_beside_room
 from prometheus_client.parser import text_string_to_metric_families
-from test_world import busy_world, calm
-from world import CLOUD, STATE, Node, S, VirtualContext, World, job, leader, owner, started
+from virtual import (
+    CLOUD,
+    STORE,
+    Node,
+    Respond,
+    S,
+    VirtualRuntime,
+    World,
+    busy_world,
+    end_faults,
+    ignore_response,
+    job_spec,
+    leader_of,
+    longest_starvation,
+    owner_of,
+    started_world,
+)
 
 from ramptide.admin import METRICS_PATH, STATUS_PATH, Admin
 from ramptide.app import Controller
@@ -36,7 +50,7 @@
     def look(controller: Controller) -> None:
         Admin(controller, ProcessStatistics()).handle("GET", path, b"", lambda code, said, kind: got.append(said))
 
-    world.ask(name, look)
+    world.request(name, look)
     world.run(0.1)
     return got[0]
 
@@ -61,22 +75,22 @@
 
 
 def cut_from_state(world: World, name: str) -> None:
-    world.cut(name, STATE)
+    world.cut_link(name, STORE)
 
 
 def refused_by_state(world: World, name: str) -> None:
-    world.state.refuses.add(name)
+    world.store.refused_callers.add(name)
 
 
 def cut_from_workers(world: World, name: str) -> None:
     for host in world.workers:
-        world.cut(name, host)
+        world.cut_link(name, host)
 
 
 def cut_from_peers(world: World, name: str) -> None:
-    for other in world.names:
+    for other in world.controller_names:
         if other != name:
-            world.cut(name, other)
+            world.cut_link(name, other)
 
 
 def left_with_workers(world: World, name: str) -> None:
@@ -97,50 +111,50 @@
 ) -> None:
     """Held packets arrive when it is back. Jobs go on without it, and one is cancelled meanwhile."""
     world = busy_world(guessS=300.0, pieces=6, cores=2.0)
-    world.hold_mode = True
-    name = leader(world) if lead else next(other for other in world.names if other != leader(world))
-    rest = [other for other in world.names if other != name]
-    world.submit("j-2", pieces=10, cores=2.0, guessS=20.0)
-    assert world.accepted("j-2", name)
+    world.holds_requests_on_cut_links = True
+    name = leader_of(world) if lead else next(other for other in world.controller_names if other != leader_of(world))
+    rest = [other for other in world.controller_names if other != name]
+    world.define_job("j-2", pieces=10, cores=2.0, guessS=20.0)
+    assert world.submit_until_accepted("j-2", name)
     silence(world, name)
     for second in range(70):
         world.run(1)
-        world.rules.check()
+        world.invariants.check()
         if second == 3:
-            assert world.cancel("j-1", rest[0]) or silence is not cut_from_workers
-        if second == 10 and "j-1" not in world.cancelled:
-            assert world.cancel("j-1", rest[0])
+            assert world.cancel_job("j-1", rest[0]) or silence is not cut_from_workers
+        if second == 10 and "j-1" not in world.cancelled_at:
+            assert world.cancel_job("j-1", rest[0])
         if second == 12:
-            world.submit("j-3", pieces=4, cores=2.0, guessS=10.0)
-            assert world.accepted("j-3", rest[1])
-    assert world.done("j-2") and world.done("j-3"), "the others went on"
-    calm(world)
-    assert longest_beside_room(world, 20)[0] < 15 * S
-    assert world.rules.broken == []
-    assert not any(task.ref == "j-1" for _, task in world.rules.on_machines())
-    assert all(of(world, other).latched and of(world, other).lacks() == [] for other in world.names)
+            world.define_job("j-3", pieces=4, cores=2.0, guessS=10.0)
+            assert world.submit_until_accepted("j-3", rest[1])
+    assert world.is_done("j-2") and world.is_done("j-3"), "the others went on"
+    end_faults(world)
+    assert longest_starvation(world, 20)[0] < 15 * S
+    assert world.invariants.violations == []
+    assert not any(task.job_id == "j-1" for _, task in world.invariants.running_tasks())
+    assert all(of(world, other).latched and of(world, other).lacks() == [] for other in world.controller_names)
 
 
 def cut_from_workers_for_a_minute(seed: int) -> int:
     """How many of 24 tasks on twelve machines run on as they were."""
-    world = started(seed, capacity=15)
-    world.submit("j-1", pieces=24, cores=4.0, guessS=500.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 24, 40)
+    world = started_world(seed, capacity=15)
+    world.define_job("j-1", pieces=24, cores=4.0, guessS=500.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 24, 40)
     world.run(3)
-    busy = [owner(world, worker.host) for worker, _ in world.rules.on_machines()]
-    name = max(world.names, key=busy.count)
-    before = {(task.ref, task.number, task.attempt) for _, task in world.rules.on_machines()}
+    busy = [owner_of(world, worker.host) for worker, _ in world.invariants.running_tasks()]
+    name = max(world.controller_names, key=busy.count)
+    before = {(task.job_id, task.index, task.attempt) for _, task in world.invariants.running_tasks()}
     cut_from_workers(world, name)
     for _ in range(700):
         world.run(0.1)
-        world.rules.check()
+        world.invariants.check()
     assert of(world, name).membership._losses <= 1, "it does not stand again before workers answer"
     world.heal()
     world.run(20)
-    assert world.rules.broken == []
-    assert all(of(world, other).lacks() == [] for other in world.names), "it has its place again"
-    return len(before & {(task.ref, task.number, task.attempt) for _, task in world.rules.on_machines()})
+    assert world.invariants.violations == []
+    assert all(of(world, other).lacks() == [] for other in world.controller_names), "it has its place again"
+    return len(before & {(task.job_id, task.index, task.attempt) for _, task in world.invariants.running_tasks()})
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -155,15 +169,15 @@
 
 def test_when_nobody_hears_any_worker_all_keep_their_places() -> None:
     world = busy_world(guessS=500.0)
-    for name in world.names:
+    for name in world.controller_names:
         cut_from_workers(world, name)
     world.run(20)
-    assert all(of(world, name).membership.serving for name in world.names)
+    assert all(of(world, name).membership.serving for name in world.controller_names)
 
 
 def test_a_controller_that_stood_still_for_a_moment_keeps_its_place() -> None:
     world = busy_world(guessS=500.0)
-    for name in world.names:
+    for name in world.controller_names:
         world.nodes[name].freeze(2.9)
         world.run(8)
         assert of(world, name).membership._losses == 0
@@ -183,37 +197,37 @@
     silence: Callable[[World, str], None], its: list[str], others: list[str], caplog: pytest.LogCaptureFixture
 ) -> None:
     world = busy_world(guessS=300.0)
-    world.cloud.down = True
+    world.cloud.is_down = True
     caplog.set_level(logging.INFO)
-    assert all(status(world, name)["lacks"] == [] for name in world.names)
+    assert all(status(world, name)["lacks"] == [] for name in world.controller_names)
     silence(world, "c2")
     world.run(7)
     assert status(world, "c2")["lacks"] == its
     assert all(status(world, name)["lacks"] == others for name in ("c0", "c1"))
     assert f"we lack: {', '.join(its)}" in caplog.text
-    world.cloud.down = False
-    calm(world)
-    assert all(status(world, name)["lacks"] == [] for name in world.names)
+    world.cloud.is_down = False
+    end_faults(world)
+    assert all(status(world, name)["lacks"] == [] for name in world.controller_names)
     assert "we lack: nothing" in caplog.text
 
 
 def test_all_lack_the_state_service_in_an_outage() -> None:
     world = busy_world(guessS=300.0)
-    world.state.outage(10)
+    world.store.start_outage(10)
     world.run(5)
-    assert all(status(world, name)["lacks"] == ["state service"] for name in world.names)
+    assert all(status(world, name)["lacks"] == ["state service"] for name in world.controller_names)
 
 
 def test_the_status_names_jobs_that_fail_everywhere_and_machines_out_of_use() -> None:
     world = busy_world(guessS=300.0, cores=2.0)
-    world.bad["j-9"] = 0.3
-    world.submit("j-9", pieces=8, cores=1.0)
-    assert world.accepted("j-9", "c0")
-    world.cloud.down = True
-    worker = world.rules.on_machines()[0][0]
+    world.failure_delays["j-9"] = 0.3
+    world.define_job("j-9", pieces=8, cores=1.0)
+    assert world.submit_until_accepted("j-9", "c0")
+    world.cloud.is_down = True
+    worker = world.invariants.running_tasks()[0][0]
     worker.hang(30)
     world.run(8)
-    said = status(world, leader(world))
+    said = status(world, leader_of(world))
     failing, machines = said["failing_jobs"], said["machines"]
     assert isinstance(failing, dict) and list(failing) == ["j-9"] and failing["j-9"] > 1
     assert isinstance(machines, dict) and machines[worker.host]["out_of_use"] == "silent"
@@ -221,13 +235,13 @@
 
 
 def test_what_waits_for_a_teams_limit_is_told_by_team() -> None:
-    world = started(5, teams={"team": 0.0, "few": 8.0})
-    world.submit("j-1", owner="few", pieces=10, cores=2.0, guessS=300.0)
-    world.submit("j-2", owner="team", pieces=2, cores=2.0, guessS=300.0)
-    assert world.accepted("j-1", "c0") and world.accepted("j-2", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 6, 40)
+    world = started_world(5, teams={"team": 0.0, "few": 8.0})
+    world.define_job("j-1", owner="few", pieces=10, cores=2.0, guessS=300.0)
+    world.define_job("j-2", owner="team", pieces=2, cores=2.0, guessS=300.0)
+    assert world.submit_until_accepted("j-1", "c0") and world.submit_until_accepted("j-2", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 40)
     world.run(4)
-    said = {name: status(world, name)["teams"] for name in world.names}
+    said = {name: status(world, name)["teams"] for name in world.controller_names}
     assert all(set(teams) == {"team", "few"} for teams in said.values())
     few = [teams["few"]["cores"] for teams in said.values()]
     assert all(row["limit"] == 8.0 and row["used"] == 8.0 for row in few)
@@ -240,23 +254,25 @@
     samples = metrics(world, "c0")
     assert samples["team_limit", "cores", "few"] == samples["team_used", "cores", "few"] == 8.0
     assert ("team_limit", "cores", "team") not in samples and ("team_limit", "gpus", "few") not in samples
-    waiting = [metrics(world, name)["team_waiting_for_limit", "cores", "few"] for name in world.names]
+    waiting = [metrics(world, name)["team_waiting_for_limit", "cores", "few"] for name in world.controller_names]
     assert sum(waiting) == 12.0
 
 
 def test_what_waits_for_machines_does_not_wait_for_a_limit() -> None:
-    world = started(5, teams={"few": 100.0}, capacity=1)
-    world.submit("j-1", owner="few", pieces=10, cores=2.0, guessS=300.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 4, 40)
+    world = started_world(5, teams={"few": 100.0}, capacity=1)
+    world.define_job("j-1", owner="few", pieces=10, cores=2.0, guessS=300.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 4, 40)
     world.run(4)
-    assert all(status(world, name)["teams"]["few"]["cores"]["waiting_for_limit"] == 0.0 for name in world.names)
+    assert all(
+        status(world, name)["teams"]["few"]["cores"]["waiting_for_limit"] == 0.0 for name in world.controller_names
+    )
 
 
 def test_changes_of_membership_are_counted_and_timed() -> None:
     world = busy_world(guessS=300.0)
-    name = leader(world)
-    other = next(one for one in world.names if one != name)
+    name = leader_of(world)
+    other = next(one for one in world.controller_names if one != name)
     before = status(world, name)["view_changes"]
     world.nodes[other].kill()
     world.run(6)
@@ -272,10 +288,10 @@
 
 def test_a_change_that_waits_for_a_machine_has_no_time_yet() -> None:
     world = busy_world(guessS=300.0)
-    name = leader(world)
-    other = next(one for one in world.names if one != name)
-    world.cloud.down = True
-    world.rules.on_machines()[0][0].hang(60)
+    name = leader_of(world)
+    other = next(one for one in world.controller_names if one != name)
+    world.cloud.is_down = True
+    world.invariants.running_tasks()[0][0].hang(60)
     world.nodes[other].kill()
     world.run(6)
     assert status(world, name)["view_changes"]["last"][-1]["settled_s"] is None
@@ -288,13 +304,13 @@
 
 
 def test_answers_to_users_are_counted_by_route_and_status() -> None:
-    world = started(6)
-    world.submit("j-1", guessS=300.0)
-    assert world.accepted("j-1", "c0") and world.accepted("j-1", "c0")
-    world.ask("c0", lambda c: c.desk.submit(b"{}", lambda *said: None))
+    world = started_world(6)
+    world.define_job("j-1", guessS=300.0)
+    assert world.submit_until_accepted("j-1", "c0") and world.submit_until_accepted("j-1", "c0")
+    world.request("c0", lambda c: c.desk.submit(b"{}", lambda *said: None))
     for ref in ("j-1", "j-77", "nonsense"):
-        world.poll(ref, "c0")
-        world.cancel(ref, "c0")
+        world.poll_job(ref, "c0")
+        world.cancel_job(ref, "c0")
     assert counts(of(world, "c0")) == (
         {
             ("submit", 201): 1, ("submit", 200): 1, ("submit", 400): 1, ("poll", 200): 1, ("poll", 404): 2,
@@ -309,12 +325,12 @@
 
 def test_why_users_are_answered_503_is_counted() -> None:
     world = World(6)
-    body = json.dumps(job("j-5")).encode()
+    body = json.dumps(job_spec("j-5")).encode()
 
     def submit(name: str) -> None:
-        world.ask(name, lambda c: c.desk.submit(body, lambda *said: None))
+        world.request(name, lambda c: c.desk.submit(body, lambda *said: None))
 
-    world.cloud.down = True
+    world.cloud.is_down = True
     world.nodes["c0"].start()
     submit("c0")
     while of(world, "c0").mirror.lacking:
@@ -326,16 +342,16 @@
     world.run(8)
     submit("c1")
     assert counts(of(world, "c1")) == ({("submit", 503): 1}, {"machine_types": 1})
-    world.cloud.down = False
+    world.cloud.is_down = False
     world.run(8)
     of(world, "c1").commits.delay = lambda: 9 * S  # type: ignore[method-assign]
     submit("c1")
     assert counts(of(world, "c1"))[1] == {"machine_types": 1, "overloaded": 1}
-    world.state.down = True
+    world.store.is_down = True
     world.run(4)
     submit("c1")
-    world.cancel("j-6", "c1")
-    world.ask("c1", lambda c: c.desk.poll("j-6", lambda *said: None))
+    world.cancel_job("j-6", "c1")
+    world.request("c1", lambda c: c.desk.poll("j-6", lambda *said: None))
     world.run(4)
     answers, reasons = counts(of(world, "c1"))
     assert reasons == {"machine_types": 1, "overloaded": 1, "state_service": 3}
@@ -348,7 +364,7 @@
     controller = of(world, "c0")
     known = controller.jobs["j-1"]
     right, known.mod_revision = known.mod_revision, known.mod_revision - 1
-    world.ask("c0", lambda c: c.desk.cancel("j-1", lambda *said: None))
+    world.request("c0", lambda c: c.desk.cancel("j-1", lambda *said: None))
     known.mod_revision = right
     world.run(3)
     assert {key: count for key, count in counts(controller)[0].items() if key[0] == "cancel"} == {("cancel", 200): 1}
@@ -356,16 +372,16 @@
 
 def lost_with_silent_machines(machines: int, caplog: pytest.LogCaptureFixture) -> World:
     """So many machines of the leader's part with two tasks each hang past their leases, in a settled view."""
-    world = started(2, capacity=24)
-    world.cloud.boots = (1.0, 1.5)
+    world = started_world(2, capacity=24)
+    world.cloud.boot_seconds = (1.0, 1.5)
     caplog.set_level(logging.INFO)
-    world.submit("j-1", pieces=40, cores=4.0, guessS=500.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 40, 60)
+    world.define_job("j-1", pieces=40, cores=4.0, guessS=500.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 40, 60)
     world.run(2)
-    world.cloud.down = True
-    name = leader(world)
-    mine = [worker for worker, _ in world.rules.on_machines() if owner(world, worker.host) == name]
+    world.cloud.is_down = True
+    name = leader_of(world)
+    mine = [worker for worker, _ in world.invariants.running_tasks() if owner_of(world, worker.host) == name]
     hanging = list(dict.fromkeys(worker.host for worker in mine))[:machines]
     assert len(hanging) == machines
     for host in hanging:
@@ -373,7 +389,7 @@
     assert of(world, name).latched
     world.run(5)
     assert sorted(status(world, name)["silent_machines"]) == sorted(hanging)
-    assert all(metrics(world, one)["machines_silent",] == machines for one in world.names)
+    assert all(metrics(world, one)["machines_silent",] == machines for one in world.controller_names)
     assert metrics(world, name)["tasks_lost_total",] == 0
     world.run(10)
     assert metrics(world, name)["tasks_lost_total",] == 2 * machines
@@ -387,8 +403,10 @@
     lines = [record.getMessage() for record in caplog.records if "silent past the lease" in record.getMessage()]
     assert sum(int(line.split(": ")[1].split()[0]) for line in lines) == 2 * machines
     world.run(55)
-    assert sum(metrics(world, name)["tasks_lost_total",] for name in world.names) == 2 * machines, "told once"
-    assert sum(metrics(world, name)["machines_silent",] for name in world.names) == 0, "they are back"
+    assert sum(metrics(world, name)["tasks_lost_total",] for name in world.controller_names) == 2 * machines, (
+        "told once"
+    )
+    assert sum(metrics(world, name)["machines_silent",] for name in world.controller_names) == 0, "they are back"
 
 
 def test_many_that_are_lost_together_are_one_line(caplog: pytest.LogCaptureFixture) -> None:
@@ -403,38 +421,41 @@
 def test_what_a_controller_that_was_left_out_gives_up_is_not_lost() -> None:
     """Its workers go on under others, though it hears none of them past their leases."""
     world = busy_world(guessS=500.0)
-    name = max(world.names, key=[owner(world, worker.host) for worker, _ in world.rules.on_machines()].count)
-    before = {(task.ref, task.number, task.attempt) for _, task in world.rules.on_machines()}
+    name = max(
+        world.controller_names,
+        key=[owner_of(world, worker.host) for worker, _ in world.invariants.running_tasks()].count,
+    )
+    before = {(task.job_id, task.index, task.attempt) for _, task in world.invariants.running_tasks()}
     world.isolate(name)
     world.run(20)
     world.heal()
     world.run(10)
-    assert before == {(task.ref, task.number, task.attempt) for _, task in world.rules.on_machines()}
-    assert all(of(world, one).telemetry.tasks_lost == 0 for one in world.names)
+    assert before == {(task.job_id, task.index, task.attempt) for _, task in world.invariants.running_tasks()}
+    assert all(of(world, one).telemetry.tasks_lost == 0 for one in world.controller_names)
 
 
 def refuse_rentals(world: World) -> Callable[[], None]:
     """The state service refuses all changes of rentals, as when somebody else changed them; gives what ends that."""
-    inner = world.state._txn
+    inner = world.store._transact
 
-    def refuse(txn: dict[str, Any], answer: Callable[[int, Any], None]) -> None:
-        paths = [one["path"] for one in txn["when"] if one["path"].startswith(RENTAL_PREFIX)]
+    def refuse(transaction: dict[str, Any], respond: Respond) -> None:
+        paths = [one["path"] for one in transaction["when"] if one["path"].startswith(RENTAL_PREFIX)]
         if paths:
-            answer(409, {"failed": paths, "epoch": world.state.epoch})
+            respond(409, {"failed": paths, "epoch": world.store.revision})
         else:
-            inner(txn, answer)
+            inner(transaction, respond)
 
     def end() -> None:
-        world.state._txn = inner  # type: ignore[method-assign]
+        world.store._transact = inner  # type: ignore[method-assign]
 
-    world.state._txn = refuse  # type: ignore[method-assign]
+    world.store._transact = refuse  # type: ignore[method-assign]
     return end
 
 
 def test_a_decision_about_machines_is_logged_once_and_after_its_write(caplog: pytest.LogCaptureFixture) -> None:
     world = busy_world(guessS=500.0)
-    world.cloud.down = True
-    hosts = sorted({worker.host for worker, _ in world.rules.on_machines()})[:3]
+    world.cloud.is_down = True
+    hosts = sorted({worker.host for worker, _ in world.invariants.running_tasks()})[:3]
     for host in hosts:
         world.workers[host].hang(200)
     end = refuse_rentals(world)
@@ -447,32 +468,35 @@
     assert told() == []
     end()
     world.run(20)
-    assert all(of(world, name).machines[host].drain_reason == "silent" for name in world.names for host in hosts)
+    assert all(
+        of(world, name).machines[host].drain_reason == "silent" for name in world.controller_names for host in hosts
+    )
     assert sorted(host for line in told() for host in line.split(" (")[0].split(", ")) == hosts
 
 
 def test_a_decision_is_logged_once_though_the_answer_to_its_write_was_lost(caplog: pytest.LogCaptureFixture) -> None:
     world = busy_world(guessS=500.0)
-    world.cloud.down = True
-    host = world.rules.on_machines()[0][0].host
+    world.cloud.is_down = True
+    host = world.invariants.running_tasks()[0][0].host
     world.workers[host].hang(200)
-    inner = world.state._txn
+    inner = world.store._transact
     lost: list[float] = []
 
-    def lose(txn: dict[str, Any], answer: Callable[[int, Any], None]) -> None:
+    def lose(transaction: dict[str, Any], respond: Respond) -> None:
         bears = any(
-            one.get("put", "").startswith(RENTAL_PREFIX) and '"silent"' in json.dumps(one) for one in txn["then"]
+            one.get("put", "").startswith(RENTAL_PREFIX) and '"silent"' in json.dumps(one)
+            for one in transaction["then"]
         )
         if bears:
             lost.append(world.now / S)
-        inner(txn, (lambda status, body: None) if bears else answer)
+        inner(transaction, ignore_response if bears else respond)
 
-    world.state._txn = lose  # type: ignore[method-assign]
+    world.store._transact = lose  # type: ignore[method-assign]
     caplog.set_level(logging.INFO)
     world.run(45)
     told = [record.getMessage() for record in caplog.records if record.getMessage().endswith(": silent")]
     assert len(lost) == 1, "what was carried out is not written again"
-    assert told == [f"{host} (m, {world.workers[host].yard}): silent"]
+    assert told == [f"{host} (m, {world.workers[host].zone}): silent"]
 
 
 def test_decisions_whose_records_did_not_fit_are_not_logged() -> None:
@@ -500,16 +524,16 @@
             self._follow(node)
 
     def _follow(self, node: Node) -> None:
-        inner = node.awake
+        inner = node.dispatch
 
-        def awake(context: VirtualContext, action: Callable[[], None], deferrable: bool = False) -> None:
+        def dispatch(runtime: VirtualRuntime, action: Callable[[], None], deferrable: bool = False) -> None:
             def act() -> None:
                 self._acting = node.name
                 action()
 
-            inner(context, act, deferrable)
+            inner(runtime, act, deferrable)
 
-        node.awake = awake  # type: ignore[method-assign]
+        node.dispatch = dispatch  # type: ignore[method-assign]
 
     def emit(self, record: logging.LogRecord) -> None:
         self.lines.append((self._acting, self._world.now, record.getMessage()))
@@ -535,12 +559,12 @@
 def test_a_controller_that_stood_still_logs_that_and_no_decision_from_before(lead: bool) -> None:
     """Before it stands still a machine of its part falls silent, which is about to be decided on when it goes on."""
     world = busy_world(guessS=500.0)
-    name = leader(world) if lead else owner(world, world.rules.on_machines()[0][0].host)
-    if not lead and name == leader(world):
-        name = next(one for one in world.names if one != name)
-    world.cloud.down = True
+    name = leader_of(world) if lead else owner_of(world, world.invariants.running_tasks()[0][0].host)
+    if not lead and name == leader_of(world):
+        name = next(one for one in world.controller_names if one != name)
+    world.cloud.is_down = True
     for worker in world.workers.values():
-        if owner(world, worker.host) == name:
+        if owner_of(world, worker.host) == name:
             worker.hang(60)
             break
     world.run(22)
@@ -571,7 +595,7 @@
 
 def test_every_metric_is_explained_to_operators() -> None:
     world = busy_world(guessS=300.0)
-    world.poll("j-1", "c0")
+    world.poll_job("j-1", "c0")
     manual = (Path(__file__).parent.parent / "docs" / "operations.md").read_text()
     section = manual[manual.index("## Metrics") :]
     told = {name for name, *_ in metrics(world, "c0") if not name.endswith("_created")}
@@ -591,7 +615,7 @@
     trouble: Callable[[World, str], None], metric: str, line: str
 ) -> None:
     world = busy_world(guessS=300.0)
-    world.cloud.down = True
+    world.cloud.is_down = True
     others = ("c0", "c1")
     world.run(1)
     before = metrics(world, "c0")["view_changes_total",]
@@ -609,10 +633,10 @@
 
 def test_a_cut_between_two_controllers_is_told_by_these_two_alone() -> None:
     world = busy_world(guessS=300.0)
-    world.cloud.down = True
-    world.cut("c1", "c2")
+    world.cloud.is_down = True
+    world.cut_link("c1", "c2")
     world.run(8)
-    lacks = {name: status(world, name)["lacks"] for name in world.names}
+    lacks = {name: status(world, name)["lacks"] for name in world.controller_names}
     assert lacks == {"c0": [], "c1": ["controller c2"], "c2": ["controller c1"]}
 
 
@@ -620,16 +644,16 @@
     """At the start of a busy day more is submitted than the state service takes, and operators looked for an outage.
     The wait was thought to be short when the changes came, as it is when other controllers have much to write, too."""
     world = World(5)
-    world.limits = world.limits | {"write_rps": 6.0}
+    world.store_limits = world.store_limits | {"write_rps": 6.0}
     for node in world.nodes.values():
         node.start()
     world.run(4)
     of(world, "c0").commits.delay = lambda: 0 * S  # type: ignore[method-assign]
     answers: list[int] = []
     for number in range(60):
-        world.submit(f"j-{number}", pieces=1)
-        body = json.dumps(world.jobs[f"j-{number}"]).encode()
-        world.ask("c0", lambda c, body=body: c.desk.submit(body, lambda status, *_: answers.append(status)))  # type: ignore[misc]
+        world.define_job(f"j-{number}", pieces=1)
+        body = json.dumps(world.job_specs[f"j-{number}"]).encode()
+        world.request("c0", lambda c, body=body: c.desk.submit(body, lambda status, *_: answers.append(status)))  # type: ignore[misc]
     world.run(8)
     reasons = of(world, "c0").telemetry.unavailable
     assert len(answers) == 60 and set(answers) == {201, 503}
@@ -639,16 +663,16 @@
 
 def world_with_a_lone_survivor(seed: int) -> tuple[World, Controller]:
     """Two controllers end for good; all machines of the third one hang, and it knows the others' by their last word."""
-    world = started(seed, capacity=15)
-    world.submit("j-1", pieces=24, cores=4.0, guessS=500.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 24, 40)
+    world = started_world(seed, capacity=15)
+    world.define_job("j-1", pieces=24, cores=4.0, guessS=500.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 24, 40)
     world.run(3)
-    last = of(world, next(name for name in world.names if name != leader(world)))
+    last = of(world, next(name for name in world.controller_names if name != leader_of(world)))
     assert last.shard is not None and len(last.shard.machines) > 2
     for host in last.shard.machines:
         world.workers[host].hang(25)
-    for name in world.names:
+    for name in world.controller_names:
         if name != last.member:
             world.nodes[name].kill()
     return world, last
@@ -662,23 +686,23 @@
     for _ in range(60):
         world.run(0.5)
         assert last.membership.leading
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_controller_that_gave_up_its_place_takes_it_again_when_nobody_leads(seed: int) -> None:
-    world = started(seed, capacity=15)
-    world.submit("j-1", pieces=24, cores=4.0, guessS=500.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 24, 40)
-    name = leader(world)
+    world = started_world(seed, capacity=15)
+    world.define_job("j-1", pieces=24, cores=4.0, guessS=500.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 24, 40)
+    name = leader_of(world)
     cut_from_workers(world, name)
     assert world.run_until(lambda: of(world, name).membership.resting, 15)
-    for other in world.names:
+    for other in world.controller_names:
         if other != name:
             world.nodes[other].kill()
     assert world.run_until(lambda: of(world, name).membership.leading, 15)
     world.heal()
     world.run(30)
     assert of(world, name).membership.leading and of(world, name).latched
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from world import job
+from virtual import job_spec
 
 from ramptide.amounts import UNITS, Amounts
 from ramptide.jobs import Job
@@ -20,7 +20,7 @@
 
 
 def run_of(**fields: object) -> JobSpec:
-    return decode_job_spec(json.dumps(job("j-1", **fields)).encode())
+    return decode_job_spec(json.dumps(job_spec("j-1", **fields)).encode())
 
 
 RUNS = st.builds(
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -6,24 +6,24 @@
 from pathlib import Path
 
 import pytest
-from loopback import LoopWorld
-from world import job
+from virtual import job_spec
+from virtual.loopback import LoopWorld
 
 
 @pytest.fixture
 def world(tmp_path: Path) -> Iterator[LoopWorld]:
     world = LoopWorld(tmp_path)
-    for name in world.names:
+    for name in world.controller_names:
         world.start(name)
     yield world
     world.close()
 
 
 def test_three_processes_serve_and_survive_a_kill(world: LoopWorld) -> None:
-    for name in world.names:
+    for name in world.controller_names:
         assert world.until(lambda name=name: world.status(name, "GET", "/healthz") == 200, 20)  # type: ignore[misc]
-    world.jobs["j-1"] = job("j-1", pieces=3, guessS=6.0)
-    body = json.dumps(world.jobs["j-1"]).encode()
+    world.job_specs["j-1"] = job_spec("j-1", pieces=3, guessS=6.0)
+    body = json.dumps(world.job_specs["j-1"]).encode()
     assert world.until(lambda: world.status("c0", "POST", "/v2/runs", body) in (200, 201), 10)
     assert world.until(lambda: world.status("c1", "POST", "/v2/runs", body) == 200, 10)
 
@@ -47,11 +47,11 @@
         sock.sendall(b"{}")
         assert sock.recv(100).startswith(b"HTTP/1.1 400 ")
 
-    assert world.until(lambda: len(world.rules.on_machines()) == 3, 20)
+    assert world.until(lambda: len(world.invariants.running_tasks()) == 3, 20)
     world.kill("c1")
     world.start("c1")
-    assert world.until(lambda: world.done("j-1"), 40)
+    assert world.until(lambda: world.is_done("j-1"), 40)
     reply = world.http("c1", "GET", "/v2/runs/j-1")
     assert reply is not None and json.loads(reply.body)["status"] == "done"
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
     assert all(process.poll() is None for process in world.processes.values())
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -11,7 +11,7 @@
 import cbor2
 import msgspec
 import pytest
-from world import S, Task, Worker, World, leader, started
+from virtual import S, Task, Worker, World, leader_of, running_attempts, started_world
 
 from ramptide.admin import Admin
 from ramptide.amounts import UNITS, Amounts, add_amounts
@@ -30,13 +30,13 @@
 
 def flood(seed: int, jobs: int = 60, seconds: float = 30.0, teams: dict[str, float] | None = None) -> World:
     """Teams ask for more than their limits at all controllers at once; there is room enough for all."""
-    world = started(seed, teams=teams or TEAMS, capacity=12, parts=ON)
+    world = started_world(seed, teams=teams or TEAMS, capacity=12, parts=ON)
     rng = random.Random(seed)
     limited = list(world.teams)
     for number in range(jobs):
         cores = rng.choice([1.0, 2.0, 3.0, 0.7])
         pieces = rng.randint(1, 6)
-        world.submit(
+        world.define_job(
             f"j-{number}", owner=rng.choice(limited), pieces=pieces, cores=cores, guessS=rng.choice([1.0, 3.0])
         )
         world.after(rng.uniform(0, seconds) * S, lambda ref=f"j-{number}": send(world, rng, ref))  # type: ignore[misc]
@@ -47,13 +47,13 @@
     """Asks one controller after another until one accepts."""
     if ref in world.accepted_jobs:
         return
-    body = json.dumps(world.jobs[ref]).encode()
+    body = json.dumps(world.job_specs[ref]).encode()
 
     def answered(status: int, *_: Any) -> None:
         if status in (200, 201):
             world.accepted_jobs.add(ref)
 
-    world.ask(rng.choice(world.names), lambda controller: controller.desk.submit(body, answered))
+    world.request(rng.choice(world.controller_names), lambda controller: controller.desk.submit(body, answered))
     world.after(2 * S, lambda: send(world, rng, ref))
 
 
@@ -61,10 +61,12 @@
     """All jobs are done in the end, and no rule was broken at any moment."""
 
     def over(ref: str) -> bool:
-        return world.done(ref) or ref in world.called_off
+        return world.is_done(ref) or ref in world.cancel_requested
 
-    assert world.run_until(lambda: all(map(over, world.jobs)), seconds), [ref for ref in world.jobs if not over(ref)]
-    assert world.rules.broken == []
+    assert world.run_until(lambda: all(map(over, world.job_specs)), seconds), [
+        ref for ref in world.job_specs if not over(ref)
+    ]
+    assert world.invariants.violations == []
 
 
 def counted(world: World, what: str) -> int:
@@ -104,46 +106,50 @@
 
 
 def receiver_restarted(world: World, name: str) -> None:
-    other = next(one for one in world.names if one != name)
+    other = next(one for one in world.controller_names if one != name)
     world.nodes[other].kill()
     world.after(0.3 * S, world.nodes[other].start)
 
 
 def leader_ends(world: World, name: str) -> None:
     """The leader changes in the middle of a split."""
-    old = leader(world)
+    old = leader_of(world)
     world.nodes[old].kill()
     world.after(4 * S, world.nodes[old].start)
 
 
 def cut_from_peers(world: World, name: str) -> None:
-    for other in world.names:
+    for other in world.controller_names:
         if other != name:
-            world.cut(name, other)
+            world.cut_link(name, other)
     world.after(10 * S, world.heal)
 
 
 def cut_from_state(world: World, name: str) -> None:
-    world.state.refuses.add(name)
-    world.after(10 * S, lambda: world.state.refuses.discard(name))
+    world.store.refused_callers.add(name)
+    world.after(10 * S, lambda: world.store.refused_callers.discard(name))
 
 
 def messages_lost_and_doubled(world: World, name: str) -> None:
-    world.loss, world.repeat = 0.2, 0.2
-    world.after(15 * S, lambda: setattr(world, "loss", 0.0))
+    world.loss_rate, world.duplication_rate = 0.2, 0.2
+    world.after(15 * S, lambda: setattr(world, "loss_rate", 0.0))
 
 
 def state_service_down(world: World, name: str) -> None:
     """For longer than `cancel_s`, and jobs of teams at their limits are called off in the moment before."""
 
-    def told(ref: str) -> Callable[..., None]:
-        return lambda status, *_: world.cancelled.setdefault(ref, world.now) if status == 200 else None
+    def cancel(ref: str) -> None:
+        def on_response(status: int, body: bytes, headers: object) -> None:
+            if status == 200:
+                world.cancelled_at.setdefault(ref, world.now)
 
-    running = sorted({task.ref for _, task in world.rules.on_machines()})[:3]
+        world.request(name, lambda controller: controller.desk.cancel(ref, on_response))
+
+    running = sorted({task.job_id for _, task in world.invariants.running_tasks()})[:3]
     for ref in running:
-        world.called_off.add(ref)
-        world.ask(name, lambda controller, ref=ref: controller.desk.cancel(ref, told(ref)))  # type: ignore[misc]
-    world.after(0.3 * S, lambda: world.state.outage(world.cancel_s + 5))
+        world.cancel_requested.add(ref)
+        cancel(ref)
+    world.after(0.3 * S, lambda: world.store.start_outage(world.cancel_s + 5))
 
 
 def machine_hangs(world: World, name: str) -> None:
@@ -223,7 +229,7 @@
     for seed in SEEDS:
         world = flood(seed)
         world.run(60)
-        if any("quota" in rule for rule in world.rules.broken):
+        if any("quota" in rule for rule in world.invariants.violations):
             return True
     return False
 
@@ -260,12 +266,12 @@
 
 
 def test_share_comes_together_for_a_task_that_is_larger_than_any_share() -> None:
-    world = started(3, teams={"tight": LIMIT}, capacity=12, parts=ON)
-    for number, name in enumerate(world.names):
-        world.submit(f"j-{number}", owner="tight", pieces=4, cores=1.0, guessS=4.0 + number)
-        assert world.accepted(f"j-{number}", name)
-    world.submit("j-9", owner="tight", pieces=1, cores=7.0, guessS=1.0)
-    assert world.accepted("j-9", "c1")
+    world = started_world(3, teams={"tight": LIMIT}, capacity=12, parts=ON)
+    for number, name in enumerate(world.controller_names):
+        world.define_job(f"j-{number}", owner="tight", pieces=4, cores=1.0, guessS=4.0 + number)
+        assert world.submit_until_accepted(f"j-{number}", name)
+    world.define_job("j-9", owner="tight", pieces=1, cores=7.0, guessS=1.0)
+    assert world.submit_until_accepted("j-9", "c1")
     finish(world, 40)
 
 
@@ -298,7 +304,7 @@
     ids=str,
 )
 def test_transfers_that_cannot_be_change_nothing(change: dict[str, Any], caplog: pytest.LogCaptureFixture) -> None:
-    world = started(1, teams=TEAMS, parts=ON)
+    world = started_world(1, teams=TEAMS, parts=ON)
     world.run(3)
     controller = world.nodes["c0"].controller
     assert controller is not None and controller.quota is not None and controller.scheduler is not None
@@ -319,7 +325,7 @@
     for guarded, gained in ((True, 0), (False, UNITS)):
         if not guarded:
             monkeypatch.setattr(QuotaExchange, "_check_sender", lambda self, said, sync: None)
-        world = started(1, teams=TEAMS, parts=ON)
+        world = started_world(1, teams=TEAMS, parts=ON)
         world.run(3)
         controller = world.nodes["c0"].controller
         assert controller is not None and controller.quota is not None and controller.scheduler is not None
@@ -339,19 +345,19 @@
 
 
 def test_off_and_on_side_by_side_pass_no_limit_and_give_nothing() -> None:
-    world = started(4, teams=TEAMS, parts=ON)
+    world = started_world(4, teams=TEAMS, parts=ON)
     world.parts = None
     world.nodes["c1"].kill()
     world.nodes["c1"].start()
     rng = random.Random(4)
     for number in range(30):
-        world.submit(f"j-{number}", owner="tight", pieces=3, cores=2.0, guessS=1.0)
+        world.define_job(f"j-{number}", owner="tight", pieces=3, cores=2.0, guessS=1.0)
         world.after(rng.uniform(0, 10) * S, lambda ref=f"j-{number}": send(world, rng, ref))  # type: ignore[misc]
     world.run(20)
     assert counted(world, "given") == 0
     # One after the other is switched on, while the work goes on.
     world.parts = ON
-    for name in world.names:
+    for name in world.controller_names:
         world.nodes[name].kill()
         world.run(0.3)
         world.nodes[name].start()
@@ -360,7 +366,7 @@
 
 
 def test_messages_of_an_older_build_are_taken_and_those_to_it_hold_what_it_knows() -> None:
-    world = started(1, teams=TEAMS, parts=ON)
+    world = started_world(1, teams=TEAMS, parts=ON)
     world.run(3)
     controller = world.nodes["c0"].controller
     assert controller is not None and controller.quota is not None and controller.scheduler is not None
@@ -379,7 +385,7 @@
     environment = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
     run = subprocess.run([sys.executable, "-c", program], env=environment, capture_output=True, text=True, check=True)
     assert run.stdout == "[]\n"
-    world = started(1, teams=TEAMS)
+    world = started_world(1, teams=TEAMS)
     assert all(node.controller is not None and node.controller.quota is None for node in world.nodes.values())
     controller = world.nodes["c0"].controller
     assert controller is not None and all(said.quota is None for said in controller.peers.last_messages())
@@ -396,17 +402,17 @@
     for node in world.nodes.values():
         node.start()
     world.run(6)
-    world.submit("j-1", owner="rich", pieces=60, cores=2.0, guessS=2.0, dueS=200.0)
-    assert world.accepted("j-1", "c0")
+    world.define_job("j-1", owner="rich", pieces=60, cores=2.0, guessS=2.0, dueS=200.0)
+    assert world.submit_until_accepted("j-1", "c0")
     world.run(15)
     for node in world.nodes.values():
         assert node.controller is not None
         # Without preemption, so that the order alone decides.
         node.controller.tuning = node.controller.tuning.changed({"guarantees_first": first, "preempt_after": 600})
-    world.submit("j-2", owner="poor", pieces=6, cores=2.0, guessS=2.0)
-    assert world.accepted("j-2", "c1")
-    world.run_until(lambda: world.done("j-2") or world.done("j-1"), 60)
-    assert world.done("j-1") is not bool(first) and world.rules.broken == []
+    world.define_job("j-2", owner="poor", pieces=6, cores=2.0, guessS=2.0)
+    assert world.submit_until_accepted("j-2", "c1")
+    world.run_until(lambda: world.is_done("j-2") or world.is_done("j-1"), 60)
+    assert world.is_done("j-1") is not bool(first) and world.invariants.violations == []
 
 
 @pytest.mark.parametrize("leader_ends_too", [False, True])
@@ -417,27 +423,26 @@
     for node in world.nodes.values():
         node.start()
     world.run(6)
-    world.submit("j-1", owner="rich", pieces=12, cores=2.0, guessS=500.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 12, 30)
+    world.define_job("j-1", owner="rich", pieces=12, cores=2.0, guessS=500.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 12, 30)
     stopped: list[str] = []
     end = Worker._end
 
     def ending(task: Task, cause: str) -> None:
         if cause == "halted":
-            stopped.append(task.ref)
+            stopped.append(task.job_id)
         end(task, cause)
 
     monkeypatch.setattr(Worker, "_end", staticmethod(ending))
-    world.submit("j-2", owner="poor", pieces=4, cores=2.0, guessS=500.0)
-    assert world.accepted("j-2", "c1")
+    world.define_job("j-2", owner="poor", pieces=4, cores=2.0, guessS=500.0)
+    assert world.submit_until_accepted("j-2", "c1")
     if leader_ends_too:
         assert world.run_until(lambda: bool(stopped), 20)
         leader_ends(world, "c0")
-    running = lambda: sum(task.ref == "j-2" for _, task in world.rules.on_machines())  # noqa: E731
-    assert world.run_until(lambda: running() == 4, 40)
+    assert world.run_until(lambda: len(running_attempts(world, "j-2")) == 4, 40)
     world.run(10)
-    assert stopped == ["j-1"] * 4 and world.rules.broken == []
+    assert stopped == ["j-1"] * 4 and world.invariants.violations == []
 
 
 # What operators see.
@@ -446,7 +451,7 @@
 def test_shares_transfers_and_waits_are_in_status_and_metrics() -> None:
     world = flood(3)
     world.run(20)
-    name = leader(world)
+    name = leader_of(world)
     controller = world.nodes[name].controller
     assert controller is not None and controller.quota is not None
     got: dict[str, bytes] = {}
