--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 import pytest
-from world import World, leader, started
+from virtual import World, leader_of, started_world
 
 from ramptide.amounts import NO_LIMIT, UNITS, Amounts
 from ramptide.parts import Parts, QuotaPart
@@ -89,16 +89,16 @@
 
 def running() -> World:
     """A team at its limit; its jobs are small enough for the machines of one member, so that each member has some."""
-    world = started(2, teams={"tight": 12.0, "other": 10.0}, capacity=12, parts=ON)
+    world = started_world(2, teams={"tight": 12.0, "other": 10.0}, capacity=12, parts=ON)
     for number in range(30):
-        world.submit(f"j-{number}", owner="tight", pieces=4, cores=1.0, guessS=3.0)
-        assert world.accepted(f"j-{number}", world.names[number % 3])
+        world.define_job(f"j-{number}", owner="tight", pieces=4, cores=1.0, guessS=3.0)
+        assert world.submit_until_accepted(f"j-{number}", world.controller_names[number % 3])
     assert world.run_until(lambda: in_use(world) >= 10.0, 40)
     return world
 
 
 def in_use(world: World) -> float:
-    return sum(world.jobs[task.ref]["cores"] for _, task in world.rules.on_machines())
+    return sum(float(world.job_specs[task.job_id]["cores"]) for _, task in world.invariants.running_tasks())
 
 
 def admin(world: World, name: str, changes: dict[str, Any] | None) -> tuple[int, dict[str, Any]]:
@@ -118,7 +118,7 @@
 
 
 def pending(world: World, team: str) -> bool:
-    row = world.state.data.get(key_of(team))
+    row = world.store.entries.get(key_of(team))
     return row is not None and "pending" in row[0]
 
 
@@ -128,23 +128,23 @@
     for name, node in world.nodes.items():
         assert node.controller is not None and node.controller.scheduler is not None
         use[name] = node.controller.scheduler.usage().get("tight", (0, 0))[0]
-    name = max((name for name in world.names if name != leader(world)), key=lambda one: use[one])
+    name = max((name for name in world.controller_names if name != leader_of(world)), key=lambda one: use[one])
     assert use[name] > UNITS
     return name
 
 
 def watch_limit(world: World, most: float, seconds: float) -> None:
     """For so long nothing starts above the limit."""
-    begun = world.rules.started
+    begun = world.invariants.on_task_started
 
     def starting(worker: Any, task: Any) -> None:
         if in_use(world) > most + 1e-6:
-            world.rules.broken.append(f"started above the new limit: {in_use(world)}")
+            world.invariants.violations.append(f"started above the new limit: {in_use(world)}")
         begun(worker, task)
 
-    world.rules.started = starting  # type: ignore[method-assign]
+    world.invariants.on_task_started = starting  # type: ignore[method-assign]
     world.run(seconds)
-    world.rules.started = begun  # type: ignore[method-assign]
+    world.invariants.on_task_started = begun  # type: ignore[method-assign]
 
 
 def lower(world: World, most: float) -> None:
@@ -155,35 +155,35 @@
 def test_a_limit_lowered_below_use_starts_nothing_above_it_from_its_commit_on() -> None:
     world = running()
     lower(world, 4.0)
-    starts = world.rules.starts
+    starts = world.invariants.start_count
     watch_limit(world, 4.0, 30)
-    assert world.rules.broken == [] and world.rules.starts > starts and in_use(world) <= 4.0
+    assert world.invariants.violations == [] and world.invariants.start_count > starts and in_use(world) <= 4.0
     assert admin(world, "c2", {"tight": None})[0] == 202
     assert world.run_until(lambda: in_use(world) >= 10.0, 20), "raised again"
-    assert key_of("tight") not in world.state.data and world.rules.broken == []
+    assert key_of("tight") not in world.store.entries and world.invariants.violations == []
 
 
 def test_without_waiting_for_the_members_something_starts_above_the_new_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     """A member that is cut off from the leader goes on under the share that it has."""
     monkeypatch.setattr(LimitTable, "_holds", lambda self, team: True)
     world = running()
-    world.cut(busiest(world), leader(world))
+    world.cut_link(busiest(world), leader_of(world))
     lower(world, 1.0)
     watch_limit(world, 1.0, 10)
-    assert world.rules.broken
+    assert world.invariants.violations
 
 
 def test_a_member_that_is_cut_off_keeps_the_change_pending() -> None:
     world = running()
-    world.cut(busiest(world), leader(world))
-    assert admin(world, leader(world), {"tight": {"cpus_max": 1.0}})[0] == 202
+    world.cut_link(busiest(world), leader_of(world))
+    assert admin(world, leader_of(world), {"tight": {"cpus_max": 1.0}})[0] == 202
     world.run(3)
     assert pending(world, "tight")
-    assert admin(world, leader(world), None)[1]["teams"]["tight"]["record"]["pending"]["cpus_max"] == 1.0
+    assert admin(world, leader_of(world), None)[1]["teams"]["tight"]["record"]["pending"]["cpus_max"] == 1.0
     world.heal()
     assert world.run_until(lambda: not pending(world, "tight"), 30)
     watch_limit(world, 1.0, 10)
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 def test_a_change_outlives_the_leader_and_a_restart_of_all() -> None:
@@ -195,9 +195,13 @@
     for node in world.nodes.values():
         node.start()
     world.run(15)
-    starts = world.rules.starts
+    starts = world.invariants.start_count
     watch_limit(world, 4.0, 15)
-    assert world.rules.broken == [] and world.rules.starts > starts and in_use(world) <= 4.0
+    assert world.invariants.violations == [] and world.invariants.start_count > starts and in_use(world) <= 4.0
+
+
+def submit(world: World, body: bytes, statuses: list[int]) -> None:
+    world.request("c1", lambda controller: controller.desk.submit(body, lambda status, *_: statuses.append(status)))
 
 
 def test_a_removed_team_is_refused_its_known_jobs_are_not_and_it_can_come_back() -> None:
@@ -205,14 +209,12 @@
     assert admin(world, "c0", {"tight": {"removed": True}})[0] == 202
     assert world.run_until(lambda: not pending(world, "tight"), 10)
     watch_limit(world, 0.0, 10)
-    assert world.rules.broken == [] and in_use(world) == 0
+    assert world.invariants.violations == [] and in_use(world) == 0
     got: list[int] = []
     for ref in ("j-0", "j-77"):
-        world.submit(ref, owner="tight", pieces=4, cores=1.0, guessS=3.0)
-        body = json.dumps(world.jobs[ref]).encode()
-        world.ask(
-            "c1", lambda controller, body=body: controller.desk.submit(body, lambda status, *_: got.append(status))
-        )  # type: ignore[misc]
+        world.define_job(ref, owner="tight", pieces=4, cores=1.0, guessS=3.0)
+        body = json.dumps(world.job_specs[ref]).encode()
+        submit(world, body, got)
         world.run(1)
     assert got == [200, 422]
     assert admin(world, "c0", {"tight": None})[0] == 202
@@ -223,22 +225,24 @@
     "changes", [{}, [], {"tight": {"cpus_max": 99}}, {"x" * 300: {}}, {str(n): None for n in range(40)}]
 )
 def test_calls_that_make_no_sense_change_nothing(changes: Any) -> None:
-    world = started(1, teams={"tight": 12.0}, parts=ON)
+    world = started_world(1, teams={"tight": 12.0}, parts=ON)
     status, told = admin(world, "c0", changes)
-    assert status == 400 and told["error"] and not [key for key in world.state.data if key.startswith("live/quota/")]
+    assert status == 400 and told["error"] and not [key for key in world.store.entries if key.startswith("live/quota/")]
 
 
 def test_a_broken_record_leaves_the_limit_as_it_was(caplog: pytest.LogCaptureFixture) -> None:
-    world = started(1, teams={"tight": 12.0}, parts=ON)
-    world.state._apply([(key_of("tight"), {"version": 9}, None)], [])
+    world = started_world(1, teams={"tight": 12.0}, parts=ON)
+    world.store.put(key_of("tight"), {"version": 9})
     world.run(2)
     controller = world.nodes["c0"].controller
     assert controller is not None and controller.limits["tight"] == cores(12)
-    assert len([one for one in caplog.records if "broken limit of team 'tight'" in one.message]) == len(world.names)
+    assert len([one for one in caplog.records if "broken limit of team 'tight'" in one.message]) == len(
+        world.controller_names
+    )
 
 
 def test_a_change_lost_to_another_one_is_told() -> None:
-    world = started(1, teams={"tight": 12.0}, parts=ON)
+    world = started_world(1, teams={"tight": 12.0}, parts=ON)
     controller = world.nodes["c0"].controller
     assert controller is not None and controller.quota is not None
     results: list[TransactionResult] = []
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from world import World, job, leader, started
+from virtual import SETTINGS_FILE, World, job_spec, leader_of, started_world
 
 from ramptide.admin import METRICS_PATH, SETTINGS_PATH, STATUS_PATH, Admin
 from ramptide.cli import main
@@ -13,20 +13,9 @@
 from ramptide.protocol.types import MessageError
 from ramptide.settings import BOUNDS, SettingsError, Tuning, load
 
-FILE: dict[str, Any] = {
-    "member": "c0", "area": "a", "client_listen": "127.0.0.1:1", "peer_bind": "127.0.0.1:2", "siblings": [],
-    "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"}, "unheard_of": 1,
-    "cluster": {
-        "nodes": 1, "zones": ["a"], "teams": [], "objectives": [{"kind": "wait", "class": "c", "within_s": 3.0}],
-        "workers": {"report_s": 1.0, "lease_s": 5.0, "cancel_s": 20.0},
-        "state": {"rps": 10.0, "write_rps": 5.0, "value_kb": 4.0, "txn_ops": 12},
-        "cloud": {"rps": 5.0, "list_lag_s": 1.0}, "quota": {"cpu": 1.0, "ram_mb": 100.0, "fd_limit": 100},
-    },
-}  # fmt: skip
-
 
 def written(path: Path, **changes: Any) -> Path:
-    path.write_text(json.dumps(FILE | changes))
+    path.write_text(json.dumps(SETTINGS_FILE | changes))
     return path
 
 
@@ -40,8 +29,11 @@
         ({"member": 7}, "$.member"),
         ({"client_listen": "nowhere"}, "client_listen"),
         ({"outside": {"cloud": "127.0.0.1:3"}}, "state"),
-        ({"cluster": FILE["cluster"] | {"workers": {"report_s": -1, "lease_s": 5, "cancel_s": 20}}}, "report_s"),
-        ({"cluster": FILE["cluster"] | {"workers": {"report_s": 1, "lease_s": 5, "cancel_s": 4}}}, "cancel_s"),
+        (
+            {"cluster": SETTINGS_FILE["cluster"] | {"workers": {"report_s": -1, "lease_s": 5, "cancel_s": 20}}},
+            "report_s",
+        ),
+        ({"cluster": SETTINGS_FILE["cluster"] | {"workers": {"report_s": 1, "lease_s": 5, "cancel_s": 4}}}, "cancel_s"),
         ({"siblings": [{"member": "c0", "area": "a", "addr": "127.0.0.1:5"}]}, "siblings"),
     ],
 )
@@ -55,7 +47,7 @@
 
 @pytest.mark.parametrize("quota", [None, {}, {"fd_limit": 64}])
 def test_a_quota_that_is_missing_or_names_no_processor_is_taken(tmp_path: Path, quota: dict[str, Any] | None) -> None:
-    cluster = {name: value for name, value in FILE["cluster"].items() if name != "quota"}
+    cluster = {name: value for name, value in SETTINGS_FILE["cluster"].items() if name != "quota"}
     cluster |= {"quota": quota} if quota is not None else {}
     found = load(written(tmp_path / "s.json", cluster=cluster)).cluster.process_limits
     assert found.cpu is None and found.fd_limit == (quota or {}).get("fd_limit")
@@ -106,33 +98,33 @@
 
 
 def test_changed_settings_reach_all_and_outlive_restarts() -> None:
-    world = started(2)
+    world = started_world(2)
     status, said = administer(world, "c1", "PATCH", SETTINGS_PATH, b'{"cooldown": 33}')
     assert status == 200 and json.loads(said)["cooldown"]["value"] == 33
     assert administer(world, "c1", "PATCH", SETTINGS_PATH, b'{"cooldown": -33}')[0] == 400
     assert administer(world, "c1", "DELETE", SETTINGS_PATH)[0] == 405
-    for name in world.names:
+    for name in world.controller_names:
         world.nodes[name].kill()
         world.nodes[name].start()
     world.run(3)
-    for name in world.names:
+    for name in world.controller_names:
         assert json.loads(administer(world, name, "GET", SETTINGS_PATH)[1])["cooldown"]["value"] == 33
 
 
 def test_status_and_metrics() -> None:
-    world = started(2)
-    world.submit("j-1", pieces=1, guessS=60.0)
-    assert world.accepted("j-1", "c0")
+    world = started_world(2)
+    world.define_job("j-1", pieces=1, guessS=60.0)
+    assert world.submit_until_accepted("j-1", "c0")
     world.run(15)
     status = json.loads(administer(world, "c0", "GET", STATUS_PATH)[1])
-    assert status["view"]["leader"] == leader(world) and status["jobs"]["j-1"]["pieces"] == 1
-    metrics = administer(world, leader(world), "GET", METRICS_PATH)[1].decode()
+    assert status["view"]["leader"] == leader_of(world) and status["jobs"]["j-1"]["pieces"] == 1
+    metrics = administer(world, leader_of(world), "GET", METRICS_PATH)[1].decode()
     assert "ramptide_leading 1.0" in metrics and "ramptide_rentals_total" in metrics
 
 
 def submitted(world: World, body: bytes) -> int:
     got: list[int] = []
-    world.ask("c0", lambda c: c.desk.submit(body, lambda status, *rest: got.append(status)))
+    world.request("c0", lambda c: c.desk.submit(body, lambda status, *rest: got.append(status)))
     world.run(1.0)
     return got[0]
 
@@ -147,7 +139,7 @@
 )  # fmt: skip
 def test_malformed_submissions(changes: dict[str, Any]) -> None:
     with pytest.raises(MessageError):
-        decode_job_spec(json.dumps(job("j-1") | changes).encode())
+        decode_job_spec(json.dumps(job_spec("j-1") | changes).encode())
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{", b"null", b'{"ref": NaN}', b"\xff\xfe", b"[" * 5000])
@@ -157,10 +149,10 @@
 
 
 def test_statuses_of_submissions_polls_and_cancellations() -> None:
-    world = started(6, teams={"team": 0.0, "tight": 4.0})
+    world = started_world(6, teams={"team": 0.0, "tight": 4.0})
 
     def send(**fields: Any) -> int:
-        return submitted(world, json.dumps(job("j-9") | fields).encode())
+        return submitted(world, json.dumps(job_spec("j-9") | fields).encode())
 
     assert submitted(world, b"{}") == 400
     assert send(owner="nobody") == 422
@@ -169,9 +161,9 @@
     assert send(owner="tight", cores=2.0, pieces=3, shape="service") == 422
     assert send(owner="tight", cores=2.0, pieces=3, ref="j-8") == 201
     assert send(owner="tight", cores=2.0, pieces=3, ref="j-8") == 200
-    world.submit("j-8", owner="tight", cores=2.0, pieces=3)
-    assert world.cancel("j-8", "c1") and world.cancel("j-8", "c2")
+    world.define_job("j-8", owner="tight", cores=2.0, pieces=3)
+    assert world.cancel_job("j-8", "c1") and world.cancel_job("j-8", "c2")
     assert send(owner="tight", cores=2.0, pieces=3, ref="j-8") == 200
     assert send(owner="nobody", ref="j-8") == 200, "an accepted job is never refused later"
-    assert [world.poll(ref, "c0")[0] for ref in ("j-8", "j-77", "nonsense")] == [200, 404, 404]  # type: ignore[index]
-    assert not world.cancel("j-77", "c0")
+    assert [world.poll_job(ref, "c0")[0] for ref in ("j-8", "j-77", "nonsense")] == [200, 404, 404]  # type: ignore[index]
+    assert not world.cancel_job("j-77", "c0")
--- a/tests/test_slow_controllers.py
+++ b/tests/test_slow_controllers.py
@@ -3,9 +3,7 @@
 import random
 
 import pytest
-from troubles import restart
-from users import submit, withdraw
-from world import MS, Node, S, World, leader
+from virtual import MS, Node, S, World, cancel_job, leader_of, restart_controller, submit_job
 
 from ramptide.app import Controller
 
@@ -26,8 +24,8 @@
     for number in range(8):
         shape = "service" if number < 3 else "batch"
         team = "tight" if number % 2 else "team"
-        world.submit(f"j-{number}", shape=shape, pieces=1 if number < 3 else 6, guessS=6.0, owner=team)
-        submit(world, rng, f"j-{number}", 60)
+        world.define_job(f"j-{number}", shape=shape, pieces=1 if number < 3 else 6, guessS=6.0, owner=team)
+        submit_job(world, rng, f"j-{number}", 60)
     world.run(12)
     return world
 
@@ -35,15 +33,15 @@
 def watch(world: World, seconds: int) -> None:
     for _ in range(seconds * 2):
         world.run(0.5)
-        world.rules.check()
+        world.invariants.check()
 
 
 def goes_on(world: World, ref: str) -> None:
     """A new array is accepted and done."""
-    world.submit(ref, pieces=4, guessS=2.0)
-    submit(world, world.rng, ref, 60)
-    assert world.run_until(lambda: world.done(ref), 60)
-    assert world.rules.broken == []
+    world.define_job(ref, pieces=4, guessS=2.0)
+    submit_job(world, world.rng, ref, 60)
+    assert world.run_until(lambda: world.is_done(ref), 60)
+    assert world.invariants.violations == []
 
 
 def views(world: World) -> int:
@@ -61,14 +59,14 @@
 
 def flood(world: World) -> list[int]:
     """For ten seconds the leader gets more questions than it has time for; the statuses of its answers."""
-    name = leader(world)
+    name = leader_of(world)
     answered: list[int] = []
 
     def poll(controller: Controller) -> None:
         controller.desk.poll("j-4", lambda status, *_: answered.append(status))
 
     for number in range(800):
-        world.after(number * 12.5 * MS, lambda: world.ask(name, poll))
+        world.after(number * 12.5 * MS, lambda: world.request(name, poll))
     world.run(9)
     assert world.nodes[name].backlog > 200, "it is behind"
     watch(world, 31)
@@ -78,16 +76,21 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_a_flood_of_questions_costs_a_slow_controller_neither_its_place_nor_machines(seed: int) -> None:
     world = slow_world(seed)
-    before, machines = views(world), {worker.host: worker.tenure for worker in world.workers.values() if worker.alive}
+    before, machines = (
+        views(world),
+        {worker.host: worker.agent_epoch for worker in world.workers.values() if worker.alive},
+    )
     answered = flood(world)
     assert len(answered) == 800 and views(world) == before
-    assert all(world.workers[host].tenure == tenure for host, tenure in machines.items()), "no lease ran out"
+    assert all(world.workers[host].agent_epoch == tenure for host, tenure in machines.items()), "no lease ran out"
     goes_on(world, "j-100")
 
 
 def test_when_questions_are_not_put_off_it_loses_its_place(monkeypatch: pytest.MonkeyPatch) -> None:
-    ask = Node.ask
-    monkeypatch.setattr(Node, "ask", lambda node, call, dead=lambda: None, deferrable=False: ask(node, call, dead))
+    ask = Node.request
+    monkeypatch.setattr(
+        Node, "request", lambda node, call, on_dead=lambda: None, deferrable=False: ask(node, call, on_dead)
+    )
     world = slow_world(0)
     before = views(world)
     flood(world)
@@ -98,10 +101,10 @@
 @pytest.mark.parametrize("away", [0.3, 3.0])
 def test_a_restart_of_all_and_of_the_leader(seed: int, away: float) -> None:
     world = slow_world(seed)
-    for name in world.names:
-        restart(world, name, away)
+    for name in world.controller_names:
+        restart_controller(world, name, away)
     watch(world, 20)
-    restart(world, leader(world), away)
+    restart_controller(world, leader_of(world), away)
     watch(world, 20)
     goes_on(world, "j-100")
 
@@ -109,7 +112,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_a_leader_that_is_cut_off(seed: int) -> None:
     world = slow_world(seed)
-    world.isolate(leader(world), *list(world.workers)[:3])
+    world.isolate(leader_of(world), *list(world.workers)[:3])
     watch(world, 20)
     world.heal()
     watch(world, 10)
@@ -121,8 +124,8 @@
     world = slow_world(seed)
     for ref in ("j-0", "j-1", "j-3"):
         world.accepted_jobs.add(ref)
-        withdraw(world, world.rng, ref)
-    world.after(0.4 * S, lambda: world.state.outage(30))
+        cancel_job(world, world.rng, ref)
+    world.after(0.4 * S, lambda: world.store.start_outage(30))
     watch(world, 45)
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
     goes_on(world, "j-100")
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,17 +1,29 @@
 """Whole controllers on a virtual clock, judged by the plain model of the rules."""
 
 import json
-from collections import Counter
 from typing import Any
 
 import pytest
-from chaos import longest_beside_room, play
-from users import submit, withdraw
-from world import S, Worker, World, job, leader, owner, started
+from virtual import (
+    Respond,
+    S,
+    Worker,
+    World,
+    busy_world,
+    cancel_job,
+    check_indexes,
+    end_faults,
+    job_spec,
+    leader_of,
+    longest_starvation,
+    owner_of,
+    play,
+    started_world,
+    submit_job,
+)
 
 from ramptide.announcements import TokenAnnouncer
 from ramptide.app import Controller
-from ramptide.attempts import sum_amounts
 from ramptide.floor import Floor, Host
 from ramptide.membership import LEASE_TIMEOUT
 from ramptide.peers import Peers
@@ -23,89 +35,35 @@
 @pytest.mark.parametrize("seed", range(28))
 def test_no_rule_is_broken_in_generated_histories(seed: int) -> None:
     world = play(seed)
-    assert world.rules.broken == []
-    assert world.rules.starts > 0
+    assert world.invariants.violations == []
+    assert world.invariants.start_count > 0
     # Every accepted job stays known: any controller answers for it once the troubles are over.
-    calm(world)
-    waited, ref = longest_beside_room(world, 100)
+    end_faults(world)
+    waited, ref = longest_starvation(world, 100)
     assert waited < 90 * S, f"{ref} waits beside room"
-    known = {key.split("/")[-1] for key in world.state.data if key.startswith(("live/job/", "ended/"))}
+    known = {key.split("/")[-1] for key in world.store.entries if key.startswith(("live/job/", "ended/"))}
     assert world.accepted_jobs <= known
     for ref in known:
-        for name in world.names:
-            answer = world.poll(ref, name)
+        for name in world.controller_names:
+            answer = world.poll_job(ref, name)
             assert answer is not None and answer[0] == 200, (ref, name, answer)
-    assert world.rules.broken == []
-
-
-def calm(world: World) -> None:
-    """The troubles end, and the controllers come to rest."""
-    world.state.down = world.cloud.down = False
-    world.state.refuses.clear()
-    world.loss = world.late_reports = world.late_writes = world.slow_state = world.repeat = 0.0
-    world.heal()
-    world.speed_up()
-    for node in world.nodes.values():
-        if node.controller is None:
-            node.start()
-    world.run(15)
+    assert world.invariants.violations == []
 
 
 @pytest.mark.parametrize("seed", range(100, 108))
 def test_the_indexes_agree_with_a_walk_of_everything(seed: int) -> None:
-    world = play(seed, 40.0, look=agree)
-    assert world.rules.starts > 0
-
-
-def agree(world: World) -> None:
-    for node in world.nodes.values():
-        c = node.controller
-        if c is None or c.scheduler is None:
-            continue
-        floor, home = c.floor, c.scheduler
-        floor.refresh()
-        plain = {name: room for name in floor.hosts if (room := floor._room(name)) is not None}
-        assert floor.rooms == plain
-        running = Counter(row[0] for host in floor.hosts.values() for row in host.tasks if row[3] == "running")
-        assert {ref: count for ref, count in floor.running.items() if count} == running
-        for ref in {row[0] for host in floor.hosts.values() for row in host.tasks}:
-            assert floor.where(ref) == sorted(
-                name for name, host in floor.hosts.items() if any(row[0] == ref for row in host.tasks)
-            )
-        told = {(ref, name) for name, host in floor.hosts.items() for ref in host.failed}
-        assert {(ref, name) for ref, names in floor._failed.items() for name in names} == told
-        done = {ref for ref, _ in told if ref in c.jobs and c.jobs[ref].progress.count}
-        done |= {row[0] for host in floor.hosts.values() for row in host.tasks if row[4] == "done"}
-        assert done & floor._failed.keys() <= floor._passed <= floor._failed.keys()
-        assert home.failing == {ref: work for ref, work in home.jobs.items() if work.failing}
-        assert home.with_pending_tasks == {ref: work for ref, work in home.jobs.items() if work.waiting > 0}
-        attempts = [attempt for entries in home.attempts.values() for attempt in entries.values()]
-        using = sum_amounts(attempts)
-        for team in using | home.usage():
-            assert home.usage().get(team, (0.0, 0.0)) == pytest.approx(using.get(team, (0.0, 0.0)))
-        by_ref = [attempt for entries in home.index.by_job.values() for attempt in entries.values()]
-        assert sorted(a.key for a in by_ref) == sorted(a.key for a in attempts)
-        shown = {tuple(row[:3]) for host in floor.hosts.values() if host.settled for row in host.tasks}
-        assert all(attempt.key in home.index.unshown or attempt.key in shown for attempt in attempts)
-
-
-def busy_world(seed: int = 3, members: int = 3, **fields: object) -> World:
-    """A world with a long job running on several machines."""
-    world = started(seed, members=members)
-    world.submit("j-1", **({"pieces": 6, "cores": 4.0, "guessS": 40.0} | fields))
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 6, 30)
-    return world
+    world = play(seed, 40.0, look=check_indexes)
+    assert world.invariants.start_count > 0
 
 
 def cut_worker_and_crash(world: World) -> None:
     """A machine with a running task is cut off; then the owner of the machine crashes and comes back."""
-    worker, _ = world.rules.on_machines()[0]
-    for name in world.names:
-        world.cut(worker.host, name)
-    for name in world.names:
+    worker, _ = world.invariants.running_tasks()[0]
+    for name in world.controller_names:
+        world.cut_link(worker.host, name)
+    for name in world.controller_names:
         world.nodes[name].kill()
-    for name in world.names:
+    for name in world.controller_names:
         world.nodes[name].start()
     world.run(15)
 
@@ -113,35 +71,35 @@
 def test_settled_guard_holds() -> None:
     world = busy_world()
     cut_worker_and_crash(world)
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 def test_without_the_settled_guard_a_task_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Controller, "unsettled", lambda self: {})
     world = busy_world()
     cut_worker_and_crash(world)
-    assert any("ran_twice" in rule for rule in world.rules.broken)
+    assert any("ran_twice" in rule for rule in world.invariants.violations)
 
 
 def cancel_behind_a_cut(world: World) -> None:
     """The owner of a machine loses all but its workers; the job is cancelled elsewhere meanwhile, and the
     cloud is down, so that the silent machines cannot be given back."""
-    world.cloud.down = True
-    worker, _ = world.rules.on_machines()[0]
-    alone = owner(world, worker.host)
+    world.cloud.is_down = True
+    worker, _ = world.invariants.running_tasks()[0]
+    alone = owner_of(world, worker.host)
     world.isolate(alone, *world.workers)
     world.run(6)
-    other = next(name for name in world.names if name != alone)
-    assert world.run_until(lambda: world.cancel("j-1", other), 10)
+    other = next(name for name in world.controller_names if name != alone)
+    assert world.run_until(lambda: world.cancel_job("j-1", other), 10)
     for _ in range(250):
         world.run(0.1)
-        world.rules.check()
+        world.invariants.check()
 
 
 def test_authority_guard_holds() -> None:
     world = busy_world(guessS=500.0)
     cancel_behind_a_cut(world)
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 def test_without_the_authority_guard_a_cancelled_task_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -150,48 +108,48 @@
     monkeypatch.setattr(Controller, "may_answer", lambda self: self.membership.serving)
     world = busy_world(guessS=500.0)
     cancel_behind_a_cut(world)
-    assert any("ran_cancelled" in rule for rule in world.rules.broken)
+    assert any("ran_cancelled" in rule for rule in world.invariants.violations)
 
 
 def test_an_agreed_outage_kills_no_work() -> None:
     """All lack the state service: leases are renewed for as long as all say so."""
     world = busy_world(guessS=60.0)
-    before = {(t.ref, t.number, t.attempt) for _, t in world.rules.on_machines()}
-    world.state.outage(40)
+    before = {(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()}
+    world.store.start_outage(40)
     world.run(39)
-    assert {(t.ref, t.number, t.attempt) for _, t in world.rules.on_machines()} == before
+    assert {(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()} == before
 
 
 def test_a_job_survives_the_loss_of_all_controllers() -> None:
     world = busy_world(guessS=12.0)
-    for name in world.names:
+    for name in world.controller_names:
         world.nodes[name].kill()
     world.run(2)
-    for name in world.names:
+    for name in world.controller_names:
         world.nodes[name].start()
-    assert world.run_until(lambda: world.done("j-1"), 60)
-    assert world.rules.broken == []
-    answer = world.poll("j-1", "c2")
+    assert world.run_until(lambda: world.is_done("j-1"), 60)
+    assert world.invariants.violations == []
+    answer = world.poll_job("j-1", "c2")
     assert answer is not None and answer[1]["status"] == "done"
 
 
 def test_a_lost_machine_is_replaced_and_its_tasks_run_again() -> None:
     world = busy_world(guessS=10.0)
-    worker, _ = world.rules.on_machines()[0]
+    worker, _ = world.invariants.running_tasks()[0]
     worker.die()
-    assert world.run_until(lambda: world.done("j-1"), 60)
-    assert world.rules.broken == []
+    assert world.run_until(lambda: world.is_done("j-1"), 60)
+    assert world.invariants.violations == []
 
 
 def test_a_cut_off_leader_is_replaced_and_gives_way() -> None:
     world = busy_world(guessS=15.0)
-    old = leader(world)
+    old = leader_of(world)
     world.isolate(old, *world.workers)
     world.run(25)
     assert leader_of_others(world, old) != old
     world.heal()
-    assert world.run_until(lambda: world.done("j-1"), 60)
-    assert world.rules.broken == []
+    assert world.run_until(lambda: world.is_done("j-1"), 60)
+    assert world.invariants.violations == []
 
 
 def leader_of_others(world: World, old: str) -> str:
@@ -200,16 +158,16 @@
 
 
 def test_a_job_that_fails_everywhere_leaves_the_counts() -> None:
-    world = started(5)
-    world.submit("j-1", pieces=2)
-    assert world.accepted("j-1", "c1")
+    world = started_world(5)
+    world.define_job("j-1", pieces=2)
+    assert world.submit_until_accepted("j-1", "c1")
     world.run(1)
     for _ in range(300):
         for worker in world.workers.values():
-            worker.sick = True
+            worker.is_faulty = True
         world.run(0.1)
     assert len(world.workers) < 8
-    controller = world.nodes[leader(world)].controller
+    controller = world.nodes[leader_of(world)].controller
     assert controller is not None
     works = [w for node in world.nodes.values() if node.controller is not None and node.controller.scheduler is not None
              for w in node.controller.scheduler.jobs.values()]  # fmt: skip
@@ -218,48 +176,53 @@
 
 def test_idle_machines_are_returned_down_to_the_pool() -> None:
     world = busy_world(guessS=9.0)
-    assert world.run_until(lambda: world.done("j-1"), 40)
+    assert world.run_until(lambda: world.is_done("j-1"), 40)
     world.run(80)
-    controller = world.nodes[leader(world)].controller
+    controller = world.nodes[leader_of(world)].controller
     assert controller is not None
     assert sum(worker.alive for worker in world.workers.values()) == controller.tuning.pool_size
 
 
 def test_services_of_a_machine_that_runs_few_move_together() -> None:
     """All stay up but for the moment of the move, and the machine goes back."""
-    world = started(6, members=1)
+    world = started_world(6, members=1)
     for number in range(8):
-        world.submit(f"j-{number}", shape="service", pieces=1, cores=2.0)
-        assert world.accepted(f"j-{number}", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 8, 20)
+        world.define_job(f"j-{number}", shape="service", pieces=1, cores=2.0)
+        assert world.submit_until_accepted(f"j-{number}", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 8, 20)
     used: dict[str, list[str]] = {}
-    for worker, task in world.rules.on_machines():
-        used.setdefault(worker.host, []).append(task.ref)
+    for worker, task in world.invariants.running_tasks():
+        used.setdefault(worker.host, []).append(task.job_id)
     assert len(used) == 2
     for refs in used.values():
-        assert world.cancel(refs[0], "c0") and world.cancel(refs[1], "c0")
-    assert world.run_until(lambda: len({worker.host for worker, _ in world.rules.on_machines()}) == 1, 90)
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 4, 5)
+        assert world.cancel_job(refs[0], "c0") and world.cancel_job(refs[1], "c0")
+    assert world.run_until(lambda: len({worker.host for worker, _ in world.invariants.running_tasks()}) == 1, 90)
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 4, 5)
     assert world.run_until(lambda: sum(worker.alive for worker in world.workers.values()) == 2, 30), "one for the pool"
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 def live_after_a_late_copy(with_conditions: bool) -> bool:
     """A job is accepted and cancelled; then a late copy of the transaction that accepted it arrives. True when
     the job is among the live ones again."""
-    world = started(8)
+    world = started_world(8)
     sent: list[dict[str, Any]] = []
-    carry_out = world.state._txn
-    world.state._txn = lambda txn, answer: (sent.append(txn), carry_out(txn, answer))[1]  # type: ignore[method-assign]
-    world.submit("j-2", pieces=3, guessS=60.0)
-    assert world.accepted("j-2", "c1")
-    assert world.run_until(lambda: world.cancel("j-2", "c2"), 10)
+    carry_out = world.store._transact
+
+    def note(transaction: dict[str, Any], respond: Respond) -> None:
+        sent.append(transaction)
+        carry_out(transaction, respond)
+
+    world.store._transact = note  # type: ignore[method-assign]
+    world.define_job("j-2", pieces=3, guessS=60.0)
+    assert world.submit_until_accepted("j-2", "c1")
+    assert world.run_until(lambda: world.cancel_job("j-2", "c2"), 10)
     copy = next(txn for txn in sent if any(change.get("put") == "live/job/j-2" for change in txn["then"]))
     carry_out(copy if with_conditions else copy | {"when": []}, lambda status, body: None)
     world.run(3)
-    answers = [world.poll("j-2", name) for name in world.names]
+    answers = [world.poll_job("j-2", name) for name in world.controller_names]
     assert [answer[1]["status"] for answer in answers if answer is not None] == ["withdrawn"] * 3
-    return "live/job/j-2" in world.state.data
+    return "live/job/j-2" in world.store.entries
 
 
 def test_late_copies_of_transactions_do_nothing() -> None:
@@ -271,33 +234,33 @@
 
 
 def test_requests_repeated_at_any_later_time_break_nothing() -> None:
-    world = started(8)
-    world.repeat = 1.0
-    world.submit("j-1", pieces=3, guessS=4.0)
-    assert world.accepted("j-1", "c0")
-    world.submit("j-2", pieces=3, guessS=60.0)
-    assert world.accepted("j-2", "c1")
-    assert world.run_until(lambda: world.cancel("j-2", "c2"), 10)
-    assert world.run_until(lambda: world.done("j-1"), 60)
+    world = started_world(8)
+    world.duplication_rate = 1.0
+    world.define_job("j-1", pieces=3, guessS=4.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    world.define_job("j-2", pieces=3, guessS=60.0)
+    assert world.submit_until_accepted("j-2", "c1")
+    assert world.run_until(lambda: world.cancel_job("j-2", "c2"), 10)
+    assert world.run_until(lambda: world.is_done("j-1"), 60)
     world.run(25)
-    for name in world.names:
-        answer = world.poll("j-2", name)
+    for name in world.controller_names:
+        answer = world.poll_job("j-2", name)
         assert answer is not None and (answer[0], answer[1]["status"]) == (200, "withdrawn")
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 def test_answers_to_users_while_the_state_service_is_down() -> None:
     world = busy_world(guessS=60.0)
-    world.state.outage(10)
+    world.store.start_outage(10)
     world.run(3)
-    answer = world.poll("j-1", "c0")
+    answer = world.poll_job("j-1", "c0")
     assert answer is not None and answer[0] == 503
-    unknown = world.poll("j-999", "c0")
+    unknown = world.poll_job("j-999", "c0")
     assert unknown is not None and unknown[0] == 503
     world.run(12)
-    answer = world.poll("j-1", "c0")
+    answer = world.poll_job("j-1", "c0")
     assert answer is not None and answer[1]["running"] == 6
-    unknown = world.poll("j-999", "c0")
+    unknown = world.poll_job("j-999", "c0")
     assert unknown is not None and unknown[0] == 404
 
 
@@ -305,29 +268,29 @@
     """Old machines have not reported in the new view yet; that is no reason to give them back."""
     world = busy_world(guessS=200.0)
     world.run(40)
-    before = {worker.host for worker, _ in world.rules.on_machines()}
-    world.nodes[leader(world)].kill()
+    before = {worker.host for worker, _ in world.invariants.running_tasks()}
+    world.nodes[leader_of(world)].kill()
     world.run(30)
-    assert {worker.host for worker, _ in world.rules.on_machines()} == before
+    assert {worker.host for worker, _ in world.invariants.running_tasks()} == before
 
 
 def test_a_service_of_higher_rank_takes_the_room_of_an_array() -> None:
-    world = started(4, capacity=2)
-    world.submit("j-1", pieces=8, cores=2.0, guessS=300.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 8, 30)
-    world.submit("j-2", shape="service", rank="production", pieces=1, cores=4.0)
-    assert world.accepted("j-2", "c1")
-    assert world.run_until(lambda: any(t.ref == "j-2" for _, t in world.rules.on_machines()), 10)
-    assert sum(t.ref == "j-1" for _, t in world.rules.on_machines()) == 6
-    assert world.rules.broken == []
+    world = started_world(4, capacity=2)
+    world.define_job("j-1", pieces=8, cores=2.0, guessS=300.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 8, 30)
+    world.define_job("j-2", shape="service", rank="production", pieces=1, cores=4.0)
+    assert world.submit_until_accepted("j-2", "c1")
+    assert world.run_until(lambda: any(t.job_id == "j-2" for _, t in world.invariants.running_tasks()), 10)
+    assert sum(t.job_id == "j-1" for _, t in world.invariants.running_tasks()) == 6
+    assert world.invariants.violations == []
 
 
 def crash_in_an_outage(world: World, outage: float) -> list[set[tuple[str, int, int]]]:
     """Two controllers start anew while all lack the state service; what runs before and at each second from then on.
     What they confirmed before they ended nobody knows."""
-    found = [{(t.ref, t.number, t.attempt) for _, t in world.rules.on_machines()}]
-    world.state.outage(outage)
+    found = [{(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()}]
+    world.store.start_outage(outage)
     world.run(3)
     for name in ("c0", "c1"):
         world.nodes[name].kill()
@@ -335,7 +298,7 @@
         world.nodes[name].start()
     for _ in range(40):
         world.run(1)
-        found.append({(t.ref, t.number, t.attempt) for _, t in world.rules.on_machines()})
+        found.append({(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()})
     return found
 
 
@@ -349,45 +312,45 @@
     world = busy_world(guessS=90.0)
     found = crash_in_an_outage(world, 30)
     assert found[17] == set() and found[4] == found[0], "gone in time, but not before it must"
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 6, 30), "it runs again afterwards"
-    assert world.rules.broken == []
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30), "it runs again afterwards"
+    assert world.invariants.violations == []
 
 
 def test_machines_that_boot_do_not_hold_up_a_new_view(monkeypatch: pytest.MonkeyPatch) -> None:
     world = busy_world(guessS=200.0)
     monkeypatch.setattr(Worker, "boot", lambda self: None)
-    world.submit("j-2", pieces=12, cores=4.0)
-    assert world.accepted("j-2", "c0")
-    assert world.run_until(lambda: sum(not worker.baton for worker in world.workers.values()) >= 3, 20)
-    old = leader(world)
+    world.define_job("j-2", pieces=12, cores=4.0)
+    assert world.submit_until_accepted("j-2", "c0")
+    assert world.run_until(lambda: sum(not worker.fencing_token for worker in world.workers.values()) >= 3, 20)
+    old = leader_of(world)
     world.nodes[old].kill()
-    rest = [world.nodes[name] for name in world.names if name != old]
+    rest = [world.nodes[name] for name in world.controller_names if name != old]
     assert world.run_until(lambda: all(n.controller is not None and n.controller.view.leader != old for n in rest), 10)
     assert world.run_until(lambda: all(n.controller is not None and n.controller.latched for n in rest), 5)
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 def test_an_old_list_brings_back_no_returned_machine() -> None:
     """The cloud goes down right after a machine was returned; its last list still shows the machine."""
     world = busy_world(guessS=9.0)
-    assert world.run_until(lambda: world.done("j-1"), 40)
-    controller = world.nodes[leader(world)].controller
+    assert world.run_until(lambda: world.is_done("j-1"), 40)
+    controller = world.nodes[leader_of(world)].controller
     assert controller is not None
     assert world.run_until(lambda: controller.counters["returns"] > 0, 60)
     gone = next(host for host, worker in world.workers.items() if not worker.alive)
     row = {"ref": gone, "rig": "m", "yard": "a", "loaners": False, "status": "running"}
-    world.cloud.listed[gone] = row  # the list lags
+    world.cloud.listing[gone] = row  # the list lags
     world.run(5)
-    world.cloud.down = True
+    world.cloud.is_down = True
     world.run(60)
     assert gone not in controller.machines
 
 
 def deafen(world: World) -> Worker:
     """The answers to one machine get lost while its reports arrive, and the cloud takes no returns."""
-    worker, _ = world.rules.on_machines()[0]
-    world.deaf.add(worker.host)
-    world.cloud.down = True
+    worker, _ = world.invariants.running_tasks()[0]
+    world.hosts_without_responses.add(worker.host)
+    world.cloud.is_down = True
     return worker
 
 
@@ -395,9 +358,9 @@
     """How many launches went to a machine whose lease had run out because it hears nothing."""
     worker = deafen(world)
     world.run(10)
-    assert worker.tenure > 1 and not worker.tasks
-    world.submit("j-2", pieces=24, cores=2.0, guessS=30.0)
-    assert world.accepted("j-2", "c0")
+    assert worker.agent_epoch > 1 and not worker.tasks
+    world.define_job("j-2", pieces=24, cores=2.0, guessS=30.0)
+    assert world.submit_until_accepted("j-2", "c0")
     controller = world.nodes["c0"].controller
     assert controller is not None and controller.shard is not None
     machine, most = controller.shard.machines[worker.host], 0
@@ -411,9 +374,9 @@
     world = busy_world(members=1, guessS=60.0)
     assert launches_while_deaf(world) == 0
     world.heal()
-    world.cloud.down = False
-    assert world.run_until(lambda: world.done("j-1") and world.done("j-2"), 200)
-    assert world.rules.broken == []
+    world.cloud.is_down = False
+    assert world.run_until(lambda: world.is_done("j-1") and world.is_done("j-2"), 200)
+    assert world.invariants.violations == []
 
 
 def test_without_that_guard_launches_go_where_nobody_hears(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -424,22 +387,22 @@
 def test_a_cancellation_ends_in_time_on_a_machine_that_does_not_hear() -> None:
     world = busy_world(guessS=500.0)
     deafen(world)
-    assert world.run_until(lambda: world.cancel("j-1", "c1"), 10)
+    assert world.run_until(lambda: world.cancel_job("j-1", "c1"), 10)
     for _ in range(250):
         world.run(0.1)
-        world.rules.check()
-    assert world.rules.broken == [] and not world.rules.on_machines()
+        world.invariants.check()
+    assert world.invariants.violations == [] and not world.invariants.running_tasks()
 
 
 def test_a_member_that_is_unheard_for_long_loses_no_machines() -> None:
     """The controllers refuse each other's connections: that a machine's owner is not heard says nothing of it."""
     world = busy_world(guessS=200.0)
-    before = {worker.host for worker, _ in world.rules.on_machines()}
-    for one in world.names:
-        for other in world.names:
-            world.cut(one, other)
+    before = {worker.host for worker, _ in world.invariants.running_tasks()}
+    for one in world.controller_names:
+        for other in world.controller_names:
+            world.cut_link(one, other)
     world.run(40)
-    assert {worker.host for worker, _ in world.rules.on_machines()} == before
+    assert {worker.host for worker, _ in world.invariants.running_tasks()} == before
 
 
 def test_a_user_at_a_controller_that_lost_the_state_service_is_told_at_once() -> None:
@@ -447,9 +410,9 @@
     world.isolate("c1", *world.workers)
     world.run(4)
     got: list[tuple[int, dict[str, str]]] = []
-    body = json.dumps(job("j-5")).encode()
-    world.ask("c1", lambda c: c.desk.submit(body, lambda status, said, headers: got.append((status, headers))))
-    world.ask("c1", lambda c: c.desk.poll("j-1", lambda status, said, headers: got.append((status, headers))))
+    body = json.dumps(job_spec("j-5")).encode()
+    world.request("c1", lambda c: c.desk.submit(body, lambda status, said, headers: got.append((status, headers))))
+    world.request("c1", lambda c: c.desk.poll("j-1", lambda status, said, headers: got.append((status, headers))))
     assert [(status, "Retry-After" in headers) for status, headers in got] == [(503, True)] * 2
 
 
@@ -457,24 +420,24 @@
     """A controller leaves while users cancel one service after the other, so that some task of a job that is over is
     always on its way out."""
     for number in range(60):
-        world.submit(f"j-{number + 10}", shape="service", pieces=1, cores=0.5)
-        world.after(number * 0.05 * S, lambda ref=f"j-{number + 10}": submit(world, world.rng, ref))  # type: ignore[misc]
+        world.define_job(f"j-{number + 10}", shape="service", pieces=1, cores=0.5)
+        world.after(number * 0.05 * S, lambda ref=f"j-{number + 10}": submit_job(world, world.rng, ref))  # type: ignore[misc]
     world.run(25)
     for number in range(60):
-        world.after(number * 0.3 * S, lambda ref=f"j-{number + 10}": withdraw(world, world.rng, ref))  # type: ignore[misc]
+        world.after(number * 0.3 * S, lambda ref=f"j-{number + 10}": cancel_job(world, world.rng, ref))  # type: ignore[misc]
     world.run(1)
-    gone = next(name for name in world.names if name != leader(world))
+    gone = next(name for name in world.controller_names if name != leader_of(world))
     world.nodes[gone].kill()
     rest = [node.controller for name, node in world.nodes.items() if name != gone and node.controller is not None]
     assert world.run_until(lambda: all(c.view is not None and gone not in c.view.members for c in rest), 10)
     began = world.now
     assert world.run_until(lambda: all(c.latched for c in rest), 30)
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
     return (world.now - began) / S
 
 
 def test_a_view_settles_while_jobs_are_cancelled_all_the_time() -> None:
-    assert seconds_to_settle(started(9, teams={"team": 300.0})) < 7, "over seeds 3 to 6 s; the lease is 8 s"
+    assert seconds_to_settle(started_world(9, teams={"team": 300.0})) < 7, "over seeds 3 to 6 s; the lease is 8 s"
 
 
 def test_without_the_memory_of_what_was_clear_it_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -484,32 +447,32 @@
     monkeypatch.setattr(Floor, "clear", forgetful)
     # Announced tokens settle the machines at once, in the short moments between two cancellations, too.
     monkeypatch.setattr(TokenAnnouncer, "announce", lambda announcer, token, addresses: None)
-    assert seconds_to_settle(started(9, teams={"team": 300.0})) > 8
+    assert seconds_to_settle(started_world(9, teams={"team": 300.0})) > 8
 
 
 def test_one_silent_machine_does_not_hold_up_a_view_for_its_lease() -> None:
     """It is returned, and the answer proves it gone; a machine that is only slow to find its owner is not."""
     world = busy_world(guessS=200.0)
-    lost, _ = world.rules.on_machines()[0]
-    before = {worker.host for worker, _ in world.rules.on_machines()}
+    lost, _ = world.invariants.running_tasks()[0]
+    before = {worker.host for worker, _ in world.invariants.running_tasks()}
     lost.die()
-    gone = next(name for name in world.names if name != leader(world))
+    gone = next(name for name in world.controller_names if name != leader_of(world))
     world.nodes[gone].kill()
     rest = [node.controller for name, node in world.nodes.items() if name != gone and node.controller is not None]
     assert world.run_until(lambda: all(c.view is not None and gone not in c.view.members for c in rest), 10)
     assert world.run_until(lambda: all(c.latched for c in rest), 4.5), "the lease is 8 s, and silence shows after 3 s"
     world.run(20)
-    assert before - {lost.host} <= {worker.host for worker, _ in world.rules.on_machines()}
-    assert world.rules.broken == []
+    assert before - {lost.host} <= {worker.host for worker, _ in world.invariants.running_tasks()}
+    assert world.invariants.violations == []
 
 
 def seconds_to_settle_over_views(world: World) -> float:
     """A machine dies while nothing can be returned; then another controller is replaced again and again."""
-    world.cloud.down = True
-    lost, _ = world.rules.on_machines()[0]
+    world.cloud.is_down = True
+    lost, _ = world.invariants.running_tasks()[0]
     lost.die()
-    other = next(name for name in world.names if name not in (owner(world, lost.host), leader(world)))
-    began, controller = world.now, world.nodes[owner(world, lost.host)].controller
+    other = next(name for name in world.controller_names if name not in (owner_of(world, lost.host), leader_of(world)))
+    began, controller = world.now, world.nodes[owner_of(world, lost.host)].controller
     assert controller is not None
     for _ in range(3):
         world.nodes[other].kill()
@@ -518,7 +481,7 @@
         world.run(2)
     assert controller.view is not None and not controller.latched
     assert world.run_until(lambda: controller.latched, 30)
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
     return (world.now - began) / S
 
 
@@ -538,50 +501,50 @@
     for node in world.nodes.values():
         node.start()
     world.run(5)
-    world.submit("j-1", pieces=6, cores=4.0, guessS=200.0)
-    assert world.accepted("j-1", "c0")
-    assert world.run_until(lambda: len(world.rules.on_machines()) == 6, 30)
-    before = {(t.ref, t.number, t.attempt) for _, t in world.rules.on_machines()}
-    cut_off = next(name for name in world.names if name != leader(world))
+    world.define_job("j-1", pieces=6, cores=4.0, guessS=200.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30)
+    before = {(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()}
+    cut_off = next(name for name in world.controller_names if name != leader_of(world))
     world.isolate(cut_off, *world.workers)
     rest = [node.controller for name, node in world.nodes.items() if name != cut_off and node.controller is not None]
     assert world.run_until(lambda: all(c.view is not None and cut_off not in c.view.members for c in rest), 10)
     assert world.run_until(lambda: all(c.latched for c in rest), 12)
-    assert {(t.ref, t.number, t.attempt) for _, t in world.rules.on_machines()} == before
-    assert world.rules.broken == []
+    assert {(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()} == before
+    assert world.invariants.violations == []
 
 
 def test_a_member_whose_grant_ran_out_is_another_one_from_then_on() -> None:
     """The others count its authority from `LIFE` before they left it out, so it must not act on under a new grant."""
     world = busy_world(guessS=200.0)
-    name = next(name for name in world.names if name != leader(world))
+    name = next(name for name in world.controller_names if name != leader_of(world))
     controller = world.nodes[name].controller
     assert controller is not None
     before = controller.membership.incarnation
-    world.state.refuses.add(name)
+    world.store.refused_callers.add(name)
     world.run(5)
-    world.state.refuses.clear()
+    world.store.refused_callers.clear()
     assert world.run_until(lambda: controller.membership.incarnation != before, 5)
     assert not controller.may_answer(), "the old view is over for it"
     assert world.run_until(lambda: controller.latched and controller.may_answer(), 15)
     assert controller.view is not None and controller.view.members[name] == controller.membership.incarnation
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 def busy_part(world: World) -> tuple[str, list[str]]:
     """A controller with tasks on its machines, and all these machines."""
-    busy = {worker.host for worker, _ in world.rules.on_machines()}
-    name = next(name for name in world.names if any(owner(world, host) == name for host in busy))
-    return name, [host for host, worker in world.workers.items() if worker.alive and owner(world, host) == name]
+    busy = {worker.host for worker, _ in world.invariants.running_tasks()}
+    name = next(name for name in world.controller_names if any(owner_of(world, host) == name for host in busy))
+    return name, [host for host, worker in world.workers.items() if worker.alive and owner_of(world, host) == name]
 
 
 def cut_off_a_zone(world: World) -> None:
     """A controller and half of the machines hear only each other for well over a lease; then held packets arrive."""
-    world.cloud.down = world.hold_mode = True
-    world.cut_off(*busy_part(world))
+    world.cloud.is_down = world.holds_requests_on_cut_links = True
+    world.isolate_with(*busy_part(world))
     for _ in range(250):
         world.run(0.1)
-        world.rules.check()
+        world.invariants.check()
     world.heal()
     world.run(15)
 
@@ -590,8 +553,8 @@
     world = busy_world(guessS=500.0)
     before = sum(worker.alive for worker in world.workers.values())
     cut_off_a_zone(world)
-    assert world.rules.broken == []
-    assert len(world.rules.on_machines()) == 6, "all run again"
+    assert world.invariants.violations == []
+    assert len(world.invariants.running_tasks()) == 6, "all run again"
     assert sum(worker.alive for worker in world.workers.values()) >= before, "its machines are of use again"
 
 
@@ -599,28 +562,28 @@
     monkeypatch.setattr(Controller, "may_renew", lambda self: True)
     world = busy_world(guessS=500.0)
     cut_off_a_zone(world)
-    assert any("ran_twice" in rule for rule in world.rules.broken)
+    assert any("ran_twice" in rule for rule in world.invariants.violations)
 
 
 def hang_half(world: World, seconds: float) -> list[Worker]:
-    hung = sorted({worker.host for worker, _ in world.rules.on_machines()})[::2]
+    hung = sorted({worker.host for worker, _ in world.invariants.running_tasks()})[::2]
     for host in hung:
         world.workers[host].hang(seconds)
     for _ in range(int(seconds * 10) + 100):
         world.run(0.1)
-        world.rules.check()
+        world.invariants.check()
     return [world.workers[host] for host in hung]
 
 
 def test_machines_that_hang_past_their_lease_come_back_empty_and_are_used_again() -> None:
     world = busy_world(guessS=500.0)
     hung = hang_half(world, 12)
-    assert world.rules.broken == [] and len(world.rules.on_machines()) == 6
-    assert all(worker.alive and worker.tenure == 2 for worker in hung)
-    world.submit("j-2", pieces=40, cores=1.0, guessS=30.0)
-    assert world.accepted("j-2", "c0")
+    assert world.invariants.violations == [] and len(world.invariants.running_tasks()) == 6
+    assert all(worker.alive and worker.agent_epoch == 2 for worker in hung)
+    world.define_job("j-2", pieces=40, cores=1.0, guessS=30.0)
+    assert world.submit_until_accepted("j-2", "c0")
     assert world.run_until(lambda: any(worker.tasks for worker in hung), 20)
-    assert world.rules.broken == []
+    assert world.invariants.violations == []
 
 
 def test_given_up_before_their_leases_end_their_tasks_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -629,15 +592,15 @@
         assert node.controller is not None and node.controller.shard is not None
         monkeypatch.setattr(node.controller.shard.leases, "_lease", 2 * S)
     hang_half(world, 12)
-    assert any("ran_twice" in rule for rule in world.rules.broken)
+    assert any("ran_twice" in rule for rule in world.invariants.violations)
 
 
 def test_a_controller_that_stood_still_starts_nothing_by_what_it_knew() -> None:
     """Others took over meanwhile; timers, reports and messages of 12 s are due at once when it goes on."""
     world = busy_world(guessS=15.0)
-    frozen = leader(world)
-    world.submit("j-2", pieces=12, cores=2.0, guessS=10.0)
-    world.ask(frozen, lambda c: c.desk.submit(json.dumps(world.jobs["j-2"]).encode(), lambda *said: None))
+    frozen = leader_of(world)
+    world.define_job("j-2", pieces=12, cores=2.0, guessS=10.0)
+    world.request(frozen, lambda c: c.desk.submit(json.dumps(world.job_specs["j-2"]).encode(), lambda *said: None))
     world.nodes[frozen].freeze(12)
     world.run(11.9)
     controller = world.nodes[frozen].controller
@@ -645,30 +608,32 @@
     starts = controller.counters["starts"]
     world.run(0.2)
     assert controller.counters["starts"] == starts and not controller.may_start()
-    assert world.run_until(lambda: world.done("j-1") and (not world.accepted("j-2", "c0") or world.done("j-2")), 90)
-    assert world.rules.broken == []
+    assert world.run_until(
+        lambda: world.is_done("j-1") and (not world.submit_until_accepted("j-2", "c0") or world.is_done("j-2")), 90
+    )
+    assert world.invariants.violations == []
 
 
 def refuse_all_then_serve_two(world: World) -> None:
     """Each controller is refused by itself, so grants run out although all agree that they lack the state service. Two
     are served again and leave out the third, which is cut off with its workers by then."""
-    world.cloud.down = True
+    world.cloud.is_down = True
     third, machines = busy_part(world)
-    world.state.refuses.update(world.names)
+    world.store.refused_callers.update(world.controller_names)
     world.run(4)
-    world.cut_off(third, machines)
+    world.isolate_with(third, machines)
     world.run(0.05)
-    world.state.refuses.intersection_update({third})
+    world.store.refused_callers.intersection_update({third})
     for _ in range(300):
         world.run(0.1)
-        world.rules.check()
+        world.invariants.check()
 
 
 def test_no_authority_outlives_a_grant_that_ran_out_while_all_were_refused() -> None:
     world = busy_world(guessS=500.0)
     refuse_all_then_serve_two(world)
-    assert world.rules.broken == []
-    assert len(world.rules.on_machines()) == 6, "all run, those of the third elsewhere"
+    assert world.invariants.violations == []
+    assert len(world.invariants.running_tasks()) == 6, "all run, those of the third elsewhere"
 
 
 def test_when_agreement_counts_like_a_living_grant_tasks_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -677,4 +642,4 @@
     monkeypatch.setattr(Peers, "unavailable_agreed_since", later)
     world = busy_world(guessS=500.0)
     refuse_all_then_serve_two(world)
-    assert any("ran_twice" in rule for rule in world.rules.broken)
+    assert any("ran_twice" in rule for rule in world.invariants.violations)
--- /dev/null
+++ b/tests/virtual/__init__.py
@@ -0,0 +1,95 @@
+"""The tests' virtual world: whole controllers on a virtual clock among stand-ins that speak the protocol.
+
+Read `world` first, then `node` (a controller's process) and the stand-ins `key_value_store`, `cloud` and `worker`.
+`invariants` judges what happens; `users`, `faults` and `histories` make it happen. `loopback`, which is imported by
+itself, runs real controller processes against the same stand-ins.
+"""
+
+from virtual.clock import EPOCH, MS, S, VirtualClock
+from virtual.cloud import Cloud
+from virtual.faults import (
+    OVERLAPPING_FAULTS,
+    SINGLE_FAULTS,
+    SLOW_LINK_FAULTS,
+    Fault,
+    FaultContext,
+    cut_store_link,
+    freeze_controller,
+    inject_fault,
+    lose_store_and_peers,
+    slow_service_links,
+    store_refuses_controller,
+)
+from virtual.histories import QUOTA_ON, SECONDS, longest_starvation, play, starved_jobs
+from virtual.indexes import check_indexes
+from virtual.invariants import InvariantChecker
+from virtual.jobs import job_spec
+from virtual.key_value_store import Entry, KeyValueStore
+from virtual.network import CLOUD, STORE, Respond, Response, SlowLink, VirtualNetwork, ignore_response
+from virtual.node import Node, VirtualRuntime, VirtualTimerHandle
+from virtual.observer import Observer
+from virtual.scenarios import busy_world, end_faults, full_world, restart_controller, run_with_checks, running_attempts
+from virtual.settings import SETTINGS_FILE, cluster_settings
+from virtual.users import Users, cancel_job, submit_job
+from virtual.worker import MACHINE_CPUS, MACHINE_RAM_GB, AttemptKey, Task, Worker
+from virtual.world import World, leader_of, owner_of, started_world
+
+__all__ = [
+    "AttemptKey",
+    "CLOUD",
+    "Cloud",
+    "EPOCH",
+    "Entry",
+    "Fault",
+    "FaultContext",
+    "InvariantChecker",
+    "KeyValueStore",
+    "MACHINE_CPUS",
+    "MACHINE_RAM_GB",
+    "MS",
+    "Node",
+    "OVERLAPPING_FAULTS",
+    "Observer",
+    "QUOTA_ON",
+    "Respond",
+    "Response",
+    "S",
+    "SECONDS",
+    "SETTINGS_FILE",
+    "SINGLE_FAULTS",
+    "SLOW_LINK_FAULTS",
+    "STORE",
+    "SlowLink",
+    "Task",
+    "Users",
+    "VirtualClock",
+    "VirtualNetwork",
+    "VirtualRuntime",
+    "VirtualTimerHandle",
+    "Worker",
+    "World",
+    "busy_world",
+    "cancel_job",
+    "check_indexes",
+    "cluster_settings",
+    "cut_store_link",
+    "end_faults",
+    "freeze_controller",
+    "full_world",
+    "ignore_response",
+    "inject_fault",
+    "job_spec",
+    "leader_of",
+    "longest_starvation",
+    "lose_store_and_peers",
+    "owner_of",
+    "play",
+    "restart_controller",
+    "run_with_checks",
+    "running_attempts",
+    "slow_service_links",
+    "started_world",
+    "starved_jobs",
+    "store_refuses_controller",
+    "submit_job",
+]
--- /dev/null
+++ b/tests/virtual/cloud.py
@@ -0,0 +1,101 @@
+"""A stand-in for the cloud that rents machines."""
+
+import itertools
+import json
+from typing import TYPE_CHECKING, Any
+from urllib.parse import urlsplit
+
+from ramptide.protocol.cloud import MACHINE_TYPES_PATH, RETURN_PATH
+from virtual.clock import S
+from virtual.network import Respond
+from virtual.worker import MACHINE_CPUS, MACHINE_RAM_GB, MACHINE_TYPE, Worker
+
+if TYPE_CHECKING:
+    from virtual.world import World
+
+#: A machine is on the cloud's list so long after it was rented.
+LIST_LAG = 2 * S
+
+
+class Cloud:
+    """Rents workers of one machine type in two zones."""
+
+    def __init__(self, world: "World", capacity: int) -> None:
+        self.world = world
+        self.capacity = capacity
+        #: How many machines there are at most of one zone, of the on-demand and of the spot ones each.
+        self.pool_capacity: int | None = None
+        #: The least and the most that the boot of a machine takes.
+        self.boot_seconds = (1.0, 6.0)
+        self.is_down = False
+        #: The hosts that each rental gave, by its idempotency key.
+        self.hosts_by_request: dict[str, list[str]] = {}
+        self.listing: dict[str, dict[str, Any]] = {}
+        self._host_numbers = itertools.count()
+
+    def handle(self, method: str, target: str, body: bytes, respond: Respond) -> None:
+        """Carry out a request."""
+        path = urlsplit(target).path
+        if self.is_down:
+            respond(503, {"error": "trouble"})
+        elif path == MACHINE_TYPES_PATH:
+            self._list_machine_types(respond)
+        elif path == RETURN_PATH:
+            self._return(json.loads(body)["hosts"], respond)
+        elif method == "POST":
+            self._rent(json.loads(body), respond)
+        else:
+            respond(200, {"hosts": sorted(self.listing.values(), key=lambda row: row["ref"]), "more": False})
+
+    @staticmethod
+    def _list_machine_types(respond: Respond) -> None:
+        machine_type = {
+            "name": MACHINE_TYPE, "cores": MACHINE_CPUS, "cards": 0, "ramGb": MACHINE_RAM_GB, "cacheGb": 20,
+            "fetchGbPerS": 1.0, "rate": 1.0, "spotPrice": 0.4, "bootS": 4, "yards": ["a", "b"],
+        }  # fmt: skip
+        respond(200, {"rigs": [machine_type]})
+
+    def _return(self, hosts: list[str], respond: Respond) -> None:
+        for host in hosts:
+            worker = self.world.workers.get(host)
+            if worker is not None:
+                worker.die()
+            self.listing.pop(host, None)
+        respond(200, {})
+
+    def _rent(self, request: dict[str, Any], respond: Respond) -> None:
+        request_id = request["hire"]
+        if request_id in self.hosts_by_request:
+            respond(200, {"hosts": self.hosts_by_request[request_id]})
+            return
+        zone, spot = request["yard"], request["loaners"]
+        free = self._free_capacity(zone, spot)
+        if free <= 0:
+            respond(503, {"error": "no capacity"})
+            return
+        hosts = [self._create_worker(zone, spot) for _ in range(min(request["howMany"], free))]
+        self.hosts_by_request[request_id] = hosts
+        respond(200, {"hosts": hosts})
+
+    def _free_capacity(self, zone: str, spot: bool) -> int:
+        """Return how many more machines of the zone and purchase option can be rented."""
+        rented = [(worker.zone, worker.spot) for worker in self.world.workers.values() if worker.alive]
+        free = self.capacity - len(rented)
+        if self.pool_capacity is not None:
+            free = min(free, self.pool_capacity - rented.count((zone, spot)))
+        return free
+
+    def _create_worker(self, zone: str, spot: bool) -> str:
+        host = f"vm-{next(self._host_numbers):06d}"
+        worker = Worker(self.world, host, zone, spot)
+        self.world.workers[host] = worker
+        self.world.after(self.world.rng.uniform(*self.boot_seconds) * S, worker.boot)
+        self.world.after(LIST_LAG, lambda: self._list_worker(worker))
+        return host
+
+    def _list_worker(self, worker: Worker) -> None:
+        row = {
+            "ref": worker.host, "rig": MACHINE_TYPE, "yard": worker.zone, "loaners": worker.spot, "status": "running",
+        }  # fmt: skip
+        if worker.alive:
+            self.listing.setdefault(worker.host, row)
--- /dev/null
+++ b/tests/virtual/faults.py
@@ -0,0 +1,349 @@
+"""The faults of generated histories: small functions that each inject one, and tables of them by name."""
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from datetime import timedelta
+
+from virtual.clock import S
+from virtual.network import CLOUD, STORE
+from virtual.scenarios import restart_controller
+from virtual.users import cancel_job
+from virtual.worker import Worker
+from virtual.world import World
+
+
+@dataclass(frozen=True)
+class FaultContext:
+    """Where a fault is injected. A fault draws all that it needs from `rng`, so that a seed gives it again."""
+
+    world: World
+    rng: random.Random
+    duration: timedelta
+    #: The controller that the fault is about, when it is about one.
+    controller_name: str
+    machines: list[Worker]
+
+    def random_job_id(self) -> str:
+        """Draw a job."""
+        return self.rng.choice(sorted(self.world.job_specs))
+
+    def schedule(self, least_s: float, most_s: float, action: Callable[[], None]) -> None:
+        """Carry an action out at a moment that is drawn."""
+        self.world.after(self.rng.uniform(least_s, most_s) * S, action)
+
+    def schedule_restart(self, at_seconds: float, name: str, seconds: float) -> None:
+        """Restart a controller later; it is away for so many seconds."""
+        self.world.after(at_seconds * S, lambda: restart_controller(self.world, name, seconds))
+
+    def at_end(self, action: Callable[[], None], factor: int = 1) -> None:
+        """Take the fault back once its duration, or a multiple of it, is over."""
+        self.world.after(self.duration * factor, action)
+
+    def cancel_random_job(self) -> None:
+        """Cancel a job that is drawn."""
+        cancel_job(self.world, self.rng, self.random_job_id())
+
+    def draw_in_order(self) -> bool:
+        """Draw whether messages stay in order on slow links."""
+        return self.rng.random() < 0.5
+
+
+Fault = Callable[[FaultContext], None]
+
+
+# Processes.
+
+
+def crash(context: FaultContext) -> None:
+    """End a controller's process; it is back after some seconds."""
+    restart_controller(context.world, context.controller_name, context.rng.uniform(2, 6))
+
+
+def quick_restart(context: FaultContext) -> None:
+    """End a controller's process; it is back within half a second."""
+    restart_controller(context.world, context.controller_name, context.rng.uniform(0.1, 0.5))
+
+
+def crash_all(context: FaultContext) -> None:
+    """End all controllers' processes at once."""
+    for name in context.world.controller_names:
+        restart_controller(context.world, name, context.rng.uniform(0.2, 4))
+
+
+def rolling_restart(context: FaultContext) -> None:
+    """Restart one controller after the other, as in an update."""
+    for number, name in enumerate(context.world.controller_names):
+        context.schedule_restart(number * 6, name, 2)
+
+
+def restart_all_in_election(context: FaultContext) -> None:
+    """End the leader; those that run for its place end, too, and are back within a fraction of a second."""
+
+    def restart_later(name: str) -> None:
+        context.schedule(0, 5, lambda: restart_controller(context.world, name, context.rng.uniform(0.1, 0.6)))
+
+    for name in context.world.controller_names:
+        restart_later(name)
+
+
+def freeze_controller(context: FaultContext) -> None:
+    """Let a controller's process stand still."""
+    context.world.nodes[context.controller_name].freeze(context.rng.uniform(4, 20))
+
+
+# The services.
+
+
+def store_outage(context: FaultContext) -> None:
+    """Let the key-value store refuse all requests."""
+    context.world.store.start_outage(context.duration / S)
+
+
+def store_refuses_controller(context: FaultContext) -> None:
+    """Let the key-value store refuse one controller alone."""
+    refused_callers = context.world.store.refused_callers
+    refused_callers.add(context.controller_name)
+    context.at_end(lambda: refused_callers.discard(context.controller_name))
+
+
+def store_refuses_controller_then_all(context: FaultContext) -> None:
+    """Cancel a job while the key-value store refuses one controller; then it refuses all."""
+    store = context.world.store
+    store.refused_callers.add(context.controller_name)
+    context.world.after(1 * S, context.cancel_random_job)
+    context.schedule(0.5, 3, lambda: store.start_outage(25))
+    context.at_end(lambda: store.refused_callers.discard(context.controller_name))
+
+
+def late_writes(context: FaultContext) -> None:
+    """Let some writes to the key-value store come well after later ones."""
+    context.world.late_write_rate = context.rng.choice([0.2, 0.5])
+    context.at_end(lambda: setattr(context.world, "late_write_rate", 0.0))
+
+
+def slow_store(context: FaultContext) -> None:
+    """Let the key-value store take its time."""
+    context.world.max_store_delay_s = context.rng.choice([0.3, 1.0, 2.5])
+    context.at_end(lambda: setattr(context.world, "max_store_delay_s", 0.0))
+
+
+def cloud_outage(context: FaultContext) -> None:
+    """Let the cloud refuse all requests."""
+    context.world.cloud.is_down = True
+    context.at_end(lambda: setattr(context.world.cloud, "is_down", False))
+
+
+# The network.
+
+
+def isolate_controller(context: FaultContext) -> None:
+    """Leave a controller with half of the machines."""
+    kept = context.rng.sample([worker.host for worker in context.machines], len(context.machines) // 2)
+    context.world.isolate(context.controller_name, *kept)
+    context.at_end(context.world.heal)
+
+
+def cut_store_link(context: FaultContext) -> None:
+    """Cut a controller off from the key-value store."""
+    context.world.cut_link(context.controller_name, STORE)
+    context.at_end(context.world.heal)
+
+
+def lose_store_and_peers(context: FaultContext) -> None:
+    """Cut a controller off from the key-value store and its peers, not its workers or users, and cancel a job."""
+    world = context.world
+    peers = [name for name in world.controller_names if name != context.controller_name]
+    for other in (STORE, *peers):
+        world.cut_link(context.controller_name, other)
+    world.after(0.5 * S, context.cancel_random_job)
+    context.at_end(world.heal)
+
+
+def lose_all_but_workers(context: FaultContext) -> None:
+    """Leave a controller with its workers alone."""
+    context.world.isolate(context.controller_name, *context.world.workers)
+    context.at_end(context.world.heal)
+
+
+def cut_peer_links(context: FaultContext) -> None:
+    """Cut all controllers off from each other."""
+    for one in context.world.controller_names:
+        for other in context.world.controller_names:
+            context.world.cut_link(one, other)
+    context.at_end(context.world.heal)
+
+
+def isolate_zone(context: FaultContext) -> None:
+    """Cut a zone with its machines and a controller off from all others; inside, it goes on working."""
+    hosts = [worker.host for worker in context.machines if worker.zone == "a"]
+    context.world.isolate_with(context.controller_name, hosts)
+    context.schedule(5, 25, context.world.heal)
+
+
+def cut_worker_from_controllers(context: FaultContext) -> None:
+    """Cut a machine off from all controllers."""
+    if context.machines:
+        host = context.rng.choice(context.machines).host
+        for name in context.world.controller_names:
+            context.world.cut_link(host, name)
+        context.at_end(context.world.heal)
+
+
+def cut_worker_from_controller(context: FaultContext) -> None:
+    """Cut a machine off from one controller."""
+    if context.machines:
+        context.world.cut_link(context.rng.choice(context.machines).host, context.controller_name)
+        context.at_end(context.world.heal)
+
+
+def lose_responses_to_worker(context: FaultContext) -> None:
+    """Let the heartbeats of a machine arrive, and the responses be lost."""
+    if context.machines:
+        host = context.rng.choice(context.machines).host
+        hosts_without_responses = context.world.hosts_without_responses
+        hosts_without_responses.add(host)
+        context.at_end(lambda: hosts_without_responses.discard(host), factor=2)
+
+
+def message_loss(context: FaultContext) -> None:
+    """Lose some messages everywhere."""
+    context.world.loss_rate = 0.05
+    context.at_end(lambda: setattr(context.world, "loss_rate", 0.0))
+
+
+def late_heartbeats(context: FaultContext) -> None:
+    """Deliver copies of heartbeats late."""
+    context.world.late_heartbeat_rate = 0.1
+    context.at_end(lambda: setattr(context.world, "late_heartbeat_rate", 0.0), factor=2)
+
+
+def slow_worker_links(context: FaultContext) -> None:
+    """Delay messages between a controller and all machines that there are."""
+    workers = sorted(context.world.workers)
+    context.world.slow_down_links(context.controller_name, workers, context.draw_in_order())
+    context.at_end(context.world.restore_link_speed)
+
+
+def slow_peer_links(context: FaultContext) -> None:
+    """Delay messages between all controllers."""
+    in_order = context.draw_in_order()
+    names = context.world.controller_names
+    for name in names:
+        context.world.slow_down_links(name, [other for other in names if other != name], in_order)
+    context.at_end(context.world.restore_link_speed)
+
+
+def slow_service_links(context: FaultContext) -> None:
+    """Delay messages between a controller and the key-value store and the cloud."""
+    context.world.slow_down_links(context.controller_name, [STORE, CLOUD], context.draw_in_order())
+    context.at_end(context.world.restore_link_speed)
+
+
+def slow_links_of_worker(context: FaultContext) -> None:
+    """Delay messages between one machine and all controllers."""
+    in_order = context.draw_in_order()
+    if context.world.workers:
+        host = context.rng.choice(sorted(context.world.workers))
+        context.world.slow_down_links(host, context.world.controller_names, in_order)
+    context.at_end(context.world.restore_link_speed)
+
+
+# Machines.
+
+
+def end_machine(context: FaultContext) -> None:
+    """End a machine."""
+    if context.machines:
+        context.rng.choice(context.machines).die()
+
+
+def break_machine(context: FaultContext) -> None:
+    """Let all tasks fail on a machine from now on."""
+    if context.machines:
+        context.rng.choice(context.machines).is_faulty = True
+
+
+def hang_machines(context: FaultContext) -> None:
+    """Let half of the machines hang."""
+    for worker in context.rng.sample(context.machines, len(context.machines) // 2):
+        worker.hang(context.rng.uniform(4, 20))
+
+
+def hang_machines_of_cancelled_job(context: FaultContext) -> None:
+    """Let all machines with tasks of a job hang, and cancel it."""
+    job_id = context.random_job_id()
+    for worker in context.machines:
+        if any(task.job_id == job_id for task in worker.tasks.values()):
+            worker.hang(context.rng.uniform(4, 40))
+    cancel_job(context.world, context.rng, job_id)
+
+
+# Users.
+
+
+def cancel_any_job(context: FaultContext) -> None:
+    """Cancel a job."""
+    context.cancel_random_job()
+
+
+def cancel_jobs_at_end(context: FaultContext) -> None:
+    """Cancel jobs in the moment in which their last task ends, or just after it."""
+    world, rng = context.world, context.rng
+
+    def on_job_done(job_id: str) -> None:
+        if rng.random() < 0.6:
+            world.after(rng.choice([0.0, 0.1, 0.6, 1.2]) * S, lambda: cancel_job(world, rng, job_id))
+
+    world.invariants.on_job_done = on_job_done
+    context.at_end(lambda: setattr(world.invariants, "on_job_done", lambda job_id: None), factor=2)
+
+
+def by_name(*faults: Fault) -> dict[str, Fault]:
+    """Return a table of faults by the names of their functions."""
+    return {fault.__name__: fault for fault in faults}
+
+
+#: Their order is part of what a seed means: new ones belong into the other table.
+SINGLE_FAULTS = by_name(
+    crash,
+    crash_all,
+    rolling_restart,
+    store_outage,
+    store_refuses_controller,
+    isolate_controller,
+    cut_store_link,
+    cut_worker_from_controllers,
+    cut_worker_from_controller,
+    end_machine,
+    cloud_outage,
+    break_machine,
+    cancel_any_job,
+    message_loss,
+    quick_restart,
+    lose_responses_to_worker,
+    late_heartbeats,
+    restart_all_in_election,
+    lose_all_but_workers,
+    freeze_controller,
+    hang_machines,
+    isolate_zone,
+    cut_peer_links,
+    late_writes,
+    cancel_jobs_at_end,
+    lose_store_and_peers,
+    store_refuses_controller_then_all,
+    hang_machines_of_cancelled_job,
+    slow_store,
+)
+SLOW_LINK_FAULTS = by_name(slow_worker_links, slow_peer_links, slow_service_links, slow_links_of_worker)
+#: What histories are made of in which faults overlap.
+OVERLAPPING_FAULTS = SINGLE_FAULTS | SLOW_LINK_FAULTS
+
+
+def inject_fault(world: World, rng: random.Random, name: str) -> None:
+    """Inject the fault of that name."""
+    duration = rng.uniform(2, 20) * S
+    controller_name = rng.choice(world.controller_names)
+    machines = [worker for worker in world.workers.values() if worker.alive]
+    OVERLAPPING_FAULTS[name](FaultContext(world, rng, duration, controller_name, machines))
--- /dev/null
+++ b/tests/virtual/indexes.py
@@ -0,0 +1,65 @@
+"""The controllers' indexes compared with a walk of everything that they index."""
+
+from collections import Counter
+
+import pytest
+
+from ramptide.app import Controller
+from ramptide.attempts import sum_amounts
+from ramptide.floor import Floor
+from ramptide.job_scheduler import JobScheduler
+from virtual.worker import DONE, RUNNING
+from virtual.world import World
+
+
+def check_indexes(world: World) -> None:
+    """Check the indexes of all controllers that have a shard."""
+    for node in world.nodes.values():
+        controller = node.controller
+        if controller is None or controller.scheduler is None:
+            continue
+        controller.floor.refresh()
+        _check_rooms(controller.floor)
+        _check_tasks(controller.floor)
+        _check_failures(controller)
+        _check_jobs(controller.scheduler)
+        _check_attempts(controller.floor, controller.scheduler)
+
+
+def _check_rooms(floor: Floor) -> None:
+    expected = {name: room for name in floor.hosts if (room := floor._room(name)) is not None}
+    assert floor.rooms == expected
+
+
+def _check_tasks(floor: Floor) -> None:
+    running = Counter(row[0] for host in floor.hosts.values() for row in host.tasks if row[3] == RUNNING)
+    assert {job_id: count for job_id, count in floor.running.items() if count} == running
+    for job_id in {row[0] for host in floor.hosts.values() for row in host.tasks}:
+        assert floor.where(job_id) == sorted(
+            name for name, host in floor.hosts.items() if any(row[0] == job_id for row in host.tasks)
+        )
+
+
+def _check_failures(controller: Controller) -> None:
+    floor, jobs = controller.floor, controller.jobs
+    failed = {(job_id, name) for name, host in floor.hosts.items() for job_id in host.failed}
+    assert {(job_id, name) for job_id, names in floor._failed.items() for name in names} == failed
+    passed = {job_id for job_id, _ in failed if job_id in jobs and jobs[job_id].progress.count}
+    passed |= {row[0] for host in floor.hosts.values() for row in host.tasks if row[4] == DONE}
+    assert passed & floor._failed.keys() <= floor._passed <= floor._failed.keys()
+
+
+def _check_jobs(scheduler: JobScheduler) -> None:
+    assert scheduler.failing == {job_id: job for job_id, job in scheduler.jobs.items() if job.failing}
+    assert scheduler.with_pending_tasks == {job_id: job for job_id, job in scheduler.jobs.items() if job.waiting > 0}
+
+
+def _check_attempts(floor: Floor, scheduler: JobScheduler) -> None:
+    attempts = [attempt for entries in scheduler.attempts.values() for attempt in entries.values()]
+    usage = sum_amounts(attempts)
+    for team in usage | scheduler.usage():
+        assert scheduler.usage().get(team, (0.0, 0.0)) == pytest.approx(usage.get(team, (0.0, 0.0)))
+    indexed = [attempt for entries in scheduler.index.by_job.values() for attempt in entries.values()]
+    assert sorted(attempt.key for attempt in indexed) == sorted(attempt.key for attempt in attempts)
+    shown = {tuple(row[:3]) for host in floor.hosts.values() if host.settled for row in host.tasks}
+    assert all(attempt.key in scheduler.index.unshown or attempt.key in shown for attempt in attempts)
--- /dev/null
+++ b/tests/virtual/invariants.py
@@ -0,0 +1,100 @@
+"""The plain model of the protocol's rules, checked on what really happens on the machines."""
+
+from collections import Counter
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from virtual.clock import S
+from virtual.worker import CAPACITY_TOLERANCE, RUNNING, Task, Worker
+
+if TYPE_CHECKING:
+    from virtual.world import World
+
+
+class InvariantChecker:
+    """Notes each violation of what the protocol forbids, by a slow walk of everything."""
+
+    def __init__(self, world: "World") -> None:
+        self.world = world
+        self.violations: list[str] = []
+        #: Tasks that ended well on a machine, by job and index.
+        self.finished_tasks: set[tuple[str, int]] = set()
+        self.start_count = 0
+        self.starts_by_job: Counter[str] = Counter()
+        #: Called at the moment in which the last task of a job ends well.
+        self.on_job_done: Callable[[str], None] = lambda job_id: None
+
+    def running_tasks(self) -> list[tuple[Worker, Task]]:
+        """Return all tasks that run, with their machines."""
+        return [
+            (worker, task)
+            for worker in self.world.workers.values()
+            if worker.may_run_tasks
+            for task in worker.tasks.values()
+            if task.status == RUNNING
+        ]
+
+    def on_task_done(self, task: Task) -> None:
+        """Note that a task ended well."""
+        self.finished_tasks.add(task.task_id)
+        if self._are_all_tasks_finished(task.job_id):
+            self.on_job_done(task.job_id)
+
+    def _are_all_tasks_finished(self, job_id: str) -> bool:
+        task_count = self.world.job_specs[job_id]["pieces"]
+        return all((job_id, index) in self.finished_tasks for index in range(task_count))
+
+    def on_task_started(self, worker: Worker, task: Task) -> None:
+        """Check all invariants at the start of a task."""
+        self.start_count += 1
+        self.starts_by_job[task.job_id] += 1
+        running = self.running_tasks()
+        self._check_runs_once(worker, task, running)
+        self._check_team_limit(task, running)
+        self._check_placement(worker, task, running)
+        self.check()
+
+    def _check_runs_once(self, worker: Worker, task: Task, running: list[tuple[Worker, Task]]) -> None:
+        for other_worker, other in running:
+            if other is not task and other.task_id == task.task_id:
+                self.violations.append(f"ran_twice {task.job_id}/{task.index} on {other_worker.host} and {worker.host}")
+
+    def _check_team_limit(self, task: Task, running: list[tuple[Worker, Task]]) -> None:
+        team = self.world.job_specs[task.job_id]["owner"]
+        limit = self.world.teams[team]
+        specs = [self.world.job_specs[other.job_id] for _, other in running]
+        used = sum(spec["cores"] for spec in specs if spec["owner"] == team)
+        if limit and used > limit + CAPACITY_TOLERANCE:
+            self.violations.append(f"quota {team} {used}")
+
+    def _check_placement(self, worker: Worker, task: Task, running: list[tuple[Worker, Task]]) -> None:
+        spec: dict[str, Any] = self.world.job_specs[task.job_id]
+        if worker.spot and not spec["loaners"] or spec.get("yard") not in (None, worker.zone):
+            self.violations.append(f"wrong_place {task.job_id} on {worker.host}")
+        zones = [other_worker.zone for other_worker, other in running if other.job_id == task.job_id]
+        if spec["oneZone"] and len(set(zones)) > 1:
+            self.violations.append(f"wrong_place {task.job_id}: {zones}")
+        if spec["spread"] and zones.count(worker.zone) > (spec["pieces"] + 1) // 2:
+            self.violations.append(f"wrong_place {task.job_id}: {zones}")
+
+    def check(self) -> None:
+        """Check what must hold at any moment."""
+        self._check_cancelled_jobs()
+        self._check_done_jobs()
+
+    def _check_cancelled_jobs(self) -> None:
+        cancel_timeout = self.world.cancel_s * S
+        for worker in self.world.workers.values():
+            # Also on a machine that hangs past its lease: a cancelled task must not go on there afterwards.
+            for task in worker.tasks.values() if worker.alive else ():
+                cancelled_at = self.world.cancelled_at.get(task.job_id)
+                is_late = cancelled_at is not None and self.world.now - cancelled_at > cancel_timeout
+                if is_late and task.status == RUNNING:
+                    self.violations.append(f"ran_cancelled {task.job_id} on {worker.host}")
+
+    def _check_done_jobs(self) -> None:
+        for key, entry in self.world.store.entries.items():
+            job_id = key.removeprefix("ended/")
+            is_done = key.startswith("ended/") and entry.value["status"] == "done"
+            if is_done and not self._are_all_tasks_finished(job_id):
+                self.violations.append(f"not_done {job_id}")
--- /dev/null
+++ b/tests/virtual/loopback.py
@@ -0,0 +1,241 @@
+"""Several real controllers on loopback against stand-ins, whose own records judge what really ran.
+
+The harness serves every test that needs real processes: it starts, freezes, resumes and kills its own children.
+"""
+
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+import time
+from collections.abc import Callable
+from datetime import timedelta
+from pathlib import Path
+from typing import Any
+
+from ramptide.context import JSON
+from ramptide.http.client import Client
+from ramptide.http.messages import Message
+from ramptide.http.server import Exchange, Server
+from ramptide.loop import Loop
+from ramptide.protocol.agents import COMMANDS_PATH, HEARTBEAT_PATH
+from ramptide.protocol.jobs import HEALTH_PATH
+from virtual.network import CLOUD, STORE, Respond, encode_body
+from virtual.node import Node
+from virtual.settings import cluster_settings
+from virtual.worker import HEARTBEAT_TIMEOUT
+from virtual.world import World
+
+ROOT = Path(__file__).resolve().parent.parent.parent
+MAX_CONNECTIONS = 100
+CONNECTION_TIMEOUT = timedelta(hours=1)
+REQUEST_TIMEOUT = timedelta(seconds=5)
+FD_LIMIT = 200
+
+
+def free_port() -> int:
+    """Return a port on which nobody listens."""
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return int(sock.getsockname()[1])
+
+
+def free_address() -> str:
+    """Return an address on which nobody listens."""
+    return f"127.0.0.1:{free_port()}"
+
+
+class RemoteNode(Node):
+    """A controller in a process of its own, to which workers send their heartbeats over a socket."""
+
+    def __init__(self, world: "LoopWorld", name: str) -> None:
+        super().__init__(world, name)
+        self._address = world.users_address(name)
+        self._client = world.client
+
+    def deliver_heartbeat(self, body: bytes, respond: Respond) -> None:
+        """Send a heartbeat, and pass the response on."""
+
+        def on_response(response: Message | None) -> None:
+            if response is None:
+                respond(503, b"{}")
+            else:
+                respond(response.status, response.body)
+
+        self._client.call(self._address, "POST", HEARTBEAT_PATH, body, JSON, HEARTBEAT_TIMEOUT, on_response)
+
+
+class LoopWorld(World):
+    """The stand-ins in real time, reached over sockets; the controllers are processes of their own."""
+
+    def __init__(
+        self, folder: Path, teams: dict[str, float] | None = None, capacity: int = 12, parts: Path | None = None
+    ) -> None:
+        self.loop = Loop()
+        super().__init__(1, teams=teams, capacity=capacity)
+        self.folder = folder
+        self.log_level = "info"
+        #: The file that switches parts on at controllers that start from now on.
+        self.parts_file = parts
+        self.client = Client(self.loop, MAX_CONNECTIONS)
+        #: The ports for users and for peers.
+        self.ports = {name: (free_port(), free_port()) for name in self.controller_names}
+        self.outside = {STORE: free_address(), CLOUD: free_address()}
+        self._serve(self.outside[STORE], self._handle_store_request)
+        self._serve(self.outside[CLOUD], self._handle_cloud_request)
+        self.worker_addresses: dict[str, str] = {}
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
+        for name in self.controller_names:
+            self.nodes[name] = RemoteNode(self, name)
+
+    # The clock.
+
+    @property
+    def now(self) -> timedelta:
+        """The monotonic time, of the loop."""
+        return self.loop.now
+
+    @now.setter
+    def now(self, value: timedelta) -> None:
+        """Ignore the virtual clock's own time."""
+
+    def after(self, delay: timedelta, action: Callable[[], None]) -> None:
+        """Schedule an event on the loop."""
+        self.loop.after(delay, action)
+
+    def until(self, condition: Callable[[], bool], seconds: float) -> bool:
+        """Serve until the condition holds, for so long at most; return whether it holds."""
+        end = time.monotonic() + seconds
+        while time.monotonic() < end and not condition():
+            self.loop.after(timedelta(milliseconds=50), lambda: None)
+            self.loop.turn()
+        return condition()
+
+    # The stand-ins.
+
+    def _serve(self, address: str, handle: Callable[[Message, Respond], None]) -> None:
+        def on_exchange(exchange: Exchange) -> None:
+            handle(exchange.request, lambda status, body: exchange.respond(status, encode_body(body)))
+
+        Server(self.loop, address, on_exchange, MAX_CONNECTIONS, CONNECTION_TIMEOUT)
+
+    def _handle_store_request(self, request: Message, respond: Respond) -> None:
+        self.store.handle("", request.method, request.target, request.body, respond)
+
+    def _handle_cloud_request(self, request: Message, respond: Respond) -> None:
+        self.cloud.handle(request.method, request.target, request.body, respond)
+
+    def command_address(self, host: str) -> str:
+        """Return where a worker takes direct commands: each listens on a port of its own."""
+        if host not in self.worker_addresses:
+            self.worker_addresses[host] = address = free_address()
+            self._serve(address, self._worker_handler(host))
+        return self.worker_addresses[host]
+
+    def _worker_handler(self, host: str) -> Callable[[Message, Respond], None]:
+        def handle(request: Message, respond: Respond) -> None:
+            if request.target == COMMANDS_PATH:
+                self.workers[host].handle_commands(json.loads(request.body), respond)
+            else:
+                self.workers[host].inspect(respond)
+
+        return handle
+
+    # The processes.
+
+    def users_address(self, name: str) -> str:
+        """Return where a controller takes requests of users and workers."""
+        return f"127.0.0.1:{self.ports[name][0]}"
+
+    def peer_address(self, name: str) -> str:
+        """Return where a controller takes requests of peers and operators."""
+        return f"127.0.0.1:{self.ports[name][1]}"
+
+    def start(self, name: str) -> None:
+        """Start a controller's process."""
+        path = self.folder / f"{name}.json"
+        path.write_text(json.dumps(self._settings(name)))
+        parts = ["--parts", str(self.parts_file)] if self.parts_file is not None else []
+        command = [sys.executable, str(ROOT / "run.py"), *parts, "--config", str(path)]
+        self.processes[name] = subprocess.Popen(command, env=self._environment() | {"LOG_LEVEL": self.log_level})
+
+    def _settings(self, name: str) -> dict[str, Any]:
+        siblings = [other for other in self.controller_names if other != name]
+        return {
+            "member": name, "area": "a", "client_listen": self.users_address(name),
+            "peer_bind": self.peer_address(name), "outside": self.outside,
+            "siblings": [{"member": other, "area": "a", "addr": self.peer_address(other)} for other in siblings],
+            "cluster": cluster_settings(self, FD_LIMIT),
+        }  # fmt: skip
+
+    @staticmethod
+    def _environment() -> dict[str, str]:
+        return os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
+
+    def freeze(self, name: str) -> None:
+        """Let the process stand still until it is resumed; its clocks run on."""
+        self.processes[name].send_signal(signal.SIGSTOP)
+
+    def resume(self, name: str) -> None:
+        """Let a frozen process go on."""
+        self.processes[name].send_signal(signal.SIGCONT)
+
+    def kill(self, name: str) -> None:
+        """End the process."""
+        self.processes[name].kill()
+        self.processes[name].wait()
+
+    def close(self) -> None:
+        """End the processes, which are all of this world's own."""
+        for name in self.processes:
+            self.kill(name)
+
+    # Requests to the controllers.
+
+    def operator(self, name: str, *arguments: str) -> tuple[int, str]:
+        """Run a command of the administration API; return its exit status and output."""
+        command = subprocess.Popen(
+            [sys.executable, str(ROOT / "run.py"), "admin", "--address", self.peer_address(name), *arguments],
+            env=self._environment(),
+            stdout=subprocess.PIPE,
+            text=True,
+        )
+        self.until(lambda: command.poll() is not None, 30)
+        return command.returncode, command.communicate()[0]
+
+    def is_healthy(self, name: str) -> bool:
+        """Tell whether the controller says that it is healthy."""
+        return self.status(name, "GET", HEALTH_PATH) == 200
+
+    def http(self, name: str, method: str, path: str, body: bytes = b"") -> Message | None:
+        """Return a controller's response to a user, or None when none came in time."""
+        return self._call(self.users_address(name), method, path, body)
+
+    def status(self, name: str, method: str, path: str, body: bytes = b"") -> int:
+        """Return the status of a controller's response to a user, or 0 when none came in time."""
+        response = self.http(name, method, path, body)
+        return 0 if response is None else response.status
+
+    def metrics(self, name: str) -> str:
+        """Return a controller's metrics."""
+        response = self._call(self.peer_address(name), "GET", "/metrics", b"")
+        assert response is not None and response.status == 200
+        return response.body.decode()
+
+    def _call(self, address: str, method: str, path: str, body: bytes) -> Message | None:
+        responses: list[Message | None] = []
+        self.client.call(address, method, path, body, JSON, REQUEST_TIMEOUT, responses.append)
+        self.until(lambda: bool(responses), 6)
+        return responses[0]
+
+    def raw(self, name: str, data: bytes) -> bytes:
+        """Send bytes to a controller; return all that it sends until it closes the connection."""
+        with socket.create_connection(("127.0.0.1", self.ports[name][0]), 5) as sock:
+            sock.sendall(data)
+            sock.settimeout(5)
+            received = b""
+            while (part := sock.recv(4096)) != b"":
+                received += part
+            return received
--- /dev/null
+++ b/tests/virtual/network.py
@@ -0,0 +1,185 @@
+"""The virtual network, with the faults that tests inject: cut links, loss, duplication, delay."""
+
+import json
+import random
+from collections.abc import Callable, Collection
+from dataclasses import dataclass, field
+from datetime import timedelta
+from typing import TYPE_CHECKING, Any
+
+from virtual.clock import MS, S, VirtualClock
+
+if TYPE_CHECKING:
+    from virtual.node import Node
+    from virtual.worker import Worker
+
+#: The addresses of the key-value store and of the cloud.
+STORE, CLOUD = "state", "cloud"
+#: Takes the status of a response, and its body: bytes, or what is to be encoded as JSON.
+Respond = Callable[[int, Any], None]
+
+
+@dataclass
+class Response:
+    """An HTTP response as callers see it."""
+
+    status: int
+    body: bytes
+
+
+def ignore_response(status: int, body: Any) -> None:
+    """Take the response to a request for which nobody waits."""
+
+
+def encode_body(body: Any) -> bytes:
+    """Return the body of a response as bytes."""
+    return body if isinstance(body, bytes) else json.dumps(body).encode()
+
+
+@dataclass
+class SlowLink:
+    """Each message between two hosts takes from a fifth of a second to two seconds."""
+
+    in_order: bool
+    #: When the latest message of each direction arrives, by its sender.
+    latest_arrival: dict[str, timedelta] = field(default_factory=dict)
+
+    FASTEST_S, SLOWEST_S = 0.2, 2.0
+
+    def delay(self, rng: random.Random, sender: str, now: timedelta) -> timedelta:
+        """Draw how long a message that is sent now is under way."""
+        arrival = now + rng.uniform(self.FASTEST_S, self.SLOWEST_S) * S
+        if self.in_order:
+            arrival = max(arrival, self.latest_arrival.get(sender, arrival))
+        self.latest_arrival[sender] = arrival
+        return arrival - now
+
+
+class VirtualNetwork(VirtualClock):
+    """Carries requests between hosts by name; each fault stays until it is taken back."""
+
+    controller_names: list[str]
+    nodes: dict[str, "Node"]
+    workers: dict[str, "Worker"]
+
+    def __init__(self, rng: random.Random) -> None:
+        super().__init__()
+        self.rng = rng
+        self.cut_links: set[frozenset[str]] = set()
+        #: Whether requests over a cut link are delivered once it is healed; otherwise they are lost.
+        self.holds_requests_on_cut_links = False
+        self.held_requests: list[Callable[[], None]] = []
+        #: Hosts whose requests arrive while the responses are lost.
+        self.hosts_without_responses: set[str] = set()
+        self.slow_links: dict[frozenset[str], SlowLink] = {}
+        # Probabilities, of each message or request.
+        self.loss_rate = 0.0
+        self.duplication_rate = 0.0
+        self.late_heartbeat_rate = 0.0
+        self.late_write_rate = 0.0
+        #: The key-value store carries a request out after so many seconds at most.
+        self.max_store_delay_s = 0.0
+
+    # Faults of links.
+
+    def cut_link(self, one: str, other: str) -> None:
+        """Let nothing pass between two hosts."""
+        self.cut_links.add(frozenset((one, other)))
+
+    def isolate(self, name: str, *kept: str) -> None:
+        """Cut a host off from all others but those that are kept."""
+        for other in [STORE, CLOUD, *self.controller_names, *self.workers]:
+            if other != name and other not in kept:
+                self.cut_link(name, other)
+
+    def isolate_with(self, name: str, hosts: Collection[str]) -> None:
+        """Let a controller and some machines reach only each other."""
+        self.isolate(name, *hosts)
+        for host in hosts:
+            for other in self.controller_names:
+                if other != name:
+                    self.cut_link(host, other)
+
+    def heal(self) -> None:
+        """End all cuts and losses of responses, and deliver what was held."""
+        self.cut_links.clear()
+        self.hosts_without_responses.clear()
+        held, self.held_requests = self.held_requests, []
+        for deliver in held:
+            self.after(5 * MS, deliver)
+
+    def slow_down_links(self, one: str, others: Collection[str], in_order: bool) -> None:
+        """Delay messages between the host and each of the others, in both directions."""
+        for other in others:
+            self.slow_links[frozenset((one, other))] = SlowLink(in_order)
+
+    def restore_link_speed(self) -> None:
+        """End all slow links."""
+        self.slow_links.clear()
+
+    def _is_link_up(self, one: str, other: str) -> bool:
+        return frozenset((one, other)) not in self.cut_links
+
+    # Requests.
+
+    def send(
+        self,
+        source: str,
+        target: str,
+        request: Callable[[Respond], None],
+        timeout: timedelta,
+        on_response: Callable[[Response | None], None],
+    ) -> None:
+        """Carry a request and its response; either may be lost, late or duplicated.
+
+        `on_response` is called once, with None when no response came in time.
+        """
+        is_finished = False
+
+        def finish(response: Response | None) -> None:
+            nonlocal is_finished
+            if not is_finished:
+                is_finished = True
+                on_response(response)
+
+        def respond(status: int, body: Any) -> None:
+            # The body as it is now: what it is made of may change while the response is under way.
+            response = Response(status, encode_body(body))
+            if self._may_respond(source, target) and self.rng.random() >= self.loss_rate:
+                self.after(self._delay(target, source), lambda: finish(response))
+
+        def deliver() -> None:
+            if self._is_link_up(source, target):
+                request(respond)
+            elif self.holds_requests_on_cut_links:
+                # Carried out once the cut ends, though nobody waits for it any more.
+                self.held_requests.append(lambda: request(ignore_response))
+
+        if self.rng.random() >= self.loss_rate:
+            self.after(self._delay(source, target), deliver)
+        self._schedule_duplicates(source, request)
+        self.after(timeout, lambda: finish(None))
+
+    def _may_respond(self, source: str, target: str) -> bool:
+        return self._is_link_up(source, target) and source not in self.hosts_without_responses
+
+    def _schedule_duplicates(self, source: str, request: Callable[[Respond], None]) -> None:
+        """Deliver copies of the request later, for whose responses nobody waits."""
+        if source in self.workers and self.rng.random() < self.late_heartbeat_rate:
+            # From seconds to well over a lease late.
+            self.after(self.rng.uniform(1, 40) * S, lambda: request(ignore_response))
+        if self.rng.random() < self.duplication_rate:
+            self.after(self.rng.random() * 20 * S, lambda: request(ignore_response))
+
+    def after_store_delay(self, action: Callable[[], None]) -> None:
+        """Let the key-value store carry a request out, at once or up to `max_store_delay_s` later."""
+        if self.max_store_delay_s:
+            self.after(self.rng.random() * self.max_store_delay_s * S, action)
+        else:
+            action()
+
+    def _delay(self, sender: str, receiver: str) -> timedelta:
+        link = self.slow_links.get(frozenset((sender, receiver)))
+        if link is not None:
+            return link.delay(self.rng, sender, self.now)
+        return (1 + self.rng.random() * 4) * MS
--- /dev/null
+++ b/tests/virtual/node.py
@@ -0,0 +1,239 @@
+"""A controller's process in the virtual world, and what it sees of that world."""
+
+import json
+import random
+from collections import deque
+from collections.abc import Callable
+from datetime import datetime, timedelta
+from typing import TYPE_CHECKING
+from urllib.parse import urlsplit
+
+from ramptide.app import Controller
+from ramptide.protocol.agents import COMMANDS_PATH, INSPECT_PATH
+from ramptide.protocol.key_value_store import TRANSACTION_PATH
+from ramptide.protocol.settings_file import decode_settings
+from virtual.clock import EPOCH, S
+from virtual.network import CLOUD, STORE, Respond, Response, ignore_response
+from virtual.settings import cluster_settings
+
+if TYPE_CHECKING:
+    from virtual.world import World
+
+FD_LIMIT = 1000
+
+
+class VirtualTimerHandle:
+    """A scheduled call of a process."""
+
+    def __init__(self) -> None:
+        self.is_pending = True
+
+    def cancel(self) -> None:
+        """Prevent the call."""
+        self.is_pending = False
+
+
+class VirtualRuntime:
+    """What one process sees of the world; a dead process sees nothing any more."""
+
+    def __init__(self, node: "Node") -> None:
+        self.node = node
+        self.world = node.world
+        self.alive = True
+        self.rng = random.Random(self.world.rng.random())
+
+    @property
+    def now(self) -> timedelta:
+        """The monotonic time."""
+        return self.world.now
+
+    def wall(self) -> datetime:
+        """Return the wall-clock time."""
+        return EPOCH + self.world.now
+
+    def after(self, delay: timedelta, action: Callable[[], None]) -> VirtualTimerHandle:
+        """Schedule a call, which is not made if the process ends before."""
+        handle = VirtualTimerHandle()
+
+        def fire() -> None:
+            if self.alive and handle.is_pending:
+                self.node.dispatch(self, action)
+
+        self.world.after(delay, fire)
+        return handle
+
+    def call(
+        self,
+        address: str,
+        method: str,
+        target: str,
+        body: bytes,
+        content_type: str,
+        timeout: timedelta,
+        done: Callable[[Response | None], None],
+    ) -> None:
+        """Send a request; `done` gets the response, or None when none came in time."""
+
+        def on_response(response: Response | None) -> None:
+            if self.alive:
+                self.node.dispatch(self, lambda: done(response))
+
+        self._show_call(address, method, target, content_type, body, timeout)
+        if address == STORE and target == TRANSACTION_PATH and self.rng.random() < self.world.late_write_rate:
+            self._write_late(method, target, body)
+            self.world.after(timeout, lambda: on_response(None))
+            return
+        self.world.call_counts[method + " " + urlsplit(target).path.split("/")[1]] += 1
+        self.world.sent_bytes[address] += len(body)
+        self.world.longest_body = max(self.world.longest_body, len(body))
+
+        def request(respond: Respond) -> None:
+            self._deliver(address, method, target, body, respond)
+
+        self.world.send(self.node.name, address, request, timeout, on_response)
+
+    def _show_call(
+        self, address: str, method: str, target: str, content_type: str, body: bytes, timeout: timedelta
+    ) -> None:
+        observer = self.world.observer
+        if observer is not None:
+            observer.called(self.now, self.node.name, address, method, target, content_type, body, timeout)
+
+    def _write_late(self, method: str, target: str, body: bytes) -> None:
+        """Carry a write out well after newer ones of the same controller; nobody gets its response."""
+        delay = self.world.rng.uniform(2, 12) * S
+        name, store = self.node.name, self.world.store
+        self.world.after(delay, lambda: store.handle(name, method, target, body, ignore_response))
+
+    def _deliver(self, address: str, method: str, target: str, body: bytes, respond: Respond) -> None:
+        """Hand a request that has arrived to the stand-in or the controller at the address."""
+        world = self.world
+        if address == STORE:
+            world.after_store_delay(lambda: world.store.handle(self.node.name, method, target, body, respond))
+        elif address == CLOUD:
+            world.cloud.handle(method, target, body, respond)
+        elif address in world.workers:
+            worker = world.workers[address]
+            if target == COMMANDS_PATH:
+                worker.handle_commands(json.loads(body), respond)
+            else:
+                assert (method, target) == ("GET", INSPECT_PATH)
+                worker.inspect(respond)
+        else:
+            world.nodes[address].deliver_peer_message(body, respond)
+
+
+class Node:
+    """The place of a controller, whose process can be killed and started again."""
+
+    def __init__(self, world: "World", name: str) -> None:
+        self.world = world
+        self.name = name
+        self.controller: Controller | None = None
+        self._runtime: VirtualRuntime | None = None
+        self._start_count = 0
+        self._frozen_until = timedelta(0)
+        #: The time that a slow processor takes for each event. What comes meanwhile is queued, users' requests last.
+        self.event_cost = timedelta(0)
+        self._urgent_events: deque[Callable[[], object]] = deque()
+        self._deferrable_events: deque[Callable[[], object]] = deque()
+        self._is_serving = False
+
+    # The process.
+
+    def start(self) -> None:
+        """Start a process."""
+        self._start_count += 1
+        self._runtime = VirtualRuntime(self)
+        settings = decode_settings(json.dumps(self._settings()).encode())
+        incarnation = f"{self.name}-{self._start_count}"
+        self.controller = Controller(self._runtime, settings, incarnation, self.world.parts)
+        self.controller.start()
+
+    def _settings(self) -> dict[str, object]:
+        siblings = [name for name in self.world.controller_names if name != self.name]
+        return {
+            "member": self.name, "area": "a", "client_listen": "h:1", "peer_bind": "h:2",
+            "siblings": [{"member": name, "area": "a", "addr": name} for name in siblings],
+            "outside": {"cloud": CLOUD, "state": STORE},
+            "cluster": cluster_settings(self.world, FD_LIMIT),
+        }  # fmt: skip
+
+    def kill(self) -> None:
+        """End the process without a word."""
+        if self._runtime is not None:
+            self._runtime.alive = False
+        self.controller = None
+        self._frozen_until = timedelta(0)
+
+    def freeze(self, seconds: float) -> None:
+        """Let the process stand still while its clocks run on; all that came in meanwhile is due at once then."""
+        self._frozen_until = self.world.now + seconds * S
+
+    # Events.
+
+    def request(
+        self,
+        call: Callable[[Controller], None],
+        on_dead: Callable[[], None] = lambda: None,
+        deferrable: bool = False,
+    ) -> None:
+        """Let a request reach the process; `on_dead` is called when there is none."""
+        controller, runtime = self.controller, self._runtime
+        if controller is None or runtime is None:
+            on_dead()
+        else:
+            self.dispatch(runtime, lambda: call(controller), deferrable)
+
+    def deliver_heartbeat(self, body: bytes, respond: Respond) -> None:
+        """Let a worker's heartbeat reach the process."""
+
+        observed_respond = self.world.observed(self.name, respond)
+
+        def handle(controller: Controller) -> None:
+            controller.reports.receive_heartbeat(body, observed_respond)
+
+        self.request(handle, lambda: respond(503, {}))
+
+    def deliver_peer_message(self, body: bytes, respond: Respond) -> None:
+        """Let another controller's message reach the process."""
+
+        observed_respond = self.world.observed(self.name, respond)
+
+        def handle(controller: Controller) -> None:
+            response = controller.syncing.take(body)
+            observed_respond(503 if response is None else 200, response or b"")
+
+        self.request(handle, lambda: respond(503, b""))
+
+    def dispatch(self, runtime: VirtualRuntime, action: Callable[[], None], deferrable: bool = False) -> None:
+        """Carry an event out, now or when the process goes on, unless that has ended by then."""
+        if self.world.now < self._frozen_until:
+            remaining = self._frozen_until - self.world.now
+            self.world.after(remaining, lambda: self._dispatch_if_alive(runtime, action, deferrable))
+            return
+        if not self.event_cost:
+            action()
+            return
+        queue = self._deferrable_events if deferrable else self._urgent_events
+        queue.append(lambda: action() if runtime.alive else None)
+        if not self._is_serving:
+            self._is_serving = True
+            self._serve_next_event()
+
+    def _dispatch_if_alive(self, runtime: VirtualRuntime, action: Callable[[], None], deferrable: bool) -> None:
+        if runtime.alive:
+            self.dispatch(runtime, action, deferrable)
+
+    def _serve_next_event(self) -> None:
+        queue = self._urgent_events or self._deferrable_events
+        if not queue:
+            self._is_serving = False
+            return
+        queue.popleft()()
+        self.world.after(self.event_cost, self._serve_next_event)
+
+    @property
+    def backlog(self) -> int:
+        """How many events wait for their turn."""
+        return len(self._urgent_events) + len(self._deferrable_events)
--- /dev/null
+++ b/tests/virtual/scenarios.py
@@ -0,0 +1,61 @@
+"""Worlds in a known state, and steps that several tests take in them."""
+
+from virtual.clock import S
+from virtual.worker import AttemptKey
+from virtual.world import World, started_world
+
+
+def busy_world(seed: int = 3, members: int = 3, **fields: object) -> World:
+    """Return a world with a long job running on several machines."""
+    world = started_world(seed, members=members)
+    world.define_job("j-1", **({"pieces": 6, "cores": 4.0, "guessS": 40.0} | fields))
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30)
+    return world
+
+
+def full_world() -> World:
+    """Return a world with more machines than a new view returns rather than waits for."""
+    world = started_world(3)
+    world.define_job("j-1", pieces=16, cores=4.0, guessS=500.0)
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 16, 40)
+    return world
+
+
+def run_with_checks(world: World, seconds: float) -> None:
+    """Let the time pass, and check the invariants ten times a second."""
+    for _ in range(int(seconds * 10)):
+        world.run(0.1)
+        world.invariants.check()
+
+
+def running_attempts(world: World, job_id: str) -> set[AttemptKey]:
+    """Return the attempts of a job that run."""
+    return {task.key for _, task in world.invariants.running_tasks() if task.job_id == job_id}
+
+
+def restart_controller(world: World, name: str, seconds: float = 2.0) -> None:
+    """End the process; a new one starts so many seconds later, unless one has started by then."""
+    node = world.nodes[name]
+
+    def start() -> None:
+        if node.controller is None:
+            node.start()
+
+    node.kill()
+    world.after(seconds * S, start)
+
+
+def end_faults(world: World) -> None:
+    """Take all faults back, start all controllers, and let them come to rest."""
+    world.store.is_down = world.cloud.is_down = False
+    world.store.refused_callers.clear()
+    world.loss_rate = world.duplication_rate = 0.0
+    world.late_heartbeat_rate = world.late_write_rate = world.max_store_delay_s = 0.0
+    world.heal()
+    world.restore_link_speed()
+    for node in world.nodes.values():
+        if node.controller is None:
+            node.start()
+    world.run(15)
--- /dev/null
+++ b/tests/virtual/users.py
@@ -0,0 +1,96 @@
+"""What users do in the virtual world: they submit, poll and cancel, again until they are answered."""
+
+import json
+import random
+from typing import Any
+
+from virtual.clock import S
+from virtual.world import World
+
+RETRY_INTERVAL = 1 * S
+#: A job that nobody has submitted.
+UNKNOWN_JOB_ID = "j-999999"
+
+
+class Users:
+    """They poll, and submit again, at any controller, and hold later answers against earlier ones."""
+
+    def __init__(self, world: World, rng: random.Random) -> None:
+        self.world = world
+        self.rng = rng
+        #: What users were told of jobs that are done or cancelled.
+        self.final_statuses: dict[str, str] = {}
+
+    def send_random_request(self) -> None:
+        """Poll a job, or submit it again."""
+        job_id = self.rng.choice([*sorted(self.world.job_specs), UNKNOWN_JOB_ID])
+        controller_name = self.rng.choice(self.world.controller_names)
+        was_accepted = job_id in self.world.accepted_jobs
+        known_status = self.final_statuses.get(job_id)
+
+        def on_response(status: int, body: bytes, headers: dict[str, str]) -> None:
+            self._check_response(job_id, was_accepted, known_status, status, json.loads(body))
+
+        respond = self.world.observed(controller_name, on_response)
+        if was_accepted and self.rng.random() < 0.3:
+            body = json.dumps(self.world.job_specs[job_id]).encode()
+            self.world.request(controller_name, lambda controller: controller.desk.submit(body, respond))
+        else:
+            self.world.request(controller_name, lambda controller: controller.desk.poll(job_id, respond))
+
+    def _check_response(
+        self, job_id: str, was_accepted: bool, known_status: str | None, http_status: int, body: dict[str, Any]
+    ) -> None:
+        """Compare an answer with what was known before it was asked for."""
+        violations = self.world.invariants.violations
+        if was_accepted and http_status not in (200, 201, 503):
+            violations.append(f"forgotten {job_id}: {http_status}")
+        if http_status != 200:
+            return
+        if job_id not in self.world.job_specs:
+            violations.append(f"invented {job_id}")
+        status = body["status"]
+        # What somebody was told before this question was asked, or a cancellation confirmed, is never taken back.
+        if known_status is not None and status != known_status:
+            violations.append(f"went_back {job_id}: {known_status} -> {status}")
+        if status in ("done", "withdrawn"):
+            self.final_statuses[job_id] = status
+        if status == "withdrawn":
+            if job_id not in self.world.cancel_requested:
+                violations.append(f"went_back {job_id}: cancelled by nobody")
+            self.world.cancelled_at.setdefault(job_id, self.world.now)
+
+
+def submit_job(world: World, rng: random.Random, job_id: str, tries: int = 20) -> None:
+    """Submit a job at any controller, again until it is accepted."""
+    body = json.dumps(world.job_specs[job_id]).encode()
+
+    def on_response(status: int, *rest: object) -> None:
+        if status in (200, 201):
+            world.accepted_jobs.add(job_id)
+        elif tries:
+            world.after(RETRY_INTERVAL, lambda: submit_job(world, rng, job_id, tries - 1))
+
+    controller_name = rng.choice(world.controller_names)
+    respond = world.observed(controller_name, on_response)
+    world.nodes[controller_name].request(
+        lambda controller: controller.desk.submit(body, respond), lambda: on_response(503)
+    )
+
+
+def cancel_job(world: World, rng: random.Random, job_id: str) -> None:
+    """Cancel a job at any controller, again until that is confirmed."""
+    world.cancel_requested.add(job_id)
+
+    def retry_later() -> None:
+        world.after(RETRY_INTERVAL, lambda: cancel_job(world, rng, job_id))
+
+    def on_response(status: int, body: bytes, headers: object) -> None:
+        if status == 200 and b"withdrawn" in body:
+            world.cancelled_at.setdefault(job_id, world.now)
+        elif status == 503:
+            retry_later()
+
+    controller_name = rng.choice(world.controller_names)
+    respond = world.observed(controller_name, on_response)
+    world.nodes[controller_name].request(lambda controller: controller.desk.cancel(job_id, respond), retry_later)
--- /dev/null
+++ b/tests/virtual/worker.py
@@ -0,0 +1,280 @@
+"""A stand-in for a machine and the agent that runs tasks on it."""
+
+import json
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from datetime import timedelta
+from typing import TYPE_CHECKING, Any
+
+from virtual.clock import MS, S
+from virtual.network import Respond, Response
+
+if TYPE_CHECKING:
+    from virtual.world import World
+
+#: The one machine type, and what each machine of it has.
+MACHINE_TYPE = "m"
+MACHINE_CPUS, MACHINE_RAM_GB = 8.0, 32.0
+#: Sums of amounts may be too large by so much.
+CAPACITY_TOLERANCE = 1e-6
+
+HEARTBEAT_TIMEOUT = 4 * S
+HEARTBEAT_INTERVAL_S = 1.0
+#: After a new fencing token, after a redirect, and after a controller that did not answer.
+NEW_TOKEN_INTERVAL_S, REDIRECT_INTERVAL_S, RETRY_INTERVAL_S = 0.5, 0.2, 1.0
+LEASE_CHECK_INTERVAL = 100 * MS
+FETCH_TIME = 300 * MS
+#: How soon all tasks fail on a faulty machine.
+FAULTY_RUNTIME_S = 0.2
+
+# States of a task, and causes of its end.
+FETCHING, RUNNING, ENDED = "fetching", "running", "ended"
+DONE, ERROR, STOPPED = "done", "error", "halted"
+UNKNOWN_JOB, ALREADY_HERE, NO_CAPACITY = "unknown", "busy", "no_room"
+
+#: A job, the index of a task in it, and the number of the attempt.
+AttemptKey = tuple[str, int, int]
+
+
+@dataclass
+class Task:
+    """An attempt of a task on a machine."""
+
+    job_id: str
+    index: int
+    attempt: int
+    status: str = FETCHING
+    cause: str | None = None
+
+    @property
+    def task_id(self) -> tuple[str, int]:
+        """The job and the index in it."""
+        return self.job_id, self.index
+
+    @property
+    def key(self) -> AttemptKey:
+        """What tells the attempt from all others."""
+        return self.job_id, self.index, self.attempt
+
+
+@dataclass
+class Worker:
+    """A machine as the protocol describes it."""
+
+    world: "World"
+    host: str
+    zone: str
+    spot: bool
+    alive: bool = True
+    booted: bool = False
+    #: All tasks fail here.
+    is_faulty: bool = False
+    agent_epoch: int = 1
+    sequence_number: int = 0
+    fencing_token: int = 0
+    #: The controller that gets the next heartbeat.
+    controller_index: int = 0
+    tasks: dict[AttemptKey, Task] = field(default_factory=dict)
+    #: When the latest heartbeat was sent that a controller answered.
+    lease_renewed_at: timedelta = timedelta(0)
+    hung_until: timedelta = timedelta(0)
+
+    LEASE_DURATION = 8 * S
+
+    # The machine.
+
+    def boot(self) -> None:
+        """Start the agent."""
+        if self.alive:
+            self.booted = True
+            self.controller_index = self.world.rng.randrange(len(self.world.controller_names))
+            self.lease_renewed_at = self.world.now
+            self._check_lease_repeatedly()
+            self._send_heartbeat()
+
+    def die(self) -> None:
+        """End the machine without a word."""
+        self.alive = False
+        self.tasks.clear()
+
+    def hang(self, seconds: float) -> None:
+        """Let nothing move here for a while; then it goes on with what it had, its lease first."""
+        self.hung_until = self.world.now + seconds * S
+        self.world.after(seconds * S, self._check_lease)
+
+    def _is_deferred_by_hang(self, action: Callable[[], None]) -> bool:
+        """Tell whether the machine hangs; the action is then carried out when it goes on."""
+        if self.world.now < self.hung_until:
+            self.world.after(self.hung_until - self.world.now + MS, action)
+            return True
+        return False
+
+    # The lease.
+
+    @property
+    def _is_lease_expired(self) -> bool:
+        return self.world.now - self.lease_renewed_at > self.LEASE_DURATION
+
+    @property
+    def may_run_tasks(self) -> bool:
+        """Whether its tasks may still run: a machine that hangs past its lease ends all when it goes on."""
+        return self.alive and (self.world.now >= self.hung_until or not self._is_lease_expired)
+
+    def _check_lease(self) -> None:
+        if self._is_lease_expired:
+            self.tasks.clear()
+            self.agent_epoch += 1
+            self.lease_renewed_at = self.world.now
+
+    def _check_lease_repeatedly(self) -> None:
+        if not self.alive or self._is_deferred_by_hang(self._check_lease_repeatedly):
+            return
+        self._check_lease()
+        self.world.after(LEASE_CHECK_INTERVAL, self._check_lease_repeatedly)
+
+    # Heartbeats.
+
+    def _send_heartbeat(self) -> None:
+        if not self.alive or self._is_deferred_by_hang(self._send_heartbeat):
+            return
+        sent_at, agent_epoch = self.world.now, self.agent_epoch
+        self.sequence_number += 1
+        body = self.encode_status()
+        controller_name = self.world.controller_names[self.controller_index]
+
+        def request(respond: Respond) -> None:
+            self.world.nodes[controller_name].deliver_heartbeat(body, respond)
+
+        def on_response(response: Response | None) -> None:
+            self._on_response(sent_at, agent_epoch, response)
+
+        self.world.send(self.host, controller_name, request, HEARTBEAT_TIMEOUT, on_response)
+
+    def encode_status(self) -> bytes:
+        """Return what a heartbeat tells, and the answer to a direct command."""
+        return json.dumps(
+            {
+                "host": self.host, "addr": self.world.command_address(self.host), "rig": MACHINE_TYPE,
+                "yard": self.zone, "loaners": self.spot,
+                "tenure": self.agent_epoch, "tally": self.sequence_number, "baton": self.fencing_token,
+                "pieces": [
+                    {
+                        "piece": f"{task.job_id}/{task.index}", "try": task.attempt,
+                        "status": task.status, "cause": task.cause,
+                    }
+                    for task in self.tasks.values()
+                ],
+            }
+        ).encode()  # fmt: skip
+
+    def _on_response(self, sent_at: timedelta, agent_epoch: int, response: Response | None) -> None:
+        if not self.alive or self._is_deferred_by_hang(lambda: self._on_response(sent_at, agent_epoch, response)):
+            return
+        if self.world.now - sent_at > HEARTBEAT_TIMEOUT:
+            # It came while the machine hung, which has given it up by now.
+            response = None
+        interval_s = HEARTBEAT_INTERVAL_S * self.world.rng.uniform(0.75, 1.25)
+        redirect = self._redirect_target(response)
+        if response is not None and response.status == 200:
+            message = json.loads(response.body)
+            if message["baton"] >= self.fencing_token and agent_epoch == self.agent_epoch:
+                interval_s = NEW_TOKEN_INTERVAL_S if message["baton"] > self.fencing_token else interval_s
+                self._accept(message, sent_at)
+        elif redirect is not None:
+            self.controller_index, interval_s = redirect, REDIRECT_INTERVAL_S
+        else:
+            self.controller_index = (self.controller_index + 1) % len(self.world.controller_names)
+            interval_s = RETRY_INTERVAL_S
+        self.world.after(interval_s * S, self._send_heartbeat)
+
+    def _redirect_target(self, response: Response | None) -> int | None:
+        """Return the index of the controller to which a response redirects."""
+        if response is None or response.status != 421:
+            return None
+        owner = json.loads(response.body)["foreman"]
+        return self.world.controller_names.index(owner) if owner in self.world.controller_names else None
+
+    def _accept(self, message: dict[str, Any], sent_at: timedelta) -> None:
+        """Renew the lease and carry out the commands of a response."""
+        self.fencing_token = message["baton"]
+        self.lease_renewed_at = sent_at
+        for command in message["orders"]:
+            self._execute(command)
+
+    # Direct requests of controllers.
+
+    def inspect(self, respond: Respond) -> None:
+        """Answer with the present status."""
+        if self.alive and not self._is_deferred_by_hang(lambda: self.inspect(respond)):
+            self.sequence_number += 1
+            respond(200, self.encode_status())
+
+    def handle_commands(self, message: dict[str, Any], respond: Respond) -> None:
+        """Carry out direct commands, which renew no lease; they are refused with an older token or of another epoch."""
+        if not self.alive or not self.booted:
+            return
+        if self._is_deferred_by_hang(lambda: self.handle_commands(message, respond)):
+            return
+        is_allowed = message["baton"] >= self.fencing_token and message["tenure"] == self.agent_epoch
+        if is_allowed:
+            self.fencing_token = message["baton"]
+            for command in message["orders"]:
+                self._execute(command)
+        self.sequence_number += 1
+        respond(200 if is_allowed else 409, self.encode_status())
+
+    # Tasks.
+
+    def _execute(self, command: dict[str, Any]) -> None:
+        job_id, index = command["piece"].split("/")
+        key = (job_id, int(index), command["try"])
+        task = self.tasks.get(key)
+        if command["verb"] == "launch" and task is None:
+            self._fetch(Task(*key))
+        elif command["verb"] == "kill" and task is not None and task.status != ENDED:
+            self._end(task, STOPPED)
+        elif command["verb"] == "reap" and task is not None and task.status == ENDED:
+            del self.tasks[key]
+
+    def _fetch(self, task: Task) -> None:
+        """Fetch the task's image and run it, or end it at once with the reason why it cannot run here."""
+        self.tasks[task.key] = task
+        spec = self.world.job_specs.get(task.job_id)
+        if spec is None:
+            self._end(task, UNKNOWN_JOB)
+        elif any(other is not task and other.task_id == task.task_id for other in self.tasks.values()):
+            self._end(task, ALREADY_HERE)
+        elif self._used_cpus() > MACHINE_CPUS + CAPACITY_TOLERANCE:
+            self._end(task, NO_CAPACITY)
+        else:
+            self.world.after(FETCH_TIME, lambda: self._run(task, spec))
+
+    def _used_cpus(self) -> float:
+        return sum(
+            float(self.world.job_specs[task.job_id]["cores"]) for task in self.tasks.values() if task.status != ENDED
+        )
+
+    def _run(self, task: Task, spec: dict[str, Any]) -> None:
+        if self._is_deferred_by_hang(lambda: self._run(task, spec)):
+            return
+        if self.tasks.get(task.key) is not task or task.status != FETCHING:
+            return
+        task.status = RUNNING
+        self.world.invariants.on_task_started(self, task)
+        if self.is_faulty or task.job_id in self.world.failure_delays:
+            runtime_s = FAULTY_RUNTIME_S if self.is_faulty else self.world.failure_delays[task.job_id]
+            self.world.after(runtime_s * S, lambda: self._finish(task, ERROR))
+        elif spec["shape"] == "batch":
+            self.world.after(spec["guessS"] * S, lambda: self._finish(task, DONE))
+
+    def _finish(self, task: Task, cause: str) -> None:
+        if self._is_deferred_by_hang(lambda: self._finish(task, cause)):
+            return
+        if self.tasks.get(task.key) is task and task.status == RUNNING:
+            if cause == DONE:
+                self.world.invariants.on_task_done(task)
+            self._end(task, cause)
+
+    @staticmethod
+    def _end(task: Task, cause: str) -> None:
+        task.status, task.cause = ENDED, cause
--- /dev/null
+++ b/tests/virtual/world.py
@@ -0,0 +1,172 @@
+"""A virtual world for whole controllers: a clock, a faulty network, and stand-ins that speak the protocol.
+
+The stand-ins are plain and slow on purpose, and `InvariantChecker` watches what really happens on the machines.
+"""
+
+import json
+import random
+from collections import Counter
+from collections.abc import Callable
+from datetime import timedelta
+from typing import Any
+
+from ramptide.app import Controller
+from ramptide.parts import Parts
+from virtual.cloud import Cloud
+from virtual.invariants import InvariantChecker
+from virtual.jobs import job_spec
+from virtual.key_value_store import KeyValueStore
+from virtual.network import VirtualNetwork
+from virtual.node import Node
+from virtual.observer import Observer
+from virtual.worker import Worker
+
+
+class World(VirtualNetwork):
+    """All hosts, and what users have asked of them; the same seed gives the same history again."""
+
+    def __init__(
+        self,
+        seed: int,
+        teams: dict[str, float] | None = None,
+        capacity: int = 12,
+        members: int = 3,
+        parts: Parts | None = None,
+        observer: Observer | None = None,
+    ) -> None:
+        super().__init__(random.Random(seed))
+        self.observer = observer
+        # What the controllers have sent.
+        self.call_counts: Counter[str] = Counter()
+        self.sent_bytes: Counter[str] = Counter()
+        self.longest_body = 0
+        # Settings of controllers that start from now on.
+        self.cancel_s = 20.0
+        self.store_limits = {"rps": 300.0, "write_rps": 150.0, "value_kb": 16.0, "txn_ops": 12}
+        #: The processors that each team may use at most; 0: no limit.
+        self.teams = teams or {"team": 0.0}
+        self.guarantees: dict[str, float] = {}
+        self.parts = parts
+        # The hosts.
+        self.store = KeyValueStore(self)
+        self.cloud = Cloud(self, capacity)
+        self.invariants = InvariantChecker(self)
+        self.controller_names = [f"c{n}" for n in range(members)]
+        self.nodes: dict[str, Node] = {name: Node(self, name) for name in self.controller_names}
+        self.workers: dict[str, Worker] = {}
+        # What users know.
+        self.job_specs: dict[str, dict[str, Any]] = {}
+        self.accepted_jobs: set[str] = set()
+        self.cancel_requested: set[str] = set()
+        #: When the cancellation of a job was confirmed.
+        self.cancelled_at: dict[str, timedelta] = {}
+        #: Jobs submitted with a mistake: their tasks fail on every machine, after so many seconds.
+        self.failure_delays: dict[str, float] = {}
+
+    def command_address(self, host: str) -> str:
+        """Return where a worker takes direct commands."""
+        return host
+
+    def observed(self, controller_name: str, respond: Callable[..., None]) -> Callable[..., None]:
+        """Return what shows a controller's response to the observer before it is passed on."""
+        observer = self.observer
+        if observer is None:
+            return respond
+
+        def show(status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
+            observer.answered(self.now, controller_name, status, body, headers or {})
+            if headers is None:
+                respond(status, body)
+            else:
+                respond(status, body, headers)
+
+        return show
+
+    # Users.
+
+    def define_job(self, job_id: str, **fields: Any) -> None:
+        """Note the specification of a job that is to be submitted."""
+        self.job_specs[job_id] = job_spec(job_id, **fields)
+
+    def request(self, controller_name: str, call: Callable[[Controller], None]) -> None:
+        """Send a user's request to a controller."""
+        self.nodes[controller_name].request(call, deferrable=True)
+
+    def submit_until_accepted(self, job_id: str, controller_name: str, tries: int = 20) -> bool:
+        """Submit a job to the controller, then to any, until it is accepted."""
+        statuses: list[int] = []
+        body = json.dumps(self.job_specs[job_id]).encode()
+
+        def on_response(status: int, body: bytes, headers: dict[str, str]) -> None:
+            statuses.append(status)
+
+        for attempt in range(tries):
+            target = controller_name if attempt == 0 else self.rng.choice(self.controller_names)
+            self._submit(target, body, on_response)
+            self.run(1.0)
+            if statuses and statuses[-1] in (200, 201):
+                return True
+        return False
+
+    def _submit(self, controller_name: str, body: bytes, on_response: Callable[..., None]) -> None:
+        respond = self.observed(controller_name, on_response)
+        self.request(controller_name, lambda controller: controller.desk.submit(body, respond))
+
+    def poll_job(self, job_id: str, controller_name: str) -> tuple[int, dict[str, Any]] | None:
+        """Return the status and the decoded body of the answer, or None when none came in time."""
+        responses: list[tuple[int, dict[str, Any]]] = []
+
+        def on_response(status: int, body: bytes, headers: dict[str, str]) -> None:
+            responses.append((status, json.loads(body)))
+
+        respond = self.observed(controller_name, on_response)
+        self.request(controller_name, lambda controller: controller.desk.poll(job_id, respond))
+        self.run(2.0)
+        return responses[0] if responses else None
+
+    def cancel_job(self, job_id: str, controller_name: str) -> bool:
+        """Cancel a job; return whether that was confirmed in time."""
+        statuses: list[int] = []
+
+        def on_response(status: int, body: bytes, headers: dict[str, str]) -> None:
+            statuses.append(status)
+
+        respond = self.observed(controller_name, on_response)
+        self.request(controller_name, lambda controller: controller.desk.cancel(job_id, respond))
+        self.run_until(lambda: bool(statuses), 3)
+        if statuses == [200]:
+            self.cancelled_at.setdefault(job_id, self.now)
+            return True
+        return False
+
+    def is_done(self, job_id: str) -> bool:
+        """Tell whether the key-value store has the job as done."""
+        entry = self.store.entries.get(f"ended/{job_id}")
+        return entry is not None and entry.value["status"] == "done"
+
+
+def started_world(seed: int = 1, **options: Any) -> World:
+    """Return a world whose controllers have formed their first view."""
+    world = World(seed, **options)
+    for node in world.nodes.values():
+        node.start()
+    assert world.run_until(
+        lambda: all(node.controller is not None and node.controller.latched for node in world.nodes.values()), 10
+    )
+    return world
+
+
+def owner_of(world: World, host: str) -> str:
+    """Return the controller whose shard has the machine."""
+    for name, node in world.nodes.items():
+        if node.controller is not None and node.controller.shard is not None and host in node.controller.shard.machines:
+            return name
+    raise AssertionError("nobody's machine")
+
+
+def leader_of(world: World) -> str:
+    """Return the controller that leads."""
+    for name, node in world.nodes.items():
+        if node.controller is not None and node.controller.membership.leading:
+            return name
+    raise AssertionError("no leader")
--- a/tools/behavior_digest.py
+++ b/tools/behavior_digest.py
@@ -2,7 +2,7 @@
 
     python3 tools/behavior_digest.py FIRST LAST [--jobs N] [--seconds S]
 
-Each seed is played four times: with single and with overlapping troubles, each with the quota part off and on. Printed
+Each seed is played four times: with single and with overlapping faults, each with the quota part off and on. Printed
 are one line for each seed (seed, calls that controllers sent, SHA-256 over these calls and over all answers that
 controllers gave), and one for all seeds. Only times and what is on the wire is hashed: two versions that differ in
 names alone print the same.
@@ -98,7 +98,7 @@
 
 def digest_of_seed(seed: int, seconds: float | None = None) -> SeedDigest:
     """Play the four histories of a seed, each as long as `play` does by default unless `seconds` is given."""
-    from chaos import QUOTA_ON, SECONDS, play
+    from virtual import QUOTA_ON, SECONDS, play
 
     observer = DigestObserver()
     variants = [(overlapping, parts) for overlapping in (False, True) for parts in (None, QUOTA_ON)]
--- a/tools/measure_quota.py
+++ b/tools/measure_quota.py
@@ -13,7 +13,7 @@
 
 from hdrh.histogram import HdrHistogram
 from test_quota import send
-from world import S, Task, Worker, World, started
+from virtual import S, Task, Worker, World, started_world
 
 from ramptide.allowances import ProportionalSplit, SplitPolicy
 from ramptide.amounts import NO_LIMIT, NOTHING, UNITS, Amounts
@@ -70,18 +70,18 @@
 
 def play(load: Load, seed: int, parts: Parts | None, result: Result) -> None:
     """Play one seed and add its figures."""
-    world = started(seed, teams=TEAMS, capacity=16, parts=parts)
+    world = started_world(seed, teams=TEAMS, capacity=16, parts=parts)
     plan(world, load, random.Random(seed))
     accepted_at: dict[str, timedelta] = {}
     first_start: dict[str, timedelta] = {}
-    begun = world.rules.started
+    begun = world.invariants.on_task_started
 
     def starting(worker: Worker, task: Task) -> None:
-        first_start.setdefault(task.ref, world.now)
+        first_start.setdefault(task.job_id, world.now)
         begun(worker, task)
 
-    world.rules.started = starting  # type: ignore[method-assign]
-    before = Counter(world.calls)
+    world.invariants.on_task_started = starting  # type: ignore[method-assign]
+    before = Counter(world.call_counts)
     for _ in range(int(SECONDS / SAMPLE_S)):
         world.run(SAMPLE_S)
         for ref in world.accepted_jobs - accepted_at.keys():
@@ -89,10 +89,10 @@
         sample(world, result)
     for ref, at in accepted_at.items():
         result.waits.record_value(max(1, round((first_start.get(ref, world.now) - at) / timedelta(milliseconds=1))))
-    result.starts += world.rules.starts
-    result.syncs += world.calls["POST sync"] - before["POST sync"]
-    result.transactions += world.calls["POST txn"] - before["POST txn"]
-    result.broken += world.rules.broken
+    result.starts += world.invariants.start_count
+    result.syncs += world.call_counts["POST sync"] - before["POST sync"]
+    result.transactions += world.call_counts["POST txn"] - before["POST txn"]
+    result.broken += world.invariants.violations
     for node in world.nodes.values():
         if node.controller is not None and node.controller.quota is not None:
             result.transfers += node.controller.quota.counters["given"]
@@ -104,11 +104,11 @@
         team, at = rng.choice(list(TEAMS)), rng.uniform(12, SECONDS * 0.8)
         for number in range(load.jobs_each):
             ref = f"j-{burst * load.jobs_each + number}"
-            world.submit(
+            world.define_job(
                 ref, owner=team, pieces=rng.randint(1, 3), cores=rng.choice([0.7, 1.0, 2.0, 3.0]), guessS=load.run_s
             )
             world.after((at + rng.uniform(0, 0.2)) * S, lambda ref=ref: send(world, rng, ref))  # type: ignore[misc]
-    world.submit("j-9999", owner=list(TEAMS)[0], pieces=12, cores=1.0, guessS=2.0)
+    world.define_job("j-9999", owner=list(TEAMS)[0], pieces=12, cores=1.0, guessS=2.0)
     world.after(0.5 * S, lambda: send(world, rng, "j-9999"))
 
 
