--- /dev/null
+++ b/src/ramptide/agents/__init__.py
@@ -0,0 +1,1 @@
+"""The machines that this controller owns: heartbeats, commands, lease expiry, token announcements."""
--- a/src/ramptide/command_delivery.py
+++ b/src/ramptide/agents/commands.py
@@ -6,9 +6,9 @@
 
 from datetime import timedelta
 
-from ramptide.machine_table import MachineTable
+from ramptide.agents.machine_table import MachineTable
 from ramptide.protocol.agents import Command, reap_command, start_command, stop_command
-from ramptide.task_state import FINISHED, NO_TIME, DesiredState, Phase, TaskEntry
+from ramptide.state.task_state import FINISHED_PHASES, NO_TIME, DesiredState, Phase, TaskEntry
 
 
 class CommandDelivery:
@@ -16,7 +16,7 @@
 
     def __init__(self, table: MachineTable) -> None:
         self._table = table
-        self._find_run = table.find_run
+        self._find_run = table.find_spec
 
     def take(self, host: str, now: timedelta, may_start: bool) -> list[Command]:
         """Return the commands for the reply to a report just taken, and note them as sent."""
@@ -35,7 +35,7 @@
                 entry.phase = Phase.SENT
             elif entry.desired is DesiredState.REAP and entry.phase is Phase.ENDED:
                 commands.append(reap_command(job_id, task, attempt))
-            elif entry.desired in (DesiredState.STOP, DesiredState.REAP) and entry.phase not in FINISHED:
+            elif entry.desired in (DesiredState.STOP, DesiredState.REAP) and entry.phase not in FINISHED_PHASES:
                 self._stop(commands, entry, now)
         if launches:
             self._table.mark_changed(host)
@@ -62,7 +62,7 @@
             or entry.desired is DesiredState.REAP
             and entry.phase is Phase.ENDED
             or entry.desired in (DesiredState.STOP, DesiredState.REAP)
-            and entry.phase not in FINISHED
+            and entry.phase not in FINISHED_PHASES
             and entry.stop_sent_at is None
             for entry in machine.entries.values()
         )
--- a/src/ramptide/failure_history.py
+++ b/src/ramptide/agents/failure_history.py
@@ -1,6 +1,6 @@
 """Which jobs failed on a machine, from which it is judged whether the machine or the jobs are at fault."""
 
-from ramptide.owned_machine import OwnedMachine
+from ramptide.agents.owned_machine import OwnedMachine
 from ramptide.protocol.agents import TaskOutcome
 
 #: Jobs that a machine's status names as failed there: the message stays small however many jobs were submitted with a
--- a/src/ramptide/report_intake.py
+++ b/src/ramptide/agents/heartbeat_intake.py
@@ -3,28 +3,36 @@
 import logging
 from datetime import timedelta
 
-from ramptide.failure_history import record_outcome
-from ramptide.machine_table import MachineTable
-from ramptide.owned_machine import OwnedMachine
+from ramptide.agents.failure_history import record_outcome
+from ramptide.agents.machine_table import MachineTable
+from ramptide.agents.owned_machine import OwnedMachine
 from ramptide.protocol.agents import Heartbeat, TaskReport, decode_task_reports, parse_task_id
 from ramptide.protocol.types import MessageError
-from ramptide.task_state import FINISHED, PHASE_BY_NAME, REPORTED, DesiredState, Phase, TaskEntry, TaskKey
+from ramptide.state.task_state import (
+    FINISHED_PHASES,
+    PHASE_BY_NAME,
+    REPORTED_PHASES,
+    DesiredState,
+    Phase,
+    TaskEntry,
+    TaskKey,
+)
 
 log = logging.getLogger(__name__)
 
 #: A worker waits 4 s for an answer and another before it reports again.
-ANSWER_MISSED_AFTER = timedelta(seconds=4.5)
+REPLY_MISSED_AFTER = timedelta(seconds=4.5)
 #: The moment at which the cloud takes a machine is reckoned anew from each report, so it always moves a little.
-RECLAIM_TIME_TOLERANCE = timedelta(seconds=1)
+PREEMPTION_TIME_TOLERANCE = timedelta(seconds=1)
 
 
-class ReportIntake:
+class HeartbeatIntake:
     """Takes the reports of the machines in a table."""
 
     def __init__(self, table: MachineTable) -> None:
         self._table = table
         self._view = table.view
-        self._find_run = table.find_run
+        self._find_run = table.find_spec
         self._mark_changed = table.mark_changed
 
     def take(self, heartbeat: Heartbeat, now: timedelta) -> bool:
@@ -46,7 +54,7 @@
         if raw != machine.raw_tasks or any(entry.phase is Phase.SENT for entry in machine.entries.values()):
             tasks = self._decode_tasks(raw)
         self._track_arrival(machine, heartbeat, now)
-        if current is not machine.has_current_token or current and not machine.settled:
+        if current is not machine.has_current_token or current and not machine.is_reconciled:
             self._note_token(machine, current)
         if current and tasks is not None:
             machine.raw_tasks = raw
@@ -71,7 +79,7 @@
         """
         machine.has_current_token = current
         if current:
-            machine.settled = True
+            machine.is_reconciled = True
         self._mark_changed(machine.host)
 
     # Whether our answers arrive.
@@ -83,20 +91,20 @@
             agent_epoch, sequence_number = machine.last_heartbeat_id
             if heartbeat.agent_epoch != agent_epoch or heartbeat.sequence_number != sequence_number + 1:
                 self._mark_unreachable(machine, now)
-            elif machine.unreachable_since is not None and now - machine.last_heartbeat_at < ANSWER_MISSED_AFTER:
+            elif machine.unreachable_since is not None and now - machine.last_heartbeat_at < REPLY_MISSED_AFTER:
                 self._mark_reachable(machine)
         machine.last_heartbeat_id = (heartbeat.agent_epoch, heartbeat.sequence_number)
         machine.last_heartbeat_at = now
         machine.address = heartbeat.address or machine.address
-        if not machine.up or machine.silent:
-            machine.up, machine.silent = True, False
+        if not machine.is_up or machine.missed_heartbeats:
+            machine.is_up, machine.missed_heartbeats = True, False
             self._mark_changed(machine.host)
         notice_s = heartbeat.preemption_notice_s
         reclaimed_at = None if notice_s is None else now + timedelta(seconds=max(notice_s, 0.0))
         moved = reclaimed_at is not machine.preempted_at and (
             reclaimed_at is None
             or machine.preempted_at is None
-            or abs(reclaimed_at - machine.preempted_at) > RECLAIM_TIME_TOLERANCE
+            or abs(reclaimed_at - machine.preempted_at) > PREEMPTION_TIME_TOLERANCE
         )
         if moved:
             machine.preempted_at = reclaimed_at
@@ -138,7 +146,7 @@
 
     def _update_entry(self, machine: OwnedMachine, entry: TaskEntry, report: TaskReport) -> None:
         phase = PHASE_BY_NAME.get(report.status, Phase.RUNNING)
-        if phase not in REPORTED:
+        if phase not in REPORTED_PHASES:
             phase = Phase.RUNNING
         if entry.phase is not phase:
             log.debug(
@@ -154,8 +162,8 @@
     def _handle_absent(self, machine: OwnedMachine, key: TaskKey, entry: TaskEntry) -> None:
         """Take note that a newer report lacks the attempt, so it is not on the machine."""
         if entry.desired is DesiredState.RUN and entry.phase is Phase.SENT:
-            entry.phase = Phase.REFUSED if machine.unreachable else Phase.QUEUED
-        elif entry.phase is Phase.SENT or entry.phase in REPORTED:
+            entry.phase = Phase.REFUSED if machine.is_unreachable else Phase.QUEUED
+        elif entry.phase is Phase.SENT or entry.phase in REPORTED_PHASES:
             entry.phase = Phase.GONE
-        if entry.phase in FINISHED and entry.desired in (None, DesiredState.REAP):
+        if entry.phase in FINISHED_PHASES and entry.desired in (None, DesiredState.REAP):
             del machine.entries[key]
--- /dev/null
+++ b/src/ramptide/agents/heartbeats.py
@@ -0,0 +1,200 @@
+"""Heartbeats of agents: who replies to them, when, and with what."""
+
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass
+from datetime import timedelta
+from http import HTTPStatus
+from typing import Protocol
+
+from ramptide.agents.owned_machine import OwnedMachine
+from ramptide.agents.shard import Shard
+from ramptide.cluster.membership import View
+from ramptide.config.settings import Tuning
+from ramptide.protocol.agents import Heartbeat, decode_heartbeat, encode_heartbeat_reply, encode_redirect
+from ramptide.protocol.types import MessageError, encode_json
+from ramptide.state.watch_cache import WatchCache
+from ramptide.transport.runtime import Runtime
+
+__all__ = ["HeartbeatHandler", "ReplyCallback"]
+
+log = logging.getLogger(__name__)
+
+NO_TIME = timedelta(0)
+#: The body of a reply that asks the agent to try another controller.
+TRY_ELSEWHERE = b"{}"
+
+#: Sends a reply with this status and body.
+ReplyCallback = Callable[[int, bytes], None]
+
+
+class HeartbeatState(Protocol):
+    """The view that this controller acts in, and the machines that it owns there."""
+
+    @property
+    def member(self) -> str:
+        """The name of this controller."""
+
+    @property
+    def tuning(self) -> Tuning:
+        """The operators' settings."""
+
+    @property
+    def view(self) -> View | None:
+        """The newest view; None before the first one."""
+
+    @property
+    def shard(self) -> Shard | None:
+        """The machines that we own; None without a place in the view."""
+
+    def owner_of(self, host: str) -> str:
+        """Return the member that owns a machine."""
+
+
+class ReplyAuthority(Protocol):
+    """What this controller may do now."""
+
+    def may_renew(self) -> bool:
+        """Tell whether leases of agents may still be renewed."""
+
+    def may_reply(self) -> bool:
+        """Tell whether we may reply to agents."""
+
+    def may_start(self) -> bool:
+        """Tell whether tasks may be started."""
+
+
+@dataclass(slots=True)
+class HeldHeartbeat:
+    """A heartbeat whose reply is delayed for a short time, in case a task is started on the machine."""
+
+    reply: ReplyCallback
+    until: timedelta
+
+
+class HeartbeatHandler:
+    """Replies to the agents' heartbeats, to some of them with a delay."""
+
+    def __init__(
+        self, runtime: Runtime, state: HeartbeatState, authority: ReplyAuthority, watch_cache: WatchCache
+    ) -> None:
+        self._runtime = runtime
+        self._state = state
+        self._authority = authority
+        self._watch_cache = watch_cache
+        self._held: dict[str, HeldHeartbeat] = {}
+
+    def new_view(self) -> None:
+        """Reply to all held heartbeats, so that the agents learn their owners and the new fencing token at once."""
+        held, self._held = self._held, {}
+        for host, heartbeat in held.items():
+            if self._authority.may_reply() and self._state.owner_of(host) != self._state.member:
+                owner = self._state.owner_of(host)
+                heartbeat.reply(HTTPStatus.MISDIRECTED_REQUEST, encode_redirect(owner))
+            else:
+                self._reply(host, heartbeat.reply)
+
+    def forget(self, host: str) -> None:
+        """Reply to a machine's held heartbeat with 503, if there is one."""
+        held = self._held.pop(host, None)
+        if held is not None:
+            held.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"")
+
+    def receive_heartbeat(self, body: bytes, reply: ReplyCallback) -> None:
+        """Take an agent's heartbeat and reply to it now or, while no news is expected, later."""
+        try:
+            heartbeat = decode_heartbeat(body)
+        except MessageError as error:
+            reply(HTTPStatus.BAD_REQUEST, encode_json({"error": str(error)}))
+            return
+        view, shard = self._state.view, self._state.shard
+        if view is None or self._watch_cache.current_as_of is None:
+            reply(HTTPStatus.SERVICE_UNAVAILABLE, TRY_ELSEWHERE)
+            return
+        owner = self._state.owner_of(heartbeat.host)
+        if owner != self._state.member:
+            self._redirect(owner, reply)
+        elif shard is None or not self._authority.may_reply() or heartbeat.fencing_token > view.number:
+            reply(HTTPStatus.SERVICE_UNAVAILABLE, TRY_ELSEWHERE)
+        else:
+            self._take(shard, heartbeat, reply)
+
+    def _take(self, shard: Shard, heartbeat: Heartbeat, reply: ReplyCallback) -> None:
+        """Take a heartbeat of a machine that we own."""
+        host = heartbeat.host
+        try:
+            is_new = shard.heartbeats.take(heartbeat, self._runtime.now)
+        except MessageError as error:
+            reply(HTTPStatus.BAD_REQUEST, encode_json({"error": str(error)}))
+            return
+        if not is_new:
+            # A late copy: it may not use up a command, nor count as answered.
+            reply(HTTPStatus.SERVICE_UNAVAILABLE, TRY_ELSEWHERE)
+            return
+        self.forget(host)
+        machine = shard.machines.get(host)
+        if machine is not None and self._may_hold(machine) and not shard.commands.pending(host):
+            self._held[host] = HeldHeartbeat(reply, self._runtime.now + self._state.tuning.hold)
+            return
+        self._reply(host, reply)
+
+    def receive_direct_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Take the heartbeat with which an agent responded to the announcement of our fencing token.
+
+        Only as the first one of the view: until then no reply of ours can be under way to the agent, so what the
+        heartbeat lacks is not there. Other controllers may have replied up to now, and its lease counts from then on.
+        """
+        shard = self._state.shard
+        machine = shard.machines.get(heartbeat.host) if shard is not None else None
+        if machine is None or shard is None or heartbeat.fencing_token != shard.view:
+            return
+        if machine.last_heartbeat_at is not None:
+            machine.skip_to((heartbeat.agent_epoch, heartbeat.sequence_number))
+            return
+        now = self._runtime.now
+        try:
+            is_new = self._authority.may_reply() and shard.heartbeats.take(heartbeat, now)
+        except MessageError as error:
+            log.debug("broken heartbeat: host=%s error=%r", heartbeat.host, str(error))
+            return
+        if is_new:
+            machine.no_other_owner_since = max(machine.no_other_owner_since, now)
+
+    def _redirect(self, owner: str, reply: ReplyCallback) -> None:
+        if self._authority.may_renew():
+            reply(HTTPStatus.MISDIRECTED_REQUEST, encode_redirect(owner))
+        else:
+            reply(HTTPStatus.SERVICE_UNAVAILABLE, TRY_ELSEWHERE)
+
+    def _may_hold(self, machine: OwnedMachine) -> bool:
+        """Tell whether the reply may wait for a start: no task is there that ends and would be reported."""
+        return (
+            self._state.tuning.hold > NO_TIME
+            and machine.has_current_token
+            and not machine.is_unreachable
+            and machine.record.drain_reason is None
+            and machine.preempted_at is None
+            and machine.runs_only_services()
+        )
+
+    def _reply(self, host: str, reply: ReplyCallback) -> None:
+        view, shard = self._state.view, self._state.shard
+        if shard is None or view is None or not self._authority.may_reply():
+            reply(HTTPStatus.SERVICE_UNAVAILABLE, TRY_ELSEWHERE)
+            return
+        machine, now = shard.machines.get(host), self._runtime.now
+        commands = shard.commands.take(host, now, self._authority.may_start())
+        if machine is not None:
+            machine.last_reply_at = now
+        reply(HTTPStatus.OK, encode_heartbeat_reply(view.number, commands))
+
+    def reply_to_held(self, now: timedelta) -> None:
+        """Reply to the held heartbeats that are due or whose machines have commands."""
+        shard = self._state.shard
+        for host, held in list(self._held.items()):
+            has_commands = shard is not None and host in shard.hosts_to_notify and shard.commands.pending(host)
+            if held.until <= now or has_commands:
+                del self._held[host]
+                self._reply(host, held.reply)
+        if shard is not None:
+            shard.hosts_to_notify.clear()
--- a/src/ramptide/machine_table.py
+++ b/src/ramptide/agents/machine_table.py
@@ -2,20 +2,20 @@
 
 from collections.abc import Callable
 
-from ramptide.owned_machine import OwnedMachine
+from ramptide.agents.owned_machine import OwnedMachine
 from ramptide.protocol.agents import Heartbeat
 from ramptide.protocol.jobs import JobSpec
-from ramptide.task_state import TaskEntry
+from ramptide.state.task_state import TaskEntry
 
-RunLookup = Callable[[str], JobSpec | None]
+SpecLookup = Callable[[str], JobSpec | None]
 
 
 class MachineTable:
     """The machines of one controller in one view, with an index of the hosts on which a job has tasks."""
 
-    def __init__(self, view: int, find_run: RunLookup) -> None:
+    def __init__(self, view: int, find_run: SpecLookup) -> None:
         self.view = view
-        self.find_run = find_run
+        self.find_spec = find_run
         self.machines: dict[str, OwnedMachine] = {}
         #: The last reports of machines that the fleet record lacks.
         self.unrecorded: dict[str, Heartbeat] = {}
--- a/src/ramptide/owned_machine.py
+++ b/src/ramptide/agents/owned_machine.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from ramptide.placement import ROUNDING
+from ramptide.placement.bin_packing import ROUNDING
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import SERVICE, JobSpec
-from ramptide.records import MachineRecord
-from ramptide.task_state import FINISHED, NO_TIME, DesiredState, Phase, TaskEntry, TaskKey
+from ramptide.state.records import MachineRecord
+from ramptide.state.task_state import FINISHED_PHASES, NO_TIME, DesiredState, Phase, TaskEntry, TaskKey
 
 CACHED_IMAGES_KEPT = 40
 
@@ -16,29 +16,29 @@
 class OwnedMachine:
     """A machine that this controller owns in the present view.
 
-    `settled`: no reply of an earlier view can be carried out any more. `has_current_token`: the last report was made
-    after the worker saw the token of this view. `last_heartbeat_id`: agent epoch and sequence number of the last heartbeat. `raw_tasks`: the
-    encoded list of tasks of the last report that was compared with the entries. `preempted_at`: when the cloud takes
-    the machine back.
+    `is_reconciled`: no reply of an earlier view can be carried out any more. `has_current_token`: the last heartbeat
+    was sent after the agent saw the fencing token of this view. `last_heartbeat_id`: agent epoch and sequence number of
+    the last heartbeat. `raw_tasks`: the encoded list of tasks of the last heartbeat that was compared with the entries.
+    `preempted_at`: when the cloud takes the machine back.
     """
 
     host: str
     record: MachineRecord
     machine_type: MachineType | None
-    settled: bool
+    is_reconciled: bool
     #: No other controller of this view has answered it after this moment; if `bounded`, none of an earlier one either.
-    since: timedelta
-    bounded: bool = False
+    no_other_owner_since: timedelta
+    no_earlier_owner_since: bool = False
     entries: dict[TaskKey, TaskEntry] = field(default_factory=dict)
     last_heartbeat_id: tuple[int, int] = (0, 0)
     unreachable_since: timedelta | None = None
-    silent: bool = False
+    missed_heartbeats: bool = False
     raw_tasks: bytes | None = None
     last_heartbeat_at: timedelta | None = None
     last_reply_at: timedelta | None = None
     preempted_at: timedelta | None = None
     images: dict[str, None] = field(default_factory=dict)
-    up: bool = False
+    is_up: bool = False
     has_current_token: bool = False
     failed_jobs: list[str] = field(default_factory=list)
     consecutive_failures: int = 0
@@ -46,7 +46,7 @@
     address: str | None = None
 
     @property
-    def unreachable(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether its reports come, but our answers do not reach it."""
         return self.unreachable_since is not None
 
@@ -56,7 +56,7 @@
             return 0.0, 0.0, 0.0
         cpus, gpus, ram_gb = self.machine_type.cpus, self.machine_type.gpus, self.machine_type.ram_gb
         for entry in self.entries.values():
-            if entry.phase in FINISHED:
+            if entry.phase in FINISHED_PHASES:
                 continue
             if entry.spec is None:
                 return 0.0, 0.0, 0.0
@@ -95,10 +95,10 @@
         if report_id[0] == self.last_heartbeat_id[0]:
             self.last_heartbeat_id = max(self.last_heartbeat_id, report_id)
 
-    def latest_answer(self) -> timedelta:
+    def latest_reply(self) -> timedelta:
         """Return the last moment at which its worker may have got an answer, as far as this view tells.
 
         `since` may lie ahead: a controller that was left out of the view may answer for a moment yet, and our own
         answer may not arrive.
         """
-        return max(self.last_reply_at or self.since, self.since)
+        return max(self.last_reply_at or self.no_other_owner_since, self.no_other_owner_since)
--- a/src/ramptide/shard.py
+++ b/src/ramptide/agents/shard.py
@@ -6,25 +6,25 @@
 from collections.abc import Callable, Mapping
 from datetime import timedelta
 
-from ramptide.command_delivery import CommandDelivery
-from ramptide.lease_expiry import LeaseExpiry
-from ramptide.machine_status import MachineStatus, status_of
-from ramptide.machine_table import MachineTable, RunLookup
-from ramptide.owned_machine import OwnedMachine
+from ramptide.agents.commands import CommandDelivery
+from ramptide.agents.heartbeat_intake import HeartbeatIntake
+from ramptide.agents.lease_expiry import LeaseExpiry
+from ramptide.agents.machine_table import MachineTable, SpecLookup
+from ramptide.agents.owned_machine import OwnedMachine
+from ramptide.cluster.machine_status import MachineStatus, status_of
 from ramptide.protocol.cloud import MachineType
-from ramptide.records import MachineRecord
-from ramptide.report_intake import ReportIntake
-from ramptide.task_state import DesiredState, DesiredTaskRow, Phase, TaskEntry, TaskKey
+from ramptide.state.records import MachineRecord
+from ramptide.state.task_state import DesiredState, DesiredTaskRow, Phase, TaskEntry, TaskKey
 
 
 class Shard(MachineTable):
     """All machines that a controller owns in one view."""
 
-    def __init__(self, view: int, lease: timedelta, report_every: timedelta, find_run: RunLookup) -> None:
+    def __init__(self, view: int, lease: timedelta, report_every: timedelta, find_run: SpecLookup) -> None:
         super().__init__(view, find_run)
         #: For each controller, the number of its last message whose desired states were taken.
-        self.acks: dict[str, int] = {}
-        self.reports = ReportIntake(self)
+        self.acknowledged: dict[str, int] = {}
+        self.heartbeats = HeartbeatIntake(self)
         self.commands = CommandDelivery(self)
         self.leases = LeaseExpiry(self, lease, report_every)
 
@@ -49,7 +49,7 @@
             machine = OwnedMachine(
                 host, record, machine_type, record.is_unused_before(self.view), now if until is None else until
             )
-            machine.bounded = until is not None
+            machine.no_earlier_owner_since = until is not None
             machine.images = dict.fromkeys(images)
             self.machines[host] = machine
             self.unrecorded.pop(host, None)
@@ -62,7 +62,7 @@
         if self.machines.pop(host, None) is not None:
             self.mark_changed(host)
 
-    def last_possible_answers(self, others_end: timedelta | None) -> dict[str, timedelta]:
+    def last_possible_replies(self, others_end: timedelta | None) -> dict[str, timedelta]:
         """Return the last moment at which anybody may have answered each machine, for the owner in the next view.
 
         When that is us again, only we could answer in between, so a machine that has been silent over several views
@@ -70,8 +70,8 @@
         """
         found = {}
         for host, machine in self.machines.items():
-            last = machine.latest_answer()
-            if machine.settled or machine.bounded:
+            last = machine.latest_reply()
+            if machine.is_reconciled or machine.no_earlier_owner_since:
                 found[host] = last
             elif others_end is not None:
                 found[host] = max(last, others_end)
@@ -90,9 +90,9 @@
 
         A copy of a message that was taken before, or an older one, changes nothing.
         """
-        if seq <= self.acks.get(sender, 0):
+        if seq <= self.acknowledged.get(sender, 0):
             return
-        self.acks[sender] = seq
+        self.acknowledged[sender] = seq
         for host, rows in changes.items():
             machine = self.machines.get(host)
             if machine is None:
@@ -116,9 +116,9 @@
         if entry is None:
             if desired is not DesiredState.RUN:
                 return
-            spec = self.find_run(key[0])
+            spec = self.find_spec(key[0])
             entry = TaskEntry(key[0], key[1], key[2], Phase.QUEUED, spec, requested_by=sender)
-            if spec is None or machine.unreachable or not allowed(machine) or not machine.has_room_for(spec):
+            if spec is None or machine.is_unreachable or not allowed(machine) or not machine.has_room_for(spec):
                 entry.phase = Phase.REFUSED
             self.add_entry(machine, entry)
         if entry.desired is DesiredState.REAP or entry.desired is DesiredState.STOP and desired is DesiredState.RUN:
@@ -129,7 +129,7 @@
         if desired is DesiredState.REAP and entry.phase in (Phase.REFUSED, Phase.GONE):
             del machine.entries[key]
 
-    def job_over(self, job_id: str) -> None:
+    def job_finished(self, job_id: str) -> None:
         """Stop the tasks of a job that is no longer live, whoever asked for them."""
         for host in self.hosts_by_job.pop(job_id, ()):
             machine = self.machines.get(host)
--- a/src/ramptide/announcements.py
+++ b/src/ramptide/agents/token_announcer.py
@@ -11,9 +11,9 @@
 from datetime import timedelta
 from http import HTTPStatus
 
-from ramptide.context import JSON, Reply, Runtime
 from ramptide.protocol.agents import COMMANDS_PATH, Heartbeat, decode_heartbeat, encode_commands
 from ramptide.protocol.types import MessageError
+from ramptide.transport.runtime import JSON, Response, Runtime
 
 log = logging.getLogger(__name__)
 
@@ -63,7 +63,7 @@
         token = self._token
         self._in_flight += 1
 
-        def done(reply: Reply | None) -> None:
+        def done(reply: Response | None) -> None:
             self._in_flight -= 1
             if reply is not None and token == self._token:
                 self._handle(host, address, agent_epoch, reply)
@@ -72,7 +72,7 @@
         body = encode_commands(token, agent_epoch, [])
         self._runtime.call(address, "POST", COMMANDS_PATH, body, JSON, RESPONSE_TIMEOUT, done)
 
-    def _handle(self, host: str, address: str, agent_epoch: int, reply: Reply) -> None:
+    def _handle(self, host: str, address: str, agent_epoch: int, reply: Response) -> None:
         try:
             heartbeat = decode_heartbeat(reply.body)
         except MessageError as error:
--- /dev/null
+++ b/src/ramptide/api/administration.py
@@ -0,0 +1,131 @@
+"""The administration API on the peer address: routing of its calls, and changes of the operators' settings."""
+
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import Any, Protocol
+
+from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
+from ramptide.config.settings import BOUNDS, SettingsError, Tuning
+from ramptide.protocol.types import MessageError, decode_json, encode_error, encode_json
+from ramptide.state.records import SETTINGS_KEY
+from ramptide.state.watch_cache import WatchCache
+from ramptide.transport.runtime import JSON
+
+__all__ = ["METRICS_PATH", "QUOTA_PATH", "SETTINGS_PATH", "STATUS_PATH", "AdminApi"]
+
+SETTINGS_PATH, STATUS_PATH, METRICS_PATH = "/admin/settings", "/admin/status", "/metrics"
+QUOTA_PATH = "/admin/quota"
+
+#: Sends an answer with this status, body and content type.
+Answer = Callable[[int, bytes, str], None]
+Handler = Callable[[bytes, Answer], None]
+
+
+class TuningSource(Protocol):
+    """The operators' settings that are in force."""
+
+    @property
+    def tuning(self) -> Tuning:
+        """The operators' settings."""
+
+
+class QuotaCalls(Protocol):
+    """The calls about team limits, where the quota feature is on."""
+
+    def show(self, body: bytes, answer: Answer) -> None:
+        """Answer with the limits that count."""
+
+    def change(self, body: bytes, answer: Answer) -> None:
+        """Write changes of limits."""
+
+
+class AdminApi:
+    """Answers operators about one controller, and applies their changes of the settings.
+
+    Parameters
+    ----------
+    status
+        Returns the status as a JSON value.
+    metrics
+        Returns the metrics in the Prometheus text format, with the content type.
+    quota
+        None where the quota feature is off.
+    """
+
+    def __init__(
+        self,
+        state: TuningSource,
+        store: KeyValueStore,
+        watch_cache: WatchCache,
+        status: Callable[[], dict[str, Any]],
+        metrics: Callable[[], tuple[bytes, str]],
+        quota: QuotaCalls | None,
+    ) -> None:
+        self._state = state
+        self._store = store
+        self._watch_cache = watch_cache
+        self._status = status
+        self._metrics = metrics
+        self._calls: dict[str, dict[str, Handler]] = {
+            SETTINGS_PATH: {"GET": self._show_settings, "PATCH": self._change_settings},
+            STATUS_PATH: {"GET": self._show_status},
+            METRICS_PATH: {"GET": self._show_metrics},
+        }
+        if quota is not None:
+            self._calls[QUOTA_PATH] = {"GET": quota.show, "PATCH": quota.change}
+
+    def handle(self, method: str, path: str, body: bytes, answer: Answer) -> bool:
+        """Answer a call to this API; return False when the path is not part of it."""
+        if path not in self._calls:
+            return False
+        handler = self._calls[path].get(method)
+        if handler is None:
+            answer(HTTPStatus.METHOD_NOT_ALLOWED, encode_error("method not allowed"), JSON)
+        else:
+            handler(body, answer)
+        return True
+
+    def _show_status(self, body: bytes, answer: Answer) -> None:
+        answer(HTTPStatus.OK, encode_json(self._status()), JSON)
+
+    def _show_metrics(self, body: bytes, answer: Answer) -> None:
+        text, content_type = self._metrics()
+        answer(HTTPStatus.OK, text, content_type)
+
+    def _show_settings(self, body: bytes, answer: Answer) -> None:
+        values, defaults = self._state.tuning.to_value(), Tuning().to_value()
+        settings = {
+            name: {
+                "value": values[name],
+                "default": defaults[name],
+                "low": bound.low,
+                "high": bound.high,
+                "text": bound.text,
+            }
+            for name, bound in BOUNDS.items()
+        }
+        answer(HTTPStatus.OK, encode_json(settings), JSON)
+
+    def _change_settings(self, body: bytes, answer: Answer) -> None:
+        try:
+            tuning = self._state.tuning.changed(decode_json(body))
+        except (MessageError, SettingsError) as error:
+            answer(HTTPStatus.BAD_REQUEST, encode_error(str(error)), JSON)
+            return
+        defaults = Tuning().to_value()
+        changed = {name: value for name, value in tuning.to_value().items() if value != defaults[name]}
+        transaction = Transaction(
+            conditions={SETTINGS_KEY: self._watch_cache.mod_revision(SETTINGS_KEY)},
+            puts=[(SETTINGS_KEY, changed, None)],
+        )
+
+        def on_result(result: TransactionResult) -> None:
+            if result.revision is not None:
+                self._watch_cache.apply_own(result.revision, transaction.puts, transaction.deletes)
+                self._show_settings(b"", answer)
+            elif result.failed_keys is not None:
+                answer(HTTPStatus.CONFLICT, encode_error("the settings were changed meanwhile"), JSON)
+            else:
+                answer(HTTPStatus.SERVICE_UNAVAILABLE, encode_error("the state service does not answer"), JSON)
+
+        self._store.commit(transaction, on_result)
--- a/src/ramptide/desk.py
+++ b/src/ramptide/api/jobs.py
@@ -7,42 +7,37 @@
 
 import msgspec
 
-from ramptide.amounts import amounts_of, limits_of
-from ramptide.commits import CommitBatcher
-from ramptide.jobs import Job
-from ramptide.membership import Membership
-from ramptide.mirror import Mirror
-from ramptide.placement import can_ever_run
+from ramptide.api.telemetry import Answer, Route, Telemetry, Unavailable
+from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
+from ramptide.cluster.membership import Membership
+from ramptide.placement.bin_packing import can_ever_run
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import SERVICE, JobSpec, JobStatus, decode_job_spec, encode_job_status, is_job_id
 from ramptide.protocol.key_value_store import KeyValue
 from ramptide.protocol.settings_file import Team
-from ramptide.protocol.types import MessageError, encode_json
-from ramptide.records import FINISHED_PREFIX, JOB_PREFIX, FinishedJobRecord, JobRecord, Progress, to_value
-from ramptide.store import Store, Transaction, TransactionResult
-from ramptide.telemetry import Answer, Route, Telemetry, Unavailable
+from ramptide.protocol.types import MessageError, encode_error
+from ramptide.state.amounts import amounts_of, limits_of
+from ramptide.state.commit_batcher import CommitBatcher
+from ramptide.state.jobs import Job
+from ramptide.state.records import FINISHED_PREFIX, JOB_PREFIX, FinishedJobRecord, JobRecord, Progress, to_value
+from ramptide.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
 
-TRIES = 5
-PATIENCE = timedelta(seconds=1)
-LATEST = 30
+MAX_ATTEMPTS = 5
+MAX_COMMIT_DELAY = timedelta(seconds=1)
+MAX_RETRY_AFTER_S = 30
 ENDED_KEPT = 5000
-AGAIN = timedelta(milliseconds=120)
+RETRY_DELAY = timedelta(milliseconds=120)
 
 
-def error(text: str) -> bytes:
-    """Return a JSON body with an error text."""
-    return encode_json({"error": text})
-
-
-class Desk:
+class JobApi:
     """Handles users' requests: submissions, polls and cancellations."""
 
     def __init__(
         self,
-        store: Store,
-        mirror: Mirror,
+        store: KeyValueStore,
+        mirror: WatchCache,
         membership: Membership,
         commits: CommitBatcher,
         jobs: dict[str, Job],
@@ -70,12 +65,12 @@
 
     def _busy(self, answer: Answer, reason: Unavailable, wait: timedelta = timedelta(0)) -> None:
         self._telemetry.unavailable[reason] += 1
-        seconds = min(max(math.ceil(wait.total_seconds()), 1), LATEST)
-        answer(503, error(reason.text), {"Retry-After": str(seconds)})
+        seconds = min(max(math.ceil(wait.total_seconds()), 1), MAX_RETRY_AFTER_S)
+        answer(503, encode_error(reason.text), {"Retry-After": str(seconds)})
 
     def _cannot_commit(self) -> Unavailable | None:
         """Return why no change can be written now, or None when it can."""
-        if self._mirror.lacking:
+        if self._mirror.is_unavailable:
             return Unavailable.STATE_SERVICE
         return Unavailable.VIEW if self._membership.view is None else None
 
@@ -85,11 +80,11 @@
         More is asked than the state service can take, so the user is told at once when to retry.
         """
         delay = self._commits.delay()
-        if delay > PATIENCE:
+        if delay > MAX_COMMIT_DELAY:
             self._busy(answer, Unavailable.OVERLOADED, delay)
-        return delay > PATIENCE
+        return delay > MAX_COMMIT_DELAY
 
-    def ended(self, job_id: str, record: FinishedJobRecord) -> None:
+    def remember_finished(self, job_id: str, record: FinishedJobRecord) -> None:
         """Remember a final state that was committed, so that it need not be read again."""
         self._ended[job_id] = record
         while len(self._ended) > ENDED_KEPT:
@@ -97,7 +92,7 @@
 
     def _not_written(self, outcome: TransactionResult, answer: Answer) -> None:
         """Answer for a change that was given up on: it waited too long for its turn, or had no answer."""
-        if outcome.full:
+        if outcome.rate_limited:
             self._busy(answer, Unavailable.OVERLOADED, self._commits.delay())
         else:
             self._busy(answer, Unavailable.STATE_SERVICE)
@@ -110,7 +105,7 @@
         try:
             spec = decode_job_spec(body)
         except MessageError as bad:
-            answer(400, error(str(bad)), {})
+            answer(400, encode_error(str(bad)), {})
             return
         if spec.job_id in self._jobs:
             self._known(spec.job_id, answer, None)
@@ -122,7 +117,7 @@
             # A job that was accepted is never refused later, whatever the types or teams are by now.
             self._known(spec.job_id, answer, problem)
         else:
-            self._accept(spec, answer, TRIES)
+            self._accept(spec, answer, MAX_ATTEMPTS)
 
     def _never(self, spec: JobSpec) -> str | None:
         team = self._teams.get(spec.team)
@@ -150,21 +145,23 @@
         )
         value = to_value(record)
         if len(msgspec.json.encode(value)) > (self._store.limits.max_value_kb - 2) * 1024:
-            answer(400, error("the description is too long"), {})
+            answer(400, encode_error("the description is too long"), {})
             return
         key, ended = JOB_PREFIX + spec.job_id, FINISHED_PREFIX + spec.job_id
         transaction = Transaction(conditions={key: 0, ended: 0}, puts=[(key, value, None)])
 
         def done(outcome: TransactionResult) -> None:
             if outcome.revision is not None:
-                self._mirror.applied(outcome.revision, transaction.puts, transaction.deletes)
+                self._mirror.apply_own(outcome.revision, transaction.puts, transaction.deletes)
                 answer(201, encode_job_status(spec.job_id, JobStatus.PENDING), {})
             elif outcome.failed_keys and (key in outcome.failed_keys or ended in outcome.failed_keys):
                 self._known(spec.job_id, answer, None)
             elif outcome.failed_keys is not None and tries > 1:
                 # Only the view moved on; the mirror will have the new one in a moment.
-                self._store.runtime.after(AGAIN, lambda: self._accept(spec, answer, tries - 1))
-            elif outcome.sent and outcome.failed_keys is None and tries > 1 and not self._mirror.lacking:
+                self._store.runtime.after(RETRY_DELAY, lambda: self._accept(spec, answer, tries - 1))
+            elif (
+                outcome.may_be_applied and outcome.failed_keys is None and tries > 1 and not self._mirror.is_unavailable
+            ):
                 self._accept(spec, answer, min(tries - 1, 1))
             else:
                 self._not_written(outcome, answer)
@@ -178,7 +175,7 @@
             if problem is None:
                 self._busy(answer, Unavailable.BEING_ACCEPTED)
             else:
-                answer(422, error(problem), {})
+                answer(422, encode_error(problem), {})
 
         self._tell(job_id, answer, missing)
 
@@ -188,10 +185,10 @@
         """Answer with the present state of a job."""
         answer = self._telemetry.counting(Route.POLL, answer)
         if not is_job_id(job_id):
-            answer(404, error("no such job"), {})
+            answer(404, encode_error("no such job"), {})
             return
 
-        self._tell(job_id, answer, lambda: answer(404, error("no such job"), {}))
+        self._tell(job_id, answer, lambda: answer(404, encode_error("no such job"), {}))
 
     def _tell(self, job_id: str, answer: Answer, missing: Callable[[], None]) -> None:
         """Answers with the job's present state, or calls `missing` when it was never accepted."""
@@ -256,7 +253,7 @@
                     log.error("broken record %s: %s", row.key, problem)
                     known = False
                 else:
-                    self.ended(job_id, record)
+                    self.remember_finished(job_id, record)
                     if record.status == JobStatus.CANCELLED:
                         # Whoever tells a user so tells the others: the one that wrote it may have ended since.
                         self._cancelled(job_id)
@@ -271,9 +268,9 @@
         """Cancel a job; the answer is sent once the cancellation is committed."""
         answer = self._telemetry.counting(Route.CANCEL, answer)
         if not is_job_id(job_id):
-            answer(404, error("no such job"), {})
+            answer(404, encode_error("no such job"), {})
             return
-        self._cancel(job_id, answer, TRIES)
+        self._cancel(job_id, answer, MAX_ATTEMPTS)
 
     def _cancel(self, job_id: str, answer: Answer, tries: int) -> None:
         reason = self._cannot_commit()
@@ -285,7 +282,7 @@
             if not known:
                 self._busy(answer, Unavailable.STATE_SERVICE)
             elif state is None:
-                answer(404, error("no such job"), {})
+                answer(404, encode_error("no such job"), {})
             elif isinstance(state, FinishedJobRecord):
                 answer(200, encode_job_status(job_id, state.status), {})
             else:
@@ -311,11 +308,15 @@
 
         def done(outcome: TransactionResult) -> None:
             if outcome.revision is not None:
-                self.ended(job_id, end)
-                self._mirror.applied(outcome.revision, transaction.puts, transaction.deletes)
+                self.remember_finished(job_id, end)
+                self._mirror.apply_own(outcome.revision, transaction.puts, transaction.deletes)
                 self._cancelled(job_id)
                 answer(200, encode_job_status(job_id, JobStatus.CANCELLED), {})
-            elif tries > 1 and not self._mirror.lacking and (outcome.failed_keys is not None or outcome.sent):
+            elif (
+                tries > 1
+                and not self._mirror.is_unavailable
+                and (outcome.failed_keys is not None or outcome.may_be_applied)
+            ):
                 # The record or the view moved on, or nobody knows: read again and see.
                 self._mirror.catch_up(lambda fresh: self._cancel(job_id, answer, tries - 1))
             else:
--- a/src/ramptide/telemetry.py
+++ b/src/ramptide/api/telemetry.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from ramptide.lease_expiry import EndedLease
+from ramptide.agents.lease_expiry import ExpiredLease
 
 log = logging.getLogger(__name__)
 
 VIEW_CHANGES_KEPT = 10
 HOSTS_NAMED = 10
 #: A controller whose round comes so much later than planned stood still.
-STANDSTILL = timedelta(seconds=2)
+STALL_THRESHOLD = timedelta(seconds=2)
 
 Answer = Callable[[int, bytes, dict[str, str]], None]
 
@@ -65,11 +65,11 @@
     settled_s: float | None = None
 
 
-class RoundClock:
+class StallDetector:
     """Detects pauses of the controller, when its process was stopped or had no processor while time went on."""
 
     def __init__(self) -> None:
-        self.standstills = 0
+        self.stalls = 0
         self.total = timedelta(0)
         self.last = timedelta(0)
         self._due: timedelta | None = None
@@ -85,11 +85,11 @@
             return
         assert self._due is not None
         self._over_at, self.last = now, now - self._due
-        self.standstills += 1
+        self.stalls += 1
         self.total += self.last
         log.info("we stood still for %.1f s", self.last.total_seconds())
 
-    def stood_still(self, now: timedelta, within: timedelta) -> bool:
+    def has_stalled(self, now: timedelta, within: timedelta) -> bool:
         """Tell whether a pause ended less than `within` ago, or ends just now.
 
         What arrived during it has not been read yet.
@@ -97,7 +97,7 @@
         return self._late(now) or self._over_at is not None and now - self._over_at < within
 
     def _late(self, now: timedelta) -> bool:
-        return self._due is not None and now - self._due > STANDSTILL
+        return self._due is not None and now - self._due > STALL_THRESHOLD
 
 
 class Telemetry:
@@ -105,16 +105,16 @@
 
     def __init__(self) -> None:
         self.view_changes = 0
-        self.settled_changes = 0
-        self.settling_total = timedelta(0)
-        self.settling_last = timedelta(0)
+        self.reconciled_changes = 0
+        self.reconciliation_total = timedelta(0)
+        self.reconciliation_last = timedelta(0)
         self.last_changes: deque[ViewChange] = deque(maxlen=VIEW_CHANGES_KEPT)
         self.answers: Counter[tuple[Route, int]] = Counter()
         self.unavailable: Counter[Unavailable] = Counter()
-        self.round_clock = RoundClock()
+        self.stall_detector = StallDetector()
         self.tasks_lost = 0
-        self.leases_ended = 0
-        self._unconfirmed: list[EndedLease] = []
+        self.leases_expired = 0
+        self._unconfirmed: list[ExpiredLease] = []
 
     def view_changed(self, number: int) -> None:
         """Count a new view."""
@@ -122,11 +122,11 @@
         self._unconfirmed.clear()
         self.last_changes.append(ViewChange(number))
 
-    def settled(self, spent: timedelta) -> None:
+    def reconciled(self, spent: timedelta) -> None:
         """Note that all machines are settled in the present view, `spent` after it was heard of."""
-        self.settled_changes += 1
-        self.settling_total += spent
-        self.settling_last = spent
+        self.reconciled_changes += 1
+        self.reconciliation_total += spent
+        self.reconciliation_last = spent
         if self.last_changes:
             self.last_changes[-1].settled_s = round(spent.total_seconds(), 3)
 
@@ -150,7 +150,7 @@
             found.setdefault(route.value, {})[str(status)] = count
         return found
 
-    def take_ended_leases(self, ended: Sequence[EndedLease], confirmed: bool) -> None:
+    def take_expired_leases(self, ended: Sequence[ExpiredLease], confirmed: bool) -> None:
         """Count and log leases that ended.
 
         Not `confirmed`: we may have been left out of the view, while the machines go on under another controller. So
@@ -160,14 +160,14 @@
         if not confirmed or not self._unconfirmed:
             return
         ended, self._unconfirmed = self._unconfirmed, []
-        self.leases_ended += len(ended)
+        self.leases_expired += len(ended)
         self.tasks_lost += sum(lease.tasks for lease in ended)
         _log_ended_leases(ended)
 
 
-def _log_ended_leases(ended: Sequence[EndedLease]) -> None:
+def _log_ended_leases(ended: Sequence[ExpiredLease]) -> None:
     """Log one line for all leases of a round, as many machines may become silent together."""
-    settled = sum(lease.settled for lease in ended)
+    settled = sum(lease.reconciled for lease in ended)
     log.info(
         "%s silent past the lease: %d tasks are given up%s",
         _named([lease.host for lease in ended]),
--- /dev/null
+++ b/src/ramptide/autoscaling/demand.py
@@ -0,0 +1,82 @@
+"""The demand of the whole cluster, as the leader knows it: by our scheduler and the other members' messages."""
+
+from collections import Counter
+from datetime import timedelta
+from typing import Protocol
+
+from ramptide.autoscaling.autoscaler import Demand
+from ramptide.cluster.peers import Peers, WaitingJobRow
+from ramptide.scheduling.headroom import task_headroom
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.scheduling.own_demand import waiting_rows
+from ramptide.scheduling.urgency_order import UrgencyOrder
+from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, Grants, add_amounts, amounts_of
+from ramptide.state.jobs import Job
+from ramptide.team_limits.cluster_usage import ClusterUsage
+from ramptide.transport.runtime import Runtime
+
+__all__ = ["ClusterDemand"]
+
+NO_LIMITS = Amounts(NO_LIMIT, NO_LIMIT)
+
+
+class DemandState(Protocol):
+    """What the demand is worked out from."""
+
+    @property
+    def jobs(self) -> dict[str, Job]:
+        """The jobs that are not over."""
+
+    @property
+    def limits(self) -> Grants:
+        """The limits of the teams that have one."""
+
+    def require_scheduler(self) -> JobScheduler:
+        """Return the jobs that we schedule; raises without a place in the view."""
+
+
+class ClusterDemand:
+    """Puts together the waiting tasks of all schedulers."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        state: DemandState,
+        peers: Peers,
+        cluster_usage: ClusterUsage,
+        urgency_order: UrgencyOrder,
+    ) -> None:
+        self._runtime = runtime
+        self._state = state
+        self._peers = peers
+        self._cluster_usage = cluster_usage
+        self._urgency_order = urgency_order
+
+    def demands(self) -> list[Demand]:
+        """Return the waiting tasks of all schedulers that their team's limit lets run now, most urgent first."""
+        wall, jobs, limits = self._runtime.wall(), self._state.jobs, self._state.limits
+        usage = self._cluster_usage.team_usage()
+        waiting = [(jobs[row[0]], row, placed) for row, placed in self._waiting_rows() if row[0] in jobs]
+        urgency_of = self._urgency_order.urgency_of
+        waiting.sort(key=lambda entry: urgency_of(entry[0], timedelta(seconds=entry[1][2]), wall))
+        demands = []
+        for job, (_, startable, waited_s, avoided_hosts), placed in waiting:
+            spec = job.spec
+            limit = limits.get(spec.team, NO_LIMITS)
+            tasks = min(startable, task_headroom(spec, usage.get(spec.team, NOTHING), limit, limits))
+            if tasks > 0:
+                add_amounts(usage, spec.team, amounts_of(spec).times(tasks))
+                waited = timedelta(seconds=waited_s)
+                demands.append(Demand(spec, tasks, waited, Counter(placed), frozenset(avoided_hosts)))
+        return demands
+
+    def _waiting_rows(self) -> list[tuple[WaitingJobRow, Counter[str]]]:
+        """Return the rows of all schedulers, each with how many tasks of the job run in each zone, as far as known."""
+        scheduler = self._state.require_scheduler()
+        rows: list[tuple[WaitingJobRow, Counter[str]]] = [
+            (row, scheduler.jobs[row[0]].zones) for row in waiting_rows(scheduler, self._runtime.now)
+        ]
+        for message in self._peers.last_messages():
+            # A job that was handed over to us may still be in its former scheduler's last message.
+            rows += [(row, Counter()) for row in message.waiting_jobs if row[0] not in scheduler.jobs]
+        return rows
--- /dev/null
+++ b/src/ramptide/autoscaling/fleet_observation.py
@@ -0,0 +1,176 @@
+"""What the leader knows of each machine in the fleet record, put together for a step of the autoscaler."""
+
+from collections.abc import Callable, Iterable, Mapping
+from datetime import timedelta
+from typing import Protocol
+
+from ramptide.agents.shard import Shard
+from ramptide.autoscaling.autoscaler import FleetMachine
+from ramptide.cluster.machine_index import MISSED_HEARTBEATS, TOKEN_NOT_SEEN, MachineIndex, ObservedMachine
+from ramptide.cluster.peers import Peers
+from ramptide.placement.bin_packing import Room
+from ramptide.protocol.cloud import MachineType
+from ramptide.protocol.jobs import SERVICE, JobSpec
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.scheduling.rooms import RoomFinder
+from ramptide.state.jobs import Job
+from ramptide.state.records import MachineRecord
+from ramptide.state.task_state import FINISHED_PHASE_NAMES
+from ramptide.transport.runtime import Runtime
+
+__all__ = ["FleetObservation"]
+
+NO_TIME = timedelta(0)
+#: So many silent machines, or such a share of the fleet, are returned at once rather than that a new view waits for the
+#: end of their leases.
+MAX_RETURNED_SILENT, MAX_RETURNED_SILENT_SHARE = 3, 0.05
+#: The last ones that did not see our token may be fewer, as they may be healthy, and are waited for so many heartbeats.
+LAST_MACHINES_SHARE, LAST_MACHINES_HEARTBEATS = 0.01, 2
+
+
+class ObservationState(Protocol):
+    """What the leader's knowledge of machines is put together from."""
+
+    @property
+    def jobs(self) -> dict[str, Job]:
+        """The jobs that are not over."""
+
+    @property
+    def machines(self) -> dict[str, MachineRecord]:
+        """The fleet record, by machine."""
+
+    @property
+    def machine_types(self) -> dict[str, MachineType]:
+        """The cloud's machine types."""
+
+    @property
+    def view_since(self) -> timedelta:
+        """When this controller took the view."""
+
+    @property
+    def reconciled(self) -> bool:
+        """Whether it is known of all machines what earlier views left on them."""
+
+    @property
+    def shard(self) -> Shard | None:
+        """The machines that we own; None without a place in the view."""
+
+    @property
+    def scheduler(self) -> JobScheduler | None:
+        """The jobs that we schedule; None without a place in the view."""
+
+    def owner_of(self, host: str) -> str:
+        """Return the member that owns a machine."""
+
+
+class FleetObservation:
+    """Describes every machine of the fleet record as of now.
+
+    Parameters
+    ----------
+    unreconciled_machines
+        Returns the machines whose state in this view is not known yet, each with the reason.
+    others_fenced_at
+        Returns when no member of an earlier view can reply to agents any more; None while that is not known.
+    """
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        state: ObservationState,
+        peers: Peers,
+        machine_index: MachineIndex,
+        room_finder: RoomFinder,
+        unreconciled_machines: Callable[[], dict[str, str]],
+        others_fenced_at: Callable[[], timedelta | None],
+        heartbeat_interval: timedelta,
+    ) -> None:
+        self._runtime = runtime
+        self._state = state
+        self._peers = peers
+        self._machine_index = machine_index
+        self._room_finder = room_finder
+        self._unreconciled_machines = unreconciled_machines
+        self._others_fenced_at = others_fenced_at
+        self._heartbeat_interval = heartbeat_interval
+
+    def machines(self, cloud_statuses: Mapping[str, str], missing: Iterable[str]) -> list[FleetMachine]:
+        """Return what is known of every machine in the fleet record.
+
+        `cloud_statuses`: the status of machines in the cloud's list. `missing`: machines that the list lacks.
+        """
+        now, wall_s = self._runtime.now, self._runtime.wall().timestamp()
+        self._room_finder.refresh()
+        rooms = {room.host: room for room in self._room_finder.rooms()}
+        unlisted = set(missing)
+        holding_up = self._holding_up_view(now)
+        found = []
+        for host, record in self._state.machines.items():
+            age = timedelta(seconds=max(0.0, wall_s - record.requested_timestamp))
+            machine = self._describe(host, record, rooms.get(host), age)
+            machine.cloud_status = cloud_statuses.get(host)
+            machine.is_listed = host not in unlisted
+            machine.holds_up_view = host in holding_up
+            found.append(machine)
+        return found
+
+    def _describe(self, host: str, record: MachineRecord, room: Room | None, age: timedelta) -> FleetMachine:
+        now = self._runtime.now
+        observed = self._machine_index.machines.get(host) or ObservedMachine()
+        is_indexed = host in self._machine_index.machines
+        # Only its owner can tell that it is silent: not to hear the owner says nothing of the machine.
+        is_silent = observed.is_reported and observed.missed_heartbeats
+        unreachable_since, preempted_at = observed.unreachable_since, observed.preempted_at
+        return FleetMachine(
+            host=host,
+            record=record,
+            machine_type=self._state.machine_types.get(record.machine_type),
+            is_up=observed.is_up,
+            age=age,
+            silent_for=now - max(observed.heard_at, self._state.view_since) if is_silent else NO_TIME,
+            preempted_in=None if preempted_at is None else preempted_at - now,
+            accusing_jobs=self._machine_index.count_accusing_jobs(host) if is_indexed else 0,
+            consecutive_failures=observed.consecutive_failures,
+            tasks=observed.active_tasks + self._own_attempts(host),
+            room=room.copy() if room is not None else None,
+            is_drained=observed.is_reported and observed.is_draining and not observed.active_tasks,
+            unreachable_for=now - unreachable_since if unreachable_since is not None else NO_TIME,
+            unconfirmed_for=self._machine_index.unconfirmed_for(host, now),
+            owner=self._state.owner_of(host),
+            services=self._services(observed) if room is not None and room.service_cpus else [],
+        )
+
+    def _own_attempts(self, host: str) -> int:
+        scheduler = self._state.scheduler
+        return len(scheduler.attempts.get(host, ())) if scheduler is not None else 0
+
+    def _holding_up_view(self, now: timedelta) -> set[str]:
+        """Return the few machines that a new view waits for and that are returned rather than waited for.
+
+        These are silent ones, or the very last that did not send a heartbeat in time. On a large fleet some machine has
+        nearly always just failed.
+        """
+        unreconciled = {} if self._state.reconciled else self._unreconciled_machines()
+        fleet = len(self._state.machines)
+        silent = {host for host, reason in unreconciled.items() if reason == MISSED_HEARTBEATS}
+        found = silent if len(silent) <= max(MAX_RETURNED_SILENT, fleet * MAX_RETURNED_SILENT_SHARE) else set()
+        are_few = bool(unreconciled) and len(unreconciled) <= max(MAX_RETURNED_SILENT, fleet * LAST_MACHINES_SHARE)
+        fenced_at = self._others_fenced_at() if are_few else None
+        if fenced_at is not None and now - fenced_at > self._heartbeat_interval * LAST_MACHINES_HEARTBEATS:
+            # Nobody else replies to them any more, so they would have found their owners.
+            found |= {host for host, reason in unreconciled.items() if reason == TOKEN_NOT_SEEN}
+        return found
+
+    def _services(self, observed: ObservedMachine) -> list[JobSpec]:
+        """Return what runs there when that is services only, else nothing; tasks of finished jobs don't count."""
+        jobs = (self._state.jobs.get(row[0]) for row in observed.tasks if row[3] not in FINISHED_PHASE_NAMES)
+        found = [job.spec for job in jobs if job is not None]
+        return found if all(spec.kind == SERVICE for spec in found) else []
+
+    def unrecorded_machines(self) -> dict[str, tuple[str, str, bool]]:
+        """Return type, zone and kind (spot or not) of machines that send heartbeats and are not in the fleet record."""
+        shard = self._state.shard
+        found = shard.unrecorded_machines() if shard is not None else {}
+        for message in self._peers.last_messages():
+            found |= message.unrecorded_machines
+        return {host: kind for host, kind in found.items() if host not in self._state.machines}
--- a/src/ramptide/decisions.py
+++ b/src/ramptide/autoscaling/machine_decisions.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
-from ramptide.records import MachineRecord
+from ramptide.state.records import MachineRecord
 
 log = logging.getLogger(__name__)
 
--- a/src/ramptide/cli.py
+++ b/src/ramptide/cli.py
@@ -11,13 +11,14 @@
 from pathlib import Path
 from typing import Any
 
-from ramptide import __version__, settings
-from ramptide.admin import METRICS_PATH, QUOTA_PATH, SETTINGS_PATH, STATUS_PATH
-from ramptide.context import JSON, Reply
-from ramptide.http.address import parse_address
-from ramptide.http.client import Client
-from ramptide.loop import Loop
-from ramptide.parts import load_parts
+from ramptide import __version__
+from ramptide.api.administration import METRICS_PATH, QUOTA_PATH, SETTINGS_PATH, STATUS_PATH
+from ramptide.config import settings
+from ramptide.config.features import load_features
+from ramptide.transport.event_loop import EventLoop
+from ramptide.transport.http.address import parse_address
+from ramptide.transport.http.client import Client
+from ramptide.transport.runtime import JSON, Response
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 ADMIN_TIMEOUT = timedelta(seconds=10)
@@ -90,7 +91,7 @@
 def _compile() -> int:
     """Import all that a controller uses: the interpreter keeps the bytecode of what it imports."""
     import_module("ramptide.service")
-    import_module("ramptide.metrics")
+    import_module("ramptide.api.metrics")
     import_module("ramptide.quota.operators")
     import_module("ramptide.quota.planner")
     return 0
@@ -99,7 +100,7 @@
 def _run_controller(path: Path, parts_path: Path | None) -> int:
     try:
         loaded = settings.load(path)
-        parts = load_parts(parts_path) if parts_path is not None else None
+        parts = load_features(parts_path) if parts_path is not None else None
     except settings.SettingsError as error:
         return _fail(str(error), EXIT_USAGE_ERROR)
     level = os.environ.get("LOG_LEVEL", "info")
@@ -182,12 +183,12 @@
     return status
 
 
-def _call(address: str, method: str, target: str, body: bytes) -> Reply | None:
+def _call(address: str, method: str, target: str, body: bytes) -> Response | None:
     """Send one request and wait for the response."""
-    loop = Loop()
-    replies: list[Reply | None] = []
+    loop = EventLoop()
+    replies: list[Response | None] = []
 
-    def done(reply: Reply | None) -> None:
+    def done(reply: Response | None) -> None:
         replies.append(reply)
         loop.stop()
 
--- a/src/ramptide/cloud.py
+++ b/src/ramptide/clients/cloud.py
@@ -7,8 +7,7 @@
 from typing import TypeVar
 from urllib.parse import urlencode
 
-from ramptide.context import JSON, Reply, ResponseCallback, Runtime
-from ramptide.limits import Priority, RateLimiter, TokenBucket
+from ramptide.clients.rate_limits import CallPriority, RateLimiter, TokenBucket
 from ramptide.protocol.cloud import (
     MACHINE_TYPES_PATH,
     RENTALS_PATH,
@@ -23,7 +22,8 @@
 )
 from ramptide.protocol.settings_file import CloudLimits
 from ramptide.protocol.types import MessageError
-from ramptide.records import RentalRecord
+from ramptide.state.records import RentalRecord
+from ramptide.transport.runtime import JSON, Response, ResponseCallback, Runtime
 
 log = logging.getLogger(__name__)
 
@@ -39,7 +39,7 @@
 USED_PART_WITH_OTHERS = 0.7
 
 
-class Cloud:
+class CloudClient:
     """The cloud's interface as one controller sees it.
 
     Parameters
@@ -60,8 +60,8 @@
         rate = limits.requests_per_second * (USED_PART_ALONE if nodes == 1 else USED_PART_WITH_OTHERS)
         self._rate_limiter = RateLimiter(runtime, TokenBucket(rate, rate))
 
-    def _call(self, priority: Priority, method: str, target: str, body: bytes, done: ResponseCallback) -> None:
-        def answered(reply: Reply | None) -> None:
+    def _call(self, priority: CallPriority, method: str, target: str, body: bytes, done: ResponseCallback) -> None:
+        def answered(reply: Response | None) -> None:
             if reply is not None and reply.status == HTTPStatus.TOO_MANY_REQUESTS:
                 self._rate_limiter.report_overload()
             done(reply)
@@ -74,10 +74,10 @@
     def list_machine_types(self, done: Callable[[list[MachineType] | None], None]) -> None:
         """Read the machine types; `done` gets None when that failed."""
 
-        def answered(reply: Reply | None) -> None:
+        def answered(reply: Response | None) -> None:
             done(_decode_success(decode_machine_types, reply))
 
-        self._call(Priority.READ, "GET", MACHINE_TYPES_PATH, b"", answered)
+        self._call(CallPriority.READ, "GET", MACHINE_TYPES_PATH, b"", answered)
 
     def rent(self, name: str, rental: RentalRecord, done: Callable[[list[str] | None, bool], None]) -> None:
         """Rent machines.
@@ -92,7 +92,7 @@
             Called with the hosts, or None without an answer, and whether the cloud refused for want of capacity.
         """
 
-        def answered(reply: Reply | None) -> None:
+        def answered(reply: Response | None) -> None:
             refused = reply is not None and (
                 reply.status == HTTPStatus.BAD_REQUEST
                 or reply.status == HTTPStatus.SERVICE_UNAVAILABLE
@@ -101,15 +101,15 @@
             done(_decode_success(decode_rented_hosts, reply), refused)
 
         body = encode_rent_request(name, rental.machine_type, rental.zone, rental.spot, rental.count)
-        self._call(Priority.COMMIT, "POST", RENTALS_PATH, body, answered)
+        self._call(CallPriority.COMMIT, "POST", RENTALS_PATH, body, answered)
 
     def return_machines(self, hosts: list[str], done: Callable[[bool], None]) -> None:
         """Return machines; `done(True)` proves that they and everything on them are gone."""
 
-        def answered(reply: Reply | None) -> None:
+        def answered(reply: Response | None) -> None:
             done(reply is not None and reply.status == HTTPStatus.OK)
 
-        self._call(Priority.COMMIT, "POST", RETURN_PATH, encode_return_request(hosts), answered)
+        self._call(CallPriority.COMMIT, "POST", RETURN_PATH, encode_return_request(hosts), answered)
 
     def list_machines(self, done: Callable[[list[ListedMachine] | None], None]) -> None:
         """Read the whole list of rented machines; `done` gets None when a page of it could not be read."""
@@ -118,7 +118,7 @@
         def request_page(after: str | None) -> None:
             query = {"limit": str(RENTALS_PAGE_SIZE)} | ({"since": after} if after else {})
 
-            def answered(reply: Reply | None) -> None:
+            def answered(reply: Response | None) -> None:
                 page = _decode_success(decode_machine_page, reply)
                 if page is None:
                     done(None)
@@ -132,12 +132,12 @@
                 else:
                     done(machines)
 
-            self._call(Priority.HOUSEKEEPING, "GET", f"{RENTALS_PATH}?{urlencode(query)}", b"", answered)
+            self._call(CallPriority.HOUSEKEEPING, "GET", f"{RENTALS_PATH}?{urlencode(query)}", b"", answered)
 
         request_page(None)
 
 
-def _decode_success(decode: Callable[[bytes], T], reply: Reply | None) -> T | None:
+def _decode_success(decode: Callable[[bytes], T], reply: Response | None) -> T | None:
     """Return the decoded body of a successful response, or None."""
     if reply is None or reply.status != HTTPStatus.OK:
         return None
--- a/src/ramptide/store.py
+++ b/src/ramptide/clients/key_value_store.py
@@ -8,8 +8,7 @@
 from typing import Any, TypeVar
 from urllib.parse import quote, urlencode
 
-from ramptide.context import JSON, Reply, ResponseCallback, Runtime
-from ramptide.limits import Priority, RateLimiter, TokenBucket
+from ramptide.clients.rate_limits import CallPriority, RateLimiter, TokenBucket
 from ramptide.protocol.key_value_store import (
     KEYS_PATH,
     LEASES_PATH,
@@ -28,16 +27,17 @@
 )
 from ramptide.protocol.settings_file import KeyValueStoreLimits
 from ramptide.protocol.types import MessageError
+from ramptide.transport.runtime import JSON, Response, ResponseCallback, Runtime
 
 log = logging.getLogger(__name__)
 
 T = TypeVar("T")
 
 MAX_QUEUE_TIME = {
-    Priority.LEASE: timedelta(seconds=4),
-    Priority.COMMIT: timedelta(seconds=2),
-    Priority.READ: timedelta(seconds=1.2),
-    Priority.HOUSEKEEPING: timedelta(seconds=5),
+    CallPriority.LEASE: timedelta(seconds=4),
+    CallPriority.COMMIT: timedelta(seconds=2),
+    CallPriority.READ: timedelta(seconds=1.2),
+    CallPriority.HOUSEKEEPING: timedelta(seconds=5),
 }
 CALL_TIMEOUT = timedelta(seconds=2)
 RENEWAL_TIMEOUT = timedelta(seconds=1)
@@ -91,11 +91,11 @@
 
     revision: int | None = None
     failed_keys: list[str] | None = None
-    sent: bool = True
-    full: bool = False
+    may_be_applied: bool = True
+    rate_limited: bool = False
 
 
-class Store:
+class KeyValueStore:
     """The state service as one controller sees it.
 
     Parameters
@@ -123,7 +123,7 @@
 
     def _call(
         self,
-        priority: Priority,
+        priority: CallPriority,
         method: str,
         target: str,
         body: bytes,
@@ -133,7 +133,7 @@
         reject: Callable[[], None] | None = None,
         sending: Callable[[], None] | None = None,
     ) -> None:
-        def answered(reply: Reply | None) -> None:
+        def answered(reply: Response | None) -> None:
             if reply is not None and reply.status == HTTPStatus.TOO_MANY_REQUESTS:
                 self.rate_limiter.report_overload()
             done(reply)
@@ -160,14 +160,14 @@
             Called when the request leaves: whoever asks after that needs another read.
         """
 
-        def answered(reply: Reply | None) -> None:
+        def answered(reply: Response | None) -> None:
             if reply is not None and reply.status == HTTPStatus.NOT_FOUND:
                 done(None, True)
                 return
             row = _decode_success(decode_key_value, reply)
             done(row, row is not None)
 
-        self._call(Priority.READ, "GET", f"{KEYS_PATH}/{quote(key, safe='/')}", b"", answered, sending=sending)
+        self._call(CallPriority.READ, "GET", f"{KEYS_PATH}/{quote(key, safe='/')}", b"", answered, sending=sending)
 
     def list(self, prefix: str, done: Callable[[list[KeyValue] | None, int], None]) -> None:
         """Read all keys with a prefix.
@@ -185,7 +185,7 @@
         def request_page(after: str | None) -> None:
             query = {"prefix": prefix, "limit": str(PAGE_SIZE)} | ({"since": after} if after else {})
 
-            def answered(reply: Reply | None) -> None:
+            def answered(reply: Response | None) -> None:
                 page = _decode_success(decode_key_value_page, reply)
                 if page is None:
                     done(None, 0)
@@ -200,7 +200,7 @@
                 else:
                     done(rows, revisions[0])
 
-            self._call(Priority.LEASE, "GET", f"{KEYS_PATH}?{urlencode(query)}", b"", answered)
+            self._call(CallPriority.LEASE, "GET", f"{KEYS_PATH}?{urlencode(query)}", b"", answered)
 
         request_page(None)
 
@@ -208,11 +208,11 @@
         self,
         transaction: Transaction,
         done: Callable[[TransactionResult], None],
-        priority: Priority = Priority.COMMIT,
+        priority: CallPriority = CallPriority.COMMIT,
     ) -> None:
         """Send a transaction and report its result."""
 
-        def answered(reply: Reply | None) -> None:
+        def answered(reply: Response | None) -> None:
             done(_transaction_result(reply))
 
         body = encode_transaction(transaction.conditions, transaction.puts, transaction.deletes)
@@ -223,29 +223,31 @@
             body,
             answered,
             writes=transaction.size,
-            reject=lambda: done(TransactionResult(sent=False, full=True)),
+            reject=lambda: done(TransactionResult(may_be_applied=False, rate_limited=True)),
         )
 
     def create_lease(self, life: timedelta, done: Callable[[int | None], None]) -> None:
         """Create a grant, which expires unless it is renewed within `life`, with the keys written under it."""
 
-        def answered(reply: Reply | None) -> None:
+        def answered(reply: Response | None) -> None:
             done(_decode_success(decode_lease_id, reply))
 
-        self._call(Priority.LEASE, "POST", LEASES_PATH, encode_lease_request(life), answered)
+        self._call(CallPriority.LEASE, "POST", LEASES_PATH, encode_lease_request(life), answered)
 
     def keep_lease_alive(self, lease_id: int, done: Callable[[bool | None], None]) -> None:
         """Renew a grant; `done` is told whether it is alive, or None when that is not known."""
 
-        def answered(reply: Reply | None) -> None:
+        def answered(reply: Response | None) -> None:
             status = reply.status if reply is not None else 0
             done(True if status == HTTPStatus.OK else False if status == HTTPStatus.NOT_FOUND else None)
 
-        self._call(Priority.LEASE, "POST", f"{LEASES_PATH}/{lease_id}/touch", b"", answered, timeout=RENEWAL_TIMEOUT)
+        self._call(
+            CallPriority.LEASE, "POST", f"{LEASES_PATH}/{lease_id}/touch", b"", answered, timeout=RENEWAL_TIMEOUT
+        )
 
     def revoke_lease(self, lease_id: int) -> None:
         """End a grant at once; if the request is lost, the grant expires."""
-        self._call(Priority.LEASE, "DELETE", f"{LEASES_PATH}/{lease_id}", b"", lambda reply: None)
+        self._call(CallPriority.LEASE, "DELETE", f"{LEASES_PATH}/{lease_id}", b"", lambda reply: None)
 
     def watch(
         self,
@@ -273,16 +275,16 @@
         """
         query = urlencode({"prefix": prefix, "since": since, "blockMs": int(block / timedelta(milliseconds=1))})
 
-        def answered(reply: Reply | None) -> None:
+        def answered(reply: Response | None) -> None:
             gone = reply is not None and reply.status == HTTPStatus.GONE
             done(_decode_success(decode_events, reply), gone)
 
-        priority = Priority.LEASE if block else Priority.READ
+        priority = CallPriority.LEASE if block else CallPriority.READ
         timeout = block + WATCH_TIMEOUT_MARGIN
         self._call(priority, "GET", f"{WATCH_PATH}?{query}", b"", answered, timeout=timeout, sending=sending)
 
 
-def _transaction_result(reply: Reply | None) -> TransactionResult:
+def _transaction_result(reply: Response | None) -> TransactionResult:
     if reply is None:
         return TransactionResult()
     if reply.status == HTTPStatus.OK:
@@ -292,10 +294,10 @@
         return TransactionResult(failed_keys=_decode(decode_failed_keys, reply.body))
     if reply.status not in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
         log.error("transaction refused with %d: %r", reply.status, reply.body[:MAX_LOGGED_BODY_BYTES])
-    return TransactionResult(sent=False, full=reply.status == HTTPStatus.TOO_MANY_REQUESTS)
+    return TransactionResult(may_be_applied=False, rate_limited=reply.status == HTTPStatus.TOO_MANY_REQUESTS)
 
 
-def _decode_success(decode: Callable[[bytes], T], reply: Reply | None) -> T | None:
+def _decode_success(decode: Callable[[bytes], T], reply: Response | None) -> T | None:
     """Return the decoded body of a successful response, or None."""
     return _decode(decode, reply.body) if reply is not None and reply.status == HTTPStatus.OK else None
 
--- a/src/ramptide/limits.py
+++ b/src/ramptide/clients/rate_limits.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from enum import IntEnum
 
-from ramptide.context import Runtime, TimerHandle
+from ramptide.transport.runtime import Runtime, TimerHandle
 
 NO_TIME = timedelta(0)
 SECOND = timedelta(seconds=1)
@@ -17,7 +17,7 @@
 MIN_TIMER_DELAY = timedelta(milliseconds=2)
 
 
-class Priority(IntEnum):
+class CallPriority(IntEnum):
     """The order in which waiting calls are sent; the lowest number goes first."""
 
     LEASE = 0
@@ -103,12 +103,12 @@
         self._runtime = runtime
         self._calls = calls
         self._writes = writes
-        self._queues: dict[Priority, deque[_QueuedCall]] = {priority: deque() for priority in Priority}
+        self._queues: dict[CallPriority, deque[_QueuedCall]] = {priority: deque() for priority in CallPriority}
         self._timer: TimerHandle | None = None
 
     def submit(
         self,
-        priority: Priority,
+        priority: CallPriority,
         writes: int,
         max_wait: timedelta,
         send: Callable[[], None],
@@ -124,11 +124,11 @@
         if self._writes is not None:
             self._writes.drain()
 
-    def write_delay(self, priority: Priority) -> timedelta:
+    def write_delay(self, priority: CallPriority) -> timedelta:
         """Return how long a single write submitted now would wait behind those of its priority and above."""
         if self._writes is None:
             return NO_TIME
-        ahead = sum(call.writes for other in Priority if other <= priority for call in self._queues[other])
+        ahead = sum(call.writes for other in CallPriority if other <= priority for call in self._queues[other])
         return self._writes.wait_unbounded(self._runtime.now, ahead + 1)
 
     def _wait(self, call: _QueuedCall) -> timedelta:
--- a/src/ramptide/machine_status.py
+++ b/src/ramptide/cluster/machine_status.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from ramptide.failure_history import FAILED_JOBS_KEPT
-from ramptide.owned_machine import OwnedMachine
+from ramptide.agents.failure_history import FAILED_JOBS_KEPT
+from ramptide.agents.owned_machine import OwnedMachine
 from ramptide.protocol.types import Count, Seconds
-from ramptide.task_state import TaskRow
+from ramptide.state.task_state import TaskRow
 
 
 class MachineStatus(msgspec.Struct, array_like=True, frozen=True):
@@ -18,8 +18,8 @@
     with no success there since. The message is encoded by the order of the fields.
     """
 
-    settled: bool
-    up: bool
+    is_reconciled: bool
+    is_up: bool
     draining: bool
     silent_s: Seconds
     preemption_notice_s: Seconds | None
@@ -34,10 +34,12 @@
 
 def status_of(machine: OwnedMachine, now: timedelta) -> MachineStatus:
     """Describe a machine in the form that is sent to the other controllers."""
-    silent_for = now - (machine.last_heartbeat_at or machine.since) if machine.silent else None
+    silent_for = (
+        now - (machine.last_heartbeat_at or machine.no_other_owner_since) if machine.missed_heartbeats else None
+    )
     return MachineStatus(
-        settled=machine.settled,
-        up=machine.up,
+        is_reconciled=machine.is_reconciled,
+        is_up=machine.is_up,
         draining=machine.record.drain_reason is not None,
         silent_s=0.0 if silent_for is None else silent_for.total_seconds(),
         preemption_notice_s=None if machine.preempted_at is None else (machine.preempted_at - now).total_seconds(),
--- a/src/ramptide/membership.py
+++ b/src/ramptide/cluster/membership.py
@@ -9,21 +9,21 @@
 
 import msgspec
 
-from ramptide.mirror import Mirror
-from ramptide.store import Store, Transaction, TransactionResult
+from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
+from ramptide.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
 
-VIEW = "live/view"
-LEADER = "live/leader"
-MEMBER = "live/member/"
+VIEW_KEY = "live/view"
+LEADER_KEY = "live/leader"
+MEMBER_PREFIX = "live/member/"
 LEASE_TIMEOUT = timedelta(seconds=4)
 KEEP_ALIVE_INTERVAL = timedelta(seconds=0.9)
-STEP = timedelta(seconds=0.25)
-GATHER = timedelta(seconds=1)
+STEP_INTERVAL = timedelta(seconds=0.25)
+GATHER_TIMEOUT = timedelta(seconds=1)
 
 
-class View(msgspec.Struct, frozen=True):
+class View(msgspec.Struct, frozen=True, rename={"unfenced": "lingering"}):
     """A numbered set of members. The number is the token of the workers' commands.
 
     `lingering` holds members of earlier views of which nobody has proof that they ended: until their
@@ -33,10 +33,10 @@
     number: int
     leader: str
     members: dict[str, str]
-    lingering: dict[str, str] = {}
+    unfenced: dict[str, str] = {}
 
 
-class State(Enum):
+class MembershipState(Enum):
     """Our place: without a grant, with a grant but not in the view, in the view, or leading it."""
 
     APPLYING = auto()
@@ -53,14 +53,14 @@
 class Membership:
     """Keeps our grant and member key, runs for leader, and as leader writes the views.
 
-    A view is changed only by a transaction that is conditional on the leader key's revision and on the view's own revision: a
-    leader whose grant ran out, or a late copy of its request, changes nothing.
+    A view is changed only by a transaction that is conditional on the revisions of the leader key and of the view: a
+    leader whose lease ran out, or a late copy of its request, changes nothing.
     """
 
     def __init__(
         self,
-        store: Store,
-        mirror: Mirror,
+        store: KeyValueStore,
+        mirror: WatchCache,
         member: str,
         incarnation: str,
         nodes: int,
@@ -72,34 +72,34 @@
         self.member = member
         self.incarnation = incarnation
         self._process = incarnation
-        self._losses = 0
-        self._nodes = nodes
-        self._changed = changed
-        self.state = State.APPLYING
+        self._lost_leases = 0
+        self._controllers = nodes
+        self._on_view = changed
+        self.state = MembershipState.APPLYING
         self.view: View | None = None
         self.view_revision = 0
         self._lease_id: int | None = None
         self._kept_alive_at = timedelta(0)
-        self.resting = False
+        self.is_resting = False
         #: When the last request was sent that found our grant alive: until `LIFE` after it nobody leaves us out.
-        self.kept: timedelta | None = None
+        self.lease_kept_at: timedelta | None = None
         self._members: dict[str, str] = {}
         self._leader: dict[str, str] | None = None
         self._busy = False
         self._gather_from: timedelta | None = None
 
     @property
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether we are a member of the current view, leading or not."""
-        return self.state in (State.SERVING, State.LEADING)
+        return self.state in (MembershipState.SERVING, MembershipState.LEADING)
 
     @property
-    def leading(self) -> bool:
+    def is_leading(self) -> bool:
         """Whether we lead the current view."""
-        return self.state is State.LEADING
+        return self.state is MembershipState.LEADING
 
     @property
-    def leaderless(self) -> bool:
+    def is_leaderless(self) -> bool:
         """Whether no controller holds the leader key."""
         return self._leader is None
 
@@ -111,13 +111,13 @@
 
     def on_change(self, key: str, value: Any, mod_revision: int) -> None:
         """Take a change of the view, the leader key or a member key; `value` is None for a deleted key."""
-        if key == VIEW:
+        if key == VIEW_KEY:
             self._take_view(value, mod_revision)
-        elif key == LEADER:
+        elif key == LEADER_KEY:
             self._leader = value if isinstance(value, dict) else None
-            self._judge()
-        elif key.startswith(MEMBER):
-            name = key[len(MEMBER) :]
+            self._update_state()
+        elif key.startswith(MEMBER_PREFIX):
+            name = key[len(MEMBER_PREFIX) :]
             if isinstance(value, dict):
                 self._members[name] = str(value.get("inc"))
             else:
@@ -131,24 +131,24 @@
             return
         self.view_revision = mod_revision
         log.info("view %d: leader %s, members %s", self.view.number, self.view.leader, ", ".join(self.view.members))
-        self._judge()
-        self._changed()
+        self._update_state()
+        self._on_view()
 
-    def _judge(self) -> None:
+    def _update_state(self) -> None:
         """Derive our state from the grant, the view and the leader key."""
         mine = self.view is not None and self.view.members.get(self.member) == self.incarnation
         if self._lease_id is None:
-            wanted = State.APPLYING
+            wanted = MembershipState.APPLYING
         elif not mine:
-            wanted = State.STANDING
+            wanted = MembershipState.STANDING
         elif self.view is not None and self.view.leader == self.member and self._holds_leader():
-            wanted = State.LEADING
+            wanted = MembershipState.LEADING
         else:
-            wanted = State.SERVING
+            wanted = MembershipState.SERVING
         if wanted is not self.state:
             self._become(wanted)
 
-    def _become(self, state: State) -> None:
+    def _become(self, state: MembershipState) -> None:
         log.info("membership: %s -> %s", self.state.name.lower(), state.name.lower())
         self.state = state
 
@@ -158,25 +158,25 @@
     # What we do about it.
 
     def _tick(self) -> None:
-        self._context.after(STEP, self._tick)
-        if self._mirror.proof is None:
+        self._context.after(STEP_INTERVAL, self._tick)
+        if self._mirror.current_as_of is None:
             return
         if self._lease_id is None:
-            if not self.resting:
-                self._apply()
+            if not self.is_resting:
+                self._apply_for_lease()
         elif self._context.now - self._kept_alive_at >= KEEP_ALIVE_INTERVAL:
             self._keep_alive()
         if self._lease_id is None or self._busy:
             return
         if self._members.get(self.member) != self.incarnation:
-            self._stand()
+            self._register()
         elif self._leader is None or self._leader.get("member") == self.member and not self._holds_leader():
             # An earlier incarnation of our own member has ended for sure, so its key need not run out.
             self._run_for_leader()
         elif self._holds_leader():
-            self._review()
+            self._update_view()
 
-    def _apply(self) -> None:
+    def _apply_for_lease(self) -> None:
         if self._busy:
             return
         self._busy = True
@@ -186,9 +186,9 @@
             self._busy = False
             self._lease_id = lease_id
             if lease_id is not None:
-                self.kept = sent
+                self.lease_kept_at = sent
             self._kept_alive_at = self._context.now
-            self._judge()
+            self._update_state()
 
         self._store.create_lease(LEASE_TIMEOUT, done)
 
@@ -199,11 +199,11 @@
 
         def done(alive: bool | None) -> None:
             if alive and self._lease_id == lease_id:
-                self.kept = sent
+                self.lease_kept_at = sent
             if alive is False and self._lease_id == lease_id:
                 self._lose_lease()
             elif alive is None:
-                self._kept_alive_at = min(self._kept_alive_at, self._context.now - KEEP_ALIVE_INTERVAL + STEP)
+                self._kept_alive_at = min(self._kept_alive_at, self._context.now - KEEP_ALIVE_INTERVAL + STEP_INTERVAL)
 
         self._store.keep_lease_alive(lease_id, done)
 
@@ -213,11 +213,11 @@
         Our key is gone, so any leader may leave us out from now on. As the old incarnation ends here, a member that was
         left out was last found alive `LIFE` before, under that name.
         """
-        self._losses += 1
-        self.incarnation = f"{self._process}.{self._losses}"
+        self._lost_leases += 1
+        self.incarnation = f"{self._process}.{self._lost_leases}"
         log.info("our grant is over: we go on as %s", self.incarnation)
-        self._lease_id = self.kept = None
-        self._judge()
+        self._lease_id = self.lease_kept_at = None
+        self._update_state()
 
     def step_down(self) -> None:
         """Give up our place at once, so that others can take over the machines that we can't reach.
@@ -226,7 +226,7 @@
         """
         lease_id = self._lease_id
         if lease_id is not None:
-            self.resting = True
+            self.is_resting = True
             self._lose_lease()
             self._store.revoke_lease(lease_id)
 
@@ -236,15 +236,15 @@
         def done(outcome: TransactionResult) -> None:
             self._busy = False
             if outcome.revision is not None:
-                self._mirror.applied(outcome.revision, transaction.puts, transaction.deletes)
+                self._mirror.apply_own(outcome.revision, transaction.puts, transaction.deletes)
             else:
                 # Perhaps for want of a grant: the next touch tells.
                 self._kept_alive_at = min(self._kept_alive_at, self._context.now - KEEP_ALIVE_INTERVAL)
 
         self._store.commit(transaction, done)
 
-    def _stand(self) -> None:
-        key = MEMBER + self.member
+    def _register(self) -> None:
+        key = MEMBER_PREFIX + self.member
         self._commit(
             Transaction(
                 conditions={key: self._mirror.mod_revision(key)},
@@ -255,10 +255,13 @@
     def _run_for_leader(self) -> None:
         value = {"member": self.member, "inc": self.incarnation}
         self._commit(
-            Transaction(conditions={LEADER: self._mirror.mod_revision(LEADER)}, puts=[(LEADER, value, self._lease_id)])
+            Transaction(
+                conditions={LEADER_KEY: self._mirror.mod_revision(LEADER_KEY)},
+                puts=[(LEADER_KEY, value, self._lease_id)],
+            )
         )
 
-    def _review(self) -> None:
+    def _update_view(self) -> None:
         """As leader, write a new view when members came, went or restarted."""
         view = self.view
         if view is not None and view.leader == self.member and view.members == self._members:
@@ -267,18 +270,18 @@
         if self.member not in self._members:
             return
         known = view.members if view is not None else {}
-        if len(self._members) < self._nodes and not set(known) & set(self._members):
+        if len(self._members) < self._controllers and not set(known) & set(self._members):
             # A start of the whole service: a moment's patience spares a view for each member.
             self._gather_from = self._gather_from or self._context.now
-            if self._context.now - self._gather_from < GATHER:
+            if self._context.now - self._gather_from < GATHER_TIMEOUT:
                 return
-        lingering = dict(view.lingering) | known if view is not None else {}
+        lingering = dict(view.unfenced) | known if view is not None else {}
         # A member that stands with a new incarnation has proven the end of its old one.
         lingering = {name: incarnation for name, incarnation in lingering.items() if name not in self._members}
         number = view.number + 1 if view is not None else 1
         new = View(number, self.member, dict(self._members), lingering)
         transaction = Transaction(
-            conditions={LEADER: self._mirror.mod_revision(LEADER), VIEW: self.view_revision},
-            puts=[(VIEW, msgspec.to_builtins(new), None)],
+            conditions={LEADER_KEY: self._mirror.mod_revision(LEADER_KEY), VIEW_KEY: self.view_revision},
+            puts=[(VIEW_KEY, msgspec.to_builtins(new), None)],
         )
         self._commit(transaction)
--- a/src/ramptide/peers.py
+++ b/src/ramptide/cluster/peers.py
@@ -13,19 +13,19 @@
 import cbor2
 import msgspec
 
-from ramptide.context import CBOR, Reply, Runtime
-from ramptide.delta import ReceivedSequence
-from ramptide.machine_status import MachineStatus
+from ramptide.cluster.change_log import ReceivedSequence
+from ramptide.cluster.machine_status import MachineStatus
 from ramptide.protocol.types import Amount, Count
-from ramptide.task_state import DesiredTaskRow
+from ramptide.state.task_state import DesiredTaskRow
+from ramptide.transport.runtime import CBOR, Response, Runtime
 
 log = logging.getLogger(__name__)
 
 PEER_MESSAGES_PATH = "/sync"
-TIMEOUT = timedelta(seconds=1)
-EVERY = timedelta(seconds=0.5)
+CALL_TIMEOUT = timedelta(seconds=1)
+SEND_INTERVAL = timedelta(seconds=0.5)
 #: News for a peer gathers so long: each message costs both sides the same few turns whatever it holds.
-GAP = timedelta(milliseconds=100)
+MIN_SEND_INTERVAL = timedelta(milliseconds=100)
 ZERO = timedelta(0)
 #: Raised when messages change so that another version would misread them.
 MESSAGE_VERSION = 5
@@ -168,12 +168,12 @@
         self._on_finished_jobs = call_off
         self.newest_view = 0
         self._generation = 0
-        self.all = {name: Peer(name, address) for name, address in siblings.items()}
+        self.by_name = {name: Peer(name, address) for name, address in siblings.items()}
 
     def new_view(self) -> None:
         """Forget what was said and acknowledged under the previous view, and send everything again."""
         self._generation += 1
-        for peer in self.all.values():
+        for peer in self.by_name.values():
             peer.last_message = None
             peer.inbox = ReceivedSequence()
             peer.acknowledged = 0
@@ -181,32 +181,34 @@
 
     def last_message(self, member: str) -> PeerMessage | None:
         """Return the last message of a member in this view, or None when there is none."""
-        peer = self.all.get(member)
+        peer = self.by_name.get(member)
         return peer.last_message if peer is not None else None
 
     def last_messages(self) -> list[PeerMessage]:
         """Return the last message of each other member of the view that has sent one."""
-        return [peer.last_message for peer in self.all.values() if peer.last_message is not None]
+        return [peer.last_message for peer in self.by_name.values() if peer.last_message is not None]
 
     def due_peers(self) -> list[Peer]:
         """Return the controllers that are to be sent a message now."""
         now = self._context.now
         return [
             peer
-            for peer in self.all.values()
-            if peer.due_at <= now and not peer.in_flight and (peer.sent_at is None or now - peer.sent_at >= GAP)
+            for peer in self.by_name.values()
+            if peer.due_at <= now
+            and not peer.in_flight
+            and (peer.sent_at is None or now - peer.sent_at >= MIN_SEND_INTERVAL)
         ]
 
     def send_all_soon(self) -> None:
         """Send every other controller a message as soon as possible."""
-        for peer in self.all.values():
+        for peer in self.by_name.values():
             self.send_within(peer, ZERO)
 
     def send_within(self, peer: Peer, within: timedelta) -> None:
         """Send a controller its next message within the given time, as there is news for it."""
         peer.due_at = min(peer.due_at, self._context.now + within)
 
-    def send(self, peer: Peer, message: PeerMessage, every: timedelta = EVERY) -> None:
+    def send(self, peer: Peer, message: PeerMessage, every: timedelta = SEND_INTERVAL) -> None:
         """Send a message; the next one is due `every` later.
 
         One message at a time is under way to a controller; the next one carries all that is newer.
@@ -216,7 +218,7 @@
         peer.sent_at = sent
         peer.due_at = sent + every
 
-        def done(reply: Reply | None) -> None:
+        def done(reply: Response | None) -> None:
             peer.in_flight = False
             if reply is None or reply.status != 200:
                 return
@@ -248,14 +250,14 @@
             ):
                 peer.agreed_unavailable_at = sent
 
-        self._context.call(peer.address, "POST", PEER_MESSAGES_PATH, encode(message), CBOR, TIMEOUT, done)
+        self._context.call(peer.address, "POST", PEER_MESSAGES_PATH, encode_message(message), CBOR, CALL_TIMEOUT, done)
 
     def unavailable_agreed_since(self) -> timedelta | None:
         """Return the time since which all others have said that they cannot reach the state service either.
 
         None while some have not said so.
         """
-        moments = [peer.agreed_unavailable_at for peer in self.all.values()]
+        moments = [peer.agreed_unavailable_at for peer in self.by_name.values()]
         known = [moment for moment in moments if moment is not None]
         return min(known, default=self._context.now) if len(known) == len(moments) else None
 
@@ -264,7 +266,7 @@
 
         It was told of a newer one, or another process has taken its place. None without proof.
         """
-        peer = self.all.get(member)
+        peer = self.by_name.get(member)
         if peer is None or peer.answered_at is None:
             return None
         return peer.answered_at if peer.incarnation != incarnation or peer.newest_view >= view else None
@@ -276,7 +278,7 @@
         except (msgspec.ValidationError, cbor2.CBORDecodeError, ValueError, RecursionError) as error:
             log.error("broken message between controllers: %s", error)
             return None
-        peer = self.all.get(message.member)
+        peer = self.by_name.get(message.member)
         if peer is None:
             log.error("a message of %s, which the settings do not name", message.member)
             return None
@@ -298,6 +300,6 @@
         return message, peer
 
 
-def encode(message: PeerMessage) -> bytes:
+def encode_message(message: PeerMessage) -> bytes:
     """Encode a message as CBOR."""
     return cbor2.dumps(msgspec.to_builtins(message))
--- a/src/ramptide/parts.py
+++ b/src/ramptide/config/features.py
@@ -4,22 +4,22 @@
 
 import msgspec
 
-from ramptide.settings import SettingsError
+from ramptide.config.settings import SettingsError
 
 
-class QuotaPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class QuotaFeature(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Team limits across controllers (`ramptide.quota`)."""
 
     enabled: bool
 
 
-class Parts(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Features(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """All parts that can be switched on; without a file all of them are off."""
 
-    quota: QuotaPart
+    quota: QuotaFeature
 
 
-def load_parts(path: Path) -> Parts:
+def load_features(path: Path) -> Features:
     """Read and check the file.
 
     Raises
@@ -37,6 +37,6 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from error
     try:
-        return msgspec.convert(value, Parts)
+        return msgspec.convert(value, Features)
     except msgspec.ValidationError as error:
         raise SettingsError(f"{path}: {error}") from error
--- a/src/ramptide/settings.py
+++ b/src/ramptide/config/settings.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 from typing import Any
 
-from ramptide.http.address import parse_address
 from ramptide.protocol.settings_file import AgentTimings, Settings, decode_settings
 from ramptide.protocol.types import MessageError
+from ramptide.transport.http.address import parse_address
 
 
 class SettingsError(ValueError):
--- /dev/null
+++ b/src/ramptide/controller/peer_messages.py
@@ -0,0 +1,211 @@
+"""What other controllers tell: their messages are taken, applied and answered."""
+
+from collections.abc import Callable
+from datetime import timedelta
+from typing import Protocol
+
+import cbor2
+import msgspec
+
+from ramptide.agents.owned_machine import OwnedMachine
+from ramptide.agents.shard import Shard
+from ramptide.cluster.machine_index import MachineIndex
+from ramptide.cluster.machine_status import MachineStatus
+from ramptide.cluster.membership import Membership, View
+from ramptide.cluster.peers import Peer, PeerMessage, PeerReply, Peers
+from ramptide.controller.cancellations import RecentCancellations
+from ramptide.controller.fencing import Fencing
+from ramptide.controller.shares import QuotaShares
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.scheduling.preemption import Preemptor
+from ramptide.state.amounts import grants_from_wire
+from ramptide.state.records import JOB_PREFIX
+from ramptide.state.task_state import TaskRow
+from ramptide.state.watch_cache import WatchCache
+from ramptide.team_limits.share_split import ShareSplit
+from ramptide.transport.runtime import Runtime
+
+__all__ = ["DesiredStateGate", "PeerMessageHandler", "acknowledge_desired"]
+
+AT_ONCE = timedelta(0)
+
+
+class MessageState(Protocol):
+    """The view that this controller acts in, and what it owns there."""
+
+    @property
+    def member(self) -> str:
+        """The name of this controller."""
+
+    @property
+    def view(self) -> View | None:
+        """The newest view; None before the first one."""
+
+    @property
+    def shard(self) -> Shard | None:
+        """The machines that we own; None without a place in the view."""
+
+    @property
+    def scheduler(self) -> JobScheduler | None:
+        """The jobs that we schedule; None without a place in the view."""
+
+    def owner_of(self, host: str) -> str:
+        """Return the member that owns a machine."""
+
+
+class AssignmentUpdates(Protocol):
+    """Takes what messages show of jobs and machines."""
+
+    def drop_finished(self, job_ids: list[str]) -> None:
+        """Drop jobs that another controller knows to be over."""
+
+    def update_machine(self, host: str, status: MachineStatus | None) -> None:
+        """Take a machine's status from its owner's message."""
+
+
+class QuotaMessages(Protocol):
+    """The quota feature, which has a part of its own in the messages."""
+
+    def take(self, message: PeerMessage, scheduler: JobScheduler) -> None:
+        """Take what another member tells about team limits."""
+
+
+class DesiredStateGate:
+    """Decides whether tasks may be started on a machine of ours now."""
+
+    def __init__(self, may_start: Callable[[], bool]) -> None:
+        self._may_start = may_start
+
+    def takes_tasks(self, machine: OwnedMachine) -> bool:
+        """Tell whether the machine is reconciled, stays, and we may start tasks."""
+        record = machine.record
+        stays = record.registered and record.drain_reason is None and machine.preempted_at is None
+        return machine.is_reconciled and stays and self._may_start()
+
+
+def acknowledge_desired(
+    state: MessageState, machine_index: MachineIndex, scheduler: JobScheduler, owner: str, acknowledged: int
+) -> None:
+    """Note that an owner has processed our messages up to a number, and that its machines' statuses are as of then."""
+
+    def shown_tasks(host: str) -> list[TaskRow] | None:
+        if state.owner_of(host) != owner:
+            return None
+        observed = machine_index.machines.get(host)
+        if observed is None or not observed.is_reported:
+            return []
+        return observed.tasks if observed.is_reconciled else None
+
+    scheduler.acknowledged(acknowledged, shown_tasks)
+
+
+class PeerMessageHandler:
+    """Applies the messages of the members of our view, and answers those of all controllers."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        state: MessageState,
+        membership: Membership,
+        watch_cache: WatchCache,
+        peers: Peers,
+        machine_index: MachineIndex,
+        assignments: AssignmentUpdates,
+        fencing: Fencing,
+        shares: QuotaShares,
+        share_split: ShareSplit,
+        preemptor: Preemptor,
+        cancellations: RecentCancellations,
+        gate: DesiredStateGate,
+        quota: QuotaMessages | None,
+    ) -> None:
+        self._runtime = runtime
+        self._state = state
+        self._membership = membership
+        self._watch_cache = watch_cache
+        self._peers = peers
+        self._machine_index = machine_index
+        self._assignments = assignments
+        self._fencing = fencing
+        self._shares = shares
+        self._share_split = share_split
+        self._preemptor = preemptor
+        self._cancellations = cancellations
+        self._gate = gate
+        self._quota = quota
+
+    def receive(self, body: bytes) -> bytes | None:
+        """Take another controller's message and return the encoded reply, or None when it is broken."""
+        view, has_place = self._state.view, self._state.shard is not None
+        number = view.number if view is not None and has_place else 0
+        received = self._peers.receive(body, number)
+        if received is None:
+            return None
+        message, peer = received
+        reply = PeerReply(
+            incarnation=self._membership.incarnation,
+            view=number,
+            store_unavailable=self._watch_cache.is_unavailable,
+            newest_view=max(number, self._peers.newest_view),
+            received=peer.inbox.seq,
+            finished_jobs=self._finished_since(message.revision) if message.store_unavailable else None,
+        )
+        return cbor2.dumps(msgspec.to_builtins(reply))
+
+    def _finished_since(self, revision: int) -> list[str] | None:
+        """Return every job that a user may have been told is cancelled and that a copy as of `revision` still has.
+
+        A reply to a user rests on our own change or on a read, and our watch cache shows both. None when this can't be
+        told.
+        """
+        deleted = self._watch_cache.deleted_since(revision)
+        if deleted is None:
+            return None
+        finished = {key.removeprefix(JOB_PREFIX) for key in deleted if key.startswith(JOB_PREFIX)}
+        return sorted(finished.union(self._cancellations.job_ids()))
+
+    def is_from_member(self, message: PeerMessage) -> bool:
+        """Tell whether the sender is the process that is a member of our view."""
+        view = self._state.view
+        if view is None or self._state.scheduler is None:
+            return False
+        return message.incarnation == view.members.get(message.member)
+
+    def on_message(self, message: PeerMessage, peer: Peer) -> None:
+        """Apply a message of a member of our view."""
+        scheduler, shard, view = self._state.scheduler, self._state.shard, self._state.view
+        if scheduler is None or shard is None or view is None:
+            return
+        self._fencing.note_heard(message.member)
+        self._assignments.drop_finished(message.cancelled_jobs)
+        takes_tasks = self._gate.takes_tasks
+        shard.apply_desired(message.member, message.sequence_number, message.desired_tasks, takes_tasks)
+        if message.desired_tasks:
+            self._peers.send_within(peer, AT_ONCE)
+        if message.member == view.leader and not message.more:
+            self._follow_leader(message, scheduler)
+        for host, status in message.machine_status.items():
+            if self._state.owner_of(host) == message.member:
+                self._assignments.update_machine(host, status)
+        scheduler.needs_round = True
+        if not message.more:
+            self._take_rest(message, scheduler)
+
+    def _take_rest(self, message: PeerMessage, scheduler: JobScheduler) -> None:
+        """Take what a message tells that holds all changes of its sender."""
+        acknowledged = message.acknowledged.get(self._state.member, 0)
+        acknowledge_desired(self._state, self._machine_index, scheduler, message.member, acknowledged)
+        self._share_split.acknowledged(message.member, message.quota_shares_acknowledged)
+        self._machine_index.take_unconfirmed(message.unconfirmed_terminations, self._runtime.now)
+        if self._quota is not None:
+            self._quota.take(message, scheduler)
+
+    def _follow_leader(self, message: PeerMessage, scheduler: JobScheduler) -> None:
+        self._machine_index.set_idle_pool(message.idle_pool)
+        if message.quota_shares is not None:
+            # Both at once: the new shares leave out what the leader took over.
+            self._shares.take_message(grants_from_wire(message.quota_shares), message.sequence_number)
+            for job_id in message.handovers_taken:
+                scheduler.transfer_confirmed(job_id)
+        for job_id, task_index, number, grace_s in message.preemptions:
+            self._preemptor.stop_task((job_id, task_index, number), timedelta(seconds=grace_s))
--- /dev/null
+++ b/src/ramptide/controller/reconciliation.py
@@ -0,0 +1,111 @@
+"""What earlier views left on the machines, and which jobs may be started before all of it is known."""
+
+import logging
+from datetime import timedelta
+
+from ramptide.api.telemetry import Telemetry
+from ramptide.cluster.machine_index import MISSED_HEARTBEATS, TOKEN_NOT_SEEN, MachineIndex
+from ramptide.cluster.peers import Peers
+from ramptide.controller.state import ControllerState
+from ramptide.scheduling.job_state import JobState
+from ramptide.state.records import Handover
+from ramptide.transport.runtime import Runtime
+
+__all__ = ["Reconciliation"]
+
+log = logging.getLogger(__name__)
+
+LOG_INTERVAL = timedelta(seconds=4)
+#: Machines that a log line names.
+MAX_LOGGED_MACHINES = 3
+UNKNOWN_JOB = "runs a task of a job that was over"
+
+
+class Reconciliation:
+    """Compares what owners report of their machines with the fleet record, until nothing is left unknown."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        state: ControllerState,
+        machine_index: MachineIndex,
+        peers: Peers,
+        telemetry: Telemetry,
+    ) -> None:
+        self._runtime = runtime
+        self._state = state
+        self._machine_index = machine_index
+        self._peers = peers
+        self._telemetry = telemetry
+        self._logged_at = timedelta(0)
+
+    def unreconciled_machines(self) -> dict[str, str]:
+        """Return the machines whose state in this view is not known yet, each with the reason.
+
+        An earlier view may have started tasks there, and their owners have not shown them clear yet.
+        """
+        view = self._state.require_view()
+        found = {}
+        for host, record in self._state.machines.items():
+            if not record.is_unused_before(view.number):
+                reason = self._unreconciled_reason(host)
+                if reason is not None:
+                    found[host] = reason
+        return found
+
+    def _unreconciled_reason(self, host: str) -> str | None:
+        observed = self._machine_index.machines.get(host)
+        if observed is None or not observed.is_reported:
+            return f"not heard of from {self._state.owner_of(host)}"
+        if not observed.is_reconciled:
+            return MISSED_HEARTBEATS if observed.missed_heartbeats else TOKEN_NOT_SEEN
+        return None if self._machine_index.check_all_tasks_known(observed) else UNKNOWN_JOB
+
+    def check(self) -> None:
+        """Note when nothing is left unknown; until then log now and then what the view waits for."""
+        if self._state.reconciled:
+            return
+        now, view = self._runtime.now, self._state.require_view()
+        unreconciled = self.unreconciled_machines()
+        spent = now - self._state.view_since
+        if not unreconciled:
+            self._state.reconciled = True
+            self._telemetry.reconciled(spent)
+            log.info("view reconciled: view=%d spent_s=%.1f", view.number, spent.total_seconds())
+            self._peers.send_all_soon()
+        elif now - max(self._state.view_since, self._logged_at) > LOG_INTERVAL:
+            self._logged_at = now
+            self._log_unreconciled(view.number, spent, unreconciled)
+
+    def _log_unreconciled(self, view: int, spent: timedelta, unreconciled: dict[str, str]) -> None:
+        examples = [f"{host} ({reason})" for host, reason in unreconciled.items()][:MAX_LOGGED_MACHINES]
+        log.info(
+            "view not reconciled: view=%d machines=%d spent_s=%.1f examples=%r",
+            view,
+            len(unreconciled),
+            spent.total_seconds(),
+            ", ".join(examples),
+        )
+
+    def may_start_job(self, job_state: JobState) -> bool:
+        """Tell whether the job's tasks may be started: none can be on a machine without our knowledge."""
+        view = self._state.require_view()
+        record = job_state.job.record
+        is_new = record.created_in_view == view.number
+        if not self._state.reconciled and (not is_new or record.spec.team in self._state.limits):
+            return False
+        handover = record.handover
+        if handover is None or handover.view != view.number or handover.member == self._state.member:
+            return True
+        return all(self._processed_by(member, handover) >= handover.sequence_number for member in view.members)
+
+    def _processed_by(self, member: str, handover: Handover) -> int:
+        """Return up to which message of the job's former scheduler a member has processed them."""
+        if member == self._state.member:
+            return self._state.require_shard().acknowledged.get(handover.member, 0)
+        message = self._peers.last_message(member)
+        if message is None:
+            return 0
+        if member == handover.member:
+            return message.sequence_number
+        return message.acknowledged.get(handover.member, 0)
--- a/src/ramptide/placement.py
+++ b/src/ramptide/placement/bin_packing.py
@@ -15,7 +15,7 @@
 REPLICAS_TO_OPEN_FOR = 4
 
 
-class Reach(IntEnum):
+class ReserveAccess(IntEnum):
     """Which of the room that is kept for services an array may use, by how long it has waited."""
 
     NONE = 0
@@ -46,10 +46,10 @@
     service_cpus: float = 0.0
     service_reserve: tuple[float, float] = (0.0, 0.0)
 
-    def fits(self, spec: JobSpec, reach: Reach = Reach.NONE) -> int:
+    def fits(self, spec: JobSpec, reach: ReserveAccess = ReserveAccess.NONE) -> int:
         """Return how many tasks of the job this room takes."""
         cpus, ram = self.cpus, self.ram_gb
-        if self.service_cpus and spec.kind != SERVICE and reach is not Reach.ALL:
+        if self.service_cpus and spec.kind != SERVICE and reach is not ReserveAccess.ALL:
             reserved_cores, reserved_ram = self.service_reserve
             cpus, ram = cpus - reserved_cores, ram - reserved_ram
         counts = [
@@ -88,11 +88,11 @@
     )
 
 
-def admits(spec: JobSpec, room: Room, reach: Reach = Reach.NONE) -> bool:
+def admits(spec: JobSpec, room: Room, reach: ReserveAccess = ReserveAccess.NONE) -> bool:
     """Tell whether the job may use this machine, whatever room is left there."""
     closed = room.in_pool and spec.kind != SERVICE
     return may_use(spec, room.machine_type, room.zone, room.spot) and (
-        not closed or reach is Reach.ALL or room.idle and reach is Reach.POOL
+        not closed or reach is ReserveAccess.ALL or room.idle and reach is ReserveAccess.POOL
     )
 
 
@@ -139,7 +139,9 @@
 # The choice of a machine.
 
 
-def usable(spec: JobSpec, rooms: Iterable[Room], placed: Mapping[str, int], reach: Reach = Reach.NONE) -> list[Room]:
+def usable(
+    spec: JobSpec, rooms: Iterable[Room], placed: Mapping[str, int], reach: ReserveAccess = ReserveAccess.NONE
+) -> list[Room]:
     """Return the rooms that may take a task of the job now."""
     found = [
         room
@@ -166,13 +168,19 @@
     return [room for room in rooms if room.zone == best]
 
 
-def choose(spec: JobSpec, rooms: Iterable[Room], placed: Mapping[str, int], reach: Reach = Reach.NONE) -> Room | None:
+def choose(
+    spec: JobSpec, rooms: Iterable[Room], placed: Mapping[str, int], reach: ReserveAccess = ReserveAccess.NONE
+) -> Room | None:
     """Return the machine for the next task of a job, or None when none has room."""
     return min(usable(spec, rooms, placed, reach), key=lambda room: _preference(spec, room), default=None)
 
 
 def choose_many(
-    spec: JobSpec, rooms: Iterable[Room], placed: Mapping[str, int], tasks: int, reach: Reach = Reach.NONE
+    spec: JobSpec,
+    rooms: Iterable[Room],
+    placed: Mapping[str, int],
+    tasks: int,
+    reach: ReserveAccess = ReserveAccess.NONE,
 ) -> Iterator[tuple[Room, int]]:
     """Yield machines for many tasks of an array, each with the number of tasks that it takes.
 
--- a/src/ramptide/protocol/types.py
+++ b/src/ramptide/protocol/types.py
@@ -16,6 +16,7 @@
     "Timestamp",
     "decode_json",
     "decode_message",
+    "encode_error",
     "encode_json",
 ]
 
@@ -42,6 +43,11 @@
     return msgspec.json.encode(value)
 
 
+def encode_error(text: str) -> bytes:
+    """Return a JSON body with an error text."""
+    return encode_json({"error": text})
+
+
 def decode_json(body: bytes) -> Any:
     """Decode any JSON value.
 
--- a/src/ramptide/quota/fitting.py
+++ b/src/ramptide/quota/fitting.py
@@ -3,8 +3,8 @@
 from collections.abc import Hashable, Mapping
 from dataclasses import dataclass
 
-from ramptide.amounts import NOTHING, Amounts, tasks_within
 from ramptide.quota.messages import Demands, TaskDemand
+from ramptide.state.amounts import NOTHING, Amounts, tasks_within
 
 #: What the count of waiting tasks is taken for where the limit does not bound them.
 MANY = 10**9
--- a/src/ramptide/quota/ledger.py
+++ b/src/ramptide/quota/ledger.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from ramptide.amounts import NO_LIMIT, NOTHING, Amounts, Grants, add_amounts
 from ramptide.quota.messages import AccountRow, QuotaMessageError, TransferRow
+from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, Grants, add_amounts
 
 
 class TransferState(Enum):
--- a/src/ramptide/quota/messages.py
+++ b/src/ramptide/quota/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ramptide.amounts import NO_LIMIT, Amounts
+from ramptide.state.amounts import NO_LIMIT, Amounts
 
 #: Raised when the messages change so that another version would misread them.
 VERSION = 1
--- a/src/ramptide/quota/operators.py
+++ b/src/ramptide/quota/operators.py
@@ -1,22 +1,33 @@
 """What operators see of the team limits, and change: status, metrics and the calls of the administration API."""
 
 from collections.abc import Callable, Iterator
-from typing import TYPE_CHECKING, Any
+from http import HTTPStatus
+from typing import TYPE_CHECKING, Any, Protocol
 
 import msgspec
 
-from ramptide.amounts import NOTHING, Amounts, to_number
-from ramptide.context import JSON
-from ramptide.desk import error
-from ramptide.protocol.types import MessageError, decode_json, encode_json
-from ramptide.quota.exchange import QuotaExchange
+from ramptide.clients.key_value_store import TransactionResult
+from ramptide.protocol.settings_file import Team
+from ramptide.protocol.types import MessageError, decode_json, encode_error, encode_json
+from ramptide.quota.limit_table import LimitTable
 from ramptide.quota.overrides import LimitError
-from ramptide.store import TransactionResult
+from ramptide.quota.share_exchange import QuotaExchange
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.state.amounts import NOTHING, Amounts, Grants, to_number
+from ramptide.team_limits.cluster_usage import ClusterUsage
+from ramptide.transport.runtime import JSON
 
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
 
-    from ramptide.app import Controller
+__all__ = ["QuotaAdminApi", "QuotaReport", "ResourceShare", "TeamShare"]
+
+TRANSFER_OUTCOMES = ("given", "taken", "refused")
+SHARE_GAUGES = {
+    "held": "what this controller may use of the team's limit",
+    "borrowed": "what the team uses beyond its guarantee, by all controllers",
+    "in_transfer": "what this controller has passed on and nobody counts yet",
+}
 
 Answer = Callable[[int, bytes, str], None]
 
@@ -30,36 +41,138 @@
     in_transfer: float
 
 
-class TeamShare(msgspec.Struct, frozen=True):
+class TeamShare(msgspec.Struct, frozen=True, rename={"cpus": "cores"}):
     """Both resources; `pending`: whether a change of the limit is not in force yet."""
 
-    cores: ResourceShare
+    cpus: ResourceShare
     gpus: ResourceShare
     pending: bool
 
 
-def team_shares(controller: "Controller", quota: QuotaExchange) -> dict[str, TeamShare]:
-    """Return what this controller holds of each limit, by team; empty without a place in the view."""
-    scheduler = controller.scheduler
-    if scheduler is None:
-        return {}
-    used, everywhere = scheduler.usage_with_transfers(), controller.knowledge.team_use()
-    shares = {}
-    for team in controller.limits:
-        held = controller.grants.get(team, NOTHING)
-        beyond = _beyond(everywhere.get(team, NOTHING), controller.guarantees.get(team, NOTHING))
-        rows = [
+class ShareState(Protocol):
+    """What operators see of the controller's state."""
+
+    @property
+    def teams(self) -> dict[str, Team]:
+        """The teams whose jobs are accepted."""
+
+    @property
+    def limits(self) -> Grants:
+        """The limits of the teams that have one."""
+
+    @property
+    def guarantees(self) -> Grants:
+        """The guarantees of the teams that have one."""
+
+    @property
+    def quota_shares(self) -> Grants:
+        """What we may use of each limit."""
+
+    @property
+    def scheduler(self) -> JobScheduler | None:
+        """The jobs that we schedule; None without a place in the view."""
+
+
+class QuotaReport:
+    """What operators see of the quota feature at one controller."""
+
+    def __init__(
+        self, state: ShareState, cluster_usage: ClusterUsage, exchange: QuotaExchange, limit_table: LimitTable
+    ) -> None:
+        self._state = state
+        self._cluster_usage = cluster_usage
+        self._exchange = exchange
+        self._limit_table = limit_table
+
+    def shares_by_team(self) -> dict[str, TeamShare]:
+        """Return what this controller holds of each limit, by team; empty without a place in the view."""
+        scheduler = self._state.scheduler
+        if scheduler is None:
+            return {}
+        used, used_everywhere = scheduler.usage_with_transfers(), self._cluster_usage.team_usage()
+        return {
+            team: self._share_of(team, used.get(team, NOTHING), used_everywhere.get(team, NOTHING))
+            for team in self._state.limits
+        }
+
+    def _share_of(self, team: str, used: Amounts, used_everywhere: Amounts) -> TeamShare:
+        held = self._state.quota_shares.get(team, NOTHING)
+        borrowed = _beyond(used_everywhere, self._state.guarantees.get(team, NOTHING))
+        in_transfer = self._exchange.in_transfer(team)
+        resources = [
             ResourceShare(
                 held=to_number(held[side]),
-                used=to_number(used.get(team, NOTHING)[side]),
-                borrowed=to_number(beyond[side]),
-                in_transfer=to_number(quota.in_transfer(team)[side]),
+                used=to_number(used[side]),
+                borrowed=to_number(borrowed[side]),
+                in_transfer=to_number(in_transfer[side]),
             )
             for side in (0, 1)
         ]
-        record = quota.limits.records.get(team)
-        shares[team] = TeamShare(rows[0], rows[1], record is not None and record.pending is not None)
-    return shares
+        record = self._limit_table.records.get(team)
+        return TeamShare(resources[0], resources[1], record is not None and record.pending is not None)
+
+    def status(self) -> dict[str, Any]:
+        """Return the feature's entry in the status."""
+        exchange = self._exchange
+        percentiles = exchange.waits.percentiles()
+        return {
+            "members_without": exchange.missing(),
+            "transfers": {outcome: exchange.counters[outcome] for outcome in TRANSFER_OUTCOMES},
+            "share_waits": {
+                "count": exchange.waits.count,
+                "total_s": exchange.waits.total.total_seconds(),
+                "percentiles_s": {f"{percent:g}": value for percent, value in percentiles.items()},
+            },
+            "teams": msgspec.to_builtins(self.shares_by_team()),
+        }
+
+    def limits(self) -> dict[str, Any]:
+        """Return the limits that count, and the changes that are pending."""
+        state = self._state
+        teams = {
+            name: {
+                "removed": name not in state.teams,
+                "limit": _numbers(state.limits.get(name)),
+                "guarantee": _numbers(state.guarantees.get(name)),
+                "record": msgspec.to_builtins(self._limit_table.records.get(name)),
+            }
+            for name in sorted(state.teams.keys() | state.limits.keys())
+        }
+        return {"members_without": self._exchange.missing(), "teams": teams}
+
+    def metrics(self) -> "Iterator[Metric]":
+        """Yield the feature's metrics."""
+        from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
+
+        shares = self.shares_by_team()
+        for field, text in SHARE_GAUGES.items():
+            family = GaugeMetricFamily(f"ramptide_quota_{field}", text, labels=("team", "resource"))
+            for team, share in shares.items():
+                family.add_metric((team, "cores"), getattr(share.cpus, field))
+                family.add_metric((team, "gpus"), getattr(share.gpus, field))
+            yield family
+        transfers = CounterMetricFamily("ramptide_quota_transfers", "transfers of share", labels=("outcome",))
+        for outcome in TRANSFER_OUTCOMES:
+            transfers.add_metric((outcome,), self._exchange.counters[outcome])
+        yield transfers
+        yield from self._wait_metrics()
+
+    def _wait_metrics(self) -> "Iterator[Metric]":
+        from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
+
+        waits = self._exchange.waits
+        yield CounterMetricFamily("ramptide_quota_share_waits", "waits for share that are over", value=waits.count)
+        yield CounterMetricFamily(
+            "ramptide_quota_share_wait_seconds", "how long they took", value=waits.total.total_seconds()
+        )
+        quantiles = GaugeMetricFamily(
+            "ramptide_quota_share_wait_quantile_seconds",
+            "time within which a part of them was over",
+            labels=("quantile",),
+        )
+        for percent, value in waits.percentiles().items():
+            quantiles.add_metric((f"{percent / 100:g}",), value)
+        yield quantiles
 
 
 def _beyond(used: Amounts, guaranteed: Amounts) -> Amounts:
@@ -67,87 +180,33 @@
     return Amounts(max(0, used.cpus - guaranteed.cpus), max(0, used.gpus - guaranteed.gpus))
 
 
-def quota_status(controller: "Controller", quota: QuotaExchange) -> dict[str, Any]:
-    """Return the part's entry in the status."""
-    return {
-        "members_without": quota.missing(),
-        "transfers": {kind: quota.counters[kind] for kind in ("given", "taken", "refused")},
-        "share_waits": {
-            "count": quota.waits.count,
-            "total_s": quota.waits.total.total_seconds(),
-            "percentiles_s": {f"{percent:g}": value for percent, value in quota.waits.percentiles().items()},
-        },
-        "teams": msgspec.to_builtins(team_shares(controller, quota)),
-    }
-
-
-def quota_metrics(controller: "Controller", quota: QuotaExchange) -> "Iterator[Metric]":
-    """Yield the part's metrics."""
-    from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
-
-    shares = team_shares(controller, quota)
-    for field, text in (
-        ("held", "what this controller may use of the team's limit"),
-        ("borrowed", "what the team uses beyond its guarantee, by all controllers"),
-        ("in_transfer", "what this controller has passed on and nobody counts yet"),
-    ):
-        family = GaugeMetricFamily(f"ramptide_quota_{field}", text, labels=("team", "resource"))
-        for team, share in shares.items():
-            family.add_metric((team, "cores"), getattr(share.cores, field))
-            family.add_metric((team, "gpus"), getattr(share.gpus, field))
-        yield family
-    transfers = CounterMetricFamily("ramptide_quota_transfers", "transfers of share", labels=("outcome",))
-    for kind in ("given", "taken", "refused"):
-        transfers.add_metric((kind,), quota.counters[kind])
-    yield transfers
-    yield CounterMetricFamily("ramptide_quota_share_waits", "waits for share that are over", value=quota.waits.count)
-    yield CounterMetricFamily(
-        "ramptide_quota_share_wait_seconds", "how long they took", value=quota.waits.total.total_seconds()
-    )
-    quantiles = GaugeMetricFamily(
-        "ramptide_quota_share_wait_quantile_seconds", "time within which a part of them was over", labels=("quantile",)
-    )
-    for percent, value in quota.waits.percentiles().items():
-        quantiles.add_metric((f"{percent / 100:g}",), value)
-    yield quantiles
-
-
-class QuotaAdmin:
+class QuotaAdminApi:
     """The calls of the administration API about team limits."""
 
-    def __init__(self, controller: "Controller", quota: QuotaExchange) -> None:
-        self._c = controller
-        self._quota = quota
+    def __init__(self, report: QuotaReport, limit_table: LimitTable) -> None:
+        self._report = report
+        self._limit_table = limit_table
 
     def show(self, body: bytes, answer: Answer) -> None:
         """Answer with the limits that count, and the changes that are pending."""
-        teams = {
-            name: {
-                "removed": name not in self._c.teams,
-                "limit": _numbers(self._c.limits.get(name)),
-                "guarantee": _numbers(self._c.guarantees.get(name)),
-                "record": msgspec.to_builtins(self._quota.limits.records.get(name)),
-            }
-            for name in sorted(self._c.teams.keys() | self._c.limits.keys())
-        }
-        answer(200, encode_json({"members_without": self._quota.missing(), "teams": teams}), JSON)
+        answer(HTTPStatus.OK, encode_json(self._report.limits()), JSON)
 
     def change(self, body: bytes, answer: Answer) -> None:
         """Write changes of limits; 202 when they are pending."""
 
-        def done(outcome: TransactionResult) -> None:
-            if outcome.revision is not None:
-                answer(202, encode_json({"pending": sorted(changes)}), JSON)
-            elif outcome.failed_keys is not None:
-                answer(409, error("the limits were changed meanwhile"), JSON)
+        def on_result(result: TransactionResult) -> None:
+            if result.revision is not None:
+                answer(HTTPStatus.ACCEPTED, encode_json({"pending": sorted(changes)}), JSON)
+            elif result.failed_keys is not None:
+                answer(HTTPStatus.CONFLICT, encode_error("the limits were changed meanwhile"), JSON)
             else:
-                answer(503, error("the state service does not answer"), JSON)
+                answer(HTTPStatus.SERVICE_UNAVAILABLE, encode_error("the state service does not answer"), JSON)
 
         try:
             changes = decode_json(body)
-            self._quota.limits.request(changes, done)
+            self._limit_table.request(changes, on_result)
         except (MessageError, LimitError) as problem:
-            answer(400, error(str(problem)), JSON)
+            answer(HTTPStatus.BAD_REQUEST, encode_error(str(problem)), JSON)
 
 
 def _numbers(amounts: Amounts | None) -> dict[str, float | None] | None:
--- a/src/ramptide/quota/overrides.py
+++ b/src/ramptide/quota/overrides.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from ramptide.amounts import NOTHING, Amounts, Grants, guarantee_of, limits_of
 from ramptide.protocol.settings_file import Team
-from ramptide.records import LIMIT_PREFIX
+from ramptide.state.amounts import NOTHING, Amounts, Grants, guarantee_of, limits_of
+from ramptide.state.records import LIMIT_PREFIX
 
 RECORD_VERSION = 1
 MAX_KEY_BYTES = 200
--- a/src/ramptide/quota/planner.py
+++ b/src/ramptide/quota/planner.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from ramptide.amounts import NOTHING, Amounts, units_allowed, units_needed
 from ramptide.quota.messages import TaskDemand
 from ramptide.quota.plan_file import MachineKind, PlanError, PlanFile, TeamPlan, load
+from ramptide.state.amounts import NOTHING, Amounts, units_allowed, units_needed
 
 __all__ = ["PlanError", "PlanReport", "TeamReport", "most_used", "plan"]
 
--- a/src/ramptide/quota/exchange.py
+++ b/src/ramptide/quota/share_exchange.py
@@ -2,27 +2,28 @@
 
 import logging
 from collections import Counter
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from datetime import timedelta
-from typing import TYPE_CHECKING
-
-from ramptide.amounts import NO_LIMIT, NOTHING, Amounts, Grants, amounts_of, tasks_within
-from ramptide.delta import ChangeLog
-from ramptide.job_scheduler import JobScheduler
-from ramptide.membership import View
-from ramptide.peers import Peer, PeerMessage
-from ramptide.placement import Room, admits
-from ramptide.preemption import within_guarantee
+from typing import Protocol
+
+from ramptide.cluster.change_log import ChangeLog
+from ramptide.cluster.membership import View
+from ramptide.cluster.peers import Peer, PeerMessage, Peers
+from ramptide.placement.bin_packing import Room, admits
 from ramptide.protocol.jobs import PRIORITIES, JobSpec
 from ramptide.quota.fitting import FittingSplit
 from ramptide.quota.ledger import AccountBook, Ledger
-from ramptide.quota.limit_table import LimitTable
 from ramptide.quota.messages import VERSION, Demands, QuotaMessage, QuotaMessageError, TaskDemand, decode
 from ramptide.quota.share_waits import ShareWaits
+from ramptide.scheduling.headroom import task_headroom
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.scheduling.job_state import JobState
+from ramptide.scheduling.victims import within_guarantee
+from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, Grants, amounts_of, tasks_within
+from ramptide.state.jobs import Job
+from ramptide.team_limits.cluster_usage import ClusterUsage
 
-if TYPE_CHECKING:
-    from ramptide.app import Controller
-    from ramptide.job_state import JobState
+__all__ = ["QuotaExchange"]
 
 log = logging.getLogger(__name__)
 
@@ -34,12 +35,69 @@
 CLAIM_FOR = timedelta(seconds=10)
 
 
-class QuotaExchange:
-    """The quota part of one controller: its ledger, what it is short of, and what it gives."""
+class ExchangeState(Protocol):
+    """What the exchange reads of the controller's state."""
+
+    @property
+    def member(self) -> str:
+        """The name of this controller."""
+
+    @property
+    def jobs(self) -> dict[str, Job]:
+        """The jobs that are not over."""
 
-    def __init__(self, controller: "Controller") -> None:
-        self._c = controller
-        self.limits = LimitTable(controller)
+    @property
+    def limits(self) -> Grants:
+        """The limits of the teams that have one."""
+
+    @property
+    def guarantees(self) -> Grants:
+        """The guarantees of the teams that have one."""
+
+    @property
+    def quota_shares(self) -> Grants:
+        """What we may use of each limit."""
+
+    @property
+    def reconciled(self) -> bool:
+        """Whether it is known of all machines what earlier views left on them."""
+
+    def require_scheduler(self) -> JobScheduler:
+        """Return the jobs that we schedule; raises without a place in the view."""
+
+
+class ProcessIdentity(Protocol):
+    """The incarnation of this process."""
+
+    @property
+    def incarnation(self) -> str:
+        """The name under which this process is a member of views."""
+
+
+class QuotaExchange:
+    """The quota feature of one controller: its ledger, what it is short of, and what it gives.
+
+    Parameters
+    ----------
+    cluster_usage
+        What teams use over all controllers.
+    on_balance_changed
+        Called when what we may use has changed by a transfer.
+    """
+
+    def __init__(
+        self,
+        state: ExchangeState,
+        identity: ProcessIdentity,
+        peers: Peers,
+        cluster_usage: ClusterUsage,
+        on_balance_changed: Callable[[], None],
+    ) -> None:
+        self._state = state
+        self._identity = identity
+        self._peers = peers
+        self._cluster_usage = cluster_usage
+        self._on_balance_changed = on_balance_changed
         self.waits = ShareWaits()
         self.counters: Counter[str] = Counter()
         self._view: View | None = None
@@ -57,7 +115,7 @@
     def new_view(self, view: View | None) -> None:
         """Start with an empty ledger; `view` is None when we have no place in it."""
         self._view = view
-        self._ledger = Ledger(self._members(), self._c.limits)
+        self._ledger = Ledger(self._members(), self._state.limits)
         self._book = AccountBook()
         self._changed = ChangeLog()
         self._said = {}
@@ -89,19 +147,19 @@
         if not self.ready:
             return None
         waiting = {name: message.waiting for name, message in self._said.items()}
-        return FittingSplit(waiting | {self._c.member: self._waiting})
+        return FittingSplit(waiting | {self._state.member: self._waiting})
 
-    def within_guarantee(self, spec: "JobSpec") -> bool:
+    def within_guarantee(self, spec: JobSpec) -> bool:
         """Tell whether a task more of the job lies within its team's guarantee, over all controllers."""
-        return within_guarantee(spec, self._team_use, self._c.guarantees)
+        return within_guarantee(spec, self._team_use, self._state.guarantees)
 
-    def unclaimed(self, spec: "JobSpec", rooms: list[Room]) -> list[Room]:
+    def unclaimed(self, spec: JobSpec, rooms: list[Room]) -> list[Room]:
         """Return the rooms that the job may take although its team is beyond its guarantee.
 
         What would fit a job of another controller that waits within its guarantee, of no lower rank, is left to that.
         """
         claimants = [job_id for message in self._said.values() for job_id in message.claims]
-        jobs = [job.spec for job_id in claimants if (job := self._c.jobs.get(job_id))]
+        jobs = [job.spec for job_id in claimants if (job := self._state.jobs.get(job_id))]
         claims = [
             one
             for one in jobs
@@ -124,49 +182,47 @@
                     break
         return found
 
-    def waits_for_limit(self, job_state: "JobState", using: Grants) -> bool:
+    def waits_for_limit(self, job_state: JobState, using: Grants) -> bool:
         """Tell whether it is the share of its team's limit, and not room, that keeps a job from starting."""
         spec = job_state.job.spec
-        share = self._c.grants.get(spec.team, NOTHING)
-        return self._c.starter.headroom(spec, using.get(spec.team, NOTHING), share) == 0
+        share = self._state.quota_shares.get(spec.team, NOTHING)
+        return task_headroom(spec, using.get(spec.team, NOTHING), share, self._state.limits) == 0
 
     # The round.
 
     def review(self, scheduler: JobScheduler, now: timedelta) -> None:
         """Work out what waits and what we are short of, pass on what others are short of, and ask for ours."""
-        c = self._c
-        self.limits.review()
         held = scheduler.usage_with_transfers()
         teams = {job_state.job.spec.team for job_state in scheduler.with_pending_tasks.values()}
-        self._team_use = c.knowledge.use_of(teams)
+        self._team_use = self._cluster_usage.usage_of(teams)
         self._waiting = self._demands(scheduler, now)
         before, self._short = self._short, self._shortfall(held)
         self._claims = self._claiming(scheduler, now)
         self.waits.review(self._waiting_for_share(scheduler, held, now), now)
-        if not c.latched or not self.ready:
+        if not self._state.reconciled or not self.ready:
             return
         for name in self._said:
             self._give_to(name, held)
         if any(team not in before for team in self._short):
             for name in self._members():
-                c.peers.send_within(c.peers.all[name], AT_ONCE)
+                self._peers.send_within(self._peers.by_name[name], AT_ONCE)
 
     def _members(self) -> list[str]:
-        return [name for name in self._view.members if name != self._c.member] if self._view is not None else []
+        return [name for name in self._view.members if name != self._state.member] if self._view is not None else []
 
     def _demands(self, scheduler: JobScheduler, now: timedelta) -> Demands:
         """Return our waiting tasks of teams with a limit, by size, no more of each than the limit allows at all."""
         counts: dict[str, Counter[Amounts]] = {}
         for job_state in scheduler.with_pending_tasks.values():
             spec = job_state.job.spec
-            if spec.team in self._c.limits and job_state.retry_at <= now and not job_state.frozen:
+            if spec.team in self._state.limits and job_state.retry_at <= now and not job_state.frozen:
                 counts.setdefault(spec.team, Counter())[amounts_of(spec)] += job_state.startable
         return {team: found for team, sizes in counts.items() if (found := self._told(team, sizes))}
 
     def _told(self, team: str, sizes: Counter[Amounts]) -> list[TaskDemand]:
         found = []
         for size, count in sizes.most_common(SIZES_TOLD):
-            fits = tasks_within(self._c.limits[team], size)
+            fits = tasks_within(self._state.limits[team], size)
             tasks = count if fits is None else min(count, fits)
             if tasks > 0:
                 found.append(TaskDemand(size.cpus, size.gpus, tasks))
@@ -189,7 +245,7 @@
 
     def _left(self, team: str, held: Grants) -> Amounts:
         """Return what of our share is not used."""
-        return _less(self._c.grants.get(team, NOTHING), held.get(team, NOTHING))
+        return _less(self._state.quota_shares.get(team, NOTHING), held.get(team, NOTHING))
 
     def _waiting_for_share(self, scheduler: JobScheduler, held: Grants, now: timedelta) -> set[str]:
         """Return the jobs of which no task starts for want of share, although their team's limit has room for one."""
@@ -198,7 +254,7 @@
             spec = job_state.job.spec
             if spec.team not in self._short or job_state.retry_at > now or not job_state.startable:
                 continue
-            room = _less(self._c.limits[spec.team], self._team_use.get(spec.team, NOTHING))
+            room = _less(self._state.limits[spec.team], self._team_use.get(spec.team, NOTHING))
             if tasks_within(room, amounts_of(spec)) and self.waits_for_limit(job_state, held):
                 found.add(job_state.job.job_id)
         return found
@@ -208,26 +264,25 @@
     def _give_to(self, receiver: str, held: Grants) -> None:
         """Pass on what a member is short of and we neither use nor need, in sizes of its tasks."""
         for team, demands in self._said[receiver].short.items():
-            if team not in self._c.grants or self._ledger.awaits(receiver, team):
+            if team not in self._state.quota_shares or self._ledger.awaits(receiver, team):
                 # What it said may be from before it took what is under way.
                 continue
             spare = self._left(team, held)
             for own in self._waiting.get(team, ()):
                 spare = _less(spare, own.size.times(own.count))
-            given = _whole_tasks(demands, spare, self._c.limits[team])
+            given = _whole_tasks(demands, spare, self._state.limits[team])
             if any(given):
                 self._ledger.give(receiver, team, given, spare)
                 self.counters["given"] += 1
                 self._balance_changed([team])
-                self._c.peers.send_within(self._c.peers.all[receiver], AT_ONCE)
+                self._peers.send_within(self._peers.by_name[receiver], AT_ONCE)
 
     def _balance_changed(self, teams: list[str]) -> None:
-        scheduler = self._c.scheduler
-        assert scheduler is not None
+        scheduler = self._state.require_scheduler()
         for team in teams:
-            self._changed.mark(team, scheduler.seq + 1)
-        self._book.take(self._c.member, self._ledger.account_rows(teams))
-        self._c.refresh_shares()
+            self._changed.mark(team, scheduler.sequence_number + 1)
+        self._book.take(self._state.member, self._ledger.account_rows(teams))
+        self._on_balance_changed()
 
     def message_for(self, peer: Peer) -> QuotaMessage | None:
         """Return what to tell another controller; None when it is not a member of our view."""
@@ -238,8 +293,8 @@
         return QuotaMessage(
             version=VERSION,
             view=view.number,
-            sender=self._c.member,
-            incarnation=self._c.membership.incarnation,
+            sender=self._state.member,
+            incarnation=self._identity.incarnation,
             receiver=peer.name,
             confirmed=self._ledger.last_taken(peer.name),
             transfers=self._ledger.offered(peer.name),
@@ -276,7 +331,7 @@
             raise QuotaMessageError(f"it is of view {told.view}")
         if told.sender != message.member or view.members.get(told.sender) != told.incarnation:
             raise QuotaMessageError(f"{told.sender} as {told.incarnation} is no member of view {view.number}")
-        if told.sender == self._c.member or told.receiver != self._c.member:
+        if told.sender == self._state.member or told.receiver != self._state.member:
             raise QuotaMessageError(f"it is of {told.sender} for {told.receiver}")
 
     # For operators.
--- /dev/null
+++ b/src/ramptide/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""Which waiting task starts where: queues, placement rounds, preemption, handover and results."""
--- a/src/ramptide/attempts.py
+++ b/src/ramptide/scheduling/attempts.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from ramptide.amounts import Amounts, Grants, add_amounts, amounts_of
 from ramptide.protocol.jobs import JobSpec
-from ramptide.task_state import FINISHED, NO_TIME, DesiredState, Phase, TaskKey
+from ramptide.state.amounts import Amounts, Grants, add_amounts, amounts_of
+from ramptide.state.task_state import FINISHED_PHASES, NO_TIME, DesiredState, Phase, TaskKey
 
 
 @dataclass(slots=True)
@@ -73,7 +73,7 @@
 
     def count(self, attempt: Attempt, gone: bool = False) -> None:
         """Count an attempt against its team while it may possibly be on a machine, and no longer."""
-        counts = not gone and attempt.phase not in FINISHED
+        counts = not gone and attempt.phase not in FINISHED_PHASES
         if counts is not attempt.counted:
             attempt.counted = counts
             sign = 1 if counts else -1
@@ -84,6 +84,6 @@
     """Return what the attempts that may be on a machine hold, by team."""
     total: dict[str, Amounts] = {}
     for attempt in attempts:
-        if attempt.phase not in FINISHED:
+        if attempt.phase not in FINISHED_PHASES:
             add_amounts(total, attempt.spec.team, amounts_of(attempt.spec))
     return total
--- a/src/ramptide/job_scheduler.py
+++ b/src/ramptide/scheduling/job_scheduler.py
@@ -5,14 +5,23 @@
 from collections.abc import Callable, Collection
 from datetime import timedelta
 
-from ramptide.amounts import Amounts, add_amounts
-from ramptide.attempts import Attempt, AttemptIndex, sum_amounts
-from ramptide.job_state import JobState
-from ramptide.jobs import Job
 from ramptide.protocol.agents import REFUSAL_CAUSES, TaskOutcome
 from ramptide.protocol.jobs import BATCH
-from ramptide.records import Progress
-from ramptide.task_state import FINISHED, NO_TIME, PHASE_BY_NAME, DesiredState, DesiredTaskRow, Phase, TaskKey, TaskRow
+from ramptide.scheduling.attempts import Attempt, AttemptIndex, sum_amounts
+from ramptide.scheduling.job_state import JobState
+from ramptide.state.amounts import Amounts, add_amounts
+from ramptide.state.jobs import Job
+from ramptide.state.records import Progress
+from ramptide.state.task_state import (
+    FINISHED_PHASES,
+    NO_TIME,
+    PHASE_BY_NAME,
+    DesiredState,
+    DesiredTaskRow,
+    Phase,
+    TaskKey,
+    TaskRow,
+)
 
 log = logging.getLogger(__name__)
 
@@ -32,7 +41,7 @@
         #: Attempts of jobs that were handed over, until the new home counts them.
         self.in_transfer: dict[str, list[Attempt]] = {}
         #: The number of our last message to the other controllers.
-        self.seq = 0
+        self.sequence_number = 0
         #: Something changed that the next round of decisions has to see.
         self.needs_round = True
         #: Machines of which we desire something else than before.
@@ -99,7 +108,7 @@
         """Stop counting the attempts of a job that was handed over, as its new home counts them."""
         self.in_transfer.pop(job_id, None)
 
-    def job_over(self, job_id: str) -> None:
+    def job_finished(self, job_id: str) -> None:
         """Start no task of the job any more; what may be on a machine still counts until it is gone."""
         state = self.jobs.pop(job_id, None)
         if state is None:
@@ -108,7 +117,7 @@
         self.failing.pop(job_id, None)
         self.with_new_results.discard(job_id)
         for attempt in self.index.of_job(job_id):
-            self._set_desired(attempt, DesiredState.REAP if attempt.phase in FINISHED else DesiredState.STOP)
+            self._set_desired(attempt, DesiredState.REAP if attempt.phase in FINISHED_PHASES else DesiredState.STOP)
         self.needs_round = True
 
     def results_recorded(self, job_id: str) -> None:
@@ -127,7 +136,7 @@
         if state.failing:
             state.probe = task
         spec = state.job.spec
-        attempt = Attempt(spec, task, self._next_attempt, host, zone, DesiredState.RUN, self.seq + 1, now)
+        attempt = Attempt(spec, task, self._next_attempt, host, zone, DesiredState.RUN, self.sequence_number + 1, now)
         self._place(state, attempt)
         return attempt
 
@@ -144,7 +153,7 @@
 
     def _set_desired(self, attempt: Attempt, desired: DesiredState, grace: timedelta = NO_TIME) -> None:
         if attempt.desired is not desired:
-            attempt.desired, attempt.grace, attempt.sequence_number = desired, grace, self.seq + 1
+            attempt.desired, attempt.grace, attempt.sequence_number = desired, grace, self.sequence_number + 1
             self.changed_hosts.add(attempt.host)
             self.needs_round = True
 
@@ -188,7 +197,7 @@
             if attempt is None:
                 attempt = self._adopt(host, zone, key, phase, now)
             self.index.unshown.pop(key, None)
-            if attempt.phase is not phase or phase in FINISHED:
+            if attempt.phase is not phase or phase in FINISHED_PHASES:
                 self._change_phase(attempt, phase, cause, now)
         for key, attempt in self.attempts.get(host, {}).items():
             if key not in shown:
@@ -232,12 +241,14 @@
         """Take over an attempt of a job of ours that an earlier home started."""
         job_id, task, number = key
         state = self.jobs[job_id]
-        attempt = Attempt(state.job.spec, task, number, host, zone, DesiredState.RUN, self.seq + 1, now, phase)
+        attempt = Attempt(
+            state.job.spec, task, number, host, zone, DesiredState.RUN, self.sequence_number + 1, now, phase
+        )
         attempt.running_since = now if phase is Phase.RUNNING else None
-        if phase not in FINISHED and (task in state.done or task in state.placed):
+        if phase not in FINISHED_PHASES and (task in state.done or task in state.placed):
             self._add(attempt)
             self._set_desired(attempt, DesiredState.STOP)
-        elif phase not in FINISHED:
+        elif phase not in FINISHED_PHASES:
             self._place(state, attempt)
         else:
             self._add(attempt)
@@ -249,10 +260,10 @@
         self.index.count(attempt)
         if phase is Phase.RUNNING:
             attempt.running_since = now
-        if phase not in FINISHED:
+        if phase not in FINISHED_PHASES:
             return
         state = self.jobs.get(attempt.spec.job_id)
-        if before not in FINISHED and state is not None:
+        if before not in FINISHED_PHASES and state is not None:
             self._take_outcome(state, attempt, cause, now)
         # Reaped only once its result is in the state service: until then the worker keeps it for us.
         if (
--- a/src/ramptide/job_state.py
+++ b/src/ramptide/scheduling/job_state.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
-from ramptide.attempts import Attempt
-from ramptide.jobs import Job
 from ramptide.protocol.jobs import BATCH, SERVICE
-from ramptide.records import PROGRESS_WINDOW, Progress
-from ramptide.task_state import NO_TIME, Phase
+from ramptide.scheduling.attempts import Attempt
+from ramptide.state.jobs import Job
+from ramptide.state.records import PROGRESS_WINDOW, Progress
+from ramptide.state.task_state import NO_TIME, Phase
 
 BACKOFF_FIRST = timedelta(seconds=2)
 BACKOFF_MAX = timedelta(seconds=60)
--- /dev/null
+++ b/src/ramptide/scheduling/own_demand.py
@@ -0,0 +1,32 @@
+"""What the jobs of one scheduler wait for, as it is told to the leader."""
+
+from datetime import timedelta
+
+from ramptide.cluster.peers import WaitingJobRow
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.state.amounts import Grants, add_amounts, amounts_of
+
+__all__ = ["own_demand", "waiting_rows"]
+
+NO_TIME = timedelta(0)
+
+
+def waiting_rows(scheduler: JobScheduler, now: timedelta) -> list[WaitingJobRow]:
+    """Return a row for each of the scheduler's jobs that has startable tasks."""
+    rows: list[WaitingJobRow] = []
+    for job_state in scheduler.with_pending_tasks.values():
+        startable = job_state.startable if job_state.retry_at <= now else 0
+        if startable:
+            waited = now - job_state.waiting_since if job_state.waiting_since is not None else NO_TIME
+            rows.append((job_state.job.job_id, startable, waited.total_seconds(), sorted(job_state.avoids)))
+    return rows
+
+
+def own_demand(scheduler: JobScheduler, now: timedelta) -> Grants:
+    """Return what the scheduler's waiting tasks would use of each team's limit."""
+    demand: Grants = {}
+    for job_state in scheduler.with_pending_tasks.values():
+        if job_state.retry_at <= now:
+            spec = job_state.job.spec
+            add_amounts(demand, spec.team, amounts_of(spec).times(job_state.startable))
+    return demand
--- a/src/ramptide/results.py
+++ b/src/ramptide/scheduling/results.py
@@ -1,20 +1,20 @@
-"""Writing of results to the state service: completed jobs at once, the progress of others at intervals."""
+"""Writing of results to the key-value store: completed jobs at once, the progress of others at intervals."""
 
+from collections.abc import Callable
 from datetime import timedelta
-from typing import TYPE_CHECKING
 
 import msgspec
 
-from ramptide.commits import CommitBatcher
-from ramptide.job_scheduler import JobScheduler
-from ramptide.job_state import JobState
-from ramptide.limits import Priority
+from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
+from ramptide.clients.rate_limits import CallPriority
 from ramptide.protocol.jobs import JobStatus
-from ramptide.records import FINISHED_PREFIX, JOB_PREFIX, FinishedJobRecord, to_value
-from ramptide.store import Transaction, TransactionResult
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.scheduling.job_state import JobState
+from ramptide.state.commit_batcher import CommitBatcher
+from ramptide.state.records import FINISHED_PREFIX, JOB_PREFIX, FinishedJobRecord, to_value
+from ramptide.state.watch_cache import WatchCache
 
-if TYPE_CHECKING:
-    from ramptide.app import Controller
+__all__ = ["ResultWriter"]
 
 PROGRESS_INTERVAL = timedelta(seconds=4)
 RETRY_DELAY = timedelta(milliseconds=500)
@@ -22,14 +22,31 @@
 MAX_PROGRESS_OPERATIONS = 3
 
 
-class Results:
-    """Records ended tasks; they stay on their machines until the state service has their results."""
-
-    def __init__(self, controller: "Controller") -> None:
-        self._controller = controller
-        self._progress = CommitBatcher(
-            controller.store, controller.common, Priority.HOUSEKEEPING, MAX_PROGRESS_OPERATIONS
-        )
+class ResultWriter:
+    """Records ended tasks; they stay on their machines until the key-value store has their results.
+
+    Parameters
+    ----------
+    commit_batcher
+        Takes the completions, on which users wait.
+    common_conditions
+        Returns the conditions that every transaction of this controller has.
+    on_finished
+        Told of each job whose completion was written.
+    """
+
+    def __init__(
+        self,
+        store: KeyValueStore,
+        watch_cache: WatchCache,
+        commit_batcher: CommitBatcher,
+        common_conditions: Callable[[], dict[str, int]],
+        on_finished: Callable[[str, FinishedJobRecord], None],
+    ) -> None:
+        self._watch_cache = watch_cache
+        self._completions = commit_batcher
+        self._progress = CommitBatcher(store, common_conditions, CallPriority.HOUSEKEEPING, MAX_PROGRESS_OPERATIONS)
+        self._on_finished = on_finished
         self._next_write: dict[str, timedelta] = {}
         self._in_flight: set[str] = set()
 
@@ -38,8 +55,8 @@
         self._next_write.pop(job_id, None)
 
     def flush(self, scheduler: JobScheduler, now: timedelta) -> None:
-        """Write the results of the home's jobs that are due."""
-        if self._controller.mirror.lacking:
+        """Write the results of the scheduler's jobs that are due."""
+        if self._watch_cache.is_unavailable:
             return
         for job_id in list(scheduler.with_new_results):
             job_state = scheduler.jobs.get(job_id)
@@ -53,23 +70,21 @@
 
     def _write_completion(self, job_state: JobState, now: timedelta) -> None:
         job = job_state.job
-        key, end = (
-            JOB_PREFIX + job.job_id,
-            FinishedJobRecord(JobStatus.SUCCEEDED, job.spec.task_count, job.spec.task_count),
-        )
+        key = JOB_PREFIX + job.job_id
+        finished = FinishedJobRecord(JobStatus.SUCCEEDED, job.spec.task_count, job.spec.task_count)
         transaction = Transaction(
             conditions={key: job.mod_revision},
-            puts=[(FINISHED_PREFIX + job.job_id, to_value(end), None)],
+            puts=[(FINISHED_PREFIX + job.job_id, to_value(finished), None)],
             deletes=[key],
         )
 
-        def done(result: TransactionResult) -> None:
+        def on_result(result: TransactionResult) -> None:
             self._write_finished(job.job_id, result, transaction)
             if result.revision is not None:
-                self._controller.desk.ended(job.job_id, end)
+                self._on_finished(job.job_id, finished)
 
         self._write_started(job.job_id, now + RETRY_DELAY)
-        self._controller.commits.add(transaction, done)
+        self._completions.add(transaction, on_result)
 
     def _write_progress(self, job_state: JobState, now: timedelta) -> None:
         job = job_state.job
@@ -86,4 +101,4 @@
     def _write_finished(self, job_id: str, result: TransactionResult, transaction: Transaction) -> None:
         self._in_flight.discard(job_id)
         if result.revision is not None:
-            self._controller.mirror.applied(result.revision, transaction.puts, transaction.deletes)
+            self._watch_cache.apply_own(result.revision, transaction.puts, transaction.deletes)
--- a/src/ramptide/urgency.py
+++ b/src/ramptide/scheduling/urgency.py
@@ -5,8 +5,8 @@
 from enum import IntEnum
 from typing import Any
 
-from ramptide.jobs import Job
 from ramptide.protocol.jobs import PRIORITIES, SERVICE
+from ramptide.state.jobs import Job
 
 #: Sorts jobs without a deadline after all others.
 NO_DEADLINE = datetime.max.replace(tzinfo=UTC)
@@ -14,7 +14,7 @@
 SHORTEST_RUN_SHARE = 0.7
 
 
-class Chance(IntEnum):
+class DeadlineOutlook(IntEnum):
     """What a job that waits can still make, going by its owner's guess of a task's run time."""
 
     STARVED = 0
@@ -23,22 +23,26 @@
     TOO_LATE = 3
 
 
-def chance(job: Job, idle: timedelta, now: datetime, patience: timedelta) -> Chance:
+def deadline_outlook(job: Job, idle: timedelta, now: datetime, patience: timedelta) -> DeadlineOutlook:
     """Return what a job can still make.
 
     Room goes first to what can still be in time: under pressure, what is lost already must not take others along.
     A job of which nothing was started for long goes before all with a few tasks, so that none waits for ever.
     """
     if job.spec.kind == SERVICE:
-        return Chance.IN_TIME
+        return DeadlineOutlook.IN_TIME
     if idle > patience:
-        return Chance.STARVED
+        return DeadlineOutlook.STARVED
     if job.deadline is None:
-        return Chance.IN_TIME
+        return DeadlineOutlook.IN_TIME
     end = now + timedelta(seconds=job.spec.estimated_runtime_s * SHORTEST_RUN_SHARE)
     if end <= job.deadline:
-        return Chance.IN_TIME
-    return Chance.LATE if end <= job.deadline + (job.deadline - job.submitted_at) / 2 else Chance.TOO_LATE
+        return DeadlineOutlook.IN_TIME
+    return (
+        DeadlineOutlook.LATE
+        if end <= job.deadline + (job.deadline - job.submitted_at) / 2
+        else DeadlineOutlook.TOO_LATE
+    )
 
 
 def urgency(
@@ -64,7 +68,7 @@
         not within_guarantee,
         spec.job_class not in prompt,
         spec.kind != SERVICE,
-        chance(job, idle, now, patience),
+        deadline_outlook(job, idle, now, patience),
         job.deadline or NO_DEADLINE,
         job.submitted_at,
         spec.job_id,
--- a/src/ramptide/preemption.py
+++ b/src/ramptide/scheduling/victims.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from ramptide.amounts import NOTHING, Amounts, amounts_of
-from ramptide.placement import Room, admits, zone_room
+from ramptide.placement.bin_packing import Room, admits, zone_room
 from ramptide.protocol.jobs import PRIORITIES, SERVICE, JobSpec
-from ramptide.task_state import TaskKey
+from ramptide.state.amounts import NOTHING, Amounts, amounts_of
+from ramptide.state.task_state import TaskKey
 
 #: Far above what other tasks cost: a replica is stopped last, as people wait for its answers.
 SERVICE_LOSS = 1e6
--- a/src/ramptide/service.py
+++ b/src/ramptide/service.py
@@ -7,21 +7,20 @@
 from datetime import datetime, timedelta
 from typing import Protocol
 
-from ramptide import peers
-from ramptide.admin import Admin
-from ramptide.app import Controller
-from ramptide.context import CBOR, JSON, Reply, ResponseCallback
-from ramptide.desk import error
-from ramptide.http.client import Client
-from ramptide.http.server import Exchange, Server
-from ramptide.loop import Loop, Timer
-from ramptide.parts import Parts
-from ramptide.process_statistics import Work
+from ramptide.api.telemetry import Route
+from ramptide.cluster import peers
+from ramptide.config.features import Features
+from ramptide.controller.administration import build_admin_api
+from ramptide.controller.controller import Controller
 from ramptide.protocol.agents import HEARTBEAT_PATH
 from ramptide.protocol.jobs import HEALTH_PATH, JOBS_PATH
 from ramptide.protocol.settings_file import Cluster, Settings
-from ramptide.protocol.types import encode_json
-from ramptide.telemetry import Route
+from ramptide.protocol.types import encode_error, encode_json
+from ramptide.transport.event_loop import EventLoop, Timer
+from ramptide.transport.http.client import Client
+from ramptide.transport.http.server import Exchange, Server
+from ramptide.transport.process_statistics import WorkKind
+from ramptide.transport.runtime import CBOR, JSON, Response, ResponseCallback
 
 CLIENT_IDLE_TIMEOUT = timedelta(seconds=60)
 PEER_IDLE_TIMEOUT = timedelta(seconds=60)
@@ -43,7 +42,7 @@
 class LoopRuntime:
     """The runtime of a real process: time and timers from the loop, calls through the client."""
 
-    def __init__(self, loop: Loop, client: Client) -> None:
+    def __init__(self, loop: EventLoop, client: Client) -> None:
         self._loop = loop
         self._client = client
 
@@ -72,8 +71,8 @@
     ) -> None:
         """Send a request; `done` gets the response, or None when none came in time."""
 
-        def measured(reply: Reply | None) -> None:
-            self._loop.statistics.measure(Work.RESPONSES, lambda: done(reply))
+        def measured(reply: Response | None) -> None:
+            self._loop.statistics.measure(WorkKind.RESPONSES, lambda: done(reply))
 
         self._client.call(address, method, target, body, content_type, timeout, measured)
 
@@ -110,13 +109,13 @@
 class Service:
     """One controller with its servers for clients (users and workers) and for peers (controllers and operators)."""
 
-    def __init__(self, settings: Settings, parts: Parts | None = None) -> None:
-        self.loop = Loop()
+    def __init__(self, settings: Settings, parts: Features | None = None) -> None:
+        self.loop = EventLoop()
         limits = _ConnectionLimits.for_cluster(settings.cluster)
         runtime = LoopRuntime(self.loop, Client(self.loop, limits.outbound))
         self.controller = Controller(runtime, settings, secrets.token_hex(INCARNATION_BYTES), parts)
         self._measure = self.loop.statistics.measure
-        self.admin = Admin(self.controller, self.loop.statistics)
+        self.admin = build_admin_api(self.controller, self.loop.statistics)
         self.client_server = Server(
             self.loop,
             settings.client_address,
@@ -148,24 +147,27 @@
                 return
             # Leases hang on the workers' reports, so users' requests come after them.
             exchange.prefer()
-            controller.counters["reports"] += 1
-            self._measure(Work.REPORTS, lambda: controller.reports.receive_heartbeat(request.body, answer))
+            controller.state.counters["reports"] += 1
+            self._measure(WorkKind.REPORTS, lambda: controller.heartbeats.receive_heartbeat(request.body, answer))
         elif path == HEALTH_PATH:
             if request.method not in ("GET", "HEAD"):
                 _refuse_method(exchange, "GET, HEAD")
                 return
             exchange.prefer()
-            healthy = controller.healthy()
-            answer(200 if healthy else 503, encode_json({"healthy": healthy, "lacks": controller.lacks()}))
+            healthy = controller.authority.is_healthy()
+            answer(
+                200 if healthy else 503,
+                encode_json({"healthy": healthy, "lacks": controller.availability.unavailable_dependencies()}),
+            )
         elif path == JOBS_PATH or path.startswith(JOBS_PATH + "/"):
-            controller.counters["requests"] += 1
+            controller.state.counters["requests"] += 1
             subpath = path[len(JOBS_PATH) + 1 :]
-            self._measure(Work.USERS, lambda: self._handle_job_request(exchange, subpath, answer))
+            self._measure(WorkKind.USERS, lambda: self._handle_job_request(exchange, subpath, answer))
         else:
-            answer(404, error("no such path"))
+            answer(404, encode_error("no such path"))
 
     def _handle_job_request(self, exchange: Exchange, subpath: str, answer: _AnswerCallback) -> None:
-        request, desk = exchange.request, self.controller.desk
+        request, desk = exchange.request, self.controller.job_api
         parts = subpath.split("/") if subpath else []
 
         def refuse(allowed: str) -> None:
@@ -189,7 +191,7 @@
                 desk.cancel(parts[0], answer)
         else:
             self.controller.telemetry.answered(Route.OTHER, 404)
-            answer(404, error("no such path"))
+            answer(404, encode_error("no such path"))
 
     def _handle_peer(self, exchange: Exchange) -> None:
         request = exchange.request
@@ -198,17 +200,17 @@
             if request.method != "POST":
                 _refuse_method(exchange, "POST")
                 return
-            self._measure(Work.PEERS, lambda: self._handle_sync(exchange))
+            self._measure(WorkKind.PEERS, lambda: self._handle_sync(exchange))
         elif not self.admin.handle(request.method, path, request.body, exchange.respond):
-            exchange.respond(404, error("no such path"))
+            exchange.respond(404, encode_error("no such path"))
 
     def _handle_sync(self, exchange: Exchange) -> None:
-        body = self.controller.syncing.take(exchange.request.body)
+        body = self.controller.peer_messages.receive(exchange.request.body)
         if body is None:
-            exchange.respond(400, error("not a message of a controller"))
+            exchange.respond(400, encode_error("not a message of a controller"))
         else:
             exchange.respond(200, body, CBOR)
 
 
 def _refuse_method(exchange: Exchange, allowed: str) -> None:
-    exchange.respond(405, error("method not allowed"), JSON, {"Allow": allowed})
+    exchange.respond(405, encode_error("method not allowed"), JSON, {"Allow": allowed})
--- /dev/null
+++ b/src/ramptide/state/__init__.py
@@ -0,0 +1,1 @@
+"""Stored records, the watch cache of the key-value store, and the batching of writes."""
--- a/src/ramptide/commits.py
+++ b/src/ramptide/state/commit_batcher.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from ramptide.limits import Priority
+from ramptide.clients.key_value_store import MAX_QUEUE_TIME, KeyValueStore, Transaction, TransactionResult
+from ramptide.clients.rate_limits import CallPriority
 from ramptide.protocol.key_value_store import encode_transaction
-from ramptide.store import MAX_QUEUE_TIME, Store, Transaction, TransactionResult
 
 MAX_TRANSACTION_BYTES = 56 * 1024
 MAX_CONCURRENT_TRANSACTIONS = 2
@@ -50,9 +50,9 @@
 
     def __init__(
         self,
-        store: Store,
+        store: KeyValueStore,
         common_conditions: Callable[[], dict[str, int]],
-        priority: Priority = Priority.COMMIT,
+        priority: CallPriority = CallPriority.COMMIT,
         max_operations: int | None = None,
     ) -> None:
         self._store = store
@@ -143,7 +143,7 @@
         retried = []
         now = self._store.runtime.now
         for change in group:
-            if result.full and now < change.deadline:
+            if result.rate_limited and now < change.deadline:
                 retried.append(change)
             elif not failed or failed & (change.transaction.conditions.keys() | common.keys()):
                 change.done(result)
--- a/src/ramptide/jobs.py
+++ b/src/ramptide/state/jobs.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from ramptide.records import JobRecord, Progress
+from ramptide.state.records import JobRecord, Progress
 
 
 class Job:
--- a/src/ramptide/task_state.py
+++ b/src/ramptide/state/task_state.py
@@ -41,14 +41,14 @@
     GONE = "gone"
 
 
-RUNNING_NAME = Phase.RUNNING.label
+RUNNING_PHASE_NAME = Phase.RUNNING.label
 PHASE_BY_NAME: dict[str, Phase] = {phase.label: phase for phase in Phase}
 
 #: The attempt holds no room and is certainly not running on the machine.
-FINISHED = frozenset({Phase.ENDED, Phase.REFUSED, Phase.GONE})
-FINISHED_NAMES = frozenset(phase.label for phase in FINISHED)
+FINISHED_PHASES = frozenset({Phase.ENDED, Phase.REFUSED, Phase.GONE})
+FINISHED_PHASE_NAMES = frozenset(phase.label for phase in FINISHED_PHASES)
 #: A report of the worker has shown the attempt.
-REPORTED = frozenset({Phase.FETCHING, Phase.RUNNING, Phase.CHECKPOINTING, Phase.ENDED})
+REPORTED_PHASES = frozenset({Phase.FETCHING, Phase.RUNNING, Phase.CHECKPOINTING, Phase.ENDED})
 
 
 class DesiredState(Enum):
--- a/src/ramptide/mirror.py
+++ b/src/ramptide/state/watch_cache.py
@@ -3,61 +3,61 @@
 import logging
 from collections.abc import Callable
 from datetime import timedelta
-from enum import Enum, auto
+from enum import Enum
 from typing import Any
 
+from ramptide.clients.key_value_store import KeyValueStore
 from ramptide.protocol.key_value_store import EventBatch, KeyValue
-from ramptide.store import Store
 
 log = logging.getLogger(__name__)
 
-BLOCK = timedelta(milliseconds=700)
-PAUSE = timedelta(milliseconds=100)
-RETRY = timedelta(milliseconds=300)
+WATCH_BLOCK = timedelta(milliseconds=700)
+WATCH_INTERVAL = timedelta(milliseconds=100)
+RETRY_DELAY = timedelta(milliseconds=300)
 #: Those who ask wait so long for others to share their read; users wait 2 s for an answer.
-GATHER = timedelta(milliseconds=100)
+READ_BATCH_DELAY = timedelta(milliseconds=100)
 #: So many drops are kept for controllers that lack the state service: what ends in well over any outage of one of them.
-DROPS_KEPT = 5000
+DELETES_KEPT = 5000
 
 Changed = Callable[[str, Any, int], None]
 
 
-class State(Enum):
-    """Whether the copy was not loaded yet, is current, or the state service does not answer."""
+class CacheState(Enum):
+    """Whether the copy was not loaded yet, is current, or the store does not answer. The value stands in the status."""
 
-    LOADING = auto()
-    CURRENT = auto()
-    LACKING = auto()
+    LOADING = "loading"
+    CURRENT = "current"
+    UNAVAILABLE = "lacking"
 
 
-class Mirror:
-    """Reports each change once, in order of revision for a key: `changed(key, value, mod_revision)`, value None for a deletion.
+class WatchCache:
+    """Reports each change once, in order of revision for a key; the value is None for a deletion.
 
     `proof` is the moment a request was sent whose answer showed all changes up to then: the copy
     is at least as new as that moment.
     """
 
-    def __init__(self, store: Store, prefix: str, changed: Changed, loaded: Callable[[], None]) -> None:
+    def __init__(self, store: KeyValueStore, prefix: str, changed: Changed, loaded: Callable[[], None]) -> None:
         self._store = store
         self._prefix = prefix
-        self._changed = changed
-        self._loaded = loaded
+        self._on_change = changed
+        self._on_loaded = loaded
         self._mod_revisions: dict[str, int] = {}
-        self._dropped: dict[str, int] = {}
+        self._deleted: dict[str, int] = {}
         #: The last drops in the order in which we heard of them; all after `_drops_from` are here, None before a load.
-        self._drops: dict[str, int] = {}
-        self._drops_from: int | None = None
+        self._recent_deletes: dict[str, int] = {}
+        self._recent_deletes_since: int | None = None
         self._revision = 0
-        self.state = State.LOADING
-        self.proof: timedelta | None = None
-        self._asking: list[Callable[[bool], None]] = []
+        self.state = CacheState.LOADING
+        self.current_as_of: timedelta | None = None
+        self._waiting_reads: list[Callable[[bool], None]] = []
         self._reading = False
         self._planned = False
 
     @property
-    def lacking(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether the state service did not answer the last request."""
-        return self.state is not State.CURRENT
+        return self.state is not CacheState.CURRENT
 
     def start(self) -> None:
         """Load the keys, then watch them."""
@@ -72,37 +72,39 @@
         """The revision up to which the copy shows every change."""
         return self._revision
 
-    def dropped_since(self, revision: int) -> list[str] | None:
+    def deleted_since(self, revision: int) -> list[str] | None:
         """Return the keys that are known to have been deleted since a revision.
 
         None when this process does not know all of them, for instance because it started later: what an earlier process
         told its users before it ended is not known here.
         """
-        if self._drops_from is None or revision < self._drops_from:
+        if self._recent_deletes_since is None or revision < self._recent_deletes_since:
             return None
-        return [key for key, mod_revision in self._drops.items() if mod_revision > revision]
+        return [key for key, mod_revision in self._recent_deletes.items() if mod_revision > revision]
 
-    def _keep_drop(self, key: str, mod_revision: int) -> None:
-        self._drops.pop(key, None)
-        self._drops[key] = mod_revision
-        while len(self._drops) > DROPS_KEPT and self._drops_from is not None:
-            self._drops_from = max(self._drops_from, self._drops.pop(next(iter(self._drops))))
+    def _remember_delete(self, key: str, mod_revision: int) -> None:
+        self._recent_deletes.pop(key, None)
+        self._recent_deletes[key] = mod_revision
+        while len(self._recent_deletes) > DELETES_KEPT and self._recent_deletes_since is not None:
+            self._recent_deletes_since = max(
+                self._recent_deletes_since, self._recent_deletes.pop(next(iter(self._recent_deletes)))
+            )
 
     def catch_up(self, done: Callable[[bool], None]) -> None:
         """Call `done(True)` once the copy shows a state read begun after this call; False when it can't be read.
 
         All who ask before the read is sent share it.
         """
-        if self.lacking:
+        if self.is_unavailable:
             done(False)
             return
-        self._asking.append(done)
+        self._waiting_reads.append(done)
         self._plan_read()
 
     def _plan_read(self) -> None:
-        if self._asking and not self._reading and not self._planned:
+        if self._waiting_reads and not self._reading and not self._planned:
             self._planned = True
-            self._store.runtime.after(GATHER, self._read_on)
+            self._store.runtime.after(READ_BATCH_DELAY, self._read_on)
 
     def _read_on(self) -> None:
         self._planned = False
@@ -113,8 +115,8 @@
         def sending() -> None:
             nonlocal sent
             sent = self._store.runtime.now
-            asked.extend(self._asking)
-            self._asking.clear()
+            asked.extend(self._waiting_reads)
+            self._waiting_reads.clear()
 
         def done(changes: EventBatch | None, gone: bool) -> None:
             self._reading = False
@@ -139,11 +141,11 @@
             elif change.deleted_key is not None:
                 self._take(change.deleted_key, None, change.mod_revision)
         self._revision = max(self._revision, changes.revision)
-        if self._dropped:
-            self._dropped = {key: deleted for key, deleted in self._dropped.items() if deleted > self._revision}
-        self._become_current(max(sent, self.proof or sent))
+        if self._deleted:
+            self._deleted = {key: deleted for key, deleted in self._deleted.items() if deleted > self._revision}
+        self._become_current(max(sent, self.current_as_of or sent))
 
-    def applied(self, revision: int, puts: list[tuple[str, Any, int | None]], drops: list[str]) -> None:
+    def apply_own(self, revision: int, puts: list[tuple[str, Any, int | None]], drops: list[str]) -> None:
         """Apply a transaction of our own that succeeded, ahead of the watch."""
         for key, value, _grant in puts:
             self._take(key, value, revision)
@@ -153,45 +155,45 @@
     def _take(self, key: str, value: Any, mod_revision: int) -> None:
         if not key.startswith(self._prefix):
             return
-        if mod_revision <= self._mod_revisions.get(key, 0) or mod_revision <= self._dropped.get(key, 0):
+        if mod_revision <= self._mod_revisions.get(key, 0) or mod_revision <= self._deleted.get(key, 0):
             return
         if value is None:
-            self._dropped[key] = mod_revision
-            self._keep_drop(key, mod_revision)
+            self._deleted[key] = mod_revision
+            self._remember_delete(key, mod_revision)
             if self._mod_revisions.pop(key, None) is None:
                 return
         else:
             self._mod_revisions[key] = mod_revision
-        self._changed(key, value, mod_revision)
+        self._on_change(key, value, mod_revision)
 
     def _become_current(self, sent: timedelta) -> None:
-        if self.state is not State.CURRENT:
+        if self.state is not CacheState.CURRENT:
             log.info("the state service answers")
-        self.state = State.CURRENT
-        self.proof = sent
+        self.state = CacheState.CURRENT
+        self.current_as_of = sent
 
-    def _become_lacking(self) -> None:
-        if self.state is State.CURRENT:
+    def _become_unavailable(self) -> None:
+        if self.state is CacheState.CURRENT:
             log.info("the state service does not answer")
-            self.state = State.LACKING
+            self.state = CacheState.UNAVAILABLE
 
     def _load(self) -> None:
         sent = self._store.runtime.now
 
         def done(rows: list[KeyValue] | None, revision: int) -> None:
             if rows is None:
-                self._become_lacking()
-                self._store.runtime.after(RETRY, self._load)
+                self._become_unavailable()
+                self._store.runtime.after(RETRY_DELAY, self._load)
                 return
             listed = {row.key for row in rows}
-            self._revision = self._drops_from = revision
-            self._drops.clear()
+            self._revision = self._recent_deletes_since = revision
+            self._recent_deletes.clear()
             for key in [key for key in self._mod_revisions if key not in listed]:
                 self._take(key, None, revision)
             for row in sorted(rows, key=lambda row: row.mod_revision):
                 self._take(row.key, row.value, row.mod_revision)
             self._become_current(sent)
-            self._loaded()
+            self._on_loaded()
             self._watch()
 
         self._store.list(self._prefix, done)
@@ -202,12 +204,12 @@
 
         def done(changes: EventBatch | None, gone: bool) -> None:
             if changes is None:
-                self._become_lacking()
-                context.after(RETRY, self._load if gone else self._watch)
+                self._become_unavailable()
+                context.after(RETRY_DELAY, self._load if gone else self._watch)
                 return
             self._apply(changes, sent)
             # A pause gathers what changes meanwhile: each opened watch counts against the request limit.
             spent = context.now - sent
-            context.after(max(PAUSE - spent, timedelta(milliseconds=5)), self._watch)
+            context.after(max(WATCH_INTERVAL - spent, timedelta(milliseconds=5)), self._watch)
 
-        self._store.watch(self._prefix, self._revision, BLOCK, done)
+        self._store.watch(self._prefix, self._revision, WATCH_BLOCK, done)
--- a/src/ramptide/allowances.py
+++ b/src/ramptide/team_limits/allowances.py
@@ -4,7 +4,7 @@
 from collections.abc import Hashable, Mapping
 from typing import Protocol
 
-from ramptide.amounts import NO_LIMIT, NOTHING, Amounts, Grants
+from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, Grants
 
 Offsets = Mapping[str, Grants]
 
@@ -45,7 +45,7 @@
         }
 
 
-class Allowances:
+class ShareAllocator:
     """The leader's record of what each member may use of each team's limit.
 
     A grant is raised only by what is certainly free: a member counts with the largest grant that it may still act on
--- /dev/null
+++ b/src/ramptide/team_limits/cluster_usage.py
@@ -0,0 +1,45 @@
+"""What teams use over all controllers: by our scheduler and by the last messages of the other members."""
+
+from collections.abc import Iterable
+from typing import Protocol
+
+from ramptide.cluster.peers import Peers
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.state.amounts import NOTHING, Grants, add_amounts, use_from_wire
+
+__all__ = ["ClusterUsage"]
+
+
+class SchedulerSource(Protocol):
+    """The jobs that we schedule."""
+
+    def require_scheduler(self) -> JobScheduler:
+        """Return the jobs that we schedule; raises without a place in the view."""
+
+
+class ClusterUsage:
+    """Adds up what the attempts of all schedulers hold."""
+
+    def __init__(self, state: SchedulerSource, peers: Peers) -> None:
+        self._state = state
+        self._peers = peers
+
+    def team_usage(self) -> Grants:
+        """Return what the attempts of all schedulers hold, by team."""
+        usage = self._state.require_scheduler().usage()
+        for message in self._peers.last_messages():
+            for team, amounts in use_from_wire(message.usage).items():
+                add_amounts(usage, team, amounts)
+        return usage
+
+    def usage_of(self, teams: Iterable[str]) -> Grants:
+        """Return what the attempts of all schedulers hold, for some teams only."""
+        own = self._state.require_scheduler().index.usage
+        messages = self._peers.last_messages()
+        usage: Grants = {}
+        for team in teams:
+            usage[team] = own.get(team, NOTHING)
+            for message in messages:
+                if team in message.usage:
+                    add_amounts(usage, team, use_from_wire({team: message.usage[team]})[team])
+        return usage
--- /dev/null
+++ b/src/ramptide/team_limits/share_split.py
@@ -0,0 +1,179 @@
+"""The leader's split of the team limits: when it is worked out anew, from what, and what is told with it."""
+
+from collections.abc import Callable, Mapping
+from datetime import timedelta
+from typing import Protocol
+
+from ramptide.cluster.membership import View
+from ramptide.cluster.peers import PeerMessage, Peers
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.scheduling.job_state import JobState
+from ramptide.scheduling.own_demand import own_demand
+from ramptide.scheduling.placement_round import LeadershipInfo
+from ramptide.state.amounts import NO_LIMIT, Amounts, Grants, add_amounts, use_from_wire
+from ramptide.team_limits.allowances import ProportionalSplit, ShareAllocator, SplitPolicy
+
+__all__ = ["ShareSplit"]
+
+#: The split is worked out anew so often at most.
+SPLIT_INTERVAL = timedelta(milliseconds=150)
+AT_ONCE = timedelta(0)
+
+
+class SplitState(Protocol):
+    """What the split reads of the controller's state."""
+
+    @property
+    def member(self) -> str:
+        """The name of this controller."""
+
+    @property
+    def limits(self) -> Grants:
+        """The limits of the teams that have one."""
+
+    @property
+    def reconciled(self) -> bool:
+        """Whether it is known of all machines what earlier views left on them."""
+
+
+class ShareTransfers(Protocol):
+    """The quota feature, which knows what members have passed on to each other and what sizes of tasks wait."""
+
+    def offsets(self) -> Mapping[str, Grants]:
+        """Return by how much transfers have moved each member's share."""
+
+    def split_policy(self) -> SplitPolicy | None:
+        """Return how to split; None while some member does not tell the sizes of its tasks."""
+
+
+class ShareSplit:
+    """Splits the limits among the members of a view, as its leader.
+
+    Parameters
+    ----------
+    may_start_job
+        Tells whether a job's tasks may be started here.
+    on_own_share
+        Gets this controller's own shares after each split.
+    quota
+        None where the quota feature is off.
+    """
+
+    def __init__(
+        self,
+        state: SplitState,
+        leadership: LeadershipInfo,
+        peers: Peers,
+        may_start_job: Callable[[JobState], bool],
+        on_own_share: Callable[[Grants], None],
+        quota: ShareTransfers | None,
+    ) -> None:
+        self._state = state
+        self._leadership = leadership
+        self._peers = peers
+        self._may_start_job = may_start_job
+        self._on_own_share = on_own_share
+        self._quota = quota
+        self._allocator: ShareAllocator | None = None
+        # The last split, and the jobs that it takes as taken over by us: always told together.
+        self._granted: dict[str, Grants] = {}
+        self.handovers_taken: list[str] = []
+        self._split_at = timedelta(0)
+
+    def new_view(self, view: View | None) -> None:
+        """Start anew; `view` is None when we have no place in it."""
+        self._granted, self.handovers_taken = {}, []
+        self._allocator = ShareAllocator(self._state.limits, sorted(view.members)) if view is not None else None
+
+    def granted(self, member: str) -> Grants | None:
+        """Return what the last split grants a member; None before the first one."""
+        return self._granted.get(member)
+
+    def acknowledged(self, member: str, seq: int) -> None:
+        """Note that a member acts on the grants of our message `seq`."""
+        if self._allocator is not None and seq:
+            self._allocator.acknowledged(member, seq)
+
+    def limits_changed(self) -> None:
+        """Split by the controller's limits as they are now."""
+        if self._allocator is not None:
+            self._allocator.change_limits(self._state.limits)
+
+    def within(self, team: str, limit: Amounts) -> bool:
+        """Tell whether the shares that members may still act on are together within a limit."""
+        if self._allocator is None or not self._granted:
+            return False
+        offsets = self._quota.offsets() if self._quota is not None else {}
+        held = [self._allocator.most(member, team, offsets) for member in self._granted]
+        return all(most == NO_LIMIT or sum(one[side] for one in held) <= most for side, most in enumerate(limit))
+
+    def update(self, scheduler: JobScheduler, view: View, now: timedelta) -> None:
+        """As leader, split the limits anew; controllers whose share changes hear at once."""
+        if not self._leadership.is_leading or now - self._split_at < SPLIT_INTERVAL:
+            return
+        self._split_at = now
+        self.handovers_taken = self._taken_over(scheduler, view)
+        before, self._granted = self._granted, self._divide(scheduler, view, now)
+        for name, new in self._granted.items():
+            if name in self._peers.by_name and new != before.get(name):
+                self._peers.send_within(self._peers.by_name[name], AT_ONCE)
+
+    def _taken_over(self, scheduler: JobScheduler, view: View) -> list[str]:
+        """Return jobs that were handed over to us and whose tasks we count now.
+
+        Only those that their former scheduler's last message shows as handed over: in an older message it counts them
+        among its own, and the grant sent with this would cover them twice.
+        """
+        found = []
+        for job_state in scheduler.jobs.values():
+            handover = job_state.job.record.handover
+            if handover is not None and handover.view == view.number:
+                message = self._peers.last_message(handover.member)
+                job_id = job_state.job.job_id
+                if message is not None and job_id in message.usage_in_transfer and self._may_start_job(job_state):
+                    found.append(job_id)
+        return found
+
+    def _divide(self, scheduler: JobScheduler, view: View, now: timedelta) -> dict[str, Grants]:
+        """Return the split; empty until every member has all information."""
+        others = self._messages(view)
+        if others is None or self._allocator is None:
+            return {}
+        using = {self._state.member: scheduler.usage()} | {message.member: self._use_of(message) for message in others}
+        offsets = self._quota.offsets() if self._quota is not None else None
+        # Told with the messages from the next one on: none that bears its number has left yet.
+        grants = self._allocator.divide(
+            scheduler.sequence_number + 1, using, self._policy(scheduler, others, now), self._state.member, offsets
+        )
+        self._allocator.acknowledged(self._state.member, scheduler.sequence_number + 1)
+        self._on_own_share(grants[self._state.member])
+        return grants
+
+    def _messages(self, view: View) -> list[PeerMessage] | None:
+        """Return the last message of each other member; None while one of them, or we, lacks information."""
+        if not self._state.reconciled:
+            return None
+        found = []
+        for member in view.members:
+            if member == self._state.member:
+                continue
+            message = self._peers.last_message(member)
+            if message is None or not message.reconciled:
+                return None
+            found.append(message)
+        return found
+
+    def _use_of(self, message: PeerMessage) -> Grants:
+        """Return what a member uses, with what it handed over and nobody else counts yet."""
+        using = use_from_wire(message.usage)
+        for job_id, held in message.usage_in_transfer.items():
+            for team, amounts in use_from_wire(held).items() if job_id not in self.handovers_taken else ():
+                add_amounts(using, team, amounts)
+        return using
+
+    def _policy(self, scheduler: JobScheduler, others: list[PeerMessage], now: timedelta) -> SplitPolicy:
+        policy = self._quota.split_policy() if self._quota is not None else None
+        if policy is not None:
+            return policy
+        demand = {self._state.member: own_demand(scheduler, now)}
+        return ProportionalSplit(demand | {message.member: use_from_wire(message.demand) for message in others})
--- /dev/null
+++ b/src/ramptide/team_limits/usage.py
@@ -0,0 +1,114 @@
+"""How the team limits are used and split, as this controller knows it, for the status and the metrics."""
+
+from dataclasses import dataclass
+from typing import Protocol
+
+import msgspec
+
+from ramptide.protocol.settings_file import Team
+from ramptide.scheduling.headroom import task_headroom
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.state.amounts import NO_LIMIT, NOTHING, Grants, add_amounts, amounts_of, limits_of, to_number
+from ramptide.team_limits.cluster_usage import ClusterUsage
+from ramptide.transport.runtime import Runtime
+
+__all__ = ["ResourceUsage", "TeamUsage", "TeamUsageReport"]
+
+
+class ResourceUsage(msgspec.Struct, frozen=True):
+    """One resource of a team. `limit` and `share` are None where there is no limit."""
+
+    limit: float | None
+    #: By all controllers, as far as they are heard.
+    used: float
+    #: What this controller may use of the limit, and what it uses of that.
+    share: float | None
+    share_used: float
+    #: What the tasks here need that wait because the share lets none of their job run.
+    waiting_for_limit: float
+
+
+class TeamUsage(msgspec.Struct, frozen=True, rename={"cpus": "cores"}):
+    """Both resources that a team's limits are on; an entry of the status."""
+
+    cpus: ResourceUsage
+    gpus: ResourceUsage
+
+
+class UsageState(Protocol):
+    """What the report reads of the controller's state."""
+
+    @property
+    def teams(self) -> dict[str, Team]:
+        """The teams whose jobs are accepted."""
+
+    @property
+    def limits(self) -> Grants:
+        """The limits of the teams that have one."""
+
+    @property
+    def quota_shares(self) -> Grants:
+        """What we may use of each limit."""
+
+    @property
+    def scheduler(self) -> JobScheduler | None:
+        """The jobs that we schedule; None without a place in the view."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Totals:
+    """Amounts by team."""
+
+    used: Grants
+    share_used: Grants
+    waiting: Grants
+
+
+class TeamUsageReport:
+    """Reports the use of the team limits, by the teams of the settings."""
+
+    def __init__(self, runtime: Runtime, state: UsageState, cluster_usage: ClusterUsage) -> None:
+        self._runtime = runtime
+        self._state = state
+        self._cluster_usage = cluster_usage
+
+    def by_team(self) -> dict[str, TeamUsage]:
+        """Return the use of each team's limits.
+
+        Empty on a controller without a place in the view, which decides no starts.
+        """
+        scheduler = self._state.scheduler
+        if scheduler is None:
+            return {}
+        used, share_used = self._cluster_usage.team_usage(), scheduler.usage_with_transfers()
+        totals = _Totals(used, share_used, self.waiting_for_limits(scheduler))
+        return {name: self._usage_of(name, totals) for name in self._state.teams}
+
+    def _usage_of(self, team: str, totals: _Totals) -> TeamUsage:
+        limit = limits_of(self._state.teams[team])
+        share = self._state.quota_shares.get(team, NOTHING)
+
+        def resource(side: int) -> ResourceUsage:
+            is_limited = limit[side] != NO_LIMIT
+            return ResourceUsage(
+                limit=to_number(limit[side]) if is_limited else None,
+                used=to_number(totals.used.get(team, NOTHING)[side]),
+                share=to_number(share[side]) if is_limited else None,
+                share_used=to_number(totals.share_used.get(team, NOTHING)[side]),
+                waiting_for_limit=to_number(totals.waiting.get(team, NOTHING)[side]),
+            )
+
+        return TeamUsage(cpus=resource(0), gpus=resource(1))
+
+    def waiting_for_limits(self, scheduler: JobScheduler) -> Grants:
+        """Return what waiting tasks need, by team, of jobs of which the team's share lets no task run."""
+        now, share_used = self._runtime.now, scheduler.usage_with_transfers()
+        waiting: Grants = {}
+        for job_state in scheduler.with_pending_tasks.values():
+            spec = job_state.job.spec
+            if job_state.retry_at > now or not job_state.startable:
+                continue
+            share = self._state.quota_shares.get(spec.team, NOTHING)
+            if task_headroom(spec, share_used.get(spec.team, NOTHING), share, self._state.limits) == 0:
+                add_amounts(waiting, spec.team, amounts_of(spec).times(job_state.startable))
+        return waiting
