--- a/src/ramptide/loop.py
+++ b/src/ramptide/transport/event_loop.py
@@ -12,7 +12,7 @@
 from datetime import UTC, datetime, timedelta
 from typing import NamedTuple
 
-from ramptide.process_statistics import ProcessStatistics, Work
+from ramptide.transport.process_statistics import ProcessStatistics, WorkKind
 
 log = logging.getLogger(__name__)
 
@@ -41,7 +41,7 @@
     deferrable: bool
 
 
-class Loop:
+class EventLoop:
     """Calls back when a socket is ready or a timer is due, on one thread.
 
     In each turn deferrable sockets come last, and only a few of them: with more input than can be handled, leases and
@@ -115,7 +115,7 @@
             if key.data.deferrable:
                 deferred[key.fd] = call
             else:
-                self._run_guarded(Work.SOCKETS, call)
+                self._run_guarded(WorkKind.SOCKETS, call)
         self._run_due_timers()
         self._run_deferred(deferred)
 
@@ -125,7 +125,7 @@
         waiting += [fd for fd in ready if fd not in self._put_off]
         self._put_off = dict.fromkeys(waiting[DEFERRABLE_PER_TURN:])
         for fd in waiting[:DEFERRABLE_PER_TURN]:
-            self._run_guarded(Work.SOCKETS, ready[fd])
+            self._run_guarded(WorkKind.SOCKETS, ready[fd])
 
     def _run_due_timers(self) -> None:
         # What becomes due meanwhile waits for the next turn: rounds that take longer than their pause must not keep the
@@ -137,9 +137,9 @@
             if action is not None:
                 self._read_clock()
                 self.statistics.timer_ran(self.now, self.now - due)
-                self._run_guarded(Work.TIMERS, action)
+                self._run_guarded(WorkKind.TIMERS, action)
 
-    def _run_guarded(self, work: Work, action: Callable[[], None]) -> None:
+    def _run_guarded(self, work: WorkKind, action: Callable[[], None]) -> None:
         self._read_clock()
         # One failing event must not end the process: safety rests on the leases and conditions that others check.
         try:
--- a/src/ramptide/http/address.py
+++ b/src/ramptide/transport/http/address.py
@@ -1,6 +1,6 @@
 """Network addresses in the form `host:port`."""
 
-from ramptide.http.messages import is_ascii_digits
+from ramptide.transport.http.messages import is_ascii_digits
 
 
 def parse_address(text: str) -> tuple[str, int]:
--- a/src/ramptide/http/client.py
+++ b/src/ramptide/transport/http/client.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from ramptide.http.address import parse_address
-from ramptide.http.connection import Connection, disable_nagle
-from ramptide.http.messages import HttpError, Message, encode_request
-from ramptide.http.parser import Parser
-from ramptide.loop import Loop, Timer
+from ramptide.transport.event_loop import EventLoop, Timer
+from ramptide.transport.http.address import parse_address
+from ramptide.transport.http.connection import Connection, disable_nagle
+from ramptide.transport.http.messages import HttpError, Message, encode_request
+from ramptide.transport.http.parser import Parser
 
 log = logging.getLogger(__name__)
 
@@ -120,7 +120,7 @@
         Calls that need more connections than this fail.
     """
 
-    def __init__(self, loop: Loop, max_connections: int) -> None:
+    def __init__(self, loop: EventLoop, max_connections: int) -> None:
         self.loop = loop
         self.max_connections = max_connections
         self.open_connections = 0
--- a/src/ramptide/http/connection.py
+++ b/src/ramptide/transport/http/connection.py
@@ -4,7 +4,7 @@
 import selectors
 import socket
 
-from ramptide.loop import Loop
+from ramptide.transport.event_loop import EventLoop
 
 READ_SIZE_BYTES = 256 * 1024
 
@@ -12,7 +12,7 @@
 class Connection:
     """A non-blocking socket with an output buffer, registered with the event loop."""
 
-    def __init__(self, loop: Loop, sock: socket.socket) -> None:
+    def __init__(self, loop: EventLoop, sock: socket.socket) -> None:
         self.loop = loop
         self.sock = sock
         self.output = bytearray()
--- a/src/ramptide/http/parser.py
+++ b/src/ramptide/transport/http/parser.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from enum import Enum, auto
 
-from ramptide.http.messages import HttpError, Message, is_ascii_digits
+from ramptide.transport.http.messages import HttpError, Message, is_ascii_digits
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_REQUEST_BODY_BYTES = 64 * 1024
--- a/src/ramptide/http/server.py
+++ b/src/ramptide/transport/http/server.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from ramptide.http.address import parse_address
-from ramptide.http.connection import Connection, disable_nagle
-from ramptide.http.messages import HttpError, Message, encode_response
-from ramptide.http.parser import MAX_REQUEST_BODY_BYTES, Parser
-from ramptide.loop import Loop
+from ramptide.transport.event_loop import EventLoop
+from ramptide.transport.http.address import parse_address
+from ramptide.transport.http.connection import Connection, disable_nagle
+from ramptide.transport.http.messages import HttpError, Message, encode_response
+from ramptide.transport.http.parser import MAX_REQUEST_BODY_BYTES, Parser
 
 log = logging.getLogger(__name__)
 
@@ -169,7 +169,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         address: str,
         handler: Callable[[Exchange], None],
         max_connections: int,
--- a/src/ramptide/process_statistics.py
+++ b/src/ramptide/transport/process_statistics.py
@@ -11,7 +11,7 @@
 WORST_DELAY_KEPT = timedelta(minutes=1)
 
 
-class Work(Enum):
+class WorkKind(Enum):
     """Kinds of work. Socket events hold the four after them, and what the transport itself takes."""
 
     TIMERS = "timers"
@@ -23,20 +23,20 @@
 
 
 #: The kinds that are part of the work on socket events.
-HANDLERS = (Work.REPORTS, Work.USERS, Work.PEERS, Work.RESPONSES)
+HANDLERS = (WorkKind.REPORTS, WorkKind.USERS, WorkKind.PEERS, WorkKind.RESPONSES)
 
 
 class ProcessStatistics:
     """Counts processor time by kind of work, and how late timers are."""
 
     def __init__(self) -> None:
-        self._spent = dict.fromkeys(Work, NO_TIME)
+        self._spent = dict.fromkeys(WorkKind, NO_TIME)
         self.timers = 0
         self.delays = NO_TIME
         #: Delays of the last minute that no later one exceeds, with their moments; the longest first.
         self._worst: deque[tuple[timedelta, timedelta]] = deque()
 
-    def measure(self, work: Work, action: Callable[[], None]) -> None:
+    def measure(self, work: WorkKind, action: Callable[[], None]) -> None:
         """Run the action and count the processor time that it takes."""
         begun = time.process_time()
         try:
@@ -46,9 +46,9 @@
 
     def by_kind(self) -> dict[str, timedelta]:
         """Return the processor time by kind; what the transport takes beside the handlers is one more."""
-        found = {work.value: self._spent[work] for work in (Work.TIMERS, *HANDLERS)}
+        found = {work.value: self._spent[work] for work in (WorkKind.TIMERS, *HANDLERS)}
         handled = sum((self._spent[work] for work in HANDLERS), NO_TIME)
-        return found | {"transport": max(self._spent[Work.SOCKETS] - handled, NO_TIME)}
+        return found | {"transport": max(self._spent[WorkKind.SOCKETS] - handled, NO_TIME)}
 
     def timer_ran(self, now: timedelta, delay: timedelta) -> None:
         """Count a timer that is called `delay` after it was due."""
--- a/src/ramptide/context.py
+++ b/src/ramptide/transport/runtime.py
@@ -8,7 +8,7 @@
 CBOR = "application/cbor"
 
 
-class Reply(Protocol):
+class Response(Protocol):
     """The parts of an HTTP response that callers read."""
 
     status: int
@@ -23,7 +23,7 @@
 
 
 #: Gets the response, or None when there was none.
-ResponseCallback = Callable[[Reply | None], None]
+ResponseCallback = Callable[[Response | None], None]
 
 
 class Runtime(Protocol):
--- a/tests/compatibility/codecs.py
+++ b/tests/compatibility/codecs.py
@@ -14,11 +14,17 @@
 import cbor2
 import msgspec
 
-from ramptide import admin, cli, membership, peers, records, settings, syncing
-from ramptide import parts as parts_file
+from ramptide import cli
+from ramptide.api import administration as admin
+from ramptide.cluster import membership, peers
+from ramptide.config import features as parts_file
+from ramptide.config import settings
+from ramptide.controller import replication as syncing
+from ramptide.controller.administration import build_admin_api
 from ramptide.protocol import agents, cloud, jobs, key_value_store, settings_file, types
 from ramptide.quota import messages as quota_messages
 from ramptide.quota import overrides, plan_file
+from ramptide.state import records
 
 Codec = Callable[[bytes], bytes]
 
@@ -106,9 +112,9 @@
         "settings": records.SETTINGS_KEY,
         "limit": overrides.key_of(team),
         "team of the limit": overrides.team_of(overrides.key_of(team)),
-        "view": membership.VIEW,
-        "leader": membership.LEADER,
-        "member": membership.MEMBER,
+        "view": membership.VIEW_KEY,
+        "leader": membership.LEADER_KEY,
+        "member": membership.MEMBER_PREFIX,
     }
 
 
@@ -200,7 +206,7 @@
 
 
 def _peer_message(body: bytes) -> bytes:
-    return peers.encode(msgspec.convert(cbor2.loads(body), peers.PeerMessage))
+    return peers.encode_message(msgspec.convert(cbor2.loads(body), peers.PeerMessage))
 
 
 def _peer_answer(body: bytes) -> bytes:
@@ -253,12 +259,12 @@
 
 def load_parts(path: Path) -> Any:
     """The file that switches parts on."""
-    return msgspec.to_builtins(parts_file.load_parts(path))
+    return msgspec.to_builtins(parts_file.load_features(path))
 
 
 def features(value: Any) -> Any:
     """The parts of the service that are on, as controllers are started with them."""
-    return msgspec.convert(value, parts_file.Parts)
+    return msgspec.convert(value, parts_file.Features)
 
 
 def load_plan(path: Path) -> Any:
@@ -276,4 +282,4 @@
 
 def operator_call(controller: Any, method: str, path: str, answer: Callable[[int, bytes, str], None]) -> bool:
     """A call of the administration API at a controller of the virtual world."""
-    return admin.Admin(controller).handle(method, path, b"", answer)
+    return build_admin_api(controller).handle(method, path, b"", answer)
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -25,7 +25,7 @@
     submit_job,
 )
 
-from ramptide.settings import Tuning
+from ramptide.config.settings import Tuning
 
 #: A job about which no question is answered for so long is forgotten; "well before" is a third of it.
 FORGOTTEN, WELL_BEFORE = 75 * S, 25 * S
@@ -48,7 +48,7 @@
             elif status == 404:
                 world.invariants.violations.append(f"forgotten {ref} by {name}")
 
-        world.request(name, lambda controller: controller.desk.poll(ref, told))
+        world.request(name, lambda controller: controller.job_api.poll(ref, told))
 
     worst = (timedelta(0), "")
     for _ in range(seconds):
@@ -154,7 +154,7 @@
     world = started_world(12, capacity=5)
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller.tuning = node.controller.floor.tuning = Tuning(begin_within=1000 * S)
+        node.controller.state.tuning = node.controller.machine_index.tuning = Tuning(begin_within=1000 * S)
     assert job_begins(world, {"rank": "normal"}, LOW) == float("inf")
 
 
@@ -162,7 +162,7 @@
     world = started_world(11, capacity=5)
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller.tuning = node.controller.floor.tuning = Tuning(
+        node.controller.state.tuning = node.controller.machine_index.tuning = Tuning(
             patience=1000 * S, share_wait=1000 * S, begin_within=1000 * S
         )
     assert job_begins(world, URGENT, LARGE["array"]) == float("inf")
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -7,10 +7,10 @@
 import pytest
 from virtual import Response, S, World, full_world, leader_of, run_with_checks
 
-from ramptide.announcements import MAX_IN_FLIGHT, TokenAnnouncer
-from ramptide.app import Controller
+from ramptide.agents.token_announcer import MAX_IN_FLIGHT, TokenAnnouncer
+from ramptide.controller.controller import Controller
 from ramptide.protocol.agents import COMMANDS_PATH, Heartbeat, decode_heartbeat
-from ramptide.task_state import DesiredState, Phase
+from ramptide.state.task_state import DesiredState, Phase
 
 
 def report(host: str, token: int, tenure: int = 1, tally: int = 1) -> bytes:
@@ -49,9 +49,9 @@
     gone = leader_of(world)
     silence(world, gone)
     rest = [node.controller for name, node in world.nodes.items() if name != gone and node.controller is not None]
-    assert world.run_until(lambda: all(c.view is not None and gone not in c.view.members for c in rest), 10)
+    assert world.run_until(lambda: all(c.state.view is not None and gone not in c.state.view.members for c in rest), 10)
     began = world.now
-    assert world.run_until(lambda: all(controller.latched for controller in rest), 20)
+    assert world.run_until(lambda: all(controller.state.reconciled for controller in rest), 20)
     run_with_checks(world, 20)
     assert world.invariants.violations == []
     return (world.now - began - 20 * S) / S
@@ -110,9 +110,9 @@
 
 def launch_under_way(controller: Controller | None) -> str | None:
     """The host to which an answer with a launch is on its way."""
-    if controller is None or controller.shard is None:
+    if controller is None or controller.state.shard is None:
         return None
-    for host, machine in controller.shard.machines.items():
+    for host, machine in controller.state.shard.machines.items():
         if any(entry.phase is Phase.SENT for entry in machine.entries.values()):
             return host
     return None
@@ -133,13 +133,15 @@
     world = full_world()
     world.define_job("j-2", pieces=12, cores=1.0, guessS=500.0)
     body = json.dumps(world.job_specs["j-2"]).encode()
-    world.request("c0", lambda controller: controller.desk.submit(body, lambda status, *_: None))
+    world.request("c0", lambda controller: controller.job_api.submit(body, lambda status, *_: None))
     controller, host = controller_with_a_launch_under_way(world)
-    assert controller.shard is not None
-    machine = controller.shard.machines[host]
+    assert controller.state.shard is not None
+    machine = controller.state.shard.machines[host]
     tenure, tally = machine.last_heartbeat_id
     before = {key: (entry.phase, entry.desired) for key, entry in machine.entries.items()}
-    controller.reports.take_direct(decode_heartbeat(report(host, controller.shard.view, tenure, tally + 1)))
+    controller.heartbeats.receive_direct_heartbeat(
+        decode_heartbeat(report(host, controller.state.shard.view, tenure, tally + 1))
+    )
     assert {key: (entry.phase, entry.desired) for key, entry in machine.entries.items()} == before
     assert any(state == (Phase.SENT, DesiredState.RUN) for state in before.values())
 
@@ -150,14 +152,16 @@
     gone = leader_of(world)
     world.nodes[gone].kill()
     rest = [node.controller for name, node in world.nodes.items() if name != gone and node.controller is not None]
-    assert world.run_until(lambda: all(c.view is not None and gone not in c.view.members for c in rest), 10)
+    assert world.run_until(lambda: all(c.state.view is not None and gone not in c.state.view.members for c in rest), 10)
     for controller in rest:
-        assert controller.shard is not None
-        machines = controller.shard.machines.values()
+        assert controller.state.shard is not None
+        machines = controller.state.shard.machines.values()
         assert world.run_until(lambda machines=machines: any(one.last_heartbeat_at is not None for one in machines), 2)  # type: ignore[misc]
         told = [one for one in machines if one.last_heartbeat_at is not None and one.last_reply_at is None]
-        assert told and all(one.latest_answer() == one.last_heartbeat_at for one in told)
-        assert all(one.last_heartbeat_at is not None and one.last_heartbeat_at > controller.view_at for one in told)
+        assert told and all(one.latest_reply() == one.last_heartbeat_at for one in told)
+        assert all(
+            one.last_heartbeat_at is not None and one.last_heartbeat_at > controller.state.view_since for one in told
+        )
 
 
 def test_a_direct_report_that_is_not_taken_does_not_make_the_next_one_look_astray() -> None:
@@ -166,15 +170,17 @@
     controller, host = next(
         (node.controller, host)
         for node in world.nodes.values()
-        if node.controller is not None and node.controller.shard is not None
-        for host, machine in node.controller.shard.machines.items()
+        if node.controller is not None and node.controller.state.shard is not None
+        for host, machine in node.controller.state.shard.machines.items()
         if machine.last_heartbeat_at is not None
     )
-    assert controller.shard is not None
-    machine = controller.shard.machines[host]
+    assert controller.state.shard is not None
+    machine = controller.state.shard.machines[host]
     tenure, tally = machine.last_heartbeat_id
-    controller.reports.take_direct(decode_heartbeat(report(host, controller.shard.view, tenure, tally + 1)))
-    following = decode_heartbeat(report(host, controller.shard.view, tenure, tally + 2))
-    assert controller.shard.reports.take(following, world.now) and not machine.unreachable
-    astray = decode_heartbeat(report(host, controller.shard.view, tenure, tally + 4))
-    assert controller.shard.reports.take(astray, world.now) and machine.unreachable
+    controller.heartbeats.receive_direct_heartbeat(
+        decode_heartbeat(report(host, controller.state.shard.view, tenure, tally + 1))
+    )
+    following = decode_heartbeat(report(host, controller.state.shard.view, tenure, tally + 2))
+    assert controller.state.shard.heartbeats.take(following, world.now) and not machine.is_unreachable
+    astray = decode_heartbeat(report(host, controller.state.shard.view, tenure, tally + 4))
+    assert controller.state.shard.heartbeats.take(astray, world.now) and machine.is_unreachable
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -29,14 +29,14 @@
     started_world,
 )
 
-from ramptide import peers
-from ramptide.job_scheduler import JobScheduler
+from ramptide.agents.shard import Shard
+from ramptide.cluster import peers
+from ramptide.config.settings import SettingsError, Tuning, load
+from ramptide.controller.peer_messages import PeerMessageHandler
 from ramptide.protocol.agents import decode_heartbeat, decode_task_reports
 from ramptide.protocol.key_value_store import KEYS_PATH
-from ramptide.records import Progress
-from ramptide.settings import SettingsError, Tuning, load
-from ramptide.shard import Shard
-from ramptide.syncing import Syncing
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.state.records import Progress
 
 NULLABLE = {"rigs", "yard", "dueS"}
 JUNK: list[Any] = [
@@ -49,7 +49,7 @@
 def answers(world: World, node: str, body: bytes, seconds: float = 3.0) -> list[tuple[int, dict[str, Any]]]:
     got: list[tuple[int, dict[str, Any]]] = []
     world.request(
-        node, lambda c: c.desk.submit(body, lambda status, said, headers: got.append((status, json.loads(said))))
+        node, lambda c: c.job_api.submit(body, lambda status, said, headers: got.append((status, json.loads(said))))
     )
     world.run(seconds)
     return got
@@ -182,7 +182,7 @@
     world = started_world(3)
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller._take_machine_types([{"name": "m", "cores": 8, "ramGb": 32, "yards": ["a"]}])
+        node.controller.store_events.take_machine_types([{"name": "m", "cores": 8, "ramGb": 32, "yards": ["a"]}])
     assert answers(world, "c0", json.dumps(job_spec("j-1", spread=True)).encode())[0][0] == 422
 
 
@@ -199,7 +199,7 @@
     for moment in range(120):
         right, body = bodies[moment % len(bodies)]
         for name in world.controller_names:
-            world.request(name, lambda c, right=right, body=body: c.desk.submit(  # type: ignore[misc]
+            world.request(name, lambda c, right=right, body=body: c.job_api.submit(  # type: ignore[misc]
                 body, lambda status, *rest: got[right].append(status)))  # fmt: skip
         world.run(0.05)
     world.run(3)
@@ -239,7 +239,7 @@
 def cancelled(world: World, ref: str, node: str) -> tuple[int, dict[str, Any]]:
     got: list[tuple[int, dict[str, Any]]] = []
     world.request(
-        node, lambda c: c.desk.cancel(ref, lambda status, body, headers: got.append((status, json.loads(body))))
+        node, lambda c: c.job_api.cancel(ref, lambda status, body, headers: got.append((status, json.loads(body))))
     )
     world.run(3)
     (answer,) = got
@@ -311,7 +311,7 @@
     worker, task = world.invariants.running_tasks()[0]
     name = owner_of(world, worker.host)
     controller = world.nodes[name].controller
-    assert controller is not None and controller.shard is not None
+    assert controller is not None and controller.state.shard is not None
     rng = random.Random(seed)
     beat = {
         "host": worker.host, "addr": "h:1", "rig": "m", "yard": worker.zone, "loaners": False,
@@ -321,13 +321,13 @@
     }  # fmt: skip
     refused = 0
     for _ in range(1500):
-        body, before = broken(rng, beat, to_json), shown(controller.shard, worker.host)
+        body, before = broken(rng, beat, to_json), shown(controller.state.shard, worker.host)
         got: list[int] = []
-        controller.reports.receive_heartbeat(body, lambda status, said, got=got: got.append(status))  # type: ignore[misc]
+        controller.heartbeats.receive_heartbeat(body, lambda status, said, got=got: got.append(status))  # type: ignore[misc]
         if got and got[0] != 200:
             refused += 1
             assert got[0] in (400, 421, 503), body
-            assert shown(controller.shard, worker.host) == before, body
+            assert shown(controller.state.shard, worker.host) == before, body
         else:
             # Taken, so it is well-formed: a few bytes of a name or a number may have changed.
             decode_task_reports(decode_heartbeat(body).raw_tasks)
@@ -354,17 +354,17 @@
     world = busy_world(guessS=500.0)
     worker, _ = world.invariants.running_tasks()[0]
     controller = world.nodes[owner_of(world, worker.host)].controller
-    assert controller is not None and controller.shard is not None
-    before = shown(controller.shard, worker.host)
+    assert controller is not None and controller.state.shard is not None
+    before = shown(controller.state.shard, worker.host)
     beat = {"host": worker.host, "rig": "m", "yard": worker.zone, "loaners": False, "tenure": worker.agent_epoch,
             "tally": worker.sequence_number + 1, "baton": worker.fencing_token, "pieces": []}  # fmt: skip
     got: list[int] = []
     body = to_json(beat | changes)
-    controller.reports.receive_heartbeat(body, lambda status, said: got.append(status))
-    assert got == [400] and shown(controller.shard, worker.host) == before
+    controller.heartbeats.receive_heartbeat(body, lambda status, said: got.append(status))
+    assert got == [400] and shown(controller.state.shard, worker.host) == before
     deep = to_json(beat).replace(b'"pieces": []', b'"pieces": ' + DEEP)
-    controller.reports.receive_heartbeat(deep, lambda status, said: got.append(status))
-    assert got == [400, 400] and shown(controller.shard, worker.host) == before
+    controller.heartbeats.receive_heartbeat(deep, lambda status, said: got.append(status))
+    assert got == [400, 400] and shown(controller.state.shard, worker.host) == before
 
 
 def test_a_machine_with_a_strange_name_stops_no_leader() -> None:
@@ -375,7 +375,7 @@
                 "pieces": []}  # fmt: skip
         for name in world.controller_names:
             got: list[int] = []
-            world.request(name, lambda c, got=got, beat=beat: c.reports.receive_heartbeat(  # type: ignore[misc]
+            world.request(name, lambda c, got=got, beat=beat: c.heartbeats.receive_heartbeat(  # type: ignore[misc]
                 to_json(beat), lambda status, said: got.append(status)))  # fmt: skip
             assert got == [400]
     world.run(5)
@@ -385,7 +385,7 @@
 def messages(world: World, seconds: float) -> list[tuple[str, bytes]]:
     """What the controllers send each other: the receiver and the message."""
     found: list[tuple[str, bytes]] = []
-    send = peers.encode
+    send = peers.encode_message
 
     with pytest.MonkeyPatch.context() as patch:
 
@@ -394,7 +394,7 @@
             found.extend((name, body) for name in world.controller_names if name != sync.member)
             return body
 
-        patch.setattr(peers, "encode", noted)
+        patch.setattr(peers, "encode_message", noted)
         world.run(seconds)
     return found
 
@@ -412,35 +412,38 @@
         name, body = rng.choice(said)
         value = cbor2.loads(body) | {"base": 0, "seq": 10**6 + taken}
         controller = world.nodes[name].controller
-        assert controller is not None and controller.scheduler is not None
+        assert controller is not None and controller.state.scheduler is not None
         before = (
-            dict(controller.scheduler.jobs),
-            sorted(controller.scheduler.changed_hosts),
+            dict(controller.state.scheduler.jobs),
+            sorted(controller.state.scheduler.changed_hosts),
             controller.peers.newest_view,
         )
-        if controller.syncing.take(broken(rng, value, cbor2.dumps)) is None:
+        if controller.peer_messages.receive(broken(rng, value, cbor2.dumps)) is None:
             refused += 1
             assert (
-                dict(controller.scheduler.jobs),
-                sorted(controller.scheduler.changed_hosts),
+                dict(controller.state.scheduler.jobs),
+                sorted(controller.state.scheduler.changed_hosts),
                 controller.peers.newest_view,
             ) == before
         else:
             taken += 1
     assert refused > 700 and taken > 50
     for body in (b"\x81" * 60_000, DEEP, b"\x9b\x7f" + b"\xff" * 7, b"\x5b\x7f" + b"\xff" * 7, b"\xd9\x01\x02\x81\x80"):
-        assert world.nodes["c0"].controller is not None and world.nodes["c0"].controller.syncing.take(body) is None
+        assert (
+            world.nodes["c0"].controller is not None
+            and world.nodes["c0"].controller.peer_messages.receive(body) is None
+        )
     world.run(10)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_broken_answers_of_controllers_lose_no_change(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     world = started_world(seed)
-    rng, take = random.Random(seed), Syncing.take
+    rng, take = random.Random(seed), PeerMessageHandler.receive
     rate = [0.4]
 
-    def flawed(syncing: Syncing, body: bytes) -> bytes | None:
-        said = take(syncing, body)
+    def flawed(handler: PeerMessageHandler, body: bytes) -> bytes | None:
+        said = take(handler, body)
         if said is None or rng.random() >= rate[0]:
             return said
         return (
@@ -452,7 +455,7 @@
             )
         )
 
-    monkeypatch.setattr(Syncing, "take", flawed)
+    monkeypatch.setattr(PeerMessageHandler, "receive", flawed)
     for number in range(6):
         world.define_job(f"j-{number}", pieces=8, guessS=4.0)
         assert world.submit_until_accepted(f"j-{number}", world.controller_names[number % 3])
@@ -489,8 +492,8 @@
     controller = world.nodes[name].controller
     assert controller is not None
     value = cbor2.loads(body) | {"base": 0, "seq": 10**6}
-    assert controller.syncing.take(cbor2.dumps(value | changes)) is None
-    assert controller.syncing.take(cbor2.dumps(value | {"unheard_of": [changes]})) is not None
+    assert controller.peer_messages.receive(cbor2.dumps(value | changes)) is None
+    assert controller.peer_messages.receive(cbor2.dumps(value | {"unheard_of": [changes]})) is not None
 
 
 class Flawed:
@@ -572,7 +575,7 @@
     world.run(3)
     assert len(sent) == 3
     for node in world.nodes.values():
-        assert node.controller is not None and "j-1" in node.controller.jobs
+        assert node.controller is not None and "j-1" in node.controller.state.jobs
     assert len(world.invariants.running_tasks()) == 6
 
 
@@ -594,9 +597,11 @@
         node.start()
     world.run(3)
     assert 3 <= len(asked) < 100
-    assert all(node.controller is not None and node.controller.mirror.lacking for node in world.nodes.values())
+    assert all(
+        node.controller is not None and node.controller.watch_cache.is_unavailable for node in world.nodes.values()
+    )
     world.run(12)
-    assert all(node.controller is not None and node.controller.latched for node in world.nodes.values())
+    assert all(node.controller is not None and node.controller.state.reconciled for node in world.nodes.values())
 
 
 RECORDS: list[Any] = [
@@ -623,7 +628,7 @@
             world.run(0.5)
     world.run(3)
     for node in world.nodes.values():
-        assert node.controller is not None and node.controller.jobs["j-1"].spec.task_count == 6
+        assert node.controller is not None and node.controller.state.jobs["j-1"].spec.task_count == 6
     assert len(world.invariants.running_tasks()) == 6 and world.invariants.violations == []
 
 
@@ -638,11 +643,11 @@
     controller = next(
         c
         for node in world.nodes.values()
-        if (c := node.controller) is not None and c.scheduler and "j-1" in c.scheduler.jobs
+        if (c := node.controller) is not None and c.state.scheduler and "j-1" in c.state.scheduler.jobs
     )
-    home: JobScheduler = controller.scheduler  # type: ignore[assignment]
+    home: JobScheduler = controller.state.scheduler  # type: ignore[assignment]
     host = world.invariants.running_tasks()[0][0].host
-    rows = list(controller.floor.hosts[host].tasks)
+    rows = list(controller.machine_index.machines[host].tasks)
     home.apply_status(host, "a", [*rows, ("j-1", 99_999, 7, "ended", "done")], world.now)
     assert home.jobs["j-1"].done.count == 0 and 99_999 not in home.jobs["j-1"].placed
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -11,19 +11,19 @@
 from hypothesis import strategies as st
 from virtual import Response, S, VirtualRuntime, World, job_spec, leader_of, started_world, submit_job
 
-from ramptide.commits import CommitBatcher
-from ramptide.delta import ChangeLog, ReceivedSequence
-from ramptide.limits import TokenBucket
-from ramptide.mirror import Mirror
-from ramptide.peers import MESSAGE_VERSION
+from ramptide.agents.shard import Shard
+from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
+from ramptide.clients.rate_limits import TokenBucket
+from ramptide.cluster.change_log import ChangeLog, ReceivedSequence
+from ramptide.cluster.peers import MESSAGE_VERSION
 from ramptide.protocol.agents import Heartbeat, decode_heartbeat
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import decode_job_spec
 from ramptide.protocol.settings_file import KeyValueStoreLimits
-from ramptide.records import MachineRecord
-from ramptide.shard import Shard
-from ramptide.store import Store, Transaction, TransactionResult
-from ramptide.task_state import Phase
+from ramptide.state.commit_batcher import CommitBatcher
+from ramptide.state.records import MachineRecord
+from ramptide.state.task_state import Phase
+from ramptide.state.watch_cache import WatchCache
 
 EVENTS = st.lists(
     st.tuples(st.sampled_from(["set", "drop", "send", "deliver", "late", "answer"]), st.integers(0, 9)), max_size=120
@@ -124,7 +124,7 @@
         self.limits = KeyValueStoreLimits(
             requests_per_second=1000.0, writes_per_second=1000.0, max_value_kb=16.0, max_transaction_operations=12
         )
-        self.store = Store(self.context, "state", self.limits, 1)
+        self.store = KeyValueStore(self.context, "state", self.limits, 1)
 
     def call(
         self, address: str, method: str, target: str, body: bytes, content_type: str, timeout: timedelta, done: Any
@@ -143,7 +143,7 @@
     def changed(path: str, value: Any, stamp: int) -> None:
         seen[path] = value
 
-    mirror = Mirror(state.store, "live/", changed, lambda: None)
+    mirror = WatchCache(state.store, "live/", changed, lambda: None)
     mirror.start()
     state.answer(0, 200, {"rows": [], "more": False, "epoch": 100})
     asked: list[bool] = []
@@ -159,7 +159,7 @@
 
 def test_polls_that_come_while_a_read_is_under_way_wait_for_the_next() -> None:
     state = Postponed()
-    mirror = Mirror(state.store, "live/", lambda *change: None, lambda: None)
+    mirror = WatchCache(state.store, "live/", lambda *change: None, lambda: None)
     mirror.start()
     state.answer(0, 200, {"rows": [], "more": False, "epoch": 1})
     early: list[bool] = []
@@ -245,7 +245,7 @@
     """Within a tenure, over tenures, from before the view, and after the lease has certainly run out."""
     part, plain = a_part(), dict[tuple[int, int], Heartbeat]()
     machine = part.machines["vm-1"]
-    assert part.reports.take(beat(1, 1, 4, 1, 2), 0 * S) and not machine.settled, (
+    assert part.heartbeats.take(beat(1, 1, 4, 1, 2), 0 * S) and not machine.is_reconciled, (
         "it may be from before the token was seen"
     )
     assert not machine.entries
@@ -254,60 +254,62 @@
         now += 1 * S
         tenure = 1 + tally // 10
         report = beat(tenure, tally, 5, *rng.sample(range(8), 3))
-        assert part.reports.take(report, now)
+        assert part.heartbeats.take(report, now)
         machine.last_reply_at = now
         shown = {key: entry.phase for key, entry in machine.entries.items()}
         heard, answered = machine.last_heartbeat_at, machine.last_reply_at
         plain[tenure, tally] = report
         for copy in rng.sample(sorted(plain), min(3, len(plain))):
-            assert not part.reports.take(plain[copy], now + 0.3 * S)
+            assert not part.heartbeats.take(plain[copy], now + 0.3 * S)
         assert shown == {key: entry.phase for key, entry in machine.entries.items()}
         assert (machine.last_heartbeat_at, machine.last_reply_at) == (heard, answered), (
             "they extend no lease in our reckoning"
         )
-    assert machine.settled
+    assert machine.is_reconciled
     part.leases.expire(now + 9.2 * S, 0 * S)
     assert all(entry.phase is Phase.GONE for entry in machine.entries.values())
-    assert not part.reports.take(beat(4, 99, 5, 1, 2, 3), now + 10 * S), (
+    assert not part.heartbeats.take(beat(4, 99, 5, 1, 2, 3), now + 10 * S), (
         "a late one of the tenure that ended revives nothing"
     )
-    assert part.reports.take(beat(5, 100, 5), now + 11 * S)
+    assert part.heartbeats.take(beat(5, 100, 5), now + 11 * S)
 
 
 def test_without_the_later_tenure_a_late_report_revives_what_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
     part = a_part()
     machine = part.machines["vm-1"]
-    assert part.reports.take(beat(1, 1, 5, 1), 0 * S)
+    assert part.heartbeats.take(beat(1, 1, 5, 1), 0 * S)
     machine.last_reply_at = 0 * S
     part.leases.expire(10 * S, 0 * S)
     machine.last_heartbeat_id = (1, 1)
-    assert part.reports.take(beat(1, 2, 5, 1), 11 * S)
+    assert part.heartbeats.take(beat(1, 2, 5, 1), 11 * S)
     assert any(entry.phase is Phase.RUNNING for entry in machine.entries.values())
 
 
 def test_a_late_report_of_a_returned_machine_brings_nothing_back() -> None:
     part = a_part()
-    assert part.reports.take(beat(1, 1, 5), 0 * S)
+    assert part.heartbeats.take(beat(1, 1, 5), 0 * S)
     part.remove_machine("vm-1")
-    assert part.reports.take(beat(1, 1, 4), 20 * S) and not part.unrecorded_machines(), "from before this view"
-    assert part.reports.take(beat(1, 2, 5), 21 * S) and part.unrecorded_machines(), "the leader knows what it returned"
+    assert part.heartbeats.take(beat(1, 1, 4), 20 * S) and not part.unrecorded_machines(), "from before this view"
+    assert part.heartbeats.take(beat(1, 2, 5), 21 * S) and part.unrecorded_machines(), (
+        "the leader knows what it returned"
+    )
     world = started_world(5)
     controller = world.nodes[leader_of(world)].controller
-    assert controller is not None and controller.shard is not None
-    controller.leader._returned["vm-1"] = controller.context.now
-    controller.shard.unrecorded["vm-1"] = beat(1, 2, 99)
+    assert controller is not None and controller.state.shard is not None
+    controller.fleet_manager._returned["vm-1"] = controller.runtime.now
+    controller.state.shard.unrecorded["vm-1"] = beat(1, 2, 99)
     world.run(30)
-    assert "vm-1" not in controller.machines
-    controller.shard.unrecorded["vm-2"] = beat(1, 2, 99)
-    controller.shard.unrecorded["vm-2"].host = "vm-2"
-    assert world.run_until(lambda: "vm-2" in controller.machines, 10), "one that nobody returned is taken over"
+    assert "vm-1" not in controller.state.machines
+    controller.state.shard.unrecorded["vm-2"] = beat(1, 2, 99)
+    controller.state.shard.unrecorded["vm-2"].host = "vm-2"
+    assert world.run_until(lambda: "vm-2" in controller.state.machines, 10), "one that nobody returned is taken over"
 
 
 def test_what_is_no_message_of_ours_is_refused_and_asked_for_again(caplog: pytest.LogCaptureFixture) -> None:
     world = started_world(5)
     controller = world.nodes["c0"].controller
     assert controller is not None
-    take = controller.syncing.take
+    take = controller.peer_messages.receive
     assert take(b"") is None and take(b"\xff" * 99) is None and take(cbor2.dumps([1])) is None
     old = {"member": "c1", "inc": "c1-1", "view": 1, "seq": 10**6, "lacks": False}
     assert take(cbor2.dumps(old)) is None and "version 0 between controllers" in caplog.text
@@ -316,13 +318,14 @@
         and f"version {MESSAGE_VERSION - 1} between" in caplog.text
     )
     whole = cbor2.dumps(
-        old | {"wire": MESSAGE_VERSION, "base": 10**6, "view": controller.view.number if controller.view else 0}
+        old
+        | {"wire": MESSAGE_VERSION, "base": 10**6, "view": controller.state.view.number if controller.state.view else 0}
     )
     assert take(whole[: len(whole) // 2]) is None
     answer = take(whole)
     assert answer is not None and cbor2.loads(answer)["have"] < 10**6, "it says from where it needs the changes"
     world.run(2)
-    assert all(node.controller is not None and node.controller.latched for node in world.nodes.values())
+    assert all(node.controller is not None and node.controller.state.reconciled for node in world.nodes.values())
 
 
 def large_world(
@@ -378,9 +381,9 @@
         world.nodes[name].kill()
     survivor = world.nodes["c3"].controller
     assert survivor is not None
-    assert world.run_until(lambda: survivor.view is not None and list(survivor.view.members) == ["c3"], 10)
-    assert world.run_until(lambda: survivor.latched, 12), "the lease is 8 s"
-    assert survivor.shard is not None and len(survivor.shard.machines) > 700
+    assert world.run_until(lambda: survivor.state.view is not None and list(survivor.state.view.members) == ["c3"], 10)
+    assert world.run_until(lambda: survivor.state.reconciled, 12), "the lease is 8 s"
+    assert survivor.state.shard is not None and len(survivor.state.shard.machines) > 700
     world.call_counts.clear()
     world.run(6)
     assert sum(world.is_done(f"j-{number}") for number in range(100, 122)) > 0
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -10,16 +10,16 @@
 import pytest
 from virtual import S, World, check_indexes, end_faults, leader_of, owner_of, play, started_world
 
-from ramptide import fleet
-from ramptide.app import Controller
-from ramptide.demand import LeaderKnowledge
-from ramptide.failure_history import FAILED_JOBS_KEPT, record_outcome
-from ramptide.fleet import SICK
-from ramptide.floor import Floor
-from ramptide.job_scheduler import JobScheduler
-from ramptide.job_state import JobState
-from ramptide.owned_machine import OwnedMachine
-from ramptide.records import MachineRecord
+from ramptide.agents.failure_history import FAILED_JOBS_KEPT, record_outcome
+from ramptide.agents.owned_machine import OwnedMachine
+from ramptide.autoscaling import autoscaler as fleet
+from ramptide.autoscaling.autoscaler import QUARANTINED
+from ramptide.autoscaling.fleet_observation import FleetObservation
+from ramptide.cluster.machine_index import MachineIndex
+from ramptide.controller.controller import Controller
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.scheduling.job_state import JobState
+from ramptide.state.records import MachineRecord
 
 
 def controllers(world: World) -> list[Controller]:
@@ -29,7 +29,9 @@
 def work_of(world: World, ref: str) -> JobState:
     """What the job's home keeps of it."""
     return next(
-        c.scheduler.jobs[ref] for c in controllers(world) if c.scheduler is not None and ref in c.scheduler.jobs
+        c.state.scheduler.jobs[ref]
+        for c in controllers(world)
+        if c.state.scheduler is not None and ref in c.state.scheduler.jobs
     )
 
 
@@ -57,7 +59,9 @@
     def look() -> None:
         check(world)
         for controller in controllers(world):
-            found.update(host for host, record in controller.machines.items() if record.drain_reason == SICK)
+            found.update(
+                host for host, record in controller.state.machines.items() if record.drain_reason == QUARANTINED
+            )
 
     for half in range(seconds * 2):
         world.after(half * 0.5 * S, look)
@@ -127,13 +131,15 @@
 
 
 def test_without_the_index_of_failures_they_do(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Floor, "_accuses", lambda self, ref, name: True)
+    monkeypatch.setattr(MachineIndex, "_accuses", lambda self, ref, name: True)
     assert blamed()
 
 
 def test_when_jobs_that_are_over_count_they_do(monkeypatch: pytest.MonkeyPatch) -> None:
-    accuses = Floor._accuses
-    monkeypatch.setattr(Floor, "_accuses", lambda self, ref, name: ref not in self._jobs or accuses(self, ref, name))
+    accuses = MachineIndex._accuses
+    monkeypatch.setattr(
+        MachineIndex, "_accuses", lambda self, ref, name: ref not in self._jobs or accuses(self, ref, name)
+    )
     assert blamed(cancel=True, check=lambda world: None)
 
 
@@ -154,7 +160,7 @@
 
 
 def test_a_verdict_at_once_takes_a_healthy_machine(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fleet, "SICK_AFTER", 0.1 * S)
+    monkeypatch.setattr(fleet, "QUARANTINE_AFTER", 0.1 * S)
     assert probed_elsewhere(5.0)
 
 
@@ -188,8 +194,8 @@
     world.define_job("j-2", pieces=2, cores=1.0)
     record = json.dumps(world.job_specs["j-2"]).encode()
     for controller in controllers(world):
-        controller.desk._home_for = lambda run: home
-    world.request("c0", lambda c: c.desk.submit(record, lambda status, *rest: None))
+        controller.job_api._home_for = lambda run: home
+    world.request("c0", lambda c: c.job_api.submit(record, lambda status, *rest: None))
     assert sum(worker.is_faulty for worker in world.workers.values()) >= 2
     assert world.run_until(lambda: world.is_done("j-2"), 60)
 
@@ -220,9 +226,11 @@
 
 
 def test_when_sick_machines_stay_in_the_pool_they_do_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    known = LeaderKnowledge.machines_known
+    known = FleetObservation.machines
     monkeypatch.setattr(
-        LeaderKnowledge, "machines_known", lambda self, *said: [replace(one, failed=0) for one in known(self, *said)]
+        FleetObservation,
+        "machines",
+        lambda self, *said: [replace(one, consecutive_failures=0) for one in known(self, *said)],
     )
     assert not done_though_the_first_are_sick(6, 400)
 
@@ -230,7 +238,9 @@
 def done_off_the_only_machine(world: World) -> bool:
     """The only machine, which runs a service and has room for more, is sick."""
     (controller,) = controllers(world)
-    controller.tuning = controller.floor.tuning = replace(controller.tuning, pool_size=0, pool_share=0.0)
+    controller.state.tuning = controller.machine_index.tuning = replace(
+        controller.state.tuning, pool_size=0, pool_share=0.0
+    )
     world.define_job("j-1", shape="service", pieces=1, cores=4.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: bool(world.invariants.running_tasks()), 30)
@@ -354,9 +364,9 @@
     work = work_of(world, "j-1")
     assert world.run_until(lambda: bool(work.failed_on), 10)
     for controller in controllers(world):
-        controller.machines[one.host] = replace(controller.machines[one.host], drain_reason=SICK)
-        if controller.scheduler is not None:
-            controller.scheduler.machine_faulty(one.host)
+        controller.state.machines[one.host] = replace(controller.state.machines[one.host], drain_reason=QUARANTINED)
+        if controller.state.scheduler is not None:
+            controller.state.scheduler.machine_faulty(one.host)
     other._finish(second, "error")
     world.run(3)
     return work.failing
@@ -398,9 +408,9 @@
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 8, 30)
     submit_bad(world, 1, 0.3, pieces=2, cores=4.0, rank="production")
     world.run(30)
-    before = sum(controller.counters["preemptions"] for controller in controllers(world))
+    before = sum(controller.state.counters["preemptions"] for controller in controllers(world))
     world.run(120)
-    return sum(controller.counters["preemptions"] for controller in controllers(world)) - before
+    return sum(controller.state.counters["preemptions"] for controller in controllers(world)) - before
 
 
 def test_a_bad_job_claims_no_room() -> None:
@@ -440,9 +450,9 @@
     world.run(30)
     work, controller = work_of(world, ref), controllers(world)[0]
     later = world.now + 500 * S
-    assert work.failing and work.idle_for(later, controller.context.wall() + 500 * S) == 0 * S
+    assert work.failing and work.idle_for(later, controller.runtime.wall() + 500 * S) == 0 * S
     work.failed_on.clear()
-    assert work.idle_for(later, controller.context.wall() + 500 * S) > controller.tuning.patience
+    assert work.idle_for(later, controller.runtime.wall() + 500 * S) > controller.state.tuning.patience
 
 
 def handed_over(world: World) -> int:
@@ -466,7 +476,7 @@
 
 
 def test_without_that_all_its_tasks_start_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Floor, "failed_on", lambda self, ref: set())
+    monkeypatch.setattr(MachineIndex, "hosts_failed_on", lambda self, ref: set())
     assert handed_over(started_world(4, capacity=6)) > 6
 
 
@@ -474,8 +484,8 @@
     world = started_world(5, capacity=2)
     submit_bad(world, 12, 0.3, pieces=1, cores=0.5)
     world.run(20)
-    hosts = [host for controller in controllers(world) for host in controller.floor.hosts.values()]
-    assert max(len(host.failed) for host in hosts) == FAILED_JOBS_KEPT
+    hosts = [host for controller in controllers(world) for host in controller.machine_index.machines.values()]
+    assert max(len(host.failed_jobs) for host in hosts) == FAILED_JOBS_KEPT
     check_indexes(world)
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -9,12 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ramptide.context import JSON
-from ramptide.http.client import Client
-from ramptide.http.messages import HttpError, Message, encode_request, encode_response
-from ramptide.http.parser import Parser
-from ramptide.http.server import Server
-from ramptide.loop import Loop
+from ramptide.transport.event_loop import EventLoop
+from ramptide.transport.http.client import Client
+from ramptide.transport.http.messages import HttpError, Message, encode_request, encode_response
+from ramptide.transport.http.parser import Parser
+from ramptide.transport.http.server import Server
+from ramptide.transport.runtime import JSON
 
 BODIES = st.binary(max_size=300)
 
@@ -95,7 +95,7 @@
 
 
 def test_what_is_urgent_goes_before_many_deferrable_sockets_of_which_each_has_its_turn() -> None:
-    loop = Loop()
+    loop = EventLoop()
     handled: list[object] = []
     pairs = [socket.socketpair() for _ in range(41)]
     for number, (near, far) in enumerate(pairs):
@@ -116,7 +116,7 @@
 def answers_to(clients: int, connections: int, rounds: int) -> tuple[list[bytes], int]:
     """So many clients ask again and again, each over its connection as long as that is kept: the answers, and how
     many connections were closed without one."""
-    loop = Loop()
+    loop = EventLoop()
     server = Server(loop, "127.0.0.1:0", lambda exchange: exchange.respond(200, b"{}"), connections, timedelta(hours=1))
     address = server.sock.getsockname()
     kept: dict[int, socket.socket] = {}
@@ -163,12 +163,12 @@
 
 
 def test_when_all_are_kept_clients_beyond_the_limit_are_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ramptide.http.server.CROWDED_PART", 10.0)
+    monkeypatch.setattr("ramptide.transport.http.server.CROWDED_PART", 10.0)
     assert answers_to(clients=40, connections=16, rounds=3)[1] > 0
 
 
 def test_over_the_cap_the_connection_that_is_quiet_longest_makes_room() -> None:
-    loop = Loop()
+    loop = EventLoop()
     server = Server(loop, "127.0.0.1:0", lambda exchange: exchange.respond(200, b"{}"), 3, timedelta(hours=1))
     address = server.sock.getsockname()
 
@@ -197,7 +197,7 @@
 
 def test_a_call_to_what_is_no_address_gets_no_answer_and_harms_nothing() -> None:
     """A worker tells its address itself: a broken one must not end what the call was part of."""
-    loop = Loop()
+    loop = EventLoop()
     answers: list[Message | None] = []
     client = Client(loop, 2)
     for address in ("vm-000002", "127.0.0.1:none", ""):
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -9,12 +9,12 @@
 import pytest
 from virtual import Entry, S, Task, Worker, World, leader_of, submit_job
 
-from ramptide.app import Controller
-from ramptide.floor import Floor
-from ramptide.parts import Parts, QuotaPart
+from ramptide.cluster.machine_index import MachineIndex
+from ramptide.config.features import Features, QuotaFeature
+from ramptide.controller.controller import Controller
 from ramptide.protocol.jobs import decode_job_spec
-from ramptide.records import JobRecord, Progress, to_value
-from ramptide.starts import Starter
+from ramptide.scheduling.urgency_order import UrgencyOrder
+from ramptide.state.records import JobRecord, Progress, to_value
 
 SMALL, LARGE = 500, 4000
 RENTED_TOGETHER = 50
@@ -24,7 +24,7 @@
 
 
 def fleet_world(
-    machines: int, members: int = 3, teams: dict[str, float] | None = None, parts: Parts | None = None
+    machines: int, members: int = 3, teams: dict[str, float] | None = None, parts: Features | None = None
 ) -> World:
     """Controllers that all start at once, and find machines that run the tasks of one job each for fifty of them."""
     world = World(5, teams=teams, capacity=machines, members=members, parts=parts)
@@ -69,7 +69,7 @@
 
 
 def settled(world: World) -> bool:
-    return all(c.latched for c in controllers(world))
+    return all(c.state.reconciled for c in controllers(world))
 
 
 def python_calls(action: Callable[[], object]) -> int:
@@ -106,8 +106,8 @@
 
 def test_all_controllers_start_with_4000_machines_and_know_every_task(large: World) -> None:
     for c in controllers(large):
-        assert len(c.machines) == LARGE and c.shard is not None
-        assert sum(c.floor.running.values()) == LARGE * TASKS_ON_EACH
+        assert len(c.state.machines) == LARGE and c.state.shard is not None
+        assert sum(c.machine_index.running_tasks.values()) == LARGE * TASKS_ON_EACH
     assert large.invariants.violations == []
     assert max(len(json.dumps(value)) for value, _, _ in large.store.entries.values()) < 4096
 
@@ -115,21 +115,25 @@
 def work_of_a_report(world: World, changed: bool) -> int:
     """What it takes to handle a report and the round after it, on a controller that does not lead."""
     world.run(1.0)
-    c = next(c for c in controllers(world) if not c.membership.leading)
-    assert c.shard is not None and c.scheduler is not None
-    worker = next(world.workers[host] for host in c.shard.machines if world.workers[host].fencing_token == c.shard.view)
+    c = next(c for c in controllers(world) if not c.membership.is_leading)
+    assert c.state.shard is not None and c.state.scheduler is not None
+    worker = next(
+        world.workers[host]
+        for host in c.state.shard.machines
+        if world.workers[host].fencing_token == c.state.shard.view
+    )
     task = next(iter(worker.tasks.values()))
     if changed:
         task.status = "flushing"
     worker.sequence_number += 1
     body = worker.encode_status()
-    home, part, now = c.scheduler, c.shard, c.context.now
-    c._round(home, part, now, False)
+    home, part, now = c.state.scheduler, c.state.shard, c.runtime.now
+    c.decision_loop._run_round(home, part, now, False)
     answers: list[int] = []
 
     def handle() -> None:
-        c.reports.receive_heartbeat(body, lambda status, _: answers.append(status))
-        c._round(home, part, now, False)
+        c.heartbeats.receive_heartbeat(body, lambda status, _: answers.append(status))
+        c.decision_loop._run_round(home, part, now, False)
 
     calls = python_calls(handle)
     assert answers == [200]
@@ -144,13 +148,13 @@
 
 def work_of_a_start(world: World, ref: str) -> int:
     """What the leader's round takes that starts one task, beside jobs that find no room."""
-    c = next(c for c in controllers(world) if c.membership.leading)
-    home, part = c.scheduler, c.shard
+    c = next(c for c in controllers(world) if c.membership.is_leading)
+    home, part = c.state.scheduler, c.state.shard
     assert home is not None and part is not None
     world.define_job(ref, pieces=1, cores=2.0, guessS=5000.0)
     assert world.submit_until_accepted(ref, leader_of(world))
     assert world.run_until(lambda: any(task.job_id == ref for _, task in world.invariants.running_tasks()), 10)
-    return python_calls(lambda: c.starter.place(home, c.context.now))
+    return python_calls(lambda: c.placement_round.run(home, c.runtime.now))
 
 
 def test_the_work_of_a_placement_round_with_nothing_to_place_does_not_grow(large: World, small: World) -> None:
@@ -177,46 +181,49 @@
         small.define_job(f"j-80000{number}", pieces=3, cores=6.0, guessS=5000.0)
         submit_job(small, small.rng, f"j-80000{number}")
     small.run(5)
-    c = next(c for c in controllers(small) if c.membership.leading)
-    assert c.scheduler is not None and len(c.scheduler.with_pending_tasks) >= 20
-    ordered = counted(monkeypatch, Starter, "urgency_of")
-    c.starter.place(c.scheduler, c.context.now)
+    c = next(c for c in controllers(small) if c.membership.is_leading)
+    assert c.state.scheduler is not None and len(c.state.scheduler.with_pending_tasks) >= 20
+    ordered = counted(monkeypatch, UrgencyOrder, "urgency_of")
+    c.placement_round.run(c.state.scheduler, c.runtime.now)
     assert ordered == []
-    waits = [c.scheduler.jobs[f"j-80000{number}"] for number in range(20)]
+    waits = [c.state.scheduler.jobs[f"j-80000{number}"] for number in range(20)]
     assert all(work.waiting_since is not None and work.without_room_since is not None for work in waits)
 
 
 def test_only_the_rooms_that_are_asked_for_are_worked_out(small: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    c = next(c for c in controllers(small) if not c.membership.leading)
-    assert c.shard is not None
-    c.floor.refresh()
-    before = dict(c.floor.rooms)
-    worked_out = counted(monkeypatch, Floor, "_room")
-    c.floor.touch_all()
-    c.floor.refresh(c.shard.machines)
-    assert len(worked_out) == len(c.shard.machines) < SMALL / 2
-    c.floor.refresh()
-    assert len(worked_out) == SMALL and c.floor.rooms == before
+    c = next(c for c in controllers(small) if not c.membership.is_leading)
+    assert c.state.shard is not None
+    c.machine_index.refresh()
+    before = dict(c.machine_index.rooms)
+    worked_out = counted(monkeypatch, MachineIndex, "_room")
+    c.machine_index.invalidate_all()
+    c.machine_index.refresh(c.state.shard.machines)
+    assert len(worked_out) == len(c.state.shard.machines) < SMALL / 2
+    c.machine_index.refresh()
+    assert len(worked_out) == SMALL and c.machine_index.rooms == before
 
 
 def test_a_controller_that_was_not_heard_tells_its_whole_table_in_parts(large: World) -> None:
     """Two that do not lead cannot reach each other while each machine of theirs changes."""
     world = large
-    one, other = [c for c in controllers(world) if not c.membership.leading][:2]
-    world.cut_link(one.member, other.member)
+    one, other = [c for c in controllers(world) if not c.membership.is_leading][:2]
+    world.cut_link(one.state.member, other.state.member)
     world.run(1)
-    assert one.shard is not None and other.shard is not None
-    for host in one.shard.machines:
-        one.shard.mark_changed(host)
+    assert one.state.shard is not None and other.state.shard is not None
+    for host in one.state.shard.machines:
+        one.state.shard.mark_changed(host)
     world.run(1)
     world.longest_body = 0
     world.heal()
-    told = len(one.shard.machines)
-    base = other.peers.all[one.member].inbox.seq
+    told = len(one.state.shard.machines)
+    base = other.peers.by_name[one.state.member].inbox.seq
     world.run(2)
-    assert other.peers.all[one.member].inbox.seq > base and one.peers.all[other.member].acknowledged > base
+    assert (
+        other.peers.by_name[one.state.member].inbox.seq > base
+        and one.peers.by_name[other.state.member].acknowledged > base
+    )
     assert told > LARGE / 4 and world.longest_body < LONGEST_MESSAGE_BYTES
-    shown = {host: other.floor.hosts[host].tasks for host in one.shard.machines}
+    shown = {host: other.machine_index.machines[host].tasks for host in one.state.shard.machines}
     assert all(len(tasks) == TASKS_ON_EACH for tasks in shown.values())
 
 
@@ -230,18 +237,18 @@
     world.longest_body = 0
     gone = leader_of(world)
     world.nodes[gone].freeze(60)
-    left = [c for c in controllers(world) if c.member != gone]
-    assert world.run_until(lambda: all(gone not in (c.view.members if c.view else {}) for c in left), 8)
+    left = [c for c in controllers(world) if c.state.member != gone]
+    assert world.run_until(lambda: all(gone not in (c.state.view.members if c.state.view else {}) for c in left), 8)
 
     def told() -> bool:
-        number = left[0].view.number if left[0].view is not None else 0
+        number = left[0].state.view.number if left[0].state.view is not None else 0
         return sum(worker.fencing_token == number for worker in healthy) > 0.99 * len(healthy)
 
     healthy = [worker for worker in world.workers.values() if worker not in hung]
     begun = world.now
     assert world.run_until(told, 9)
     assert world.now - begun < 1.5 * S, "a worker whose report the lost controller has waits 4 s before it asks another"
-    assert world.run_until(lambda: all(c.latched for c in left), 14), "the lease is 8 s"
+    assert world.run_until(lambda: all(c.state.reconciled for c in left), 14), "the lease is 8 s"
     assert world.longest_body < LONGEST_MESSAGE_BYTES
     assert world.invariants.violations == []
     alive = sum(worker.alive for worker in healthy)
@@ -251,18 +258,20 @@
 def quota_calls(machines: int, teams: int) -> tuple[int, int]:
     """Python calls of a round and of a message of the quota part, while the jobs of three teams wait."""
     limits = {"team": 0.0} | {f"t-{number}": 8.0 for number in range(teams)}
-    world = fleet_world(machines, teams=limits, parts=Parts(QuotaPart(True)))
+    world = fleet_world(machines, teams=limits, parts=Features(QuotaFeature(True)))
     assert world.run_until(lambda: settled(world), 20)
     world.run(2)
     for number in range(3):
         world.define_job(f"j-9{number}", owner=f"t-{number}", pieces=20, cores=2.0, guessS=5000.0)
         assert world.submit_until_accepted(f"j-9{number}", world.controller_names[number])
     world.run(2)
-    controller = next(c for c in controllers(world) if c.scheduler is not None and c.scheduler.with_pending_tasks)
-    quota, home = controller.quota, controller.scheduler
+    controller = next(
+        c for c in controllers(world) if c.state.scheduler is not None and c.state.scheduler.with_pending_tasks
+    )
+    quota, home = controller.quota, controller.state.scheduler
     assert quota is not None and home is not None and quota.ready
-    peer = next(iter(controller.peers.all.values()))
-    round_calls = python_calls(lambda: quota.review(home, controller.context.now))
+    peer = next(iter(controller.peers.by_name.values()))
+    round_calls = python_calls(lambda: quota.review(home, controller.runtime.now))
     message_calls = python_calls(lambda: quota.message_for(peer))
     assert world.invariants.violations == []
     return round_calls, message_calls
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -27,19 +27,20 @@
     submit_job,
 )
 
-from ramptide.app import Controller
-from ramptide.floor import Floor, Host
-from ramptide.job_scheduler import JobScheduler
-from ramptide.limit_split import LimitSplit
-from ramptide.membership import View
-from ramptide.mirror import Mirror
-from ramptide.peers import Peer, PeerMessage, Peers
+from ramptide.agents.shard import Shard
+from ramptide.cluster.machine_index import MachineIndex, ObservedMachine
+from ramptide.cluster.membership import View
+from ramptide.cluster.peers import Peer, PeerMessage, Peers
+from ramptide.config.settings import Tuning
+from ramptide.controller.controller import Controller
+from ramptide.controller.reconciliation import Reconciliation
+from ramptide.controller.replication import Replication
 from ramptide.protocol.key_value_store import TRANSACTION_PATH
-from ramptide.records import Handover
-from ramptide.settings import Tuning
-from ramptide.shard import Shard
-from ramptide.syncing import Syncing
-from ramptide.task_state import DesiredState
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.state.records import Handover
+from ramptide.state.task_state import DesiredState
+from ramptide.state.watch_cache import WatchCache
+from ramptide.team_limits.share_split import ShareSplit
 
 # The state service refuses the leader alone, another controller confirms cancellations, then all lack it.
 
@@ -66,7 +67,7 @@
             world.nodes[teller].kill()
             world.after(0.3 * S, world.nodes[teller].start)
 
-    world.request(teller, lambda c: c.desk.cancel(ref, told))
+    world.request(teller, lambda c: c.job_api.cancel(ref, told))
     assert world.run_until(lambda: ref in world.cancelled_at, 3)
 
 
@@ -102,7 +103,7 @@
 
 def test_without_the_memory_of_what_a_peer_may_have_confirmed_it_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
     """A process that started in the outage agrees that it lacks the state service, and knows of nothing."""
-    monkeypatch.setattr(Mirror, "dropped_since", lambda mirror, epoch: [])
+    monkeypatch.setattr(WatchCache, "deleted_since", lambda mirror, epoch: [])
     world = two_jobs(1)
     gap(world, others(world)[1], 40, restart=True)
     assert any("ran_cancelled" in rule for rule in world.invariants.violations)
@@ -110,7 +111,9 @@
 
 def unheard_pushes(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is cancelled is not told at once, as when those messages are lost."""
-    monkeypatch.setattr("ramptide.syncing.Syncing.cancelled", lambda syncing, ref: None)
+    monkeypatch.setattr(
+        "ramptide.controller.cancellations.RecentCancellations.announce", lambda cancellations, job_id: None
+    )
 
 
 def test_the_agreement_itself_carries_what_was_cancelled(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -124,7 +127,7 @@
 
 def test_when_it_carries_nothing_a_cancelled_task_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
     unheard_pushes(monkeypatch)
-    monkeypatch.setattr(Mirror, "dropped_since", lambda mirror, epoch: [])
+    monkeypatch.setattr(WatchCache, "deleted_since", lambda mirror, epoch: [])
     world = two_jobs(2)
     gap(world, others(world)[0], 40)
     assert any("ran_cancelled" in rule for rule in world.invariants.violations)
@@ -173,13 +176,13 @@
     name = leader_of(world)
     controller = world.nodes[name].controller
     assert controller is not None
-    record, stamp = controller.jobs["j-1"].record, controller.jobs["j-1"].mod_revision
-    controller.call_off(["j-1"])
-    assert "j-1" not in controller.jobs
-    controller._on_change("live/job/j-1", msgspec.to_builtins(record), stamp + 1)
-    assert "j-1" not in controller.jobs
-    controller._on_change("live/job/j-1", None, stamp + 2)
-    assert not controller._called_off
+    record, stamp = controller.state.jobs["j-1"].record, controller.state.jobs["j-1"].mod_revision
+    controller.assignments.drop_finished(["j-1"])
+    assert "j-1" not in controller.state.jobs
+    controller.store_events.on_change("live/job/j-1", msgspec.to_builtins(record), stamp + 1)
+    assert "j-1" not in controller.state.jobs
+    controller.store_events.on_change("live/job/j-1", None, stamp + 2)
+    assert not controller.assignments._finished_elsewhere
 
 
 # A machine hangs for longer than a cancellation has, and goes on with what it had.
@@ -219,7 +222,7 @@
 
 
 def test_without_that_return_the_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ramptide.app.PROVE_WITHIN", 10.0)
+    monkeypatch.setattr("ramptide.controller.timings.CONFIRM_TIMEOUT_SHARE", 10.0)
     world = busy_world(guessS=500.0)
     hung_and_cancelled(world)
     assert any("ran_cancelled" in rule for rule in world.invariants.violations)
@@ -228,15 +231,15 @@
 def test_without_the_memory_of_the_view_before_it_goes_on_when_views_change(monkeypatch: pytest.MonkeyPatch) -> None:
     """The owner's list of the present view is empty: nothing was heard from the machine in it."""
 
-    def forgetful(floor: Floor) -> None:
-        floor.hosts = {name: Host(images=host.images) for name, host in floor.hosts.items()}
-        floor.running.clear()
-        floor._where.clear()
-        floor._left.clear()
-        floor._unclear.clear()
-        floor.touch_all()
+    def forgetful(floor: MachineIndex) -> None:
+        floor.machines = {name: ObservedMachine(images=host.images) for name, host in floor.machines.items()}
+        floor.running_tasks.clear()
+        floor._hosts_by_job.clear()
+        floor._finished_specs.clear()
+        floor._unknown_usage.clear()
+        floor.invalidate_all()
 
-    monkeypatch.setattr(Floor, "new_view", forgetful)
+    monkeypatch.setattr(MachineIndex, "new_view", forgetful)
     world = full_world()
     hung_and_cancelled(world, "elections", machines=6)
     assert any("ran_cancelled" in rule for rule in world.invariants.violations)
@@ -275,7 +278,9 @@
     world = array_beside_services()
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller.tuning = node.controller.floor.tuning = Tuning(share_wait=1000 * S, patience=1000 * S)
+        node.controller.state.tuning = node.controller.machine_index.tuning = Tuning(
+            share_wait=1000 * S, patience=1000 * S
+        )
     assert longest_starvation(world, 100)[0] >= 90 * S
 
 
@@ -317,7 +322,7 @@
 
 
 def test_when_nobody_asks_again_the_job_stays_where_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ramptide.handover.HAND_OVER_AGAIN", 1000 * S)
+    monkeypatch.setattr("ramptide.scheduling.handover.RETRY_DELAY", 1000 * S)
     world = started_world(3)
     swallow_a_handover(world, None)
     job_for_another_part(world)
@@ -332,12 +337,12 @@
     hears nothing new of the old home for a moment."""
     new, old = leader_of(world), others(world)[0]
     home, lead = world.nodes[old].controller, world.nodes[new].controller
-    assert home is not None and lead is not None and home.view is not None and home.scheduler is not None
+    assert home is not None and lead is not None and home.state.view is not None and home.state.scheduler is not None
     for controller in (home, lead):
-        controller.handover.hand_over = lambda home, now: None  # type: ignore[method-assign]
+        controller.handover.run = lambda home, now: None  # type: ignore[method-assign]
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller.desk._home_for = lambda run: old
+        node.controller.job_api._home_for = lambda run: old
     for ref in ("j-1", "j-2"):
         world.define_job(ref, owner="few", pieces=3, cores=4.0, guessS=300.0)
         assert world.submit_until_accepted(ref, old)
@@ -348,8 +353,8 @@
     world.run(0.5)
     said = lead.peers.last_message(old)
     assert said is not None
-    job = home.jobs[ref]
-    hand = Handover(home.view.number, old, said.sequence_number)
+    job = home.state.jobs[ref]
+    hand = Handover(home.state.view.number, old, said.sequence_number)
     record = msgspec.structs.replace(job.record, scheduler=new, handover=hand)
     world.store.put(f"live/job/{ref}", msgspec.to_builtins(record))
     run_with_checks(world, 2)
@@ -372,10 +377,12 @@
 
 
 def test_when_it_counts_before_its_team_uses_its_limit_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    def taken(split: LimitSplit, home: JobScheduler, view: View) -> list[str]:
-        return [w.job.job_id for w in home.jobs.values() if w.job.record.handover is not None and split._c.ready(w)]
+    def taken(split: ShareSplit, home: JobScheduler, view: View) -> list[str]:
+        return [
+            w.job.job_id for w in home.jobs.values() if w.job.record.handover is not None and split._may_start_job(w)
+        ]
 
-    monkeypatch.setattr(LimitSplit, "_taken_over", taken)
+    monkeypatch.setattr(ShareSplit, "_taken_over", taken)
     world = few_world()
     handed_over_at_the_limit(world)
     assert any("quota" in rule for rule in world.invariants.violations)
@@ -394,11 +401,11 @@
         ) -> None:
             for host, row in sync.machine_status.items():
                 told[peer.name, host] = {task[:3] for task in row.tasks} if row is not None else set()
-            for host, machine in c.shard.machines.items() if c.shard is not None and sync.view else ():
+            for host, machine in c.state.shard.machines.items() if c.state.shard is not None and sync.view else ():
                 ours = {
                     key
                     for key, one in machine.entries.items()
-                    if one.requested_by == c.member and one.desired is DesiredState.RUN
+                    if one.requested_by == c.state.member and one.desired is DesiredState.RUN
                 }
                 if ours - told.get((peer.name, host), set()):
                     found.append(f"{sync.member} to {peer.name}: {host}")
@@ -417,14 +424,16 @@
 
 
 def test_without_that_a_new_home_would_miss_a_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    mark = Syncing.mark
+    mark = Replication.mark
 
-    def late(syncing: Syncing, home: JobScheduler, part: Shard, changed: set[str]) -> None:
+    def late(syncing: Replication, home: JobScheduler, part: Shard, changed: set[str]) -> None:
         mark(syncing, home, part, changed)
-        for host in {one for one, at in syncing._rows._last_change.items() if at == home.seq} - changed:
-            del syncing._rows._last_change[host]
+        for host in {
+            one for one, at in syncing._status_changes._last_change.items() if at == home.sequence_number
+        } - changed:
+            del syncing._status_changes._last_change[host]
 
-    monkeypatch.setattr(Syncing, "mark", late)
+    monkeypatch.setattr(Replication, "mark", late)
     assert untold_wishes(started_world(5))
 
 
@@ -516,7 +525,7 @@
 
 @pytest.mark.parametrize("how", ["deaf", "cut"])
 def test_when_a_view_waits_for_no_machine_they_run_twice(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Controller, "unsettled", lambda controller: {})
+    monkeypatch.setattr(Reconciliation, "unreconciled_machines", lambda reconciliation: {})
     world = full_world()
     unreachable_then_led_anew(world, how)
     assert any("ran_twice" in rule for rule in world.invariants.violations)
@@ -548,7 +557,7 @@
 
 
 def test_without_waiting_for_them_the_limit_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Controller, "unsettled", lambda controller: {})
+    monkeypatch.setattr(Reconciliation, "unreconciled_machines", lambda reconciliation: {})
     world = started_world(2, teams={"team": 0.0, "few": 24.0})
     limit_and_cancellation(world)
     assert any("quota" in rule or "ran_twice" in rule for rule in world.invariants.violations)
@@ -604,9 +613,9 @@
             said.append(json.loads(body)["status"])
 
     def ask() -> None:
-        world.request("c0", lambda c: c.desk.cancel("j-1", hear))
-        world.request("c1", lambda c: c.desk.poll("j-1", hear))
-        world.request("c2", lambda c: c.desk.submit(body, hear))
+        world.request("c0", lambda c: c.job_api.cancel("j-1", hear))
+        world.request("c1", lambda c: c.job_api.poll("j-1", hear))
+        world.request("c2", lambda c: c.job_api.submit(body, hear))
 
     world.invariants.on_job_done = lambda ref: world.after(offset * S, ask)
     assert world.run_until(lambda: len(world.invariants.finished_tasks) == 2, 40)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -7,7 +7,7 @@
 
 from virtual import World, started_world, submit_job
 
-from ramptide.app import Controller
+from ramptide.controller.controller import Controller
 
 #: Tables that are bounded by a number or by time, whose entries are not those of what is there now.
 BOUNDED = {"_owners", "_ended", "_drops", "_dropped", "_returned", "_popular", "last_changes", "counters", "_cancelled"}
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -11,18 +11,18 @@
 from hypothesis import strategies as st
 from virtual import S, job_spec
 
-from ramptide.allowances import Allowances, ProportionalSplit
-from ramptide.amounts import UNITS, Amounts
-from ramptide.fleet import Demand, Fleet, Machine, Trigger
-from ramptide.job_state import JobState
-from ramptide.jobs import Job
-from ramptide.limits import TokenBucket
-from ramptide.membership import owner_of
-from ramptide.placement import Room
+from ramptide.autoscaling.autoscaler import Autoscaler, Demand, FleetMachine, Trigger
+from ramptide.clients.rate_limits import TokenBucket
+from ramptide.cluster.membership import owner_of
+from ramptide.config.settings import Tuning
+from ramptide.placement.bin_packing import Room
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import decode_job_spec
-from ramptide.records import PROGRESS_WINDOW, JobRecord, MachineRecord, Progress, to_value
-from ramptide.settings import Tuning
+from ramptide.scheduling.job_state import JobState
+from ramptide.state.amounts import UNITS, Amounts
+from ramptide.state.jobs import Job
+from ramptide.state.records import PROGRESS_WINDOW, JobRecord, MachineRecord, Progress, to_value
+from ramptide.team_limits.allowances import ProportionalSplit, ShareAllocator
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -76,7 +76,7 @@
 @given(st.lists(st.tuples(st.sampled_from(MEMBERS), st.sampled_from(["ask", "start", "end", "deliver", "ack"]))))
 def test_no_two_members_overstep_a_limit_together(events: list[tuple[str, str]]) -> None:
     """Grants and acknowledgements are delivered when the history says so; members start all they may."""
-    leader = Allowances(LIMITS, MEMBERS)
+    leader = ShareAllocator(LIMITS, MEMBERS)
     held = dict.fromkeys(MEMBERS, 0)
     using = dict.fromkeys(MEMBERS, 0)
     waiting = dict.fromkeys(MEMBERS, 0)
@@ -107,7 +107,7 @@
         assert sum(max(held[m], using[m]) for m in MEMBERS) <= LIMIT
 
 
-def raised_while_the_old_grant_may_be_in_use(leader: Allowances) -> tuple[int, int]:
+def raised_while_the_old_grant_may_be_in_use(leader: ShareAllocator) -> tuple[int, int]:
     """a may still act on the whole limit while b asks; what b gets before and after a says that it knows better."""
     free, hungry = {m: {"t": Amounts(0, 0)} for m in MEMBERS}, {"t": Amounts(50 * UNITS, 0)}
     asks = {member: ProportionalSplit({member: hungry}) for member in MEMBERS}
@@ -119,12 +119,12 @@
 
 
 def test_a_grant_is_raised_only_once_the_other_is_lowered_for_sure() -> None:
-    leader = Allowances(LIMITS, MEMBERS)
+    leader = ShareAllocator(LIMITS, MEMBERS)
     assert raised_while_the_old_grant_may_be_in_use(leader) == (0, LIMIT)
 
 
 def test_without_that_guard_the_limit_is_given_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    leader = Allowances(LIMITS, MEMBERS)
+    leader = ShareAllocator(LIMITS, MEMBERS)
     divide = leader.divide
 
     def forgetful(seq: int, *rest: Any) -> Any:
@@ -163,14 +163,16 @@
 FLAVOR = MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"], price=1.0, spot_price=0.4, boot_s=30.0)
 
 
-def machine(host: str, up: bool = True, tasks: int = 0, age: float = 100.0, **fields: object) -> Machine:
+def machine(host: str, up: bool = True, tasks: int = 0, age: float = 100.0, **fields: object) -> FleetMachine:
     record = MachineRecord("m", "a", False, 1, 0.0, registered=up)
     room = Room(host, "m", "a", False, 8.0, 0.0, 32.0) if up else None
     known = {"silent": timedelta(0), "notice": None, "failing": 0, "drained": False} | fields
-    return Machine(host, record, FLAVOR, up, age * S, tasks=tasks, room=room, **known)  # type: ignore[arg-type]
+    return FleetMachine(host, record, FLAVOR, up, age * S, tasks=tasks, room=room, **known)  # type: ignore[arg-type]
 
 
-def steps(fleet: Fleet, demands: list[Demand], machines: list[Machine], count: int, begin: float = 0.0) -> int:
+def steps(
+    fleet: Autoscaler, demands: list[Demand], machines: list[FleetMachine], count: int, begin: float = 0.0
+) -> int:
     return sum(
         fleet.step(timedelta(seconds=begin + n * 0.5), demands, machines, [FLAVOR], True).rent is not None
         for n in range(count)
@@ -183,29 +185,29 @@
 
 
 def test_counts_window_and_one_machine_a_step() -> None:
-    fleet = Fleet(Tuning(pool_size=0, window=2 * S), S, 10 * S, 30 * S)
+    fleet = Autoscaler(Tuning(pool_size=0, window=2 * S), S, 10 * S, 30 * S)
     assert steps(fleet, [demand(4)], [], 4) == 0 and fleet.trigger is Trigger.RISING
     assert steps(fleet, [demand(4)], [], 3, 2.0) == 3 and fleet.waiting == 4
     assert steps(fleet, [demand(4)], [machine("vm-0", False, age=1.0), machine("vm-1", False, age=1.0)], 4, 4.0) == 0
-    assert (fleet.waiting, fleet.trigger) == (0, Trigger.QUIET), "room that boots is taken off"
+    assert (fleet.waiting, fleet.trigger) == (0, Trigger.LOW), "room that boots is taken off"
 
 
 def test_long_waiting_tasks_fire_by_themselves() -> None:
-    fleet = Fleet(Tuning(pool_size=0, window=0 * S, waiting_high=100, long_waiting_high=2), S, 10 * S, 30 * S)
+    fleet = Autoscaler(Tuning(pool_size=0, window=0 * S, waiting_high=100, long_waiting_high=2), S, 10 * S, 30 * S)
     assert steps(fleet, [demand(4, 5.0)], [], 3) == 0
     assert steps(fleet, [demand(4, 11.0)], [], 3, 2.0) == 3 and fleet.long_waiting == 4
 
 
 def test_refused_kinds_back_off() -> None:
-    fleet = Fleet(Tuning(pool_size=0, window=0 * S), S, 10 * S, 30 * S)
+    fleet = Autoscaler(Tuning(pool_size=0, window=0 * S), S, 10 * S, 30 * S)
     fleet.step(timedelta(0), [demand(2)], [], [FLAVOR], True)
-    fleet.refused(("m", "a", False), timedelta(0))
+    fleet.note_refusal(("m", "a", False), timedelta(0))
     assert steps(fleet, [demand(2)], [], 6, 0.5) == 0
     assert steps(fleet, [demand(2)], [], 4, 5.0) == 4
 
 
 def test_pool_is_refilled_and_idle_machines_leave_after_the_cooldown() -> None:
-    fleet = Fleet(Tuning(pool_size=1, cooldown=10 * S), S, 10 * S, 30 * S)
+    fleet = Autoscaler(Tuning(pool_size=1, cooldown=10 * S), S, 10 * S, 30 * S)
     assert steps(fleet, [], [], 1) == 1, "the pool is short"
     idle = [machine("vm-0"), machine("vm-1")]
     left: dict[str, str] = {}
@@ -213,16 +215,18 @@
         plan = fleet.step(second * S, [], idle, [FLAVOR], True)
         assert plan.rent is None
         if second < 10:
-            assert plan.leave == {}
-        left |= plan.leave
-    assert list(left.values()) == ["idle"] and fleet.pool == [host for host in ("vm-0", "vm-1") if host not in left]
+            assert plan.drain == {}
+        left |= plan.drain
+    assert list(left.values()) == ["idle"] and fleet.idle_pool == [
+        host for host in ("vm-0", "vm-1") if host not in left
+    ]
 
 
 def test_idle_machines_that_no_waiting_task_can_use_leave_though_the_trigger_is_high() -> None:
     """A job bound to a zone without capacity kept the trigger high for good, and with it every idle machine."""
 
     def left(zone: str) -> dict[str, str]:
-        fleet = Fleet(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S), S, 10 * S, 30 * S)
+        fleet = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S), S, 10 * S, 30 * S)
         run = decode_job_spec(json.dumps(job_spec("j-1", pieces=4, cores=4.0, yard=zone)).encode())
         kept = machine("vm-0")
         assert kept.room is not None and kept.record.zone == "a"
@@ -231,8 +235,8 @@
         found: dict[str, str] = {}
         for second in range(30):
             plan = fleet.step(second * S, [Demand(run, 4, 1 * S, Counter())], [kept], [], True)
-            assert second >= 10 or plan.leave == {}
-            found |= plan.leave
+            assert second >= 10 or plan.drain == {}
+            found |= plan.drain
         assert fleet.trigger is Trigger.HIGH
         return found
 
@@ -241,7 +245,7 @@
 
 
 def test_a_machine_with_few_services_is_emptied_when_they_find_room_with_others() -> None:
-    def serving(host: str, services: int, **fields: object) -> Machine:
+    def serving(host: str, services: int, **fields: object) -> FleetMachine:
         runs = [
             decode_job_spec(json.dumps(job_spec(f"j-{host[3:]}{n}", shape="service", pieces=1, cores=2.0)).encode())
             for n in range(services)
@@ -252,12 +256,12 @@
             found.room.service_cpus += run.cpus
         return found
 
-    def left(*machines: Machine, waiting: int = 0) -> dict[str, str]:
-        fleet = Fleet(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S, started=15 * S), S, 10 * S, 30 * S)
+    def left(*machines: FleetMachine, waiting: int = 0) -> dict[str, str]:
+        fleet = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S, started=15 * S), S, 10 * S, 30 * S)
         found: dict[str, str] = {}
         for second in range(20):
             demands = [demand(waiting)] if waiting else []
-            found |= fleet.step(second * S, demands, list(machines), [FLAVOR], True).leave
+            found |= fleet.step(second * S, demands, list(machines), [FLAVOR], True).drain
         return found
 
     few, many = serving("vm-0", 1, owner="c0"), serving("vm-1", 3, owner="c0")
@@ -269,7 +273,7 @@
 
 
 def test_machines_that_are_no_good_leave() -> None:
-    fleet = Fleet(Tuning(), S, 10 * S, 30 * S)
+    fleet = Autoscaler(Tuning(), S, 10 * S, 30 * S)
     machines = [
         machine("vm-sick", failing=2),
         machine("vm-silent", silent=31 * S),
@@ -282,10 +286,10 @@
     ]
     plan = fleet.step(timedelta(0), [], machines, [FLAVOR], False)
     others = {"vm-silent": "silent", "vm-dead": "gone", "vm-never": "never up", "vm-taken": "taken"}
-    assert plan.leave == others
-    assert fleet.step(9.5 * S, [], machines, [FLAVOR], False).leave == others
-    assert fleet.step(10 * S, [], machines, [FLAVOR], False).leave == others | {"vm-sick": "sick"}
-    machines[0].failing = 1
-    assert fleet.step(11 * S, [], machines, [FLAVOR], False).leave == others
-    machines[0].failing = 2
-    assert fleet.step(12 * S, [], machines, [FLAVOR], False).leave == others, "counted anew"
+    assert plan.drain == others
+    assert fleet.step(9.5 * S, [], machines, [FLAVOR], False).drain == others
+    assert fleet.step(10 * S, [], machines, [FLAVOR], False).drain == others | {"vm-sick": "sick"}
+    machines[0].accusing_jobs = 1
+    assert fleet.step(11 * S, [], machines, [FLAVOR], False).drain == others
+    machines[0].accusing_jobs = 2
+    assert fleet.step(12 * S, [], machines, [FLAVOR], False).drain == others, "counted anew"
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -28,14 +28,15 @@
     started_world,
 )
 
-from ramptide.admin import METRICS_PATH, STATUS_PATH, Admin
-from ramptide.app import Controller
-from ramptide.decisions import MachineDecision, log_decisions, written
-from ramptide.lease_expiry import EndedLease
-from ramptide.membership import Membership
-from ramptide.process_statistics import ProcessStatistics
-from ramptide.records import RENTAL_PREFIX
-from ramptide.telemetry import Telemetry
+from ramptide.agents.lease_expiry import ExpiredLease
+from ramptide.api.administration import METRICS_PATH, STATUS_PATH
+from ramptide.api.telemetry import Telemetry
+from ramptide.autoscaling.machine_decisions import MachineDecision, log_decisions, written
+from ramptide.cluster.membership import Membership
+from ramptide.controller.administration import build_admin_api
+from ramptide.controller.controller import Controller
+from ramptide.state.records import RENTAL_PREFIX
+from ramptide.transport.process_statistics import ProcessStatistics
 
 
 def of(world: World, name: str) -> Controller:
@@ -48,7 +49,9 @@
     got: list[bytes] = []
 
     def look(controller: Controller) -> None:
-        Admin(controller, ProcessStatistics()).handle("GET", path, b"", lambda code, said, kind: got.append(said))
+        build_admin_api(controller, ProcessStatistics()).handle(
+            "GET", path, b"", lambda code, said, kind: got.append(said)
+        )
 
     world.request(name, look)
     world.run(0.1)
@@ -132,7 +135,10 @@
     assert longest_starvation(world, 20)[0] < 15 * S
     assert world.invariants.violations == []
     assert not any(task.job_id == "j-1" for _, task in world.invariants.running_tasks())
-    assert all(of(world, other).latched and of(world, other).lacks() == [] for other in world.controller_names)
+    assert all(
+        of(world, other).state.reconciled and of(world, other).availability.unavailable_dependencies() == []
+        for other in world.controller_names
+    )
 
 
 def cut_from_workers_for_a_minute(seed: int) -> int:
@@ -149,11 +155,13 @@
     for _ in range(700):
         world.run(0.1)
         world.invariants.check()
-    assert of(world, name).membership._losses <= 1, "it does not stand again before workers answer"
+    assert of(world, name).membership._lost_leases <= 1, "it does not stand again before workers answer"
     world.heal()
     world.run(20)
     assert world.invariants.violations == []
-    assert all(of(world, other).lacks() == [] for other in world.controller_names), "it has its place again"
+    assert all(of(world, other).availability.unavailable_dependencies() == [] for other in world.controller_names), (
+        "it has its place again"
+    )
     return len(before & {(task.job_id, task.index, task.attempt) for _, task in world.invariants.running_tasks()})
 
 
@@ -172,7 +180,7 @@
     for name in world.controller_names:
         cut_from_workers(world, name)
     world.run(20)
-    assert all(of(world, name).membership.serving for name in world.controller_names)
+    assert all(of(world, name).membership.is_serving for name in world.controller_names)
 
 
 def test_a_controller_that_stood_still_for_a_moment_keeps_its_place() -> None:
@@ -180,7 +188,7 @@
     for name in world.controller_names:
         world.nodes[name].freeze(2.9)
         world.run(8)
-        assert of(world, name).membership._losses == 0
+        assert of(world, name).membership._lost_leases == 0
 
 
 SEEN = [
@@ -307,7 +315,7 @@
     world = started_world(6)
     world.define_job("j-1", guessS=300.0)
     assert world.submit_until_accepted("j-1", "c0") and world.submit_until_accepted("j-1", "c0")
-    world.request("c0", lambda c: c.desk.submit(b"{}", lambda *said: None))
+    world.request("c0", lambda c: c.job_api.submit(b"{}", lambda *said: None))
     for ref in ("j-1", "j-77", "nonsense"):
         world.poll_job(ref, "c0")
         world.cancel_job(ref, "c0")
@@ -328,12 +336,12 @@
     body = json.dumps(job_spec("j-5")).encode()
 
     def submit(name: str) -> None:
-        world.request(name, lambda c: c.desk.submit(body, lambda *said: None))
+        world.request(name, lambda c: c.job_api.submit(body, lambda *said: None))
 
     world.cloud.is_down = True
     world.nodes["c0"].start()
     submit("c0")
-    while of(world, "c0").mirror.lacking:
+    while of(world, "c0").watch_cache.is_unavailable:
         world.run(0.001)
     submit("c0")
     assert counts(of(world, "c0"))[1] == {"state_service": 1, "view": 1}
@@ -344,14 +352,14 @@
     assert counts(of(world, "c1")) == ({("submit", 503): 1}, {"machine_types": 1})
     world.cloud.is_down = False
     world.run(8)
-    of(world, "c1").commits.delay = lambda: 9 * S  # type: ignore[method-assign]
+    of(world, "c1").commit_batcher.delay = lambda: 9 * S  # type: ignore[method-assign]
     submit("c1")
     assert counts(of(world, "c1"))[1] == {"machine_types": 1, "overloaded": 1}
     world.store.is_down = True
     world.run(4)
     submit("c1")
     world.cancel_job("j-6", "c1")
-    world.request("c1", lambda c: c.desk.poll("j-6", lambda *said: None))
+    world.request("c1", lambda c: c.job_api.poll("j-6", lambda *said: None))
     world.run(4)
     answers, reasons = counts(of(world, "c1"))
     assert reasons == {"machine_types": 1, "overloaded": 1, "state_service": 3}
@@ -362,9 +370,9 @@
 def test_a_cancellation_that_is_tried_again_is_one_answer() -> None:
     world = busy_world(guessS=300.0)
     controller = of(world, "c0")
-    known = controller.jobs["j-1"]
+    known = controller.state.jobs["j-1"]
     right, known.mod_revision = known.mod_revision, known.mod_revision - 1
-    world.request("c0", lambda c: c.desk.cancel("j-1", lambda *said: None))
+    world.request("c0", lambda c: c.job_api.cancel("j-1", lambda *said: None))
     known.mod_revision = right
     world.run(3)
     assert {key: count for key, count in counts(controller)[0].items() if key[0] == "cancel"} == {("cancel", 200): 1}
@@ -386,7 +394,7 @@
     assert len(hanging) == machines
     for host in hanging:
         world.workers[host].hang(60)
-    assert of(world, name).latched
+    assert of(world, name).state.reconciled
     world.run(5)
     assert sorted(status(world, name)["silent_machines"]) == sorted(hanging)
     assert all(metrics(world, one)["machines_silent",] == machines for one in world.controller_names)
@@ -412,7 +420,7 @@
 def test_many_that_are_lost_together_are_one_line(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     telemetry = Telemetry()
-    telemetry.take_ended_leases([EndedLease(f"vm-{n}", 3, n < 5) for n in range(300)], confirmed=True)
+    telemetry.take_expired_leases([ExpiredLease(f"vm-{n}", 3, n < 5) for n in range(300)], confirmed=True)
     assert len(caplog.records) == 1
     line = caplog.records[0].getMessage()
     assert "900 tasks are given up, 5 settled as empty" in line and "vm-9 and 290 more silent" in line
@@ -469,7 +477,9 @@
     end()
     world.run(20)
     assert all(
-        of(world, name).machines[host].drain_reason == "silent" for name in world.controller_names for host in hosts
+        of(world, name).state.machines[host].drain_reason == "silent"
+        for name in world.controller_names
+        for host in hosts
     )
     assert sorted(host for line in told() for host in line.split(" (")[0].split(", ")) == hosts
 
@@ -648,12 +658,12 @@
     for node in world.nodes.values():
         node.start()
     world.run(4)
-    of(world, "c0").commits.delay = lambda: 0 * S  # type: ignore[method-assign]
+    of(world, "c0").commit_batcher.delay = lambda: 0 * S  # type: ignore[method-assign]
     answers: list[int] = []
     for number in range(60):
         world.define_job(f"j-{number}", pieces=1)
         body = json.dumps(world.job_specs[f"j-{number}"]).encode()
-        world.request("c0", lambda c, body=body: c.desk.submit(body, lambda status, *_: answers.append(status)))  # type: ignore[misc]
+        world.request("c0", lambda c, body=body: c.job_api.submit(body, lambda status, *_: answers.append(status)))  # type: ignore[misc]
     world.run(8)
     reasons = of(world, "c0").telemetry.unavailable
     assert len(answers) == 60 and set(answers) == {201, 503}
@@ -669,11 +679,11 @@
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 24, 40)
     world.run(3)
     last = of(world, next(name for name in world.controller_names if name != leader_of(world)))
-    assert last.shard is not None and len(last.shard.machines) > 2
-    for host in last.shard.machines:
+    assert last.state.shard is not None and len(last.state.shard.machines) > 2
+    for host in last.state.shard.machines:
         world.workers[host].hang(25)
     for name in world.controller_names:
-        if name != last.member:
+        if name != last.state.member:
             world.nodes[name].kill()
     return world, last
 
@@ -682,10 +692,10 @@
 def test_the_last_controller_keeps_its_place_though_none_of_its_workers_is_heard(seed: int) -> None:
     """It gave it up for three minutes, by what the others had told before they ended."""
     world, last = world_with_a_lone_survivor(seed)
-    assert world.run_until(lambda: last.membership.leading, 12)
+    assert world.run_until(lambda: last.membership.is_leading, 12)
     for _ in range(60):
         world.run(0.5)
-        assert last.membership.leading
+        assert last.membership.is_leading
     assert world.invariants.violations == []
 
 
@@ -697,12 +707,12 @@
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 24, 40)
     name = leader_of(world)
     cut_from_workers(world, name)
-    assert world.run_until(lambda: of(world, name).membership.resting, 15)
+    assert world.run_until(lambda: of(world, name).membership.is_resting, 15)
     for other in world.controller_names:
         if other != name:
             world.nodes[other].kill()
-    assert world.run_until(lambda: of(world, name).membership.leading, 15)
+    assert world.run_until(lambda: of(world, name).membership.is_leading, 15)
     world.heal()
     world.run(30)
-    assert of(world, name).membership.leading and of(world, name).latched
+    assert of(world, name).membership.is_leading and of(world, name).state.reconciled
     assert world.invariants.violations == []
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 from virtual import job_spec
 
-from ramptide.amounts import UNITS, Amounts
-from ramptide.jobs import Job
-from ramptide.placement import Reach, Room, can_ever_run, choose, fill, may_use, zone_room
-from ramptide.preemption import RunningTask, may_claim, victims
+from ramptide.placement.bin_packing import ReserveAccess, Room, can_ever_run, choose, fill, may_use, zone_room
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import JobSpec, decode_job_spec
-from ramptide.records import JobRecord, Progress
-from ramptide.urgency import urgency
+from ramptide.scheduling.urgency import urgency
+from ramptide.scheduling.victims import RunningTask, may_claim, victims
+from ramptide.state.amounts import UNITS, Amounts
+from ramptide.state.jobs import Job
+from ramptide.state.records import JobRecord, Progress
 
 
 def run_of(**fields: object) -> JobSpec:
@@ -137,9 +137,9 @@
     assert choose(run_of(shape="service"), [mixed, pool], {}) is pool
     assert choose(run_of(), [cold, warm, mixed, pool], {}) is mixed
     assert choose(run_of(), [cold, warm, pool], {}) is None
-    assert choose(run_of(), [cold, warm, pool], {}, Reach.POOL) is pool, "after a long wait"
-    assert choose(run_of(), [cold, warm], {}, Reach.POOL) is None
-    assert choose(run_of(), [cold, warm], {}, Reach.ALL) is warm, "what waited out its patience"
+    assert choose(run_of(), [cold, warm, pool], {}, ReserveAccess.POOL) is pool, "after a long wait"
+    assert choose(run_of(), [cold, warm], {}, ReserveAccess.POOL) is None
+    assert choose(run_of(), [cold, warm], {}, ReserveAccess.ALL) is warm, "what waited out its patience"
     assert choose(run_of(cores=1.0), [cold, warm], {}) is warm, "beyond their share the rest is free for all"
     small, large = room("vm-4", images=frozenset(["img"])), room("vm-5")
     small.cpus = 2.0
--- a/tests/test_process_statistics.py
+++ b/tests/test_process_statistics.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ramptide.loop import Loop
-from ramptide.process_statistics import WORST_DELAY_KEPT, ProcessStatistics, Work
+from ramptide.transport.event_loop import EventLoop
+from ramptide.transport.process_statistics import WORST_DELAY_KEPT, ProcessStatistics, WorkKind
 
 MS = timedelta(milliseconds=1)
 
@@ -38,11 +38,11 @@
 
     def socket_event() -> None:
         clock.passes(0.25)
-        statistics.measure(Work.REPORTS, lambda: clock.passes(1.0))
-        statistics.measure(Work.USERS, lambda: clock.passes(0.5))
+        statistics.measure(WorkKind.REPORTS, lambda: clock.passes(1.0))
+        statistics.measure(WorkKind.USERS, lambda: clock.passes(0.5))
 
-    statistics.measure(Work.SOCKETS, socket_event)
-    statistics.measure(Work.TIMERS, lambda: clock.passes(2.0))
+    statistics.measure(WorkKind.SOCKETS, socket_event)
+    statistics.measure(WorkKind.TIMERS, lambda: clock.passes(2.0))
     found = {kind: spent.total_seconds() for kind, spent in statistics.by_kind().items()}
     assert found == {"timers": 2.0, "reports": 1.0, "users": 0.5, "peers": 0.0, "responses": 0.0, "transport": 0.25}
 
@@ -55,7 +55,7 @@
         raise ValueError
 
     with pytest.raises(ValueError):
-        statistics.measure(Work.PEERS, fails)
+        statistics.measure(WorkKind.PEERS, fails)
     assert statistics.by_kind()["peers"] == timedelta(seconds=3)
 
 
@@ -76,7 +76,7 @@
 def test_the_loop_counts_how_late_a_timer_is(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = FakeClock()
     monkeypatch.setattr(time, "monotonic", clock)
-    loop = Loop()
+    loop = EventLoop()
     loop.after(timedelta(seconds=1), lambda: None)
     clock.passes(1.75)
     loop.turn()
@@ -87,7 +87,7 @@
     """Leases are renewed by the age of a proof: the time at which the turn began would make it look young."""
     clock = FakeClock()
     monkeypatch.setattr(time, "monotonic", clock)
-    loop = Loop()
+    loop = EventLoop()
     seen: list[timedelta] = []
     pairs = [socket.socketpair() for _ in range(3)]
 
@@ -108,7 +108,7 @@
 def test_timers_that_take_longer_than_their_pause_leave_the_sockets_their_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = FakeClock()
     monkeypatch.setattr(time, "monotonic", clock)
-    loop = Loop()
+    loop = EventLoop()
     rounds: list[timedelta] = []
 
     def begin_round() -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -13,15 +13,15 @@
 import pytest
 from virtual import S, Task, Worker, World, leader_of, running_attempts, started_world
 
-from ramptide.admin import Admin
-from ramptide.amounts import UNITS, Amounts, add_amounts
-from ramptide.parts import Parts, QuotaPart
-from ramptide.quota.exchange import QuotaExchange
+from ramptide.config.features import Features, QuotaFeature
+from ramptide.controller.administration import build_admin_api
 from ramptide.quota.ledger import AccountBook, Ledger
 from ramptide.quota.messages import TransferRow
+from ramptide.quota.share_exchange import QuotaExchange
 from ramptide.quota.share_waits import ShareWaits
+from ramptide.state.amounts import UNITS, Amounts, add_amounts
 
-ON = Parts(QuotaPart(True))
+ON = Features(QuotaFeature(True))
 LIMIT = 12.0
 TEAMS = {"tight": LIMIT, "other": 10.0, "third": 9.0, "fourth": 7.0}
 #: Of these many transfers come about.
@@ -53,7 +53,7 @@
         if status in (200, 201):
             world.accepted_jobs.add(ref)
 
-    world.request(rng.choice(world.controller_names), lambda controller: controller.desk.submit(body, answered))
+    world.request(rng.choice(world.controller_names), lambda controller: controller.job_api.submit(body, answered))
     world.after(2 * S, lambda: send(world, rng, ref))
 
 
@@ -143,7 +143,7 @@
             if status == 200:
                 world.cancelled_at.setdefault(ref, world.now)
 
-        world.request(name, lambda controller: controller.desk.cancel(ref, on_response))
+        world.request(name, lambda controller: controller.job_api.cancel(ref, on_response))
 
     running = sorted({task.job_id for _, task in world.invariants.running_tasks()})[:3]
     for ref in running:
@@ -217,7 +217,7 @@
     held = Amounts(0, 0)
     for node in world.nodes.values():
         assert node.controller is not None
-        share = node.controller.grants["tight"]
+        share = node.controller.state.quota_shares["tight"]
         held = Amounts(held.cpus + share.cpus, held.gpus)
     assert held.cpus == LIMIT * UNITS
 
@@ -282,7 +282,7 @@
     """A message of another member to this one, as it was last taken."""
     controller = world.nodes[name].controller
     assert controller is not None
-    return next(peer.last_message for peer in controller.peers.all.values() if peer.last_message is not None)
+    return next(peer.last_message for peer in controller.peers.by_name.values() if peer.last_message is not None)
 
 
 @pytest.mark.parametrize(
@@ -307,17 +307,17 @@
     world = started_world(1, teams=TEAMS, parts=ON)
     world.run(3)
     controller = world.nodes["c0"].controller
-    assert controller is not None and controller.quota is not None and controller.scheduler is not None
+    assert controller is not None and controller.quota is not None and controller.state.scheduler is not None
     sync = sync_of(world, "c0")
     good = late_message(world, {})
-    before = dict(controller.grants)
+    before = dict(controller.state.quota_shares)
     caplog.clear()
-    controller.quota.take(msgspec.structs.replace(sync, quota=good | change), controller.scheduler)
-    assert controller.grants == before and controller.quota.counters["refused"] == 1
+    controller.quota.take(msgspec.structs.replace(sync, quota=good | change), controller.state.scheduler)
+    assert controller.state.quota_shares == before and controller.quota.counters["refused"] == 1
     assert len([one for one in caplog.records if "refused" in one.message]) == 1
     row = [1, "tight", UNITS, 0]
-    controller.quota.take(msgspec.structs.replace(sync, quota=good | {"transfers": [row]}), controller.scheduler)
-    assert controller.grants["tight"].cpus == before["tight"].cpus + UNITS
+    controller.quota.take(msgspec.structs.replace(sync, quota=good | {"transfers": [row]}), controller.state.scheduler)
+    assert controller.state.quota_shares["tight"].cpus == before["tight"].cpus + UNITS
 
 
 def test_without_the_check_of_the_view_a_late_transfer_counts(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -328,12 +328,12 @@
         world = started_world(1, teams=TEAMS, parts=ON)
         world.run(3)
         controller = world.nodes["c0"].controller
-        assert controller is not None and controller.quota is not None and controller.scheduler is not None
-        before = controller.grants["tight"].cpus
+        assert controller is not None and controller.quota is not None and controller.state.scheduler is not None
+        before = controller.state.quota_shares["tight"].cpus
         controller.quota.take(
-            msgspec.structs.replace(sync_of(world, "c0"), quota=late_message(world, late)), controller.scheduler
+            msgspec.structs.replace(sync_of(world, "c0"), quota=late_message(world, late)), controller.state.scheduler
         )
-        assert controller.grants["tight"].cpus - before == gained
+        assert controller.state.quota_shares["tight"].cpus - before == gained
 
 
 def late_message(world: World, change: dict[str, Any]) -> dict[str, Any]:
@@ -369,9 +369,9 @@
     world = started_world(1, teams=TEAMS, parts=ON)
     world.run(3)
     controller = world.nodes["c0"].controller
-    assert controller is not None and controller.quota is not None and controller.scheduler is not None
+    assert controller is not None and controller.quota is not None and controller.state.scheduler is not None
     sync = sync_of(world, "c0")
-    controller.quota.take(msgspec.structs.replace(sync, quota=None), controller.scheduler)
+    controller.quota.take(msgspec.structs.replace(sync, quota=None), controller.state.scheduler)
     assert controller.quota.counters["refused"] == 0
     body = cbor2.loads(cbor2.dumps(msgspec.to_builtins(sync)))
     assert {"member", "view", "seq", "wire"} <= body.keys() and body["wire"] == 5
@@ -379,7 +379,7 @@
 
 def test_off_the_part_is_not_imported_and_nothing_of_it_is_told() -> None:
     program = (
-        "import sys, ramptide.service, ramptide.metrics, ramptide.admin;"
+        "import sys, ramptide.service, ramptide.api.metrics, ramptide.api.administration;"
         "print([name for name in sys.modules if 'quota' in name or 'hdrh' in name or 'highspy' in name])"
     )
     environment = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
@@ -408,7 +408,9 @@
     for node in world.nodes.values():
         assert node.controller is not None
         # Without preemption, so that the order alone decides.
-        node.controller.tuning = node.controller.tuning.changed({"guarantees_first": first, "preempt_after": 600})
+        node.controller.state.tuning = node.controller.state.tuning.changed(
+            {"guarantees_first": first, "preempt_after": 600}
+        )
     world.define_job("j-2", owner="poor", pieces=6, cores=2.0, guessS=2.0)
     assert world.submit_until_accepted("j-2", "c1")
     world.run_until(lambda: world.is_done("j-2") or world.is_done("j-1"), 60)
@@ -456,11 +458,13 @@
     assert controller is not None and controller.quota is not None
     got: dict[str, bytes] = {}
     for path in ("/admin/status", "/metrics"):
-        Admin(controller).handle("GET", path, b"", lambda status, body, kind, path=path: got.update({path: body}))  # type: ignore[misc]
+        build_admin_api(controller).handle(
+            "GET", path, b"", lambda status, body, kind, path=path: got.update({path: body})
+        )  # type: ignore[misc]
     told = json.loads(got["/admin/status"])["quota"]
     assert told["members_without"] == [] and told["transfers"]["given"] == controller.quota.counters["given"]
     share = told["teams"]["tight"]["cores"]
-    assert share["held"] * UNITS == controller.grants["tight"].cpus and share["borrowed"] > 0
+    assert share["held"] * UNITS == controller.state.quota_shares["tight"].cpus and share["borrowed"] > 0
     assert set(share) == {"held", "used", "borrowed", "in_transfer"} and told["teams"]["tight"]["pending"] is False
     metrics = got["/metrics"].decode()
     for text in (
--- a/tests/test_quota_ledger.py
+++ b/tests/test_quota_ledger.py
@@ -7,12 +7,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ramptide.allowances import Allowances, ProportionalSplit, SplitPolicy
-from ramptide.amounts import NO_LIMIT, NOTHING, UNITS, Amounts, add_amounts, tasks_within
 from ramptide.quota.fitting import FittingSplit
 from ramptide.quota.ledger import AccountBook, Ledger, LedgerError, TransferState
 from ramptide.quota.messages import AccountRow, QuotaMessageError, TaskDemand, TransferRow, decode
 from ramptide.quota.planner import most_used
+from ramptide.state.amounts import NO_LIMIT, NOTHING, UNITS, Amounts, add_amounts, tasks_within
+from ramptide.team_limits.allowances import ProportionalSplit, ShareAllocator, SplitPolicy
 
 MEMBERS = ["a", "b", "c"]
 LIMIT = Amounts(20 * UNITS, 6 * UNITS)
@@ -58,7 +58,7 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.members = {name: Member(name) for name in MEMBERS}
-        self.leader = Allowances({TEAM: LIMIT}, MEMBERS)
+        self.leader = ShareAllocator({TEAM: LIMIT}, MEMBERS)
         self.book = AccountBook()
         self.seq = 0
         self.grants: dict[str, list[tuple[int, Amounts]]] = {name: [] for name in MEMBERS}
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -6,8 +6,8 @@
 import pytest
 from virtual import World, leader_of, started_world
 
-from ramptide.amounts import NO_LIMIT, UNITS, Amounts
-from ramptide.parts import Parts, QuotaPart
+from ramptide.clients.key_value_store import TransactionResult
+from ramptide.config.features import Features, QuotaFeature
 from ramptide.protocol.settings_file import Team
 from ramptide.quota.limit_table import LimitTable
 from ramptide.quota.overrides import (
@@ -21,9 +21,9 @@
     promote,
     team_of,
 )
-from ramptide.store import TransactionResult
+from ramptide.state.amounts import NO_LIMIT, UNITS, Amounts
 
-ON = Parts(QuotaPart(True))
+ON = Features(QuotaFeature(True))
 PLATFORM = Team("tight", cpus=4.0, cpus_max=12.0)
 
 
@@ -103,14 +103,14 @@
 
 def admin(world: World, name: str, changes: dict[str, Any] | None) -> tuple[int, dict[str, Any]]:
     """A call of the administration API."""
-    from ramptide.admin import Admin
+    from ramptide.controller.administration import build_admin_api
 
     controller = world.nodes[name].controller
     assert controller is not None
     got: list[tuple[int, dict[str, Any]]] = []
     body = json.dumps(changes).encode() if changes is not None else b""
     method = "GET" if changes is None else "PATCH"
-    assert Admin(controller).handle(
+    assert build_admin_api(controller).handle(
         method, "/admin/quota", body, lambda status, raw, kind: got.append((status, json.loads(raw)))
     )
     world.run_until(lambda: bool(got), 5)
@@ -126,8 +126,8 @@
     """The member beside the leader whose tasks use most of the limit."""
     use: dict[str, int] = {}
     for name, node in world.nodes.items():
-        assert node.controller is not None and node.controller.scheduler is not None
-        use[name] = node.controller.scheduler.usage().get("tight", (0, 0))[0]
+        assert node.controller is not None and node.controller.state.scheduler is not None
+        use[name] = node.controller.state.scheduler.usage().get("tight", (0, 0))[0]
     name = max((name for name in world.controller_names if name != leader_of(world)), key=lambda one: use[one])
     assert use[name] > UNITS
     return name
@@ -201,7 +201,7 @@
 
 
 def submit(world: World, body: bytes, statuses: list[int]) -> None:
-    world.request("c1", lambda controller: controller.desk.submit(body, lambda status, *_: statuses.append(status)))
+    world.request("c1", lambda controller: controller.job_api.submit(body, lambda status, *_: statuses.append(status)))
 
 
 def test_a_removed_team_is_refused_its_known_jobs_are_not_and_it_can_come_back() -> None:
@@ -235,7 +235,7 @@
     world.store.put(key_of("tight"), {"version": 9})
     world.run(2)
     controller = world.nodes["c0"].controller
-    assert controller is not None and controller.limits["tight"] == cores(12)
+    assert controller is not None and controller.state.limits["tight"] == cores(12)
     assert len([one for one in caplog.records if "broken limit of team 'tight'" in one.message]) == len(
         world.controller_names
     )
@@ -244,10 +244,10 @@
 def test_a_change_lost_to_another_one_is_told() -> None:
     world = started_world(1, teams={"tight": 12.0}, parts=ON)
     controller = world.nodes["c0"].controller
-    assert controller is not None and controller.quota is not None
+    assert controller is not None and controller.limit_table is not None
     results: list[TransactionResult] = []
     for most in (5, 6):
-        controller.quota.limits.request({"tight": {"cpus_max": most}}, results.append)
+        controller.limit_table.request({"tight": {"cpus_max": most}}, results.append)
     world.run(2)
     assert [one.revision is not None for one in results] == [True, False] and results[1].failed_keys == [
         key_of("tight")
--- a/tests/test_quota_plan.py
+++ b/tests/test_quota_plan.py
@@ -5,8 +5,8 @@
 import pytest
 
 from ramptide.cli import main
-from ramptide.parts import load_parts
-from ramptide.settings import SettingsError
+from ramptide.config.features import load_features
+from ramptide.config.settings import SettingsError
 
 MACHINES = '[[machines]]\ntype = "m"\nzone = "a"\ncount = 4\ncores = 8\nram_gb = 32\n'
 
@@ -83,7 +83,7 @@
 
 
 def test_the_file_of_the_repository_is_read() -> None:
-    assert load_parts(Path(__file__).parent.parent / "deploy" / "parts.toml").quota.enabled
+    assert load_features(Path(__file__).parent.parent / "deploy" / "parts.toml").quota.enabled
 
 
 @pytest.mark.parametrize(
@@ -104,7 +104,7 @@
     path = tmp_path / "parts.toml"
     path.write_text(text)
     with pytest.raises(SettingsError, match=named):
-        load_parts(path)
+        load_features(path)
     settings = tmp_path / "settings.json"
     settings.write_text("{}")
     assert main(["--parts", str(tmp_path / "none.toml"), "--config", str(settings)]) == 2
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,11 +7,12 @@
 import pytest
 from virtual import SETTINGS_FILE, World, job_spec, leader_of, started_world
 
-from ramptide.admin import METRICS_PATH, SETTINGS_PATH, STATUS_PATH, Admin
+from ramptide.api.administration import METRICS_PATH, SETTINGS_PATH, STATUS_PATH
 from ramptide.cli import main
+from ramptide.config.settings import BOUNDS, SettingsError, Tuning, load
+from ramptide.controller.administration import build_admin_api
 from ramptide.protocol.jobs import decode_job_spec
 from ramptide.protocol.types import MessageError
-from ramptide.settings import BOUNDS, SettingsError, Tuning, load
 
 
 def written(path: Path, **changes: Any) -> Path:
@@ -92,7 +93,7 @@
     got: list[tuple[int, bytes]] = []
     controller = world.nodes[node].controller
     assert controller is not None
-    assert Admin(controller).handle(method, path, body, lambda status, said, kind: got.append((status, said)))
+    assert build_admin_api(controller).handle(method, path, body, lambda status, said, kind: got.append((status, said)))
     world.run(1.0)
     return got[0]
 
@@ -124,7 +125,7 @@
 
 def submitted(world: World, body: bytes) -> int:
     got: list[int] = []
-    world.request("c0", lambda c: c.desk.submit(body, lambda status, *rest: got.append(status)))
+    world.request("c0", lambda c: c.job_api.submit(body, lambda status, *rest: got.append(status)))
     world.run(1.0)
     return got[0]
 
--- a/tests/test_slow_controllers.py
+++ b/tests/test_slow_controllers.py
@@ -5,7 +5,7 @@
 import pytest
 from virtual import MS, Node, S, World, cancel_job, leader_of, restart_controller, submit_job
 
-from ramptide.app import Controller
+from ramptide.controller.controller import Controller
 
 #: A controller has some thirty events a second here without users.
 EVENT_COST = 20 * MS
@@ -18,7 +18,7 @@
         node.event_cost = EVENT_COST
         node.start()
     assert world.run_until(
-        lambda: all(node.controller and node.controller.latched for node in world.nodes.values()), 15
+        lambda: all(node.controller and node.controller.state.reconciled for node in world.nodes.values()), 15
     )
     rng = random.Random(seed)
     for number in range(8):
@@ -45,7 +45,11 @@
 
 
 def views(world: World) -> int:
-    return max(node.controller.view.number for node in world.nodes.values() if node.controller and node.controller.view)
+    return max(
+        node.controller.state.view.number
+        for node in world.nodes.values()
+        if node.controller and node.controller.state.view
+    )
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -63,7 +67,7 @@
     answered: list[int] = []
 
     def poll(controller: Controller) -> None:
-        controller.desk.poll("j-4", lambda status, *_: answered.append(status))
+        controller.job_api.poll("j-4", lambda status, *_: answered.append(status))
 
     for number in range(800):
         world.after(number * 12.5 * MS, lambda: world.request(name, poll))
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -22,14 +22,15 @@
     submit_job,
 )
 
-from ramptide.announcements import TokenAnnouncer
-from ramptide.app import Controller
-from ramptide.floor import Floor, Host
-from ramptide.membership import LEASE_TIMEOUT
-from ramptide.peers import Peers
-from ramptide.report_intake import ReportIntake
-from ramptide.shard import Shard
-from ramptide.task_state import FINISHED_NAMES
+from ramptide.agents.heartbeat_intake import HeartbeatIntake
+from ramptide.agents.shard import Shard
+from ramptide.agents.token_announcer import TokenAnnouncer
+from ramptide.cluster.machine_index import MachineIndex, ObservedMachine
+from ramptide.cluster.membership import LEASE_TIMEOUT
+from ramptide.cluster.peers import Peers
+from ramptide.controller.authority import Authority
+from ramptide.controller.reconciliation import Reconciliation
+from ramptide.state.task_state import FINISHED_PHASE_NAMES
 
 
 @pytest.mark.parametrize("seed", range(28))
@@ -75,7 +76,7 @@
 
 
 def test_without_the_settled_guard_a_task_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Controller, "unsettled", lambda self: {})
+    monkeypatch.setattr(Reconciliation, "unreconciled_machines", lambda self: {})
     world = busy_world()
     cut_worker_and_crash(world)
     assert any("ran_twice" in rule for rule in world.invariants.violations)
@@ -105,7 +106,7 @@
 def test_without_the_authority_guard_a_cancelled_task_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
     """Workers that are told the new token directly don't hear the cut-off owner any more, so that is taken out too."""
     monkeypatch.setattr(TokenAnnouncer, "announce", lambda announcer, token, addresses: None)
-    monkeypatch.setattr(Controller, "may_answer", lambda self: self.membership.serving)
+    monkeypatch.setattr(Authority, "may_reply", lambda self: self._membership.is_serving)
     world = busy_world(guessS=500.0)
     cancel_behind_a_cut(world)
     assert any("ran_cancelled" in rule for rule in world.invariants.violations)
@@ -153,7 +154,9 @@
 
 
 def leader_of_others(world: World, old: str) -> str:
-    views = [node.controller.view for name, node in world.nodes.items() if name != old and node.controller is not None]
+    views = [
+        node.controller.state.view for name, node in world.nodes.items() if name != old and node.controller is not None
+    ]
     return max((view for view in views if view is not None), key=lambda view: view.number).leader
 
 
@@ -169,8 +172,9 @@
     assert len(world.workers) < 8
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None
-    works = [w for node in world.nodes.values() if node.controller is not None and node.controller.scheduler is not None
-             for w in node.controller.scheduler.jobs.values()]  # fmt: skip
+    nodes = [node.controller for node in world.nodes.values() if node.controller is not None]
+    schedulers = [one.state.scheduler for one in nodes if one.state.scheduler is not None]
+    works = [work for scheduler in schedulers for work in scheduler.jobs.values()]
     assert any(work.backoff > 0 * S for work in works)
 
 
@@ -180,7 +184,7 @@
     world.run(80)
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None
-    assert sum(worker.alive for worker in world.workers.values()) == controller.tuning.pool_size
+    assert sum(worker.alive for worker in world.workers.values()) == controller.state.tuning.pool_size
 
 
 def test_services_of_a_machine_that_runs_few_move_together() -> None:
@@ -325,8 +329,10 @@
     old = leader_of(world)
     world.nodes[old].kill()
     rest = [world.nodes[name] for name in world.controller_names if name != old]
-    assert world.run_until(lambda: all(n.controller is not None and n.controller.view.leader != old for n in rest), 10)
-    assert world.run_until(lambda: all(n.controller is not None and n.controller.latched for n in rest), 5)
+    assert world.run_until(
+        lambda: all(n.controller is not None and n.controller.state.view.leader != old for n in rest), 10
+    )
+    assert world.run_until(lambda: all(n.controller is not None and n.controller.state.reconciled for n in rest), 5)
     assert world.invariants.violations == []
 
 
@@ -336,14 +342,14 @@
     assert world.run_until(lambda: world.is_done("j-1"), 40)
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None
-    assert world.run_until(lambda: controller.counters["returns"] > 0, 60)
+    assert world.run_until(lambda: controller.state.counters["returns"] > 0, 60)
     gone = next(host for host, worker in world.workers.items() if not worker.alive)
     row = {"ref": gone, "rig": "m", "yard": "a", "loaners": False, "status": "running"}
     world.cloud.listing[gone] = row  # the list lags
     world.run(5)
     world.cloud.is_down = True
     world.run(60)
-    assert gone not in controller.machines
+    assert gone not in controller.state.machines
 
 
 def deafen(world: World) -> Worker:
@@ -362,8 +368,8 @@
     world.define_job("j-2", pieces=24, cores=2.0, guessS=30.0)
     assert world.submit_until_accepted("j-2", "c0")
     controller = world.nodes["c0"].controller
-    assert controller is not None and controller.shard is not None
-    machine, most = controller.shard.machines[worker.host], 0
+    assert controller is not None and controller.state.shard is not None
+    machine, most = controller.state.shard.machines[worker.host], 0
     for _ in range(200):
         world.run(0.1)
         most = max(most, sum(entry.phase.value == "sent" for entry in machine.entries.values()))
@@ -380,7 +386,7 @@
 
 
 def test_without_that_guard_launches_go_where_nobody_hears(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ReportIntake, "_mark_unreachable", lambda self, machine, now: None)
+    monkeypatch.setattr(HeartbeatIntake, "_mark_unreachable", lambda self, machine, now: None)
     assert launches_while_deaf(busy_world(members=1, guessS=60.0)) > 0
 
 
@@ -411,8 +417,8 @@
     world.run(4)
     got: list[tuple[int, dict[str, str]]] = []
     body = json.dumps(job_spec("j-5")).encode()
-    world.request("c1", lambda c: c.desk.submit(body, lambda status, said, headers: got.append((status, headers))))
-    world.request("c1", lambda c: c.desk.poll("j-1", lambda status, said, headers: got.append((status, headers))))
+    world.request("c1", lambda c: c.job_api.submit(body, lambda status, said, headers: got.append((status, headers))))
+    world.request("c1", lambda c: c.job_api.poll("j-1", lambda status, said, headers: got.append((status, headers))))
     assert [(status, "Retry-After" in headers) for status, headers in got] == [(503, True)] * 2
 
 
@@ -429,9 +435,9 @@
     gone = next(name for name in world.controller_names if name != leader_of(world))
     world.nodes[gone].kill()
     rest = [node.controller for name, node in world.nodes.items() if name != gone and node.controller is not None]
-    assert world.run_until(lambda: all(c.view is not None and gone not in c.view.members for c in rest), 10)
+    assert world.run_until(lambda: all(c.state.view is not None and gone not in c.state.view.members for c in rest), 10)
     began = world.now
-    assert world.run_until(lambda: all(c.latched for c in rest), 30)
+    assert world.run_until(lambda: all(c.state.reconciled for c in rest), 30)
     assert world.invariants.violations == []
     return (world.now - began) / S
 
@@ -441,10 +447,10 @@
 
 
 def test_without_the_memory_of_what_was_clear_it_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    def forgetful(floor: Floor, host: Host) -> bool:
-        return host.settled and all(row[0] in floor._jobs or row[3] in FINISHED_NAMES for row in host.tasks)
+    def forgetful(floor: MachineIndex, host: ObservedMachine) -> bool:
+        return host.is_reconciled and all(row[0] in floor._jobs or row[3] in FINISHED_PHASE_NAMES for row in host.tasks)
 
-    monkeypatch.setattr(Floor, "clear", forgetful)
+    monkeypatch.setattr(MachineIndex, "check_all_tasks_known", forgetful)
     # Announced tokens settle the machines at once, in the short moments between two cancellations, too.
     monkeypatch.setattr(TokenAnnouncer, "announce", lambda announcer, token, addresses: None)
     assert seconds_to_settle(started_world(9, teams={"team": 300.0})) > 8
@@ -459,8 +465,10 @@
     gone = next(name for name in world.controller_names if name != leader_of(world))
     world.nodes[gone].kill()
     rest = [node.controller for name, node in world.nodes.items() if name != gone and node.controller is not None]
-    assert world.run_until(lambda: all(c.view is not None and gone not in c.view.members for c in rest), 10)
-    assert world.run_until(lambda: all(c.latched for c in rest), 4.5), "the lease is 8 s, and silence shows after 3 s"
+    assert world.run_until(lambda: all(c.state.view is not None and gone not in c.state.view.members for c in rest), 10)
+    assert world.run_until(lambda: all(c.state.reconciled for c in rest), 4.5), (
+        "the lease is 8 s, and silence shows after 3 s"
+    )
     world.run(20)
     assert before - {lost.host} <= {worker.host for worker, _ in world.invariants.running_tasks()}
     assert world.invariants.violations == []
@@ -479,8 +487,8 @@
         world.run(0.5)
         world.nodes[other].start()
         world.run(2)
-    assert controller.view is not None and not controller.latched
-    assert world.run_until(lambda: controller.latched, 30)
+    assert controller.state.view is not None and not controller.state.reconciled
+    assert world.run_until(lambda: controller.state.reconciled, 30)
     assert world.invariants.violations == []
     return (world.now - began) / S
 
@@ -490,7 +498,7 @@
 
 
 def test_without_that_knowledge_each_view_waits_a_whole_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Shard, "last_possible_answers", lambda self, others_end: {})
+    monkeypatch.setattr(Shard, "last_possible_replies", lambda self, others_end: {})
     assert seconds_to_settle_over_views(busy_world(guessS=200.0)) > 13
 
 
@@ -508,8 +516,10 @@
     cut_off = next(name for name in world.controller_names if name != leader_of(world))
     world.isolate(cut_off, *world.workers)
     rest = [node.controller for name, node in world.nodes.items() if name != cut_off and node.controller is not None]
-    assert world.run_until(lambda: all(c.view is not None and cut_off not in c.view.members for c in rest), 10)
-    assert world.run_until(lambda: all(c.latched for c in rest), 12)
+    assert world.run_until(
+        lambda: all(c.state.view is not None and cut_off not in c.state.view.members for c in rest), 10
+    )
+    assert world.run_until(lambda: all(c.state.reconciled for c in rest), 12)
     assert {(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()} == before
     assert world.invariants.violations == []
 
@@ -525,9 +535,11 @@
     world.run(5)
     world.store.refused_callers.clear()
     assert world.run_until(lambda: controller.membership.incarnation != before, 5)
-    assert not controller.may_answer(), "the old view is over for it"
-    assert world.run_until(lambda: controller.latched and controller.may_answer(), 15)
-    assert controller.view is not None and controller.view.members[name] == controller.membership.incarnation
+    assert not controller.authority.may_reply(), "the old view is over for it"
+    assert world.run_until(lambda: controller.state.reconciled and controller.authority.may_reply(), 15)
+    assert (
+        controller.state.view is not None and controller.state.view.members[name] == controller.membership.incarnation
+    )
     assert world.invariants.violations == []
 
 
@@ -559,7 +571,7 @@
 
 
 def test_when_the_controller_in_there_renews_without_proof_they_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Controller, "may_renew", lambda self: True)
+    monkeypatch.setattr(Authority, "may_renew", lambda self: True)
     world = busy_world(guessS=500.0)
     cut_off_a_zone(world)
     assert any("ran_twice" in rule for rule in world.invariants.violations)
@@ -589,8 +601,8 @@
 def test_given_up_before_their_leases_end_their_tasks_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     world = busy_world(guessS=500.0)
     for node in world.nodes.values():
-        assert node.controller is not None and node.controller.shard is not None
-        monkeypatch.setattr(node.controller.shard.leases, "_lease", 2 * S)
+        assert node.controller is not None and node.controller.state.shard is not None
+        monkeypatch.setattr(node.controller.state.shard.leases, "_lease", 2 * S)
     hang_half(world, 12)
     assert any("ran_twice" in rule for rule in world.invariants.violations)
 
@@ -600,14 +612,14 @@
     world = busy_world(guessS=15.0)
     frozen = leader_of(world)
     world.define_job("j-2", pieces=12, cores=2.0, guessS=10.0)
-    world.request(frozen, lambda c: c.desk.submit(json.dumps(world.job_specs["j-2"]).encode(), lambda *said: None))
+    world.request(frozen, lambda c: c.job_api.submit(json.dumps(world.job_specs["j-2"]).encode(), lambda *said: None))
     world.nodes[frozen].freeze(12)
     world.run(11.9)
     controller = world.nodes[frozen].controller
     assert controller is not None and leader_of_others(world, frozen) != frozen
-    starts = controller.counters["starts"]
+    starts = controller.state.counters["starts"]
     world.run(0.2)
-    assert controller.counters["starts"] == starts and not controller.may_start()
+    assert controller.state.counters["starts"] == starts and not controller.authority.may_start()
     assert world.run_until(
         lambda: world.is_done("j-1") and (not world.submit_until_accepted("j-2", "c0") or world.is_done("j-2")), 90
     )
--- a/tests/virtual/histories.py
+++ b/tests/virtual/histories.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import Any
 
-from ramptide.parts import Parts, QuotaPart
+from ramptide.config.features import Features, QuotaFeature
 from virtual.clock import S
 from virtual.faults import OVERLAPPING_FAULTS, SINGLE_FAULTS, inject_fault
 from virtual.observer import Observer
@@ -16,7 +16,7 @@
 #: How long a history is, unless told.
 SECONDS = 60.0
 #: For `parts`.
-QUOTA_ON = Parts(QuotaPart(True))
+QUOTA_ON = Features(QuotaFeature(True))
 #: Keys of jobs that are not over, in the key-value store.
 JOB_PREFIX = "live/job/"
 #: Where a job's tasks may be placed, drawn for each job.
@@ -28,7 +28,7 @@
     seconds: float = SECONDS,
     look: Callable[[World], None] | None = None,
     overlapping: bool = False,
-    parts: Parts | None = None,
+    parts: Features | None = None,
     observer: Observer | None = None,
 ) -> World:
     """Play one history, and return its world for judging.
--- a/tests/virtual/indexes.py
+++ b/tests/virtual/indexes.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from ramptide.app import Controller
-from ramptide.attempts import sum_amounts
-from ramptide.floor import Floor
-from ramptide.job_scheduler import JobScheduler
+from ramptide.cluster.machine_index import MachineIndex
+from ramptide.controller.controller import Controller
+from ramptide.scheduling.attempts import sum_amounts
+from ramptide.scheduling.job_scheduler import JobScheduler
 from virtual.worker import DONE, RUNNING
 from virtual.world import World
 
@@ -16,37 +16,37 @@
     """Check the indexes of all controllers that have a shard."""
     for node in world.nodes.values():
         controller = node.controller
-        if controller is None or controller.scheduler is None:
+        if controller is None or controller.state.scheduler is None:
             continue
-        controller.floor.refresh()
-        _check_rooms(controller.floor)
-        _check_tasks(controller.floor)
+        controller.machine_index.refresh()
+        _check_rooms(controller.machine_index)
+        _check_tasks(controller.machine_index)
         _check_failures(controller)
-        _check_jobs(controller.scheduler)
-        _check_attempts(controller.floor, controller.scheduler)
+        _check_jobs(controller.state.scheduler)
+        _check_attempts(controller.machine_index, controller.state.scheduler)
 
 
-def _check_rooms(floor: Floor) -> None:
-    expected = {name: room for name in floor.hosts if (room := floor._room(name)) is not None}
+def _check_rooms(floor: MachineIndex) -> None:
+    expected = {name: room for name in floor.machines if (room := floor._room(name)) is not None}
     assert floor.rooms == expected
 
 
-def _check_tasks(floor: Floor) -> None:
-    running = Counter(row[0] for host in floor.hosts.values() for row in host.tasks if row[3] == RUNNING)
-    assert {job_id: count for job_id, count in floor.running.items() if count} == running
-    for job_id in {row[0] for host in floor.hosts.values() for row in host.tasks}:
-        assert floor.where(job_id) == sorted(
-            name for name, host in floor.hosts.items() if any(row[0] == job_id for row in host.tasks)
+def _check_tasks(floor: MachineIndex) -> None:
+    running = Counter(row[0] for host in floor.machines.values() for row in host.tasks if row[3] == RUNNING)
+    assert {job_id: count for job_id, count in floor.running_tasks.items() if count} == running
+    for job_id in {row[0] for host in floor.machines.values() for row in host.tasks}:
+        assert floor.hosts_of_job(job_id) == sorted(
+            name for name, host in floor.machines.items() if any(row[0] == job_id for row in host.tasks)
         )
 
 
 def _check_failures(controller: Controller) -> None:
-    floor, jobs = controller.floor, controller.jobs
-    failed = {(job_id, name) for name, host in floor.hosts.items() for job_id in host.failed}
-    assert {(job_id, name) for job_id, names in floor._failed.items() for name in names} == failed
+    floor, jobs = controller.machine_index, controller.state.jobs
+    failed = {(job_id, name) for name, host in floor.machines.items() for job_id in host.failed_jobs}
+    assert {(job_id, name) for job_id, names in floor._hosts_by_failed_job.items() for name in names} == failed
     passed = {job_id for job_id, _ in failed if job_id in jobs and jobs[job_id].progress.count}
-    passed |= {row[0] for host in floor.hosts.values() for row in host.tasks if row[4] == DONE}
-    assert passed & floor._failed.keys() <= floor._passed <= floor._failed.keys()
+    passed |= {row[0] for host in floor.machines.values() for row in host.tasks if row[4] == DONE}
+    assert passed & floor._hosts_by_failed_job.keys() <= floor._succeeded_jobs <= floor._hosts_by_failed_job.keys()
 
 
 def _check_jobs(scheduler: JobScheduler) -> None:
@@ -54,12 +54,12 @@
     assert scheduler.with_pending_tasks == {job_id: job for job_id, job in scheduler.jobs.items() if job.waiting > 0}
 
 
-def _check_attempts(floor: Floor, scheduler: JobScheduler) -> None:
+def _check_attempts(floor: MachineIndex, scheduler: JobScheduler) -> None:
     attempts = [attempt for entries in scheduler.attempts.values() for attempt in entries.values()]
     usage = sum_amounts(attempts)
     for team in usage | scheduler.usage():
         assert scheduler.usage().get(team, (0.0, 0.0)) == pytest.approx(usage.get(team, (0.0, 0.0)))
     indexed = [attempt for entries in scheduler.index.by_job.values() for attempt in entries.values()]
     assert sorted(attempt.key for attempt in indexed) == sorted(attempt.key for attempt in attempts)
-    shown = {tuple(row[:3]) for host in floor.hosts.values() if host.settled for row in host.tasks}
+    shown = {tuple(row[:3]) for host in floor.machines.values() if host.is_reconciled for row in host.tasks}
     assert all(attempt.key in scheduler.index.unshown or attempt.key in shown for attempt in attempts)
--- a/tests/virtual/loopback.py
+++ b/tests/virtual/loopback.py
@@ -15,13 +15,13 @@
 from pathlib import Path
 from typing import Any
 
-from ramptide.context import JSON
-from ramptide.http.client import Client
-from ramptide.http.messages import Message
-from ramptide.http.server import Exchange, Server
-from ramptide.loop import Loop
 from ramptide.protocol.agents import COMMANDS_PATH, HEARTBEAT_PATH
 from ramptide.protocol.jobs import HEALTH_PATH
+from ramptide.transport.event_loop import EventLoop
+from ramptide.transport.http.client import Client
+from ramptide.transport.http.messages import Message
+from ramptide.transport.http.server import Exchange, Server
+from ramptide.transport.runtime import JSON
 from virtual.network import CLOUD, STORE, Respond, encode_body
 from virtual.node import Node
 from virtual.settings import cluster_settings
@@ -73,7 +73,7 @@
     def __init__(
         self, folder: Path, teams: dict[str, float] | None = None, capacity: int = 12, parts: Path | None = None
     ) -> None:
-        self.loop = Loop()
+        self.loop = EventLoop()
         super().__init__(1, teams=teams, capacity=capacity)
         self.folder = folder
         self.log_level = "info"
--- a/tests/virtual/node.py
+++ b/tests/virtual/node.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 from urllib.parse import urlsplit
 
-from ramptide.app import Controller
+from ramptide.controller.controller import Controller
 from ramptide.protocol.agents import COMMANDS_PATH, INSPECT_PATH
 from ramptide.protocol.key_value_store import TRANSACTION_PATH
 from ramptide.protocol.settings_file import decode_settings
@@ -191,7 +191,7 @@
         observed_respond = self.world.observed(self.name, respond)
 
         def handle(controller: Controller) -> None:
-            controller.reports.receive_heartbeat(body, observed_respond)
+            controller.heartbeats.receive_heartbeat(body, observed_respond)
 
         self.request(handle, lambda: respond(503, {}))
 
@@ -201,7 +201,7 @@
         observed_respond = self.world.observed(self.name, respond)
 
         def handle(controller: Controller) -> None:
-            response = controller.syncing.take(body)
+            response = controller.peer_messages.receive(body)
             observed_respond(503 if response is None else 200, response or b"")
 
         self.request(handle, lambda: respond(503, b""))
--- a/tests/virtual/users.py
+++ b/tests/virtual/users.py
@@ -34,9 +34,9 @@
         respond = self.world.observed(controller_name, on_response)
         if was_accepted and self.rng.random() < 0.3:
             body = json.dumps(self.world.job_specs[job_id]).encode()
-            self.world.request(controller_name, lambda controller: controller.desk.submit(body, respond))
+            self.world.request(controller_name, lambda controller: controller.job_api.submit(body, respond))
         else:
-            self.world.request(controller_name, lambda controller: controller.desk.poll(job_id, respond))
+            self.world.request(controller_name, lambda controller: controller.job_api.poll(job_id, respond))
 
     def _check_response(
         self, job_id: str, was_accepted: bool, known_status: str | None, http_status: int, body: dict[str, Any]
@@ -74,7 +74,7 @@
     controller_name = rng.choice(world.controller_names)
     respond = world.observed(controller_name, on_response)
     world.nodes[controller_name].request(
-        lambda controller: controller.desk.submit(body, respond), lambda: on_response(503)
+        lambda controller: controller.job_api.submit(body, respond), lambda: on_response(503)
     )
 
 
@@ -93,4 +93,4 @@
 
     controller_name = rng.choice(world.controller_names)
     respond = world.observed(controller_name, on_response)
-    world.nodes[controller_name].request(lambda controller: controller.desk.cancel(job_id, respond), retry_later)
+    world.nodes[controller_name].request(lambda controller: controller.job_api.cancel(job_id, respond), retry_later)
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -10,8 +10,8 @@
 from datetime import timedelta
 from typing import Any
 
-from ramptide.app import Controller
-from ramptide.parts import Parts
+from ramptide.config.features import Features
+from ramptide.controller.controller import Controller
 from virtual.cloud import Cloud
 from virtual.invariants import InvariantChecker
 from virtual.jobs import job_spec
@@ -31,7 +31,7 @@
         teams: dict[str, float] | None = None,
         capacity: int = 12,
         members: int = 3,
-        parts: Parts | None = None,
+        parts: Features | None = None,
         observer: Observer | None = None,
     ) -> None:
         super().__init__(random.Random(seed))
@@ -110,7 +110,7 @@
 
     def _submit(self, controller_name: str, body: bytes, on_response: Callable[..., None]) -> None:
         respond = self.observed(controller_name, on_response)
-        self.request(controller_name, lambda controller: controller.desk.submit(body, respond))
+        self.request(controller_name, lambda controller: controller.job_api.submit(body, respond))
 
     def poll_job(self, job_id: str, controller_name: str) -> tuple[int, dict[str, Any]] | None:
         """Return the status and the decoded body of the answer, or None when none came in time."""
@@ -120,7 +120,7 @@
             responses.append((status, json.loads(body)))
 
         respond = self.observed(controller_name, on_response)
-        self.request(controller_name, lambda controller: controller.desk.poll(job_id, respond))
+        self.request(controller_name, lambda controller: controller.job_api.poll(job_id, respond))
         self.run(2.0)
         return responses[0] if responses else None
 
@@ -132,7 +132,7 @@
             statuses.append(status)
 
         respond = self.observed(controller_name, on_response)
-        self.request(controller_name, lambda controller: controller.desk.cancel(job_id, respond))
+        self.request(controller_name, lambda controller: controller.job_api.cancel(job_id, respond))
         self.run_until(lambda: bool(statuses), 3)
         if statuses == [200]:
             self.cancelled_at.setdefault(job_id, self.now)
@@ -151,7 +151,8 @@
     for node in world.nodes.values():
         node.start()
     assert world.run_until(
-        lambda: all(node.controller is not None and node.controller.latched for node in world.nodes.values()), 10
+        lambda: all(node.controller is not None and node.controller.state.reconciled for node in world.nodes.values()),
+        10,
     )
     return world
 
@@ -159,7 +160,11 @@
 def owner_of(world: World, host: str) -> str:
     """Return the controller whose shard has the machine."""
     for name, node in world.nodes.items():
-        if node.controller is not None and node.controller.shard is not None and host in node.controller.shard.machines:
+        if (
+            node.controller is not None
+            and node.controller.state.shard is not None
+            and host in node.controller.state.shard.machines
+        ):
             return name
     raise AssertionError("nobody's machine")
 
@@ -167,6 +172,6 @@
 def leader_of(world: World) -> str:
     """Return the controller that leads."""
     for name, node in world.nodes.items():
-        if node.controller is not None and node.controller.membership.leading:
+        if node.controller is not None and node.controller.membership.is_leading:
             return name
     raise AssertionError("no leader")
--- a/tools/measure_quota.py
+++ b/tools/measure_quota.py
@@ -15,12 +15,12 @@
 from test_quota import send
 from virtual import S, Task, Worker, World, started_world
 
-from ramptide.allowances import ProportionalSplit, SplitPolicy
-from ramptide.amounts import NO_LIMIT, NOTHING, UNITS, Amounts
-from ramptide.parts import Parts, QuotaPart
+from ramptide.config.features import Features, QuotaFeature
 from ramptide.quota.fitting import FittingSplit
 from ramptide.quota.messages import TaskDemand
 from ramptide.quota.planner import most_used
+from ramptide.state.amounts import NO_LIMIT, NOTHING, UNITS, Amounts
+from ramptide.team_limits.allowances import ProportionalSplit, SplitPolicy
 
 SECONDS = 60
 SAMPLE_S = 0.05
@@ -68,7 +68,7 @@
         )
 
 
-def play(load: Load, seed: int, parts: Parts | None, result: Result) -> None:
+def play(load: Load, seed: int, parts: Features | None, result: Result) -> None:
     """Play one seed and add its figures."""
     world = started_world(seed, teams=TEAMS, capacity=16, parts=parts)
     plan(world, load, random.Random(seed))
@@ -115,7 +115,7 @@
 def sample(world: World, result: Result) -> None:
     """Look at what all controllers together use of each limit, while one of their waiting tasks would fit."""
     controllers = [node.controller for node in world.nodes.values() if node.controller is not None]
-    homes = [one.scheduler for one in controllers if one.scheduler is not None]
+    homes = [one.state.scheduler for one in controllers if one.state.scheduler is not None]
     for team, limit in TEAMS.items():
         used = sum(home.usage_with_transfers().get(team, (0, 0))[0] for home in homes)
         left = limit - used / UNITS
@@ -155,7 +155,7 @@
         "load | part | unused | wait 50/90/99 % | messages a start | transactions a start | transfers | starts | broken"
     )
     for load in LOADS:
-        for name, parts in (("off", None), ("on", Parts(QuotaPart(True)))):
+        for name, parts in (("off", None), ("on", Features(QuotaFeature(True)))):
             result = Result()
             for seed in SEEDS:
                 play(load, seed, parts, result)
