--- a/src/ramptide/agents/commands.py
+++ b/src/ramptide/agents/commands.py
@@ -1,68 +1,81 @@
-"""The commands to workers, which travel in the replies to their reports.
+"""The commands to agents, which travel in the replies to their heartbeats.
 
-A worker drops a late reply, and has one report in flight, so its next report shows for sure whether the commands of the
-reply before were carried out.
+An agent drops a late reply, and has one heartbeat in flight, so its next heartbeat shows for sure whether the commands
+of the reply before were carried out.
 """
 
 from datetime import timedelta
 
+from ramptide.agents.attempt_phases import AttemptEvent, advance
 from ramptide.agents.machine_table import MachineTable
 from ramptide.protocol.agents import Command, reap_command, start_command, stop_command
 from ramptide.state.task_state import FINISHED_PHASES, NO_TIME, DesiredState, Phase, TaskEntry
 
+__all__ = ["CommandDelivery"]
+
 
 class CommandDelivery:
-    """Works out the commands for the workers of the machines in a table."""
+    """Works out the commands for the agents of the machines in a table."""
 
     def __init__(self, table: MachineTable) -> None:
         self._table = table
-        self._find_run = table.find_spec
+        self._find_spec = table.find_spec
 
     def take(self, host: str, now: timedelta, may_start: bool) -> list[Command]:
-        """Return the commands for the reply to a report just taken, and note them as sent."""
+        """Return the commands for the reply to a heartbeat just taken, and note them as sent.
+
+        Stops and reaps come before starts, for which they make room; starts are left out unless `may_start`.
+        """
         machine = self._table.machines.get(host)
         if machine is None or not machine.has_current_token:
             return []
         commands: list[Command] = []
-        launches: list[Command] = []
+        starts: list[Command] = []
         for key, entry in list(machine.entries.items()):
-            job_id, task, attempt = key
-            if entry.requested_by is None and entry.desired is None and self._find_run(job_id) is None:
-                # Found on the machine, and its job is over: nobody else would clear it away.
-                machine.clear_away(key, entry)
-            if entry.desired is DesiredState.RUN and entry.phase is Phase.QUEUED and may_start:
-                launches.append(start_command(job_id, task, attempt))
-                entry.phase = Phase.SENT
-            elif entry.desired is DesiredState.REAP and entry.phase is Phase.ENDED:
-                commands.append(reap_command(job_id, task, attempt))
-            elif entry.desired in (DesiredState.STOP, DesiredState.REAP) and entry.phase not in FINISHED_PHASES:
+            job_id, task_index, attempt = key
+            if entry.requested_by is None and entry.desired is None and self._find_spec(job_id) is None:
+                # Found on the machine, and its job is over: nobody else would have it removed.
+                machine.request_reap(key, entry)
+            if _needs_start(entry):
+                if may_start:
+                    starts.append(start_command(job_id, task_index, attempt))
+                    advance(entry, AttemptEvent.START_SENT)
+            elif _needs_reap(entry):
+                commands.append(reap_command(job_id, task_index, attempt))
+            elif _needs_stop(entry):
                 self._stop(commands, entry, now)
-        if launches:
+        if starts:
             self._table.mark_changed(host)
-        return commands + launches
+        return commands + starts
 
     @staticmethod
     def _stop(commands: list[Command], entry: TaskEntry, now: timedelta) -> None:
-        # A kill is repeated until the report shows the end; a saving task is left to save for its grace.
+        # The stop is repeated until a heartbeat shows the end; a task that writes its checkpoint gets its grace period.
         if entry.stop_sent_at is None:
             entry.stop_sent_at = now
-        grace = max(entry.stop_sent_at + entry.grace - now, NO_TIME)
-        if entry.phase is Phase.CHECKPOINTING and grace > NO_TIME:
+        grace_left = max(entry.stop_sent_at + entry.grace - now, NO_TIME)
+        if entry.phase is Phase.CHECKPOINTING and grace_left > NO_TIME:
             return
-        commands.append(stop_command(entry.job_id, entry.task_index, entry.attempt, grace))
+        commands.append(stop_command(entry.job_id, entry.task_index, entry.attempt, grace_left))
 
     def pending(self, host: str) -> bool:
-        """Tell whether there is a command for this machine's worker that it was not sent yet."""
+        """Tell whether there is a command for this machine's agent that it was not sent yet."""
         machine = self._table.machines.get(host)
         if machine is None or not machine.has_current_token:
             return False
         return any(
-            entry.phase is Phase.QUEUED
-            and entry.desired is DesiredState.RUN
-            or entry.desired is DesiredState.REAP
-            and entry.phase is Phase.ENDED
-            or entry.desired in (DesiredState.STOP, DesiredState.REAP)
-            and entry.phase not in FINISHED_PHASES
-            and entry.stop_sent_at is None
+            _needs_start(entry) or _needs_reap(entry) or _needs_stop(entry) and entry.stop_sent_at is None
             for entry in machine.entries.values()
         )
+
+
+def _needs_start(entry: TaskEntry) -> bool:
+    return entry.phase is Phase.QUEUED and entry.desired is DesiredState.RUN
+
+
+def _needs_reap(entry: TaskEntry) -> bool:
+    return entry.desired is DesiredState.REAP and entry.phase is Phase.ENDED
+
+
+def _needs_stop(entry: TaskEntry) -> bool:
+    return entry.desired in (DesiredState.STOP, DesiredState.REAP) and entry.phase not in FINISHED_PHASES
--- /dev/null
+++ b/src/ramptide/agents/desired_states.py
@@ -0,0 +1,97 @@
+"""What the jobs' schedulers ask for on the machines that this controller owns.
+
+The owner of a machine alone replies to its agent's heartbeats in a view, so commands go only in these replies, and the
+schedulers of all controllers send their desired states to the owner.
+"""
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from datetime import timedelta
+
+from ramptide.agents.attempt_phases import AttemptEvent, advance
+from ramptide.agents.machine_table import MachineTable
+from ramptide.agents.owned_machine import OwnedMachine
+from ramptide.state.task_state import DesiredState, DesiredTaskRow, Phase, TaskEntry, TaskKey
+
+__all__ = ["DesiredStates", "MachineCheck"]
+
+#: Tells whether tasks may be started on a machine at present.
+MachineCheck = Callable[[OwnedMachine], bool]
+
+
+@dataclass(frozen=True, slots=True)
+class _DesiredTask:
+    """What a scheduler asks for one attempt; `grace` is the time to save a checkpoint when it is stopped."""
+
+    key: TaskKey
+    state: DesiredState
+    grace: timedelta
+    requested_by: str
+
+    @classmethod
+    def from_row(cls, row: DesiredTaskRow, requested_by: str) -> "_DesiredTask":
+        job_id, task_index, attempt, state, grace_s = row
+        return cls((job_id, task_index, attempt), DesiredState(state), timedelta(seconds=grace_s), requested_by)
+
+
+class DesiredStates:
+    """Takes the desired states of all schedulers for the machines in a table."""
+
+    def __init__(self, table: MachineTable) -> None:
+        self._table = table
+        #: For each controller, the sequence number of its last message whose desired states were taken.
+        self.acknowledged: dict[str, int] = {}
+
+    def apply(
+        self,
+        sender: str,
+        sequence_number: int,
+        changes: Mapping[str, list[DesiredTaskRow] | None],
+        takes_tasks: MachineCheck,
+    ) -> None:
+        """Take what changed of the desired states of `sender`'s scheduler: each machine's list in full.
+
+        A copy of a message that was taken before, or an older one, changes nothing.
+        """
+        if sequence_number <= self.acknowledged.get(sender, 0):
+            return
+        self.acknowledged[sender] = sequence_number
+        for host, rows in changes.items():
+            machine = self._table.machines.get(host)
+            if machine is None:
+                continue
+            for row in rows or ():
+                self._apply_to_machine(machine, _DesiredTask.from_row(row, sender), takes_tasks)
+            self._table.hosts_to_notify.add(host)
+            self._table.mark_changed(host)
+
+    def _apply_to_machine(self, machine: OwnedMachine, desired: _DesiredTask, takes_tasks: MachineCheck) -> None:
+        entry = machine.entries.get(desired.key)
+        if entry is None:
+            if desired.state is not DesiredState.RUN:
+                return
+            entry = self._new_entry(machine, desired, takes_tasks)
+            self._table.add_entry(machine, entry)
+        if not _may_follow(entry.desired, desired.state):
+            return
+        entry.desired, entry.requested_by, entry.grace = desired.state, desired.requested_by, desired.grace
+        if desired.state is not DesiredState.RUN:
+            advance(entry, AttemptEvent.STOP_REQUESTED)
+        if desired.state is DesiredState.REAP and entry.phase in (Phase.REFUSED, Phase.GONE):
+            del machine.entries[desired.key]
+
+    def _new_entry(self, machine: OwnedMachine, desired: _DesiredTask, takes_tasks: MachineCheck) -> TaskEntry:
+        job_id, task_index, attempt = desired.key
+        spec = self._table.find_spec(job_id)
+        accepted = (
+            spec is not None and not machine.is_unreachable and takes_tasks(machine) and machine.has_room_for(spec)
+        )
+        phase = Phase.QUEUED if accepted else Phase.REFUSED
+        return TaskEntry(job_id, task_index, attempt, phase, spec, requested_by=desired.requested_by)
+
+
+def _may_follow(before: DesiredState | None, after: DesiredState) -> bool:
+    """Tell whether a desired state may replace another: what was told to stop does not run again."""
+    if before is DesiredState.REAP:
+        return False
+    return not (before is DesiredState.STOP and after is DesiredState.RUN)
--- a/src/ramptide/agents/lease_expiry.py
+++ b/src/ramptide/agents/lease_expiry.py
@@ -1,83 +1,99 @@
-"""The leases of silent machines: when what ran there is certainly over."""
+"""The leases of machines that miss heartbeats: when what ran there is certainly over."""
 
 from dataclasses import dataclass
 from datetime import timedelta
 
+from ramptide.agents.attempt_phases import AttemptEvent, advance, is_forgettable
 from ramptide.agents.machine_table import MachineTable
-from ramptide.agents.owned_machine import OwnedMachine
-from ramptide.state.task_state import REPORTED_PHASES, DesiredState, Phase
+from ramptide.agents.owned_machine import HeartbeatId, OwnedMachine
+from ramptide.state.task_state import REPORTED_PHASES, Phase
 
-#: A worker's clock may run slower than ours by so much.
+__all__ = ["CLOCK_DRIFT", "MISSED_HEARTBEAT_LIMIT", "ExpiredLease", "LeaseExpiry"]
+
+#: An agent's clock may run slower than ours by this factor.
 CLOCK_DRIFT = 1.002
 #: Added to a lease before it counts as run out, for what the drift does not cover.
 LEASE_MARGIN = timedelta(seconds=1)
-#: A machine or a controller counts as silent after so many report intervals.
+#: After so many heartbeat intervals a machine or a controller counts as one that misses heartbeats.
 MISSED_HEARTBEAT_LIMIT = 3
 
 
 @dataclass(frozen=True, slots=True)
 class ExpiredLease:
-    """A machine whose worker's lease has certainly ended.
+    """A machine whose agent's lease has certainly ended.
 
-    `tasks`: how many were given up with it; `settled`: by this nothing of an earlier view can be left on it.
+    `lost_tasks`: how many tasks were given up with it; `reconciled`: whether it counts as reconciled from now on, as
+    nothing of an earlier view can be left on it.
     """
 
     host: str
-    tasks: int
+    lost_tasks: int
     reconciled: bool
 
 
 class LeaseExpiry:
-    """Gives up what is on silent machines once their leases have certainly run out."""
+    """Gives up what is on machines that miss heartbeats, once their leases have certainly run out.
+
+    Parameters
+    ----------
+    table
+        The machines.
+    lease_duration
+        How long an agent goes on without a reply before it stops everything.
+    heartbeat_interval
+        How often agents send heartbeats.
+    """
 
-    def __init__(self, table: MachineTable, lease: timedelta, report_every: timedelta) -> None:
+    def __init__(self, table: MachineTable, lease_duration: timedelta, heartbeat_interval: timedelta) -> None:
         self._table = table
-        self._lease = lease
-        self._silent_after = report_every * MISSED_HEARTBEAT_LIMIT
+        self._expires_after = lease_duration * CLOCK_DRIFT + LEASE_MARGIN
+        self._missed_heartbeats_after = heartbeat_interval * MISSED_HEARTBEAT_LIMIT
 
-    def expire(self, now: timedelta, others_end: timedelta | None) -> list[ExpiredLease]:
-        """Mark silent machines, give up what is on those whose leases have certainly run out, and tell what changed.
+    def expire(self, now: timedelta, others_fenced_at: timedelta | None) -> list[ExpiredLease]:
+        """Mark machines that miss heartbeats, and give up what is on those whose leases have certainly run out.
 
-        Only a report that was answered renews a lease, counted from when it was sent, so from before
-        the answer. In this view only we answer; members of earlier views may have answered until
-        `others_end` (None: not known yet).
+        Only a heartbeat that was replied to renews a lease, counted from when it was sent, so from before the reply.
+        In this view only we reply; members of earlier views may have replied until `others_fenced_at` (None: not known
+        yet). Returned are the leases that changed something.
         """
-        ended = []
+        expired = []
         for machine in self._table.machines.values():
-            if (
-                not machine.missed_heartbeats
-                and now - (machine.last_heartbeat_at or machine.no_other_owner_since) > self._silent_after
-            ):
-                machine.missed_heartbeats = True
-                self._table.mark_changed(machine.host)
-            last = machine.latest_reply()
+            self._check_heartbeats(machine, now)
+            latest_reply = machine.latest_reply()
             if not machine.is_reconciled and not machine.no_earlier_owner_since:
-                if others_end is None:
+                if others_fenced_at is None:
                     continue
-                last = max(last, others_end)
-            if now - last > self._lease * CLOCK_DRIFT + LEASE_MARGIN:
-                lease = self._give_up(machine)
-                if lease.reconciled or lease.tasks:
-                    ended.append(lease)
-        return ended
-
-    def _give_up(self, machine: OwnedMachine) -> ExpiredLease:
-        settled = not machine.is_reconciled
-        if settled:
+                latest_reply = max(latest_reply, others_fenced_at)
+            if now - latest_reply > self._expires_after:
+                lease = self._expire_machine(machine)
+                if lease.reconciled or lease.lost_tasks:
+                    expired.append(lease)
+        return expired
+
+    def _check_heartbeats(self, machine: OwnedMachine, now: timedelta) -> None:
+        if machine.missed_heartbeats:
+            return
+        if now - (machine.last_heartbeat_at or machine.no_other_owner_since) > self._missed_heartbeats_after:
+            machine.missed_heartbeats = True
+            self._table.mark_changed(machine.host)
+
+    def _expire_machine(self, machine: OwnedMachine) -> ExpiredLease:
+        newly_reconciled = not machine.is_reconciled
+        if newly_reconciled:
             machine.is_reconciled = True
             self._table.mark_changed(machine.host)
         if machine.last_heartbeat_at is not None and machine.raw_tasks is not None:
-            # Its next true report is of a later epoch; a late one or a copy of this epoch revives nothing.
-            machine.last_heartbeat_id = (machine.last_heartbeat_id[0] + 1, 0)
+            # Its next true heartbeat is of a later epoch; a late one or a copy of this epoch revives nothing.
+            machine.last_heartbeat_id = HeartbeatId(machine.last_heartbeat_id.agent_epoch + 1, 0)
             machine.raw_tasks = None
-        return ExpiredLease(machine.host, self._give_up_tasks(machine), settled)
+        return ExpiredLease(machine.host, self._give_up_tasks(machine), newly_reconciled)
 
     def _give_up_tasks(self, machine: OwnedMachine) -> int:
+        """Give up all attempts; return how many may have been on the machine."""
         lost = sum(entry.phase in REPORTED_PHASES or entry.phase is Phase.SENT for entry in machine.entries.values())
         for key, entry in list(machine.entries.items()):
-            if entry.phase in REPORTED_PHASES or entry.phase in (Phase.SENT, Phase.QUEUED):
-                entry.phase = Phase.GONE
+            if advance(entry, AttemptEvent.LEASE_EXPIRED):
                 self._table.mark_changed(machine.host)
-                if entry.desired in (None, DesiredState.REAP):
+                if is_forgettable(entry):
                     del machine.entries[key]
         return lost
--- a/src/ramptide/agents/token_announcer.py
+++ b/src/ramptide/agents/token_announcer.py
@@ -1,8 +1,8 @@
-"""Tells workers the token of a new membership view, rather than in the answers to their next reports.
+"""Announces the fencing token of a new membership view to agents, ahead of the replies to their next heartbeats.
 
-A worker may wait up to 4 s for the answer of a controller that is gone before it reports to another one. Until it has
-shown its tasks under the new token, nothing of a limited team is started. A direct request without commands raises the
-token at once, and the response is the worker's report.
+An agent may wait up to 4 s for the reply of a controller that is gone before it sends a heartbeat to another one. Until
+it has shown its tasks under the new token, nothing of a limited team is started. A direct request without commands
+raises the token at once, and the response is the agent's heartbeat.
 """
 
 import logging
@@ -15,43 +15,45 @@
 from ramptide.protocol.types import MessageError
 from ramptide.transport.runtime import JSON, Response, Runtime
 
+__all__ = ["MAX_IN_FLIGHT", "TokenAnnouncer"]
+
 log = logging.getLogger(__name__)
 
-#: Requests at a time: enough to ask hundreds of workers within a second, few enough to leave sockets for other calls.
+#: Requests at a time: enough to ask hundreds of agents within a second, few enough to leave sockets for other calls.
 MAX_IN_FLIGHT = 16
-#: A worker that does not respond by then is left to its own report; a machine that hangs must not hold up the others.
+#: An agent that does not respond by then is left to its own heartbeat: a machine that hangs must not hold up others.
 RESPONSE_TIMEOUT = timedelta(seconds=1)
-#: The session of most workers. One with another session says so, and is asked once more.
+#: The epoch of most agents. One of another epoch says so, and is asked once more.
 FIRST_AGENT_EPOCH = 1
 
 
 class TokenAnnouncer:
-    """Announces one token at a time; a new one replaces what is left of the one before.
+    """Announces one fencing token at a time; a new one replaces what is left of the one before.
 
     Parameters
     ----------
     runtime
         Timers and calls.
-    take
-        Gets the report of each worker that has seen the token.
+    on_heartbeat
+        Gets the heartbeat of each agent that has seen the token.
     """
 
-    def __init__(self, runtime: Runtime, take: Callable[[Heartbeat], None]) -> None:
+    def __init__(self, runtime: Runtime, on_heartbeat: Callable[[Heartbeat], None]) -> None:
         self._runtime = runtime
-        self._take = take
-        self._token = 0
+        self._on_heartbeat = on_heartbeat
+        self._fencing_token = 0
         self._in_flight = 0
         self._waiting: deque[tuple[str, str]] = deque()
 
-    def announce(self, token: int, addresses: Mapping[str, str]) -> None:
-        """Tell the token to the workers of the given hosts."""
-        self._token = token
+    def announce(self, fencing_token: int, addresses: Mapping[str, str]) -> None:
+        """Tell the token to agents, given by host and address; nobody else is told any more."""
+        self._fencing_token = fencing_token
         self._waiting = deque(addresses.items())
         self._send_waiting()
 
     def stop(self) -> None:
         """Announce nothing more."""
-        self._token = 0
+        self._fencing_token = 0
         self._waiting.clear()
 
     def _send_waiting(self) -> None:
@@ -60,19 +62,19 @@
             self._send(host, address, FIRST_AGENT_EPOCH)
 
     def _send(self, host: str, address: str, agent_epoch: int) -> None:
-        token = self._token
+        fencing_token = self._fencing_token
         self._in_flight += 1
 
-        def done(reply: Response | None) -> None:
+        def on_reply(reply: Response | None) -> None:
             self._in_flight -= 1
-            if reply is not None and token == self._token:
-                self._handle(host, address, agent_epoch, reply)
+            if reply is not None and fencing_token == self._fencing_token:
+                self._handle_reply(host, address, agent_epoch, reply)
             self._send_waiting()
 
-        body = encode_commands(token, agent_epoch, [])
-        self._runtime.call(address, "POST", COMMANDS_PATH, body, JSON, RESPONSE_TIMEOUT, done)
+        body = encode_commands(fencing_token, agent_epoch, [])
+        self._runtime.call(address, "POST", COMMANDS_PATH, body, JSON, RESPONSE_TIMEOUT, on_reply)
 
-    def _handle(self, host: str, address: str, agent_epoch: int, reply: Response) -> None:
+    def _handle_reply(self, host: str, address: str, agent_epoch: int, reply: Response) -> None:
         try:
             heartbeat = decode_heartbeat(reply.body)
         except MessageError as error:
@@ -81,6 +83,6 @@
         if heartbeat.host != host:
             return
         if reply.status == HTTPStatus.OK:
-            self._take(heartbeat)
+            self._on_heartbeat(heartbeat)
         elif reply.status == HTTPStatus.CONFLICT and agent_epoch == FIRST_AGENT_EPOCH != heartbeat.agent_epoch:
             self._send(host, address, heartbeat.agent_epoch)
--- a/src/ramptide/api/telemetry.py
+++ b/src/ramptide/api/telemetry.py
@@ -161,7 +161,7 @@
             return
         ended, self._unconfirmed = self._unconfirmed, []
         self.leases_expired += len(ended)
-        self.tasks_lost += sum(lease.tasks for lease in ended)
+        self.tasks_lost += sum(lease.lost_tasks for lease in ended)
         _log_ended_leases(ended)
 
 
@@ -171,7 +171,7 @@
     log.info(
         "%s silent past the lease: %d tasks are given up%s",
         _named([lease.host for lease in ended]),
-        sum(lease.tasks for lease in ended),
+        sum(lease.lost_tasks for lease in ended),
         f", {settled} settled as empty" if settled else "",
     )
 
--- a/src/ramptide/cluster/peers.py
+++ b/src/ramptide/cluster/peers.py
@@ -15,6 +15,7 @@
 
 from ramptide.cluster.change_log import ReceivedSequence
 from ramptide.cluster.machine_status import MachineStatus
+from ramptide.cluster.unrecorded_machine import UnrecordedMachine
 from ramptide.protocol.types import Amount, Count
 from ramptide.state.task_state import DesiredTaskRow
 from ramptide.transport.runtime import CBOR, Response, Runtime
@@ -97,7 +98,7 @@
     handovers_taken: list[str] = []
     idle_pool: list[str] = []
     cancelled_jobs: list[str] = []
-    unrecorded_machines: dict[str, tuple[str, str, bool]] = {}
+    unrecorded_machines: dict[str, UnrecordedMachine] = {}
     #: For how many seconds a task of a job that is over may have been on a silent machine.
     unconfirmed_terminations: dict[str, Amount] = {}
     preemptions: list[tuple[str, Count, Count, Amount]] = []
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -11,6 +11,7 @@
 from hypothesis import strategies as st
 from virtual import Response, S, VirtualRuntime, World, job_spec, leader_of, started_world, submit_job
 
+from ramptide.agents.owned_machine import HeartbeatId
 from ramptide.agents.shard import Shard
 from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
 from ramptide.clients.rate_limits import TokenBucket
@@ -280,7 +281,7 @@
     assert part.heartbeats.take(beat(1, 1, 5, 1), 0 * S)
     machine.last_reply_at = 0 * S
     part.leases.expire(10 * S, 0 * S)
-    machine.last_heartbeat_id = (1, 1)
+    machine.last_heartbeat_id = HeartbeatId(1, 1)
     assert part.heartbeats.take(beat(1, 2, 5, 1), 11 * S)
     assert any(entry.phase is Phase.RUNNING for entry in machine.entries.values())
 
