--- a/src/ramptide/agents/shard.py
+++ b/src/ramptide/agents/shard.py
@@ -8,7 +8,8 @@
 from ramptide.agents.lease_expiry import LeaseExpiry
 from ramptide.agents.machine_table import MachineTable, SpecLookup
 from ramptide.agents.owned_machine import OwnedMachine
-from ramptide.cluster.machine_status import MachineStatus, status_of
+from ramptide.agents.status import status_of
+from ramptide.cluster.machine_status import MachineStatus
 from ramptide.protocol.cloud import MachineType
 from ramptide.state.records import MachineRecord
 
--- a/src/ramptide/cluster/machine_index.py
+++ b/src/ramptide/cluster/machine_index.py
@@ -154,7 +154,7 @@
             self.machines[name] = host.successor()
             return
         host.is_reported = True
-        host.is_reconciled, host.is_up, host.is_draining = row.is_reconciled, row.is_up, row.draining
+        host.is_reconciled, host.is_up, host.is_draining = row.is_reconciled, row.is_up, row.is_draining
         host.missed_heartbeats = row.silent_s > 0
         host.heard_at = now - timedelta(seconds=row.silent_s)
         host.preempted_at = (
--- a/src/ramptide/cluster/peers.py
+++ b/src/ramptide/cluster/peers.py
@@ -1,141 +1,66 @@
-"""The messages between controllers.
+"""The delivery of messages between controllers.
 
-They carry numbered changes since an acknowledged number, and whole states on any doubt, so that lost, late and repeated
-messages do no harm.
+A message carries the changes since a sequence number that the receiver has acknowledged, and whole tables on any
+doubt, so that lost, late and repeated messages do no harm.
 """
 
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from datetime import timedelta
-from typing import Annotated, Any
-
-import cbor2
-import msgspec
+from http import HTTPStatus
 
 from ramptide.cluster.change_log import ReceivedSequence
-from ramptide.cluster.machine_status import MachineStatus
-from ramptide.cluster.unrecorded_machine import UnrecordedMachine
-from ramptide.protocol.types import Amount, Count
-from ramptide.state.task_state import DesiredTaskRow
+from ramptide.cluster.errors import MalformedReplyError, UnknownSenderError, VersionMismatchError
+from ramptide.cluster.messages import (
+    MESSAGE_VERSION,
+    PEER_MESSAGES_PATH,
+    PeerMessage,
+    PeerReply,
+    decode_message,
+    decode_reply,
+    encode_message,
+)
 from ramptide.transport.runtime import CBOR, Response, Runtime
 
+__all__ = ["MIN_SEND_INTERVAL", "SEND_INTERVAL", "Peer", "Peers"]
+
 log = logging.getLogger(__name__)
 
-PEER_MESSAGES_PATH = "/sync"
 CALL_TIMEOUT = timedelta(seconds=1)
 SEND_INTERVAL = timedelta(seconds=0.5)
-#: News for a peer gathers so long: each message costs both sides the same few turns whatever it holds.
+#: Changes for a peer gather so long: each message costs both sides the same few turns whatever it holds.
 MIN_SEND_INTERVAL = timedelta(milliseconds=100)
 ZERO = timedelta(0)
-#: Raised when messages change so that another version would misread them.
-MESSAGE_VERSION = 5
-
-
-#: What a team's tasks take, which may be off zero by a rounding; and what it may take, which may have no end.
-SignedAmount = Annotated[float, msgspec.Meta(ge=-1e12, le=1e12)]
-ShareAmount = Annotated[float, msgspec.Meta(ge=-1e12)]
-
-
-#: A job of which tasks wait, how many, for how many seconds, and the machines that it avoids.
-WaitingJobRow = tuple[str, Count, Amount, list[str]]
-
-
-class PeerMessage(
-    msgspec.Struct,
-    omit_defaults=True,
-    rename={
-        "incarnation": "inc",
-        "sequence_number": "seq",
-        "store_unavailable": "lacks",
-        "revision": "epoch",
-        "version": "wire",
-        "reconciled": "latched",
-        "acknowledged": "acks",
-        "desired_tasks": "wishes",
-        "machine_status": "status",
-        "usage": "using",
-        "demand": "asking",
-        "waiting_jobs": "waiting",
-        "usage_in_transfer": "limbo",
-        "quota_shares": "grants",
-        "quota_shares_acknowledged": "grants_ack",
-        "handovers_taken": "took",
-        "idle_pool": "pool",
-        "cancelled_jobs": "cancelled",
-        "unrecorded_machines": "strangers",
-        "unconfirmed_terminations": "unproven",
-        "preemptions": "evict",
-    },
-):
-    """One message between controllers.
-
-    Of machines' states and desired tasks it has what changed since `base`, the number up to which the receiver has said
-    it took them (0: everything); of the rest, everything.
-    """
-
-    member: str
-    incarnation: str
-    view: Count
-    sequence_number: Count
-    store_unavailable: bool
-    #: The sender's copy of the state service shows every change up to this one.
-    revision: Count = 0
-    version: int = 0
-    base: Count = 0
-    #: More machines have changed than one message takes. Only the changes up to `seq` are told here, and nothing else.
-    more: bool = False
-    reconciled: bool = False
-    acknowledged: dict[str, Count] = {}
-    desired_tasks: dict[str, list[DesiredTaskRow] | None] = {}
-    machine_status: dict[str, MachineStatus | None] = {}
-    usage: dict[str, tuple[SignedAmount, SignedAmount]] = {}
-    demand: dict[str, tuple[SignedAmount, SignedAmount]] = {}
-    waiting_jobs: list[WaitingJobRow] = []
-    usage_in_transfer: dict[str, dict[str, tuple[SignedAmount, SignedAmount]]] = {}
-    quota_shares: dict[str, tuple[ShareAmount, ShareAmount]] | None = None
-    quota_shares_acknowledged: Count = 0
-    handovers_taken: list[str] = []
-    idle_pool: list[str] = []
-    cancelled_jobs: list[str] = []
-    unrecorded_machines: dict[str, UnrecordedMachine] = {}
-    #: For how many seconds a task of a job that is over may have been on a silent machine.
-    unconfirmed_terminations: dict[str, Amount] = {}
-    preemptions: list[tuple[str, Count, Count, Amount]] = []
-    #: A message of the quota part, which checks it; None where that part is off.
-    quota: Any = None
-
-
-class PeerReply(
-    msgspec.Struct,
-    rename={
-        "incarnation": "inc",
-        "store_unavailable": "lacks",
-        "newest_view": "newest",
-        "received": "have",
-        "finished_jobs": "over",
-    },
-):
-    """The answer to a `Sync` message.
-
-    It says whether the receiver cannot reach the state service either, in which view it acts, and the newest that it
-    knows of: it renews no lease under an older one any more. `have`: how far it took our tables.
-
-    `over`: to one that cannot reach the state service, every job of which it may have told a user since the sender's
-    epoch that it is cancelled (and others that ended); None when it can't tell, as its process was not there then.
-    """
-
-    incarnation: str
-    view: int
-    store_unavailable: bool
-    newest_view: int
-    received: int = 0
-    finished_jobs: list[str] | None = None
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another controller, with what was sent to it, heard from it and acknowledged by it; times are monotonic."""
+    """Another controller, with what was sent to it, received from it and acknowledged by it.
+
+    Attributes
+    ----------
+    name, address
+        The member's name, and its `host:port` for messages.
+    in_flight
+        Whether a message is under way to it.
+    sent_at
+        When the last message was sent, on the monotonic clock like all moments here.
+    inbox
+        How far its messages of this view have been taken.
+    acknowledged
+        The sequence number up to which it has taken our messages of this view.
+    due_at
+        When the next message is to be sent.
+    heard_at
+        When its last message of any view was taken.
+    last_message
+        Its last complete message in this view.
+    agreed_unavailable_at
+        When the last message was sent to which it replied that the key-value store does not answer it either.
+    replied_at, incarnation, newest_view
+        When its last reply came, and the incarnation and the newest view that it named.
+    """
 
     name: str
     address: str
@@ -147,32 +72,48 @@
     heard_at: timedelta | None = None
     last_message: PeerMessage | None = None
     agreed_unavailable_at: timedelta | None = None
-    answered_at: timedelta | None = None
+    replied_at: timedelta | None = None
     incarnation: str = ""
     newest_view: int = 0
 
 
 class Peers:
-    """Sends messages to the other controllers and keeps the last one of each."""
+    """Sends messages to the other controllers and keeps the last one of each.
+
+    Parameters
+    ----------
+    runtime
+        The clock and the HTTP calls.
+    addresses
+        The address of each other controller, by its name.
+    is_from_member
+        Tells whether the sender of a message is a member of the current view, and not an earlier process of that name.
+    on_message
+        Called with each message that is taken, and its sender.
+    on_finished_jobs
+        Called with jobs that a reply names as finished.
+    """
 
     def __init__(
         self,
-        context: Runtime,
-        siblings: dict[str, str],
-        belongs: Callable[[PeerMessage], bool],
-        receive: Callable[[PeerMessage, Peer], None],
-        call_off: Callable[[list[str]], None],
+        runtime: Runtime,
+        addresses: Mapping[str, str],
+        is_from_member: Callable[[PeerMessage], bool],
+        on_message: Callable[[PeerMessage, Peer], None],
+        on_finished_jobs: Callable[[list[str]], None],
     ) -> None:
-        self._context = context
-        self._is_from_member = belongs
-        self._on_message = receive
-        self._on_finished_jobs = call_off
+        self._runtime = runtime
+        self._is_from_member = is_from_member
+        self._on_message = on_message
+        self._on_finished_jobs = on_finished_jobs
+        #: The newest view that any message named.
         self.newest_view = 0
+        #: Counts the views, so that a reply to a message of an earlier one acknowledges nothing.
         self._generation = 0
-        self.by_name = {name: Peer(name, address) for name, address in siblings.items()}
+        self.by_name = {name: Peer(name, address) for name, address in addresses.items()}
 
     def new_view(self) -> None:
-        """Forget what was said and acknowledged under the previous view, and send everything again."""
+        """Forget what was received and acknowledged in the previous view, and send everything again."""
         self._generation += 1
         for peer in self.by_name.values():
             peer.last_message = None
@@ -189,9 +130,11 @@
         """Return the last message of each other member of the view that has sent one."""
         return [peer.last_message for peer in self.by_name.values() if peer.last_message is not None]
 
+    # Sending.
+
     def due_peers(self) -> list[Peer]:
         """Return the controllers that are to be sent a message now."""
-        now = self._context.now
+        now = self._runtime.now
         return [
             peer
             for peer in self.by_name.values()
@@ -206,87 +149,72 @@
             self.send_within(peer, ZERO)
 
     def send_within(self, peer: Peer, within: timedelta) -> None:
-        """Send a controller its next message within the given time, as there is news for it."""
-        peer.due_at = min(peer.due_at, self._context.now + within)
+        """Send a controller its next message within the given time."""
+        peer.due_at = min(peer.due_at, self._runtime.now + within)
 
-    def send(self, peer: Peer, message: PeerMessage, every: timedelta = SEND_INTERVAL) -> None:
-        """Send a message; the next one is due `every` later.
+    def send(self, peer: Peer, message: PeerMessage, interval: timedelta = SEND_INTERVAL) -> None:
+        """Send a message; the next one is due after `interval`.
 
         One message at a time is under way to a controller; the next one carries all that is newer.
         """
         peer.in_flight = True
-        sent, generation = self._context.now, self._generation
-        peer.sent_at = sent
-        peer.due_at = sent + every
+        sent_at, generation = self._runtime.now, self._generation
+        peer.sent_at = sent_at
+        peer.due_at = sent_at + interval
 
-        def done(reply: Response | None) -> None:
+        def on_response(response: Response | None) -> None:
             peer.in_flight = False
-            if reply is None or reply.status != 200:
+            if response is None or response.status != HTTPStatus.OK:
                 return
             try:
-                answer = msgspec.convert(cbor2.loads(reply.body), PeerReply)
-            except (msgspec.ValidationError, cbor2.CBORDecodeError, ValueError) as error:
-                log.error("broken answer of %s: %s", peer.name, error)
+                reply = decode_reply(response.body, peer.name)
+            except MalformedReplyError as error:
+                log.error("%s", error)
                 return
-            peer.answered_at, peer.incarnation, peer.newest_view = (
-                self._context.now,
-                answer.incarnation,
-                answer.newest_view,
-            )
-            if generation == self._generation:
-                # What it could not take for want of an earlier message is sent again from where it stands.
-                peer.acknowledged = (
-                    min(max(answer.received, 0), message.sequence_number) if answer.view == message.view else 0
-                )
-            if answer.finished_jobs:
-                self._on_finished_jobs(answer.finished_jobs)
-            # It lacks the state service now, and stands in our view or (just started) in none: nobody
-            # there can have moved the view on between our asking and its answer. And whatever it promised its
-            # users up to then we know now: a cancellation that nobody tells us of must end with our leases.
-            if (
-                message.store_unavailable
-                and answer.store_unavailable
-                and answer.view in (0, message.view)
-                and answer.finished_jobs is not None
-            ):
-                peer.agreed_unavailable_at = sent
-
-        self._context.call(peer.address, "POST", PEER_MESSAGES_PATH, encode_message(message), CBOR, CALL_TIMEOUT, done)
+            self._take_reply(peer, message, reply, sent_at, is_current=generation == self._generation)
 
-    def unavailable_agreed_since(self) -> timedelta | None:
-        """Return the time since which all others have said that they cannot reach the state service either.
+        body = encode_message(message)
+        self._runtime.call(peer.address, "POST", PEER_MESSAGES_PATH, body, CBOR, CALL_TIMEOUT, on_response)
 
-        None while some have not said so.
-        """
-        moments = [peer.agreed_unavailable_at for peer in self.by_name.values()]
-        known = [moment for moment in moments if moment is not None]
-        return min(known, default=self._context.now) if len(known) == len(moments) else None
-
-    def no_replies_after(self, member: str, incarnation: str, view: int) -> timedelta | None:
-        """Return the time by which a process surely answered no more reports under a view before `view`.
-
-        It was told of a newer one, or another process has taken its place. None without proof.
+    def _take_reply(
+        self, peer: Peer, message: PeerMessage, reply: PeerReply, sent_at: timedelta, is_current: bool
+    ) -> None:
+        """Take the reply to a message; `is_current`: no view has come since it was sent."""
+        peer.replied_at = self._runtime.now
+        peer.incarnation = reply.incarnation
+        peer.newest_view = reply.newest_view
+        if is_current:
+            # What it could not take as an earlier message is missing is sent again from where it stands.
+            same_view = reply.view == message.view
+            peer.acknowledged = min(max(reply.received, 0), message.sequence_number) if same_view else 0
+        if reply.finished_jobs:
+            self._on_finished_jobs(reply.finished_jobs)
+        if _agrees_that_store_is_unavailable(message, reply):
+            peer.agreed_unavailable_at = sent_at
+
+    # Receiving.
+
+    def receive(self, body: bytes, view: int) -> tuple[PeerMessage, Peer]:
+        """Take another controller's message; return it with its sender.
+
+        Parameters
+        ----------
+        body
+            The encoded message.
+        view
+            The view in which we act, 0 without one. Of messages of other views only the view's number is noted.
+
+        Raises
+        ------
+        PeerMessageError
+            If the message can't be read, or its sender or version is not ours. Nothing of it was taken.
         """
-        peer = self.by_name.get(member)
-        if peer is None or peer.answered_at is None:
-            return None
-        return peer.answered_at if peer.incarnation != incarnation or peer.newest_view >= view else None
-
-    def receive(self, body: bytes, view: int) -> tuple[PeerMessage, Peer] | None:
-        """Take another controller's message; return it with its sender, or None when it can't be read."""
-        try:
-            message = msgspec.convert(cbor2.loads(body), PeerMessage)
-        except (msgspec.ValidationError, cbor2.CBORDecodeError, ValueError, RecursionError) as error:
-            log.error("broken message between controllers: %s", error)
-            return None
+        message = decode_message(body)
         peer = self.by_name.get(message.member)
         if peer is None:
-            log.error("a message of %s, which the settings do not name", message.member)
-            return None
+            raise UnknownSenderError(message.member)
         if message.version != MESSAGE_VERSION:
-            versions = (message.member, message.version, MESSAGE_VERSION)
-            log.error("%s speaks version %d between controllers, we speak %d", *versions)
-            return None
+            raise VersionMismatchError(message.member, message.version, MESSAGE_VERSION)
         self.newest_view = max(self.newest_view, message.view)
         if (
             message.view == view
@@ -294,13 +222,44 @@
             and self._is_from_member(message)
             and peer.inbox.takes(message.base, message.sequence_number)
         ):
-            peer.heard_at = self._context.now
+            peer.heard_at = self._runtime.now
             if not message.more:
                 peer.last_message = message
             self._on_message(message, peer)
         return message, peer
 
+    # What the replies prove.
+
+    def unavailable_agreed_since(self) -> timedelta | None:
+        """Return the time since which all others agree that the key-value store is unavailable.
+
+        None while some have not agreed.
+        """
+        moments = [peer.agreed_unavailable_at for peer in self.by_name.values()]
+        known = [moment for moment in moments if moment is not None]
+        return min(known, default=self._runtime.now) if len(known) == len(moments) else None
+
+    def no_replies_after(self, member: str, incarnation: str, view: int) -> timedelta | None:
+        """Return the time after which a process surely answered no more heartbeats under a view before `view`.
 
-def encode_message(message: PeerMessage) -> bytes:
-    """Encode a message as CBOR."""
-    return cbor2.dumps(msgspec.to_builtins(message))
+        It knew of a newer one, or another process had taken its place. None without proof.
+        """
+        peer = self.by_name.get(member)
+        if peer is None or peer.replied_at is None:
+            return None
+        return peer.replied_at if peer.incarnation != incarnation or peer.newest_view >= view else None
+
+
+def _agrees_that_store_is_unavailable(message: PeerMessage, reply: PeerReply) -> bool:
+    """Tell whether neither side reaches the key-value store, and nothing is missing here that the other side knows.
+
+    The other side acts in our view or (just started) in none: nobody there can have changed the view between our
+    message and its reply. And it names every cancellation that it may have confirmed to its users up to then: one that
+    nobody tells us of must take effect when our tasks' leases expire.
+    """
+    return (
+        message.store_unavailable
+        and reply.store_unavailable
+        and reply.view in (0, message.view)
+        and reply.finished_jobs is not None
+    )
--- a/src/ramptide/service.py
+++ b/src/ramptide/service.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from ramptide.api.telemetry import Route
-from ramptide.cluster import peers
+from ramptide.cluster.messages import PEER_MESSAGES_PATH
 from ramptide.config.features import Features
 from ramptide.controller.administration import build_admin_api
 from ramptide.controller.controller import Controller
@@ -196,7 +196,7 @@
     def _handle_peer(self, exchange: Exchange) -> None:
         request = exchange.request
         path = request.target.partition("?")[0]
-        if path == peers.PEER_MESSAGES_PATH:
+        if path == PEER_MESSAGES_PATH:
             if request.method != "POST":
                 _refuse_method(exchange, "POST")
                 return
--- a/tests/compatibility/codecs.py
+++ b/tests/compatibility/codecs.py
@@ -16,7 +16,7 @@
 
 from ramptide import cli
 from ramptide.api import administration as admin
-from ramptide.cluster import membership, peers
+from ramptide.cluster import membership, messages
 from ramptide.config import features as parts_file
 from ramptide.config import settings
 from ramptide.controller import replication as syncing
@@ -194,7 +194,7 @@
         "transaction": key_value_store.TRANSACTION_PATH,
         "leases": key_value_store.LEASES_PATH,
         "changes": key_value_store.WATCH_PATH,
-        "peers": peers.PEER_MESSAGES_PATH,
+        "peers": messages.PEER_MESSAGES_PATH,
         "settings": admin.SETTINGS_PATH,
         "status": admin.STATUS_PATH,
         "metrics": admin.METRICS_PATH,
@@ -206,11 +206,11 @@
 
 
 def _peer_message(body: bytes) -> bytes:
-    return peers.encode_message(msgspec.convert(cbor2.loads(body), peers.PeerMessage))
+    return messages.encode_message(msgspec.convert(cbor2.loads(body), messages.PeerMessage))
 
 
 def _peer_answer(body: bytes) -> bytes:
-    return cbor2.dumps(msgspec.to_builtins(msgspec.convert(cbor2.loads(body), peers.PeerReply)))
+    return cbor2.dumps(msgspec.to_builtins(msgspec.convert(cbor2.loads(body), messages.PeerReply)))
 
 
 def _quota_message(body: bytes) -> bytes:
@@ -222,7 +222,11 @@
 
 def peer_versions() -> dict[str, int]:
     """The version numbers that messages between controllers and records bear."""
-    return {"peers": peers.MESSAGE_VERSION, "quota": quota_messages.VERSION, "limit record": overrides.RECORD_VERSION}
+    return {
+        "peers": messages.MESSAGE_VERSION,
+        "quota": quota_messages.VERSION,
+        "limit record": overrides.RECORD_VERSION,
+    }
 
 
 @contextmanager
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -31,6 +31,7 @@
 
 from ramptide.agents.shard import Shard
 from ramptide.cluster import peers
+from ramptide.cluster.messages import PeerMessage
 from ramptide.config.settings import SettingsError, Tuning, load
 from ramptide.controller.peer_messages import PeerMessageHandler
 from ramptide.protocol.agents import decode_heartbeat, decode_task_reports
@@ -389,7 +390,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
 
-        def noted(sync: peers.PeerMessage) -> bytes:
+        def noted(sync: PeerMessage) -> bytes:
             body = send(sync)
             found.extend((name, body) for name in world.controller_names if name != sync.member)
             return body
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -16,7 +16,7 @@
 from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
 from ramptide.clients.rate_limits import TokenBucket
 from ramptide.cluster.change_log import ChangeLog, ReceivedSequence
-from ramptide.cluster.peers import MESSAGE_VERSION
+from ramptide.cluster.messages import MESSAGE_VERSION
 from ramptide.protocol.agents import Heartbeat, decode_heartbeat
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import decode_job_spec
