--- a/tests/compatibility/codecs.py
+++ b/tests/compatibility/codecs.py
@@ -16,7 +16,7 @@
 
 from ramptide import cli
 from ramptide.api import administration as admin
-from ramptide.cluster import membership, messages
+from ramptide.cluster import membership, messages, view
 from ramptide.config import features as parts_file
 from ramptide.config import settings
 from ramptide.controller import replication as syncing
@@ -59,7 +59,7 @@
 
 
 def _view_record(body: bytes) -> bytes:
-    return types.encode_json(msgspec.to_builtins(msgspec.convert(types.decode_json(body), membership.View)))
+    return types.encode_json(msgspec.to_builtins(msgspec.convert(types.decode_json(body), view.View)))
 
 
 def _settings_record(body: bytes) -> bytes:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -29,9 +29,9 @@
 
 from ramptide.agents.shard import Shard
 from ramptide.cluster.machine_index import MachineIndex, ObservedMachine
-from ramptide.cluster.membership import View
 from ramptide.cluster.messages import PeerMessage
 from ramptide.cluster.peers import Peer, Peers
+from ramptide.cluster.view import View
 from ramptide.config.settings import Tuning
 from ramptide.controller.controller import Controller
 from ramptide.controller.reconciliation import Reconciliation
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -13,7 +13,7 @@
 
 from ramptide.autoscaling.autoscaler import Autoscaler, Demand, FleetMachine, Trigger
 from ramptide.clients.rate_limits import TokenBucket
-from ramptide.cluster.membership import owner_of
+from ramptide.cluster.view import owner_of
 from ramptide.config.settings import Tuning
 from ramptide.placement.bin_packing import Room
 from ramptide.protocol.cloud import MachineType
