--- a/src/ramptide/api/jobs.py
+++ b/src/ramptide/api/jobs.py
@@ -8,14 +8,14 @@
 import msgspec
 
 from ramptide.api.telemetry import Answer, Route, Telemetry, Unavailable
-from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
+from ramptide.clients.key_value_store import KeyValueStore, ReadResult
+from ramptide.clients.transactions import Put, Transaction, TransactionResult
 from ramptide.cluster.membership import Membership
 from ramptide.placement.bin_packing import can_ever_run
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import SERVICE, JobSpec, JobStatus, decode_job_spec, encode_job_status, is_job_id
-from ramptide.protocol.key_value_store import KeyValue
 from ramptide.protocol.settings_file import Team
-from ramptide.protocol.types import MessageError, encode_error
+from ramptide.protocol.types import MessageError, encode_json
 from ramptide.state.amounts import amounts_of, limits_of
 from ramptide.state.commit_batcher import CommitBatcher
 from ramptide.state.jobs import Job
@@ -31,6 +31,11 @@
 RETRY_DELAY = timedelta(milliseconds=120)
 
 
+def encode_error(text: str) -> bytes:
+    """Return a JSON body with an error text."""
+    return encode_json({"error": text})
+
+
 class JobApi:
     """Handles users' requests: submissions, polls and cancellations."""
 
@@ -84,7 +89,7 @@
             self._busy(answer, Unavailable.OVERLOADED, delay)
         return delay > MAX_COMMIT_DELAY
 
-    def remember_finished(self, job_id: str, record: FinishedJobRecord) -> None:
+    def ended(self, job_id: str, record: FinishedJobRecord) -> None:
         """Remember a final state that was committed, so that it need not be read again."""
         self._ended[job_id] = record
         while len(self._ended) > ENDED_KEPT:
@@ -92,7 +97,7 @@
 
     def _not_written(self, outcome: TransactionResult, answer: Answer) -> None:
         """Answer for a change that was given up on: it waited too long for its turn, or had no answer."""
-        if outcome.rate_limited:
+        if outcome.is_rate_limited:
             self._busy(answer, Unavailable.OVERLOADED, self._commits.delay())
         else:
             self._busy(answer, Unavailable.STATE_SERVICE)
@@ -148,20 +153,18 @@
             answer(400, encode_error("the description is too long"), {})
             return
         key, ended = JOB_PREFIX + spec.job_id, FINISHED_PREFIX + spec.job_id
-        transaction = Transaction(conditions={key: 0, ended: 0}, puts=[(key, value, None)])
+        transaction = Transaction(conditions={key: 0, ended: 0}, puts=[Put(key, value)])
 
         def done(outcome: TransactionResult) -> None:
-            if outcome.revision is not None:
-                self._mirror.apply_own(outcome.revision, transaction.puts, transaction.deletes)
+            if outcome.is_applied:
+                self._mirror.apply_commit(transaction, outcome.commit_revision)
                 answer(201, encode_job_status(spec.job_id, JobStatus.PENDING), {})
-            elif outcome.failed_keys and (key in outcome.failed_keys or ended in outcome.failed_keys):
+            elif key in outcome.conflicting_keys or ended in outcome.conflicting_keys:
                 self._known(spec.job_id, answer, None)
-            elif outcome.failed_keys is not None and tries > 1:
+            elif outcome.is_conflict and tries > 1:
                 # Only the view moved on; the mirror will have the new one in a moment.
                 self._store.runtime.after(RETRY_DELAY, lambda: self._accept(spec, answer, tries - 1))
-            elif (
-                outcome.may_be_applied and outcome.failed_keys is None and tries > 1 and not self._mirror.is_unavailable
-            ):
+            elif outcome.is_unknown and tries > 1 and not self._mirror.is_unavailable:
                 self._accept(spec, answer, min(tries - 1, 1))
             else:
                 self._not_written(outcome, answer)
@@ -242,7 +245,8 @@
         def sending() -> None:
             del self._asking[job_id]
 
-        def done(row: KeyValue | None, known: bool) -> None:
+        def done(result: ReadResult) -> None:
+            row, known = result.key_value, result.is_known
             if self._asking.get(job_id) is asked:
                 del self._asking[job_id]
             record = None
@@ -253,7 +257,7 @@
                     log.error("broken record %s: %s", row.key, problem)
                     known = False
                 else:
-                    self.remember_finished(job_id, record)
+                    self.ended(job_id, record)
                     if record.status == JobStatus.CANCELLED:
                         # Whoever tells a user so tells the others: the one that wrote it may have ended since.
                         self._cancelled(job_id)
@@ -302,21 +306,17 @@
         end = FinishedJobRecord(JobStatus.CANCELLED, job.spec.task_count, job.progress.count)
         transaction = Transaction(
             conditions={JOB_PREFIX + job_id: job.mod_revision},
-            puts=[(FINISHED_PREFIX + job_id, to_value(end), None)],
+            puts=[Put(FINISHED_PREFIX + job_id, to_value(end))],
             deletes=[JOB_PREFIX + job_id],
         )
 
         def done(outcome: TransactionResult) -> None:
-            if outcome.revision is not None:
-                self.remember_finished(job_id, end)
-                self._mirror.apply_own(outcome.revision, transaction.puts, transaction.deletes)
+            if outcome.is_applied:
+                self.ended(job_id, end)
+                self._mirror.apply_commit(transaction, outcome.commit_revision)
                 self._cancelled(job_id)
                 answer(200, encode_job_status(job_id, JobStatus.CANCELLED), {})
-            elif (
-                tries > 1
-                and not self._mirror.is_unavailable
-                and (outcome.failed_keys is not None or outcome.may_be_applied)
-            ):
+            elif tries > 1 and not self._mirror.is_unavailable and (outcome.is_conflict or outcome.is_unknown):
                 # The record or the view moved on, or nobody knows: read again and see.
                 self._mirror.catch_up(lambda fresh: self._cancel(job_id, answer, tries - 1))
             else:
--- a/src/ramptide/clients/cloud.py
+++ b/src/ramptide/clients/cloud.py
@@ -1,18 +1,18 @@
 """The client of the cloud: machine types, rentals, returns and the list of machines."""
 
-import logging
 from collections.abc import Callable
+from dataclasses import dataclass
 from datetime import timedelta
 from http import HTTPStatus
-from typing import TypeVar
-from urllib.parse import urlencode
 
 from ramptide.clients.rate_limits import CallPriority, RateLimiter, TokenBucket
+from ramptide.clients.service_client import PagedRequest, Request, ServiceClient
 from ramptide.protocol.cloud import (
     MACHINE_TYPES_PATH,
     RENTALS_PATH,
     RETURN_PATH,
     ListedMachine,
+    MachinePage,
     MachineType,
     decode_machine_page,
     decode_machine_types,
@@ -21,22 +21,41 @@
     encode_return_request,
 )
 from ramptide.protocol.settings_file import CloudLimits
-from ramptide.protocol.types import MessageError
-from ramptide.state.records import RentalRecord
-from ramptide.transport.runtime import JSON, Response, ResponseCallback, Runtime
+from ramptide.transport.runtime import Response, Runtime
 
-log = logging.getLogger(__name__)
+__all__ = ["MAX_RETURNS_PER_CALL", "CloudClient", "RentResult"]
 
-T = TypeVar("T")
-
-MAX_QUEUE_TIME = timedelta(seconds=10)
+#: How long a call of any priority may wait for the rate limit before it is given up.
+MAX_QUEUE_TIME = dict.fromkeys(CallPriority, timedelta(seconds=10))
 CALL_TIMEOUT = timedelta(seconds=5)
 RENTALS_PAGE_SIZE = 500
+#: The most machines that one call returns.
 MAX_RETURNS_PER_CALL = 100
 #: The part of the cloud's rate limit that one controller uses: alone, or next to others. Only the leader rents and
 #: lists; the others ask for the machine types now and then.
 USED_PART_ALONE = 0.9
 USED_PART_WITH_OTHERS = 0.7
+#: The name of the cloud in log lines.
+SERVICE_NAME = "the cloud"
+#: What the body of a 503 response contains when there is no capacity; any other 503 is a fault of the cloud.
+NO_CAPACITY = b"no capacity"
+
+
+@dataclass(frozen=True, slots=True)
+class RentResult:
+    """The result of a request for machines.
+
+    Attributes
+    ----------
+    hosts
+        The machines, which may be fewer than were asked for; None if the cloud did not say.
+    is_refused
+        Whether the cloud refused, for want of capacity or since it does not know what was asked for: nothing was
+        rented.
+    """
+
+    hosts: list[str] | None
+    is_refused: bool
 
 
 class CloudClient:
@@ -50,99 +69,81 @@
         The `host:port` of the cloud.
     limits
         The cloud's limits, which all controllers share.
-    nodes
+    controller_count
         The number of controllers.
     """
 
-    def __init__(self, runtime: Runtime, address: str, limits: CloudLimits, nodes: int) -> None:
-        self._runtime = runtime
-        self._address = address
-        rate = limits.requests_per_second * (USED_PART_ALONE if nodes == 1 else USED_PART_WITH_OTHERS)
-        self._rate_limiter = RateLimiter(runtime, TokenBucket(rate, rate))
-
-    def _call(self, priority: CallPriority, method: str, target: str, body: bytes, done: ResponseCallback) -> None:
-        def answered(reply: Response | None) -> None:
-            if reply is not None and reply.status == HTTPStatus.TOO_MANY_REQUESTS:
-                self._rate_limiter.report_overload()
-            done(reply)
-
-        def send() -> None:
-            self._runtime.call(self._address, method, target, body, JSON, CALL_TIMEOUT, answered)
+    def __init__(self, runtime: Runtime, address: str, limits: CloudLimits, controller_count: int) -> None:
+        rate = limits.requests_per_second * (USED_PART_ALONE if controller_count == 1 else USED_PART_WITH_OTHERS)
+        rate_limiter = RateLimiter(runtime, TokenBucket(rate, rate))
+        self._client = ServiceClient(runtime, address, SERVICE_NAME, rate_limiter, MAX_QUEUE_TIME, CALL_TIMEOUT)
 
-        self._rate_limiter.submit(priority, 0, MAX_QUEUE_TIME, send, lambda: done(None))
+    def list_machine_types(self, on_machine_types: Callable[[list[MachineType] | None], None]) -> None:
+        """Read the machine types; `on_machine_types` gets None when that failed."""
 
-    def list_machine_types(self, done: Callable[[list[MachineType] | None], None]) -> None:
-        """Read the machine types; `done` gets None when that failed."""
+        def on_response(response: Response | None) -> None:
+            on_machine_types(self._client.decode_success(decode_machine_types, response))
 
-        def answered(reply: Response | None) -> None:
-            done(_decode_success(decode_machine_types, reply))
+        self._client.call(Request(CallPriority.READ, "GET", MACHINE_TYPES_PATH), on_response)
 
-        self._call(CallPriority.READ, "GET", MACHINE_TYPES_PATH, b"", answered)
-
-    def rent(self, name: str, rental: RentalRecord, done: Callable[[list[str] | None, bool], None]) -> None:
+    def rent(
+        self,
+        request_id: str,
+        machine_type: str,
+        zone: str,
+        spot: bool,
+        count: int,
+        on_result: Callable[[RentResult], None],
+    ) -> None:
         """Rent machines.
 
         Parameters
         ----------
-        name
-            The unique name of the rental, under which it was recorded before.
-        rental
-            What to rent.
-        done
-            Called with the hosts, or None without an answer, and whether the cloud refused for want of capacity.
+        request_id
+            The idempotency key: a repeated request with the same one rents nothing more.
+        machine_type, zone, spot
+            The name of the machine type, its zone, and whether to rent spot instances.
+        count
+            How many machines to rent.
+        on_result
+            Called with the result.
         """
 
-        def answered(reply: Response | None) -> None:
-            refused = reply is not None and (
-                reply.status == HTTPStatus.BAD_REQUEST
-                or reply.status == HTTPStatus.SERVICE_UNAVAILABLE
-                and b"no capacity" in reply.body
-            )
-            done(_decode_success(decode_rented_hosts, reply), refused)
-
-        body = encode_rent_request(name, rental.machine_type, rental.zone, rental.spot, rental.count)
-        self._call(CallPriority.COMMIT, "POST", RENTALS_PATH, body, answered)
-
-    def return_machines(self, hosts: list[str], done: Callable[[bool], None]) -> None:
-        """Return machines; `done(True)` proves that they and everything on them are gone."""
-
-        def answered(reply: Response | None) -> None:
-            done(reply is not None and reply.status == HTTPStatus.OK)
-
-        self._call(CallPriority.COMMIT, "POST", RETURN_PATH, encode_return_request(hosts), answered)
-
-    def list_machines(self, done: Callable[[list[ListedMachine] | None], None]) -> None:
-        """Read the whole list of rented machines; `done` gets None when a page of it could not be read."""
-        machines: list[ListedMachine] = []
-
-        def request_page(after: str | None) -> None:
-            query = {"limit": str(RENTALS_PAGE_SIZE)} | ({"since": after} if after else {})
-
-            def answered(reply: Response | None) -> None:
-                page = _decode_success(decode_machine_page, reply)
-                if page is None:
-                    done(None)
-                    return
-                machines.extend(page.machines)
-                if page.more and (not page.machines or page.machines[-1].host <= (after or "")):
-                    log.error("broken answer of the cloud: a page that leads nowhere")
-                    done(None)
-                elif page.more:
-                    request_page(page.machines[-1].host)
-                else:
-                    done(machines)
-
-            self._call(CallPriority.HOUSEKEEPING, "GET", f"{RENTALS_PATH}?{urlencode(query)}", b"", answered)
-
-        request_page(None)
-
-
-def _decode_success(decode: Callable[[bytes], T], reply: Response | None) -> T | None:
-    """Return the decoded body of a successful response, or None."""
-    if reply is None or reply.status != HTTPStatus.OK:
-        return None
-    try:
-        return decode(reply.body)
-    except MessageError as error:
-        log.error("broken answer of the cloud: %s", error)
-        return None
+        def on_response(response: Response | None) -> None:
+            hosts = self._client.decode_success(decode_rented_hosts, response)
+            on_result(RentResult(hosts, response is not None and _is_refusal(response)))
+
+        body = encode_rent_request(request_id, machine_type, zone, spot, count)
+        self._client.call(Request(CallPriority.COMMIT, "POST", RENTALS_PATH, body), on_response)
+
+    def return_machines(self, hosts: list[str], on_returned: Callable[[bool], None]) -> None:
+        """Return at most `MAX_RETURNS_PER_CALL` machines.
+
+        `on_returned(True)` proves that they and everything on them are gone; False says nothing.
+        """
+
+        def on_response(response: Response | None) -> None:
+            on_returned(response is not None and response.status == HTTPStatus.OK)
+
+        request = Request(CallPriority.COMMIT, "POST", RETURN_PATH, encode_return_request(hosts))
+        self._client.call(request, on_response)
+
+    def list_machines(self, on_machines: Callable[[list[ListedMachine] | None], None]) -> None:
+        """Read the whole list of rented machines; `on_machines` gets None when a page of it could not be read."""
+
+        def on_pages(pages: list[MachinePage] | None) -> None:
+            on_machines(None if pages is None else [machine for page in pages for machine in page.machines])
+
+        request = PagedRequest(CallPriority.HOUSEKEEPING, RENTALS_PATH, {}, RENTALS_PAGE_SIZE)
+        self._client.read_pages(request, decode_machine_page, _last_host, on_pages)
+
+
+def _is_refusal(response: Response) -> bool:
+    """Tell whether a response to a rental says that nothing was rented, and that a repetition would not help."""
+    if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
+        return NO_CAPACITY in response.body
+    return response.status == HTTPStatus.BAD_REQUEST
+
+
+def _last_host(page: MachinePage) -> str | None:
+    return page.machines[-1].host if page.machines else None
--- a/src/ramptide/clients/key_value_store.py
+++ b/src/ramptide/clients/key_value_store.py
@@ -1,14 +1,16 @@
-"""The client of the state service: reads, transactions, grants, and a watch that keeps a copy current."""
+"""The client of the key-value store: reads, compare-and-swap transactions, leases and watches."""
 
 import logging
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from datetime import timedelta
+from enum import Enum, auto
 from http import HTTPStatus
-from typing import Any, TypeVar
 from urllib.parse import quote, urlencode
 
 from ramptide.clients.rate_limits import CallPriority, RateLimiter, TokenBucket
+from ramptide.clients.service_client import PagedRequest, Request, ServiceClient
+from ramptide.clients.transactions import Transaction, TransactionOutcome, TransactionResult
 from ramptide.protocol.key_value_store import (
     KEYS_PATH,
     LEASES_PATH,
@@ -16,6 +18,7 @@
     WATCH_PATH,
     EventBatch,
     KeyValue,
+    KeyValuePage,
     decode_commit_revision,
     decode_events,
     decode_failed_keys,
@@ -23,16 +26,15 @@
     decode_key_value_page,
     decode_lease_id,
     encode_lease_request,
-    encode_transaction,
 )
 from ramptide.protocol.settings_file import KeyValueStoreLimits
-from ramptide.protocol.types import MessageError
-from ramptide.transport.runtime import JSON, Response, ResponseCallback, Runtime
+from ramptide.transport.runtime import Response, Runtime
 
-log = logging.getLogger(__name__)
+__all__ = ["MAX_QUEUE_TIME", "KeyValueStore", "LeaseStatus", "ReadResult", "Snapshot", "WatchResult"]
 
-T = TypeVar("T")
+log = logging.getLogger(__name__)
 
+#: How long a call of each priority may wait for the rate limit before it is given up.
 MAX_QUEUE_TIME = {
     CallPriority.LEASE: timedelta(seconds=4),
     CallPriority.COMMIT: timedelta(seconds=2),
@@ -40,271 +42,263 @@
     CallPriority.HOUSEKEEPING: timedelta(seconds=5),
 }
 CALL_TIMEOUT = timedelta(seconds=2)
-RENEWAL_TIMEOUT = timedelta(seconds=1)
-#: How much longer than its block a watch waits for the answer.
+KEEP_ALIVE_TIMEOUT = timedelta(seconds=1)
+#: How much longer than the store blocks we wait for the answer of a watch.
 WATCH_TIMEOUT_MARGIN = timedelta(seconds=1)
 PAGE_SIZE = 500
-#: The part of the service's limits that all controllers together use.
+#: The part of the store's rate limits that all controllers together use.
 USED_PART_OF_LIMITS = 0.95
 MAX_LOGGED_BODY_BYTES = 200
+#: The name of the store in log lines.
+SERVICE_NAME = "the state service"
 
 
-@dataclass(slots=True)
-class Transaction:
-    """Conditions and changes that are applied together or not at all.
+@dataclass(frozen=True, slots=True)
+class ReadResult:
+    """The result of the read of one key.
 
     Attributes
     ----------
-    when
-        The modification revision that each of these keys must have; 0 for one that must not exist.
-    puts
-        Keys with their new value and the grant, if any, with which they expire.
-    drops
-        Keys to delete.
+    is_known
+        Whether the store answered.
+    key_value
+        The key with its value; None if there is no such key, or if nothing is known.
     """
 
-    conditions: dict[str, int] = field(default_factory=dict)
-    puts: list[tuple[str, Any, int | None]] = field(default_factory=list)
-    deletes: list[str] = field(default_factory=list)
+    is_known: bool
+    key_value: KeyValue | None = None
 
-    @property
-    def size(self) -> int:
-        """The number of changes."""
-        return len(self.puts) + len(self.deletes)
+
+@dataclass(frozen=True, slots=True)
+class Snapshot:
+    """All keys with a prefix.
+
+    Attributes
+    ----------
+    revision
+        The revision of the first page: a watch from there misses nothing.
+    key_values
+        The keys with their values.
+    """
+
+    revision: int
+    key_values: list[KeyValue]
 
 
-@dataclass(slots=True)
-class TransactionResult:
-    """What became of a transaction; with neither `epoch` nor `failed` it is unknown or was not carried out.
+@dataclass(frozen=True, slots=True)
+class WatchResult:
+    """The result of a watch.
 
     Attributes
     ----------
-    epoch
-        The revision at which it was applied.
-    failed
-        The keys whose conditions did not hold.
-    sent
-        False if it was certainly not carried out.
-    full
-        Whether it was rejected for the service's rate limit, or waited too long for our share of it.
+    batch
+        The events; None when the store did not answer.
+    is_compacted
+        Whether the store no longer has all events since the revision that was asked for, so that the keys must be read
+        again.
     """
 
-    revision: int | None = None
-    failed_keys: list[str] | None = None
-    may_be_applied: bool = True
-    rate_limited: bool = False
+    batch: EventBatch | None
+    is_compacted: bool
+
+
+class LeaseStatus(Enum):
+    """What a keep-alive of a lease has shown."""
+
+    ALIVE = auto()
+    EXPIRED = auto()
+    #: The store did not answer.
+    UNKNOWN = auto()
 
 
 class KeyValueStore:
-    """The state service as one controller sees it.
+    """The key-value store as one controller sees it.
 
     Parameters
     ----------
     runtime
         The clock, timers and HTTP calls.
     address
-        The `host:port` of the service.
+        The `host:port` of the store.
     limits
-        The service's limits, which all controllers share.
-    nodes
+        The store's limits, which all controllers share.
+    controller_count
         The number of controllers.
+
+    Attributes
+    ----------
+    runtime
+        As given; those who use the store schedule their retries with it.
+    limits
+        As given; those who build transactions keep within them.
     """
 
-    def __init__(self, runtime: Runtime, address: str, limits: KeyValueStoreLimits, nodes: int) -> None:
+    def __init__(self, runtime: Runtime, address: str, limits: KeyValueStoreLimits, controller_count: int) -> None:
         self.runtime = runtime
-        self.address = address
         self.limits = limits
         calls = limits.requests_per_second * USED_PART_OF_LIMITS
         writes = limits.writes_per_second * USED_PART_OF_LIMITS
         # The load differs: the leader writes more. A single controller never takes more than half of the whole rate,
         # and what is rejected for that was not carried out.
-        self.writes = TokenBucket(writes / nodes, writes / nodes, writes / 2)
-        self.rate_limiter = RateLimiter(runtime, TokenBucket(calls / nodes, calls / nodes, calls / 2), self.writes)
+        self._write_bucket = TokenBucket(writes / controller_count, writes / controller_count, writes / 2)
+        call_bucket = TokenBucket(calls / controller_count, calls / controller_count, calls / 2)
+        self._rate_limiter = RateLimiter(runtime, call_bucket, self._write_bucket)
+        self._client = ServiceClient(runtime, address, SERVICE_NAME, self._rate_limiter, MAX_QUEUE_TIME, CALL_TIMEOUT)
 
-    def _call(
-        self,
-        priority: CallPriority,
-        method: str,
-        target: str,
-        body: bytes,
-        done: ResponseCallback,
-        writes: int = 0,
-        timeout: timedelta = CALL_TIMEOUT,
-        reject: Callable[[], None] | None = None,
-        sending: Callable[[], None] | None = None,
-    ) -> None:
-        def answered(reply: Response | None) -> None:
-            if reply is not None and reply.status == HTTPStatus.TOO_MANY_REQUESTS:
-                self.rate_limiter.report_overload()
-            done(reply)
-
-        def send() -> None:
-            if sending is not None:
-                sending()
-            self.runtime.call(self.address, method, target, body, JSON, timeout, answered)
+    @property
+    def write_rate(self) -> float:
+        """The writes per second that this controller may send at present."""
+        return self._write_bucket.rate
 
-        self.rate_limiter.submit(priority, writes, MAX_QUEUE_TIME[priority], send, reject or (lambda: done(None)))
+    def write_delay(self, priority: CallPriority) -> timedelta:
+        """Return how long a single write that is submitted now would wait for the rate limit."""
+        return self._rate_limiter.write_delay(priority)
 
-    def get(
-        self, key: str, done: Callable[[KeyValue | None, bool], None], sending: Callable[[], None] | None = None
-    ) -> None:
+    def get(self, key: str, on_result: Callable[[ReadResult], None], on_send: Callable[[], None] | None = None) -> None:
         """Read one key.
 
         Parameters
         ----------
         key
             The key.
-        done
-            Called with the row or None, and whether that is known; it is not when the read failed.
-        sending
+        on_result
+            Called with the result.
+        on_send
             Called when the request leaves: whoever asks after that needs another read.
         """
 
-        def answered(reply: Response | None) -> None:
-            if reply is not None and reply.status == HTTPStatus.NOT_FOUND:
-                done(None, True)
+        def on_response(response: Response | None) -> None:
+            if response is not None and response.status == HTTPStatus.NOT_FOUND:
+                on_result(ReadResult(is_known=True))
                 return
-            row = _decode_success(decode_key_value, reply)
-            done(row, row is not None)
+            key_value = self._client.decode_success(decode_key_value, response)
+            on_result(ReadResult(key_value is not None, key_value))
 
-        self._call(CallPriority.READ, "GET", f"{KEYS_PATH}/{quote(key, safe='/')}", b"", answered, sending=sending)
+        request = Request(CallPriority.READ, "GET", f"{KEYS_PATH}/{quote(key, safe='/')}")
+        self._client.call(request, on_response, on_send)
 
-    def list(self, prefix: str, done: Callable[[list[KeyValue] | None, int], None]) -> None:
-        """Read all keys with a prefix.
+    def list_keys(self, prefix: str, on_snapshot: Callable[[Snapshot | None], None]) -> None:
+        """Read all keys with a prefix; `on_snapshot` gets None when a page of them could not be read."""
 
-        Parameters
-        ----------
-        prefix
-            The prefix.
-        done
-            Called with the rows, or None, and the epoch of the first page: a watch from there misses nothing.
-        """
-        rows: list[KeyValue] = []
-        revisions: list[int] = []
-
-        def request_page(after: str | None) -> None:
-            query = {"prefix": prefix, "limit": str(PAGE_SIZE)} | ({"since": after} if after else {})
-
-            def answered(reply: Response | None) -> None:
-                page = _decode_success(decode_key_value_page, reply)
-                if page is None:
-                    done(None, 0)
-                    return
-                revisions.append(page.revision)
-                rows.extend(page.key_values)
-                if page.more and (not page.key_values or page.key_values[-1].key <= (after or "")):
-                    log.error("broken answer of the state service: a page that leads nowhere")
-                    done(None, 0)
-                elif page.more:
-                    request_page(page.key_values[-1].key)
-                else:
-                    done(rows, revisions[0])
-
-            self._call(CallPriority.LEASE, "GET", f"{KEYS_PATH}?{urlencode(query)}", b"", answered)
-
-        request_page(None)
+        def on_pages(pages: list[KeyValuePage] | None) -> None:
+            if pages is None:
+                on_snapshot(None)
+                return
+            key_values = [key_value for page in pages for key_value in page.key_values]
+            on_snapshot(Snapshot(pages[0].revision, key_values))
+
+        request = PagedRequest(CallPriority.LEASE, KEYS_PATH, {"prefix": prefix}, PAGE_SIZE)
+        self._client.read_pages(request, decode_key_value_page, _last_key, on_pages)
 
     def commit(
         self,
         transaction: Transaction,
-        done: Callable[[TransactionResult], None],
+        on_result: Callable[[TransactionResult], None],
         priority: CallPriority = CallPriority.COMMIT,
     ) -> None:
         """Send a transaction and report its result."""
 
-        def answered(reply: Response | None) -> None:
-            done(_transaction_result(reply))
+        def on_response(response: Response | None) -> None:
+            on_result(self._transaction_result(response))
+
+        def on_reject() -> None:
+            on_result(TransactionResult(TransactionOutcome.RATE_LIMITED))
+
+        request = Request(priority, "POST", TRANSACTION_PATH, transaction.encode(), writes=transaction.size)
+        self._client.call(request, on_response, on_reject=on_reject)
+
+    def _transaction_result(self, response: Response | None) -> TransactionResult:
+        """Return what a response to a transaction says; a broken body leaves the outcome unknown."""
+        if response is None:
+            return TransactionResult(TransactionOutcome.UNKNOWN)
+        if response.status == HTTPStatus.OK:
+            revision = self._client.decode_body(decode_commit_revision, response.body)
+            if revision is None:
+                return TransactionResult(TransactionOutcome.UNKNOWN)
+            return TransactionResult(TransactionOutcome.APPLIED, commit_revision=revision)
+        if response.status == HTTPStatus.CONFLICT:
+            failed_keys = self._client.decode_body(decode_failed_keys, response.body)
+            if failed_keys is None:
+                return TransactionResult(TransactionOutcome.UNKNOWN)
+            return TransactionResult(TransactionOutcome.CONFLICT, conflicting_keys=tuple(failed_keys))
+        if response.status == HTTPStatus.TOO_MANY_REQUESTS:
+            return TransactionResult(TransactionOutcome.RATE_LIMITED)
+        if response.status != HTTPStatus.SERVICE_UNAVAILABLE:
+            log.error("transaction refused with %d: %r", response.status, response.body[:MAX_LOGGED_BODY_BYTES])
+        return TransactionResult(TransactionOutcome.REFUSED)
+
+    def create_lease(self, lifetime: timedelta, on_lease: Callable[[int | None], None]) -> None:
+        """Create a lease.
+
+        It expires, with the keys written under it, unless it is kept alive within each `lifetime`.
 
-        body = encode_transaction(transaction.conditions, transaction.puts, transaction.deletes)
-        self._call(
-            priority,
-            "POST",
-            TRANSACTION_PATH,
-            body,
-            answered,
-            writes=transaction.size,
-            reject=lambda: done(TransactionResult(may_be_applied=False, rate_limited=True)),
-        )
-
-    def create_lease(self, life: timedelta, done: Callable[[int | None], None]) -> None:
-        """Create a grant, which expires unless it is renewed within `life`, with the keys written under it."""
+        Parameters
+        ----------
+        lifetime
+            How long the lease lives after its creation and after each keep-alive.
+        on_lease
+            Called with the id of the lease, or None when there was no answer; a lease that may exist all the same
+            expires unused.
+        """
 
-        def answered(reply: Response | None) -> None:
-            done(_decode_success(decode_lease_id, reply))
+        def on_response(response: Response | None) -> None:
+            on_lease(self._client.decode_success(decode_lease_id, response))
 
-        self._call(CallPriority.LEASE, "POST", LEASES_PATH, encode_lease_request(life), answered)
+        self._client.call(Request(CallPriority.LEASE, "POST", LEASES_PATH, encode_lease_request(lifetime)), on_response)
 
-    def keep_lease_alive(self, lease_id: int, done: Callable[[bool | None], None]) -> None:
-        """Renew a grant; `done` is told whether it is alive, or None when that is not known."""
+    def keep_lease_alive(self, lease_id: int, on_status: Callable[[LeaseStatus], None]) -> None:
+        """Extend a lease by its lifetime, and report whether it was alive."""
 
-        def answered(reply: Response | None) -> None:
-            status = reply.status if reply is not None else 0
-            done(True if status == HTTPStatus.OK else False if status == HTTPStatus.NOT_FOUND else None)
+        def on_response(response: Response | None) -> None:
+            if response is not None and response.status == HTTPStatus.OK:
+                on_status(LeaseStatus.ALIVE)
+            elif response is not None and response.status == HTTPStatus.NOT_FOUND:
+                on_status(LeaseStatus.EXPIRED)
+            else:
+                on_status(LeaseStatus.UNKNOWN)
 
-        self._call(
-            CallPriority.LEASE, "POST", f"{LEASES_PATH}/{lease_id}/touch", b"", answered, timeout=RENEWAL_TIMEOUT
-        )
+        target = f"{LEASES_PATH}/{lease_id}/touch"
+        self._client.call(Request(CallPriority.LEASE, "POST", target, timeout=KEEP_ALIVE_TIMEOUT), on_response)
 
     def revoke_lease(self, lease_id: int) -> None:
-        """End a grant at once; if the request is lost, the grant expires."""
-        self._call(CallPriority.LEASE, "DELETE", f"{LEASES_PATH}/{lease_id}", b"", lambda reply: None)
+        """End a lease at once; if the request is lost, the lease expires."""
+        request = Request(CallPriority.LEASE, "DELETE", f"{LEASES_PATH}/{lease_id}")
+        self._client.call(request, lambda response: None)
 
     def watch(
         self,
         prefix: str,
         since: int,
         block: timedelta,
-        done: Callable[[EventBatch | None, bool], None],
-        sending: Callable[[], None] | None = None,
+        on_result: Callable[[WatchResult], None],
+        on_send: Callable[[], None] | None = None,
     ) -> None:
-        """Read the changes after an epoch.
+        """Read the events after a revision.
 
         Parameters
         ----------
         prefix
             The prefix of the keys.
         since
-            The epoch after which changes are wanted.
+            The revision after which events are wanted.
         block
-            How long the service waits for a change when there is none. Without it this is a plain read of all that
-            has changed, and waits its turn among the reads.
-        done
-            Called with the changes, or None, and whether `since` is too old and the keys must be read again.
-        sending
+            How long the store waits for an event when there is none. Without it this is a plain read of all that has
+            changed, and waits its turn among the reads.
+        on_result
+            Called with the result.
+        on_send
             Called when the request leaves.
         """
         query = urlencode({"prefix": prefix, "since": since, "blockMs": int(block / timedelta(milliseconds=1))})
 
-        def answered(reply: Response | None) -> None:
-            gone = reply is not None and reply.status == HTTPStatus.GONE
-            done(_decode_success(decode_events, reply), gone)
+        def on_response(response: Response | None) -> None:
+            is_compacted = response is not None and response.status == HTTPStatus.GONE
+            on_result(WatchResult(self._client.decode_success(decode_events, response), is_compacted))
 
         priority = CallPriority.LEASE if block else CallPriority.READ
-        timeout = block + WATCH_TIMEOUT_MARGIN
-        self._call(priority, "GET", f"{WATCH_PATH}?{query}", b"", answered, timeout=timeout, sending=sending)
-
-
-def _transaction_result(reply: Response | None) -> TransactionResult:
-    if reply is None:
-        return TransactionResult()
-    if reply.status == HTTPStatus.OK:
-        # A broken answer leaves `epoch` None: nobody knows.
-        return TransactionResult(revision=_decode(decode_commit_revision, reply.body))
-    if reply.status == HTTPStatus.CONFLICT:
-        return TransactionResult(failed_keys=_decode(decode_failed_keys, reply.body))
-    if reply.status not in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
-        log.error("transaction refused with %d: %r", reply.status, reply.body[:MAX_LOGGED_BODY_BYTES])
-    return TransactionResult(may_be_applied=False, rate_limited=reply.status == HTTPStatus.TOO_MANY_REQUESTS)
-
-
-def _decode_success(decode: Callable[[bytes], T], reply: Response | None) -> T | None:
-    """Return the decoded body of a successful response, or None."""
-    return _decode(decode, reply.body) if reply is not None and reply.status == HTTPStatus.OK else None
-
-
-def _decode(decode: Callable[[bytes], T], body: bytes) -> T | None:
-    try:
-        return decode(body)
-    except MessageError as error:
-        log.error("broken answer of the state service: %s", error)
-        return None
+        request = Request(priority, "GET", f"{WATCH_PATH}?{query}", timeout=block + WATCH_TIMEOUT_MARGIN)
+        self._client.call(request, on_response, on_send)
+
+
+def _last_key(page: KeyValuePage) -> str | None:
+    return page.key_values[-1].key if page.key_values else None
--- /dev/null
+++ b/src/ramptide/clients/service_client.py
@@ -0,0 +1,208 @@
+"""HTTP calls to one outside service: within its rate limit, with decoded responses, and page by page."""
+
+import logging
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from datetime import timedelta
+from http import HTTPStatus
+from typing import Protocol, TypeVar
+from urllib.parse import urlencode
+
+from ramptide.clients.rate_limits import CallPriority, RateLimiter
+from ramptide.protocol.types import MessageError
+from ramptide.transport.runtime import JSON, Response, ResponseCallback, Runtime
+
+__all__ = ["Page", "PagedRequest", "Request", "ServiceClient"]
+
+log = logging.getLogger(__name__)
+
+Message = TypeVar("Message")
+
+
+class Page(Protocol):
+    """One page of a list; `more`: another one follows."""
+
+    more: bool
+
+
+PageType = TypeVar("PageType", bound=Page)
+
+
+@dataclass(frozen=True, slots=True)
+class Request:
+    """A request to the service.
+
+    Attributes
+    ----------
+    priority
+        Its place among the calls that wait for the rate limit.
+    method, target, body
+        The HTTP request.
+    writes
+        The number of keys that it changes, which count against the limit on writes.
+    timeout
+        How long to wait for the response once it was sent; None for the usual time of this service.
+    """
+
+    priority: CallPriority
+    method: str
+    target: str
+    body: bytes = b""
+    writes: int = 0
+    timeout: timedelta | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class PagedRequest:
+    """A request for a whole list, of which each response holds one page.
+
+    Attributes
+    ----------
+    priority
+        The priority of each call.
+    path
+        The path of the list.
+    query
+        The query parameters besides `limit` and `since`.
+    page_size
+        The most items in a page.
+    """
+
+    priority: CallPriority
+    path: str
+    query: Mapping[str, str]
+    page_size: int
+
+
+class ServiceClient:
+    """Sends requests to one service and decodes the responses.
+
+    Parameters
+    ----------
+    runtime
+        The clock, timers and HTTP calls.
+    address
+        The `host:port` of the service.
+    name
+        The name of the service in log lines.
+    rate_limiter
+        Decides when a request is sent.
+    max_queue_time
+        How long a request of each priority may wait for the rate limiter.
+    call_timeout
+        How long to wait for a response unless the request says otherwise.
+    """
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        address: str,
+        name: str,
+        rate_limiter: RateLimiter,
+        max_queue_time: Mapping[CallPriority, timedelta],
+        call_timeout: timedelta,
+    ) -> None:
+        self._runtime = runtime
+        self._address = address
+        self._name = name
+        self._rate_limiter = rate_limiter
+        self._max_queue_time = max_queue_time
+        self._call_timeout = call_timeout
+
+    def call(
+        self,
+        request: Request,
+        on_response: ResponseCallback,
+        on_send: Callable[[], None] | None = None,
+        on_reject: Callable[[], None] | None = None,
+    ) -> None:
+        """Send a request when the rate limit allows it.
+
+        Parameters
+        ----------
+        request
+            The request.
+        on_response
+            Called with the response, or None when there was none in time.
+        on_send
+            Called when the request leaves.
+        on_reject
+            Called instead of `on_response` when the request waited too long and was never sent; without it,
+            `on_response` gets None then.
+        """
+
+        def receive(response: Response | None) -> None:
+            if response is not None and response.status == HTTPStatus.TOO_MANY_REQUESTS:
+                self._rate_limiter.report_overload()
+            on_response(response)
+
+        def send() -> None:
+            if on_send is not None:
+                on_send()
+            timeout = self._call_timeout if request.timeout is None else request.timeout
+            self._runtime.call(self._address, request.method, request.target, request.body, JSON, timeout, receive)
+
+        reject = on_reject or (lambda: on_response(None))
+        self._rate_limiter.submit(
+            request.priority, request.writes, self._max_queue_time[request.priority], send, reject
+        )
+
+    def decode_success(self, decode: Callable[[bytes], Message], response: Response | None) -> Message | None:
+        """Return the decoded body of a successful response, or None for any other; a broken body is logged."""
+        if response is None or response.status != HTTPStatus.OK:
+            return None
+        return self.decode_body(decode, response.body)
+
+    def decode_body(self, decode: Callable[[bytes], Message], body: bytes) -> Message | None:
+        """Return the decoded body, or None for a broken one, which is logged."""
+        try:
+            return decode(body)
+        except MessageError as error:
+            log.error("broken answer of %s: %s", self._name, error)
+            return None
+
+    def read_pages(
+        self,
+        request: PagedRequest,
+        decode: Callable[[bytes], PageType],
+        last_key_of: Callable[[PageType], str | None],
+        on_pages: Callable[[list[PageType] | None], None],
+    ) -> None:
+        """Read all pages of a list, one after the other.
+
+        Parameters
+        ----------
+        request
+            What to read.
+        decode
+            Decodes one page; it raises `MessageError` for a broken one.
+        last_key_of
+            Returns the key of a page's last item, after which the next page begins; None for an empty page.
+        on_pages
+            Called with all pages, or None when one of them could not be read.
+        """
+        pages: list[PageType] = []
+
+        def request_page(after: str | None) -> None:
+            query = {**request.query, "limit": str(request.page_size)} | ({"since": after} if after else {})
+
+            def on_response(response: Response | None) -> None:
+                page = self.decode_success(decode, response)
+                if page is None:
+                    on_pages(None)
+                    return
+                pages.append(page)
+                if not page.more:
+                    on_pages(pages)
+                    return
+                last_key = last_key_of(page)
+                if last_key is None or last_key <= (after or ""):
+                    # To follow it would ask for the same page for ever.
+                    log.error("broken answer of %s: a page that leads nowhere", self._name)
+                    on_pages(None)
+                    return
+                request_page(last_key)
+
+            self.call(Request(request.priority, "GET", f"{request.path}?{urlencode(query)}"), on_response)
+
+        request_page(None)
--- a/src/ramptide/protocol/key_value_store.py
+++ b/src/ramptide/protocol/key_value_store.py
@@ -17,6 +17,7 @@
     "EventBatch",
     "KeyValue",
     "KeyValuePage",
+    "Put",
     "decode_commit_revision",
     "decode_events",
     "decode_failed_keys",
@@ -100,7 +101,9 @@
     mod_revision: int
 
 
-class _Put(Struct, omit_defaults=True, rename={"key": "put", "value": "v", "lease_id": "tenancy"}):
+class Put(Struct, omit_defaults=True, rename={"key": "put", "value": "v", "lease_id": "tenancy"}):
+    """An operation that gives a key a new value; with `lease_id`, the key expires with that lease."""
+
     key: str
     value: Any
     lease_id: int | None = None
@@ -112,7 +115,7 @@
 
 class _TransactionRequest(Struct, rename={"conditions": "when", "operations": "then"}):
     conditions: list[_Condition]
-    operations: list[_Put | _Delete]
+    operations: list[Put | _Delete]
 
 
 def decode_key_value(body: bytes) -> KeyValue:
@@ -186,9 +189,7 @@
     return encode_json(_LeaseRequest(int(lifetime / timedelta(milliseconds=1))))
 
 
-def encode_transaction(
-    conditions: Mapping[str, int], puts: Iterable[tuple[str, Any, int | None]], deletes: Iterable[str]
-) -> bytes:
+def encode_transaction(conditions: Mapping[str, int], puts: Iterable[Put], deletes: Iterable[str]) -> bytes:
     """Encode a compare-and-swap transaction.
 
     Parameters
@@ -200,6 +201,7 @@
     deletes
         Keys to delete.
     """
-    operations: list[_Put | _Delete] = [_Put(key, value, lease_id) for key, value, lease_id in puts]
-    operations += [_Delete(key) for key in deletes]
-    return encode_json(_TransactionRequest([_Condition(*one) for one in conditions.items()], operations))
+    operations: list[Put | _Delete] = [*puts, *(_Delete(key) for key in deletes)]
+    return encode_json(
+        _TransactionRequest([_Condition(key, revision) for key, revision in conditions.items()], operations)
+    )
--- a/src/ramptide/state/commit_batcher.py
+++ b/src/ramptide/state/commit_batcher.py
@@ -5,47 +5,82 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from ramptide.clients.key_value_store import MAX_QUEUE_TIME, KeyValueStore, Transaction, TransactionResult
+from ramptide.clients.key_value_store import MAX_QUEUE_TIME, KeyValueStore
 from ramptide.clients.rate_limits import CallPriority
-from ramptide.protocol.key_value_store import encode_transaction
+from ramptide.clients.transactions import Transaction, TransactionResult
+
+__all__ = ["CommitBatcher"]
 
 MAX_TRANSACTION_BYTES = 56 * 1024
 MAX_CONCURRENT_TRANSACTIONS = 2
-#: The service takes this many conditions for each change that it takes.
+#: The store takes this many conditions for each operation that it takes.
 CONDITIONS_PER_OPERATION = 4
+#: How long a change waits for others to share its transaction.
 BATCH_DELAY = timedelta(milliseconds=20)
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class _PendingChange:
-    """One change with its own conditions."""
+    """One change with its own conditions; until `deadline` it is sent again if the rate limit rejects it."""
 
     transaction: Transaction
     encoded_size: int
     deadline: timedelta
-    done: Callable[[TransactionResult], None]
+    on_result: Callable[[TransactionResult], None]
+
+
+class _Batch:
+    """The changes that go into one transaction, and that transaction.
+
+    Parameters
+    ----------
+    common_conditions
+        The conditions that all changes have in common.
+    max_operations, max_conditions
+        What the transaction may hold.
+    """
+
+    def __init__(self, common_conditions: dict[str, int], max_operations: int, max_conditions: int) -> None:
+        self.common_conditions = common_conditions
+        self.changes: list[_PendingChange] = []
+        self.transaction = Transaction(conditions=dict(common_conditions))
+        self._max_operations = max_operations
+        self._max_conditions = max_conditions
+        self._condition_count = len(common_conditions)
+        self._encoded_size = 0
+
+    def has_room_for(self, change: _PendingChange) -> bool:
+        """Tell whether the change fits; the first one always does, so that none waits for ever."""
+        return not self.changes or (
+            self.transaction.size + change.transaction.size <= self._max_operations
+            and self._condition_count + len(change.transaction.conditions) <= self._max_conditions
+            and self._encoded_size + change.encoded_size <= MAX_TRANSACTION_BYTES
+        )
 
-    @property
-    def keys(self) -> set[str]:
-        return _changed_keys(self.transaction)
+    def add(self, change: _PendingChange) -> None:
+        """Add a change."""
+        self.changes.append(change)
+        self.transaction.add(change.transaction)
+        self._condition_count += len(change.transaction.conditions)
+        self._encoded_size += change.encoded_size
 
 
 class CommitBatcher:
     """Groups changes into transactions without making them depend on each other.
 
     Each change keeps its own conditions: when one of them fails, that change alone is refused and the others are
-    sent again. The conditions that all have in common, such as the view, are added when a group is sent.
+    sent again. The conditions that all have in common, such as the view, are added when a batch is sent.
 
     Parameters
     ----------
     store
-        The state service.
+        The key-value store.
     common_conditions
         Returns the conditions that are added to each transaction.
     priority
         The priority of the transactions.
     max_operations
-        The most changes of keys in a transaction, if lower than what the service takes.
+        The most operations in a transaction, if lower than what the store takes.
     """
 
     def __init__(
@@ -56,101 +91,85 @@
         max_operations: int | None = None,
     ) -> None:
         self._store = store
-        self._max_operations = min(
-            max_operations or store.limits.max_transaction_operations, store.limits.max_transaction_operations
-        )
+        store_limit = store.limits.max_transaction_operations
+        self._max_operations = min(max_operations or store_limit, store_limit)
+        self._max_conditions = store_limit * CONDITIONS_PER_OPERATION
         self._common_conditions = common_conditions
         self._priority = priority
         self._waiting: deque[_PendingChange] = deque()
         self._keys_in_flight: set[str] = set()
-        self._in_flight = 0
-        self._send_scheduled = False
+        self._transactions_in_flight = 0
+        self._is_send_scheduled = False
 
-    def add(self, transaction: Transaction, done: Callable[[TransactionResult], None]) -> None:
+    def add(self, transaction: Transaction, on_result: Callable[[TransactionResult], None]) -> None:
         """Queue a change and report its result."""
-        encoded_size = len(encode_transaction(transaction.conditions, transaction.puts, transaction.deletes))
+        encoded_size = len(transaction.encode())
         deadline = self._store.runtime.now + MAX_QUEUE_TIME[self._priority]
-        self._waiting.append(_PendingChange(transaction, encoded_size, deadline, done))
+        self._waiting.append(_PendingChange(transaction, encoded_size, deadline, on_result))
         self._schedule_send()
 
     def delay(self) -> timedelta:
         """Return how long a change that is added now would wait for its turn."""
-        waiting = sum(change.transaction.size for change in self._waiting)
-        own_delay = timedelta(seconds=waiting / self._store.writes.rate)
-        return self._store.rate_limiter.write_delay(self._priority) + own_delay
+        waiting_writes = sum(change.transaction.size for change in self._waiting)
+        own_delay = timedelta(seconds=waiting_writes / self._store.write_rate)
+        return self._store.write_delay(self._priority) + own_delay
 
     def _schedule_send(self) -> None:
-        if not self._send_scheduled and self._waiting and self._in_flight < MAX_CONCURRENT_TRANSACTIONS:
-            self._send_scheduled = True
+        may_send = self._transactions_in_flight < MAX_CONCURRENT_TRANSACTIONS
+        if not self._is_send_scheduled and self._waiting and may_send:
+            self._is_send_scheduled = True
             self._store.runtime.after(BATCH_DELAY, self._send)
 
     def _send(self) -> None:
-        self._send_scheduled = False
-        common = self._common_conditions()
-        group = self._take_group(len(common))
-        if group:
-            self._commit(group, common)
+        self._is_send_scheduled = False
+        batch = self._take_batch()
+        if batch.changes:
+            self._commit(batch)
             self._schedule_send()
 
-    def _take_group(self, conditions: int) -> list[_PendingChange]:
-        """Remove the changes for one transaction from the queue; it has `conditions` already."""
-        group: list[_PendingChange] = []
-        left: deque[_PendingChange] = deque()
-        operations, size, keys = 0, 0, set(self._keys_in_flight)
-        max_conditions = self._store.limits.max_transaction_operations * CONDITIONS_PER_OPERATION
+    def _take_batch(self) -> _Batch:
+        """Remove the changes for one transaction from the queue."""
+        batch = _Batch(self._common_conditions(), self._max_operations, self._max_conditions)
+        remaining: deque[_PendingChange] = deque()
+        # Changes of the same key are sent one after the other: the first breaks the second's conditions.
+        taken_keys = set(self._keys_in_flight)
         while self._waiting:
             change = self._waiting.popleft()
-            changed_keys = change.keys
-            fits = (
-                operations + change.transaction.size <= self._max_operations
-                and conditions + len(change.transaction.conditions) <= max_conditions
-                and size + change.encoded_size <= MAX_TRANSACTION_BYTES
-            )
-            if group and not fits or keys & changed_keys:
-                # Changes of the same key are sent one after the other: the first breaks the second's conditions.
-                left.append(change)
-                keys |= changed_keys
-                continue
-            group.append(change)
-            keys |= changed_keys
-            operations += change.transaction.size
-            conditions += len(change.transaction.conditions)
-            size += change.encoded_size
-        self._waiting = left
-        return group
-
-    def _commit(self, group: list[_PendingChange], common: dict[str, int]) -> None:
-        whole = Transaction(conditions=dict(common))
-        for change in group:
-            whole.conditions.update(change.transaction.conditions)
-            whole.puts += change.transaction.puts
-            whole.deletes += change.transaction.deletes
-        keys = _changed_keys(whole)
-        self._keys_in_flight |= keys
-        self._in_flight += 1
-
-        def done(result: TransactionResult) -> None:
-            self._in_flight -= 1
-            self._keys_in_flight -= keys
-            self._settle(group, common, result)
+            changed_keys = change.transaction.changed_keys
+            if batch.has_room_for(change) and not taken_keys & changed_keys:
+                batch.add(change)
+            else:
+                remaining.append(change)
+            # Also those of a change that stays, so that no later one of the same key overtakes it.
+            taken_keys |= changed_keys
+        self._waiting = remaining
+        return batch
+
+    def _commit(self, batch: _Batch) -> None:
+        changed_keys = batch.transaction.changed_keys
+        self._keys_in_flight |= changed_keys
+        self._transactions_in_flight += 1
+
+        def on_result(result: TransactionResult) -> None:
+            self._transactions_in_flight -= 1
+            self._keys_in_flight -= changed_keys
+            self._dispatch_result(batch, result)
             self._schedule_send()
 
-        self._store.commit(whole, done, self._priority)
+        self._store.commit(batch.transaction, on_result, self._priority)
 
-    def _settle(self, group: list[_PendingChange], common: dict[str, int], result: TransactionResult) -> None:
+    def _dispatch_result(self, batch: _Batch, result: TransactionResult) -> None:
         """Report the result to the changes that it concerns, and queue the others again."""
-        failed = set(result.failed_keys or ())
+        conflicting_keys = set(result.conflicting_keys)
         retried = []
         now = self._store.runtime.now
-        for change in group:
-            if result.rate_limited and now < change.deadline:
+        for change in batch.changes:
+            if result.is_rate_limited and now < change.deadline:
                 retried.append(change)
-            elif not failed or failed & (change.transaction.conditions.keys() | common.keys()):
-                change.done(result)
+            elif not conflicting_keys or conflicting_keys & (
+                change.transaction.conditions.keys() | batch.common_conditions.keys()
+            ):
+                change.on_result(result)
             else:
                 retried.append(change)
         self._waiting.extendleft(reversed(retried))
-
-
-def _changed_keys(transaction: Transaction) -> set[str]:
-    return {key for key, _, _ in transaction.puts} | set(transaction.deletes)
--- a/tests/compatibility/codecs.py
+++ b/tests/compatibility/codecs.py
@@ -162,7 +162,7 @@
         agents.reap_command("j-000398", 0, 1),
     ]
     conditions = {"a/b": 0, "c/d": 412}
-    puts = [("a/b", {"x": 1}, 7), ("c/d", [1, "two", None], None)]
+    puts = [key_value_store.Put("a/b", {"x": 1}, 7), key_value_store.Put("c/d", [1, "two", None])]
     return {
         "direct commands": agents.encode_commands(41, 3, commands),
         "direct commands, none": agents.encode_commands(41, 3, []),
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -13,8 +13,9 @@
 
 from ramptide.agents.owned_machine import HeartbeatId
 from ramptide.agents.shard import Shard
-from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
+from ramptide.clients.key_value_store import KeyValueStore
 from ramptide.clients.rate_limits import TokenBucket
+from ramptide.clients.transactions import Put, Transaction, TransactionResult
 from ramptide.cluster.change_log import ChangeLog, ReceivedSequence
 from ramptide.cluster.messages import MESSAGE_VERSION
 from ramptide.protocol.agents import Heartbeat, decode_heartbeat
@@ -181,15 +182,15 @@
     commits = CommitBatcher(state.store, lambda: {"live/view": 7})
     outcomes: dict[str, TransactionResult] = {}
     for name in ("a", "b", "c"):
-        txn = Transaction(conditions={name: 0}, puts=[(name, 1, None)])
+        txn = Transaction(conditions={name: 0}, puts=[Put(name, 1)])
         commits.add(txn, lambda outcome, name=name: outcomes.update({name: outcome}))  # type: ignore[misc]
     state.world.run(0.1)
     assert len(state.calls) == 1 and len(json.loads(state.calls[0][1])["then"]) == 3
     state.answer(0, 409, {"failed": ["b"], "epoch": 5})
-    assert list(outcomes) == ["b"] and outcomes["b"].failed_keys == ["b"]
+    assert list(outcomes) == ["b"] and outcomes["b"].conflicting_keys == ("b",)
     state.world.run(0.1)
     state.answer(1, 200, {"epoch": 6})
-    assert outcomes["a"].revision == outcomes["c"].revision == 6
+    assert outcomes["a"].commit_revision == outcomes["c"].commit_revision == 6
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
@@ -200,7 +201,7 @@
     commits = CommitBatcher(state.store, lambda: {"live/view": 7})
     done: list[int] = []
     for number, (key, ops, wait) in enumerate(changes):
-        puts = [(f"{key}{n}", number, None) for n in range(ops)]
+        puts = [Put(f"{key}{n}", number) for n in range(ops)]
         commits.add(Transaction(conditions={key: 0}, puts=puts), lambda outcome, number=number: done.append(number))  # type: ignore[misc]
         state.world.run(wait * 0.01)
     answered = 0
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -6,7 +6,7 @@
 import pytest
 from virtual import World, leader_of, started_world
 
-from ramptide.clients.key_value_store import TransactionResult
+from ramptide.clients.transactions import TransactionResult
 from ramptide.config.features import Features, QuotaFeature
 from ramptide.protocol.settings_file import Team
 from ramptide.quota.limit_table import LimitTable
@@ -249,6 +249,4 @@
     for most in (5, 6):
         controller.limit_table.request({"tight": {"cpus_max": most}}, results.append)
     world.run(2)
-    assert [one.revision is not None for one in results] == [True, False] and results[1].failed_keys == [
-        key_of("tight")
-    ]
+    assert [one.is_applied for one in results] == [True, False] and results[1].conflicting_keys == (key_of("tight"),)
