--- a/src/ramptide/api/jobs.py
+++ b/src/ramptide/api/jobs.py
@@ -19,7 +19,16 @@
 from ramptide.state.amounts import amounts_of, limits_of
 from ramptide.state.commit_batcher import CommitBatcher
 from ramptide.state.jobs import Job
-from ramptide.state.records import FINISHED_PREFIX, JOB_PREFIX, FinishedJobRecord, JobRecord, Progress, to_value
+from ramptide.state.records import (
+    FINISHED_PREFIX,
+    JOB_PREFIX,
+    FinishedJobRecord,
+    JobRecord,
+    Progress,
+    RecordError,
+    from_value,
+    to_value,
+)
 from ramptide.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
@@ -252,8 +261,8 @@
             record = None
             if row is not None:
                 try:
-                    record = msgspec.convert(row.value, FinishedJobRecord)
-                except msgspec.ValidationError as problem:
+                    record = from_value(row.value, FinishedJobRecord)
+                except RecordError as problem:
                     log.error("broken record %s: %s", row.key, problem)
                     known = False
                 else:
--- a/src/ramptide/clients/rate_limits.py
+++ b/src/ramptide/clients/rate_limits.py
@@ -1,4 +1,4 @@
-"""Client-side rate limits, with priorities, for calls to the state service and the cloud."""
+"""Client-side rate limits, with priorities, for calls to the key-value store and the cloud."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,11 +8,13 @@
 
 from ramptide.transport.runtime import Runtime, TimerHandle
 
+__all__ = ["CallPriority", "RateLimiter", "TokenBucket"]
+
 NO_TIME = timedelta(0)
 SECOND = timedelta(seconds=1)
 #: While nothing is rejected a rate grows each second by this part of its initial value.
 RATE_GROWTH_PER_SECOND = 0.2
-#: A smaller lack of tokens is a rounding error.
+#: Tokens; if fewer than these are missing, that is a rounding error.
 TOKEN_EPSILON = 1e-9
 MIN_TIMER_DELAY = timedelta(milliseconds=2)
 
@@ -20,9 +22,13 @@
 class CallPriority(IntEnum):
     """The order in which waiting calls are sent; the lowest number goes first."""
 
+    #: Without these calls the controller loses its place: leases, the watch, and the leader's few writes.
     LEASE = 0
+    #: Writes for which a user waits.
     COMMIT = 1
+    #: Reads for which a user waits.
     READ = 2
+    #: What may come later.
     HOUSEKEEPING = 3
 
 
@@ -41,6 +47,13 @@
         The most tokens the bucket holds.
     max_rate
         Tokens per second up to which the rate grows.
+
+    Attributes
+    ----------
+    rate
+        Tokens per second at present.
+    burst
+        The most tokens the bucket holds, at least one.
     """
 
     def __init__(self, rate: float, burst: float, max_rate: float | None = None) -> None:
@@ -51,19 +64,19 @@
         self._tokens = self.burst
         self._refilled_at = NO_TIME
 
-    def wait(self, now: timedelta, amount: float) -> timedelta:
+    def wait_time(self, now: timedelta, amount: float) -> timedelta:
         """Return the time until `amount` can be taken; an amount above the burst needs a full bucket."""
         self._refill(now)
-        lacking = min(amount, self.burst) - self._tokens
-        return NO_TIME if lacking <= TOKEN_EPSILON else SECOND * (lacking / self.rate)
+        missing = min(amount, self.burst) - self._tokens
+        return NO_TIME if missing <= TOKEN_EPSILON else SECOND * (missing / self.rate)
 
     def _refill(self, now: timedelta) -> None:
-        passed = (now - self._refilled_at) / SECOND
-        self._tokens = min(self.burst, self._tokens + self.rate * passed)
-        self.rate = min(self._max_rate, self.rate + self._initial_rate * RATE_GROWTH_PER_SECOND * passed)
+        elapsed_s = (now - self._refilled_at) / SECOND
+        self._tokens = min(self.burst, self._tokens + self.rate * elapsed_s)
+        self.rate = min(self._max_rate, self.rate + self._initial_rate * RATE_GROWTH_PER_SECOND * elapsed_s)
         self._refilled_at = now
 
-    def wait_unbounded(self, now: timedelta, amount: float) -> timedelta:
+    def refill_time(self, now: timedelta, amount: float) -> timedelta:
         """Return the time until `amount` tokens have come in, even if they are more than the burst."""
         self._refill(now)
         return SECOND * (max(amount - self._tokens, 0.0) / self.rate)
@@ -80,6 +93,8 @@
 
 @dataclass(slots=True)
 class _QueuedCall:
+    """A call that waits for its turn; after `deadline` it is rejected."""
+
     deadline: timedelta
     writes: int
     send: Callable[[], None]
@@ -128,22 +143,30 @@
         """Return how long a single write submitted now would wait behind those of its priority and above."""
         if self._writes is None:
             return NO_TIME
-        ahead = sum(call.writes for other in CallPriority if other <= priority for call in self._queues[other])
-        return self._writes.wait_unbounded(self._runtime.now, ahead + 1)
+        writes_ahead = sum(call.writes for other in CallPriority if other <= priority for call in self._queues[other])
+        return self._writes.refill_time(self._runtime.now, writes_ahead + 1)
 
-    def _wait(self, call: _QueuedCall) -> timedelta:
+    def _wait_time(self, call: _QueuedCall) -> timedelta:
+        """Return the time until both buckets have the tokens for a call."""
         now = self._runtime.now
-        wait = self._calls.wait(now, 1)
+        wait_time = self._calls.wait_time(now, 1)
         if call.writes and self._writes is not None:
-            wait = max(wait, self._writes.wait(now, call.writes))
-        return wait
+            wait_time = max(wait_time, self._writes.wait_time(now, call.writes))
+        return wait_time
+
+    def _send(self, call: _QueuedCall) -> None:
+        self._calls.take(1)
+        if self._writes is not None:
+            self._writes.take(call.writes)
+        call.send()
 
     def _send_ready(self) -> None:
+        """Send what may be sent now, reject what waited too long, and come back for the rest."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        next_wait: timedelta | None = None
-        writes_short = False
+        next_wait_time: timedelta | None = None
+        is_write_waiting = False
         for queue in self._queues.values():
             while queue:
                 call = queue[0]
@@ -151,16 +174,13 @@
                     queue.popleft()
                     call.reject()
                     continue
-                wait = self._wait(call)
-                if wait > NO_TIME or writes_short and call.writes:
+                wait_time = self._wait_time(call)
+                if wait_time > NO_TIME or is_write_waiting and call.writes:
                     # Writes of a lower priority must not use up the tokens that a higher one waits for.
-                    writes_short = writes_short or bool(call.writes)
-                    next_wait = wait if next_wait is None else min(next_wait, wait)
+                    is_write_waiting = is_write_waiting or bool(call.writes)
+                    next_wait_time = wait_time if next_wait_time is None else min(next_wait_time, wait_time)
                     break
                 queue.popleft()
-                self._calls.take(1)
-                if self._writes is not None:
-                    self._writes.take(call.writes)
-                call.send()
-        if next_wait is not None:
-            self._timer = self._runtime.after(max(next_wait, MIN_TIMER_DELAY), self._send_ready)
+                self._send(call)
+        if next_wait_time is not None:
+            self._timer = self._runtime.after(max(next_wait_time, MIN_TIMER_DELAY), self._send_ready)
--- a/src/ramptide/scheduling/job_scheduler.py
+++ b/src/ramptide/scheduling/job_scheduler.py
@@ -11,7 +11,6 @@
 from ramptide.scheduling.job_state import JobState
 from ramptide.state.amounts import Amounts, add_amounts
 from ramptide.state.jobs import Job
-from ramptide.state.records import Progress
 from ramptide.state.task_state import (
     FINISHED_PHASES,
     NO_TIME,
@@ -82,12 +81,12 @@
         """
         state = self.jobs.get(job.job_id)
         if state is None:
-            state = JobState(job, Progress(job.progress.low, job.progress.bits), now, failed_on=set(failed_on))
+            state = JobState(job, job.progress.copy(), now, failed_on=set(failed_on))
             self.jobs[job.job_id] = state
             self._back_off(state, now)
             self.needs_round = True
         elif state.job.progress.count > state.done.count:
-            state.done = Progress(job.progress.low, job.progress.bits)
+            state.done = job.progress.copy()
         self._update_pending(state)
         return state
 
--- a/src/ramptide/state/jobs.py
+++ b/src/ramptide/state/jobs.py
@@ -1,12 +1,42 @@
-"""A job that is not over, as the state service has it."""
+"""A job that is not over, as the key-value store has it."""
 
 from datetime import timedelta
 
 from ramptide.state.records import JobRecord, Progress
 
+__all__ = ["Job"]
+
 
 class Job:
-    """A job that is not over, as the state service has it."""
+    """A job that is not over, as the key-value store has it.
+
+    Parameters
+    ----------
+    job_id
+        The id of the job.
+    record
+        Its record.
+    mod_revision
+        The revision of the record's last change, on which a change of it is conditional.
+
+    Attributes
+    ----------
+    job_id, record, mod_revision
+        As given, or updated since.
+    spec
+        The job's description, which never changes.
+    progress
+        The completed tasks that the record shows.
+    submitted_at
+        The wall-clock time of the submission.
+    deadline
+        The wall-clock time by which the job is to be complete, if it has one.
+
+    Raises
+    ------
+    RecordError
+        If the record is broken.
+    """
 
     __slots__ = ("job_id", "spec", "record", "mod_revision", "progress", "submitted_at", "deadline")
 
@@ -20,7 +50,13 @@
         self.update(record, mod_revision)
 
     def update(self, record: JobRecord, mod_revision: int) -> None:
-        """Take a newer version of the record; a broken one raises an error and changes nothing."""
+        """Take a newer version of the record.
+
+        Raises
+        ------
+        RecordError
+            If the record is broken; the job stays as it was then.
+        """
         # First what can fail, so that a broken record changes nothing.
         self.progress = Progress.decode(record.progress)
         self.record = record
--- a/src/ramptide/state/records.py
+++ b/src/ramptide/state/records.py
@@ -1,15 +1,40 @@
-"""The records of jobs, machines and rentals in the state service."""
+"""The records of jobs, machines and rentals in the key-value store.
+
+Stored field names are part of the format, which older and newer controllers share; `rename=` maps them to ours.
+"""
 
 import base64
 from dataclasses import dataclass
 from datetime import UTC, datetime
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 
 from ramptide.protocol.jobs import MAX_TASKS, JobSpec
 from ramptide.protocol.types import Count, Timestamp
 
+__all__ = [
+    "FINISHED_PREFIX",
+    "JOB_PREFIX",
+    "LIMIT_PREFIX",
+    "MACHINE_TYPES_KEY",
+    "PROGRESS_WINDOW",
+    "RENTAL_PREFIX",
+    "SETTINGS_KEY",
+    "FinishedJobRecord",
+    "Handover",
+    "JobRecord",
+    "MachineRecord",
+    "Progress",
+    "RecordError",
+    "RentalRecord",
+    "RentedMachine",
+    "from_value",
+    "to_value",
+]
+
+Record = TypeVar("Record", bound=msgspec.Struct)
+
 JOB_PREFIX = "live/job/"
 FINISHED_PREFIX = "ended/"
 RENTAL_PREFIX = "live/rental/"
@@ -17,15 +42,28 @@
 SETTINGS_KEY = "live/settings"
 LIMIT_PREFIX = "live/quota/"
 
-#: How far beyond the lowest task that is not done a task may start; it bounds the size of a job's record.
+#: How far beyond the lowest task that is not completed a task may start; it bounds the size of a job's record.
 PROGRESS_WINDOW = 8192
 
 
+class RecordError(ValueError):
+    """A stored value that is not a record of the expected kind; the text names the field."""
+
+
 class Progress:
-    """The set of a job's done tasks: all below `low`, and those whose bit is set above it.
+    """The set of a job's completed tasks: all below `low`, and those whose bit is set above it.
 
-    No task at or past `low + PROGRESS_WINDOW` may start, so the encoded set fits into a value of the state service
+    No task at or past `low + PROGRESS_WINDOW` may start, so the encoded set fits into a value of the key-value store
     however many tasks the job has.
+
+    Attributes
+    ----------
+    low
+        The lowest task index that is not in the set.
+    bits
+        Bit n stands for the task `low + n`.
+    count
+        The number of tasks in the set.
     """
 
     __slots__ = ("low", "bits", "count")
@@ -35,15 +73,19 @@
         self.bits = bits
         self.count = low + bits.bit_count()
 
-    def __contains__(self, task: int) -> bool:
-        """Tell whether a task is done."""
-        return task < self.low or bool(self.bits >> (task - self.low) & 1)
+    def __contains__(self, task_index: int) -> bool:
+        """Tell whether a task is completed."""
+        return task_index < self.low or bool(self.bits >> (task_index - self.low) & 1)
+
+    def copy(self) -> "Progress":
+        """Return a set of the same tasks that changes on its own."""
+        return Progress(self.low, self.bits)
 
-    def add(self, task: int) -> bool:
+    def add(self, task_index: int) -> bool:
         """Add a task; return False if it was in the set already."""
-        if task in self:
+        if task_index in self:
             return False
-        self.bits |= 1 << (task - self.low)
+        self.bits |= 1 << (task_index - self.low)
         self.count += 1
         trailing_ones = (~self.bits & (self.bits + 1)).bit_length() - 1
         self.bits >>= trailing_ones
@@ -61,21 +103,33 @@
 
         Raises
         ------
-        msgspec.ValidationError, ValueError
+        RecordError
             If the value cannot have been made by `encode`.
         """
-        low, bits = msgspec.convert(value, tuple[Count, str])
-        raw = base64.b64decode(bits, validate=True)
+        try:
+            low, bits = msgspec.convert(value, tuple[Count, str])
+            raw = base64.b64decode(bits, validate=True)
+        except (msgspec.ValidationError, ValueError) as error:
+            raise RecordError(str(error)) from error
         if low > MAX_TASKS or len(raw) > PROGRESS_WINDOW // 8:
-            raise ValueError("more done tasks than a job can have")
+            raise RecordError("more done tasks than a job can have")
         return cls(low, int.from_bytes(raw, "little"))
 
 
 class Handover(msgspec.Struct, array_like=True, frozen=True):
-    """The last message of the controller that had a job before, when it changed hands within a view.
+    """The last message of a job's former scheduler, when the job got another one within a view.
+
+    The new scheduler waits until every owner of machines has processed this message, and so reports all that the old
+    one had asked for.
 
-    The new one waits until every owner of machines has processed this message, and so reports all that the old one
-    had asked for.
+    Attributes
+    ----------
+    view
+        The number of the view.
+    member
+        The former scheduler.
+    sequence_number
+        The number of its message to the other controllers.
     """
 
     view: int
@@ -94,7 +148,23 @@
         "handover": "hand",
     },
 ):
-    """A job that is not over."""
+    """A job that is not over.
+
+    Attributes
+    ----------
+    spec
+        The job's description.
+    scheduler
+        The member that places the job's tasks.
+    created_in_view
+        The number of the view in which the job was submitted.
+    submitted_timestamp
+        The time of the submission, in seconds since 1970.
+    progress
+        The completed tasks, as `Progress.encode` returns them.
+    handover
+        The last message of the former scheduler, if the job had another one in this view.
+    """
 
     spec: JobSpec
     scheduler: str
@@ -110,7 +180,7 @@
 
 
 class FinishedJobRecord(msgspec.Struct, rename={"task_count": "pieces", "done_count": "done"}):
-    """What remains of a job that is over."""
+    """What remains of a job that is over: its final status, and how many of its tasks were completed."""
 
     status: str
     task_count: int
@@ -123,14 +193,18 @@
 
     Attributes
     ----------
-    born
+    machine_type, zone, spot
+        The name of its machine type, its zone, and whether it is a spot instance.
+    created_in_view
         The view that recorded the machine; no older view can have started anything on it.
-    opened
-        Whether the first report of its worker has been recorded. Nothing is started before, so a change of view need
+    requested_timestamp
+        When it was requested from the cloud, in seconds since 1970.
+    drain_reason
+        Why the machine is draining, to be returned then; None if it is not.
+    registered
+        Whether the first heartbeat of its agent has been recorded. Nothing is started before, so a change of view need
         not wait for machines that boot.
-    leaving
-        Why the machine is to be returned, if it is.
-    rental
+    rental_id
         The name of its rental.
     """
 
@@ -170,6 +244,17 @@
 
     It is written without `machines` before the cloud is called, and with them once the cloud has answered. The machines
     of one rental share a record, so that hundreds of them need few changes.
+
+    Attributes
+    ----------
+    machine_type, zone, spot, count
+        What was requested from the cloud.
+    requested_timestamp
+        When, in seconds since 1970.
+    created_in_view
+        The view that recorded the machines; 0 before.
+    machines
+        The rented machines by host.
     """
 
     machine_type: str
@@ -180,8 +265,8 @@
     created_in_view: int = 0
     machines: dict[str, RentedMachine] | None = None
 
-    def machine_records(self, name: str) -> dict[str, MachineRecord]:
-        """Return the records of the rental's machines; `name` is the rental's."""
+    def machine_records(self, rental_id: str) -> dict[str, MachineRecord]:
+        """Return the records of the rental's machines by host; `rental_id` is the rental's name."""
         return {
             host: MachineRecord(
                 machine_type=self.machine_type,
@@ -189,14 +274,28 @@
                 spot=self.spot,
                 created_in_view=self.created_in_view,
                 requested_timestamp=self.requested_timestamp,
-                drain_reason=record.drain_reason,
-                registered=record.registered,
-                rental_id=name,
+                drain_reason=machine.drain_reason,
+                registered=machine.registered,
+                rental_id=rental_id,
             )
-            for host, record in (self.machines or {}).items()
+            for host, machine in (self.machines or {}).items()
         }
 
 
 def to_value(record: msgspec.Struct) -> Any:
-    """Return a record as a value that the state service stores."""
+    """Return a record as a value that the key-value store keeps."""
     return msgspec.to_builtins(record)
+
+
+def from_value(value: Any, kind: type[Record]) -> Record:
+    """Return the record that a stored value holds.
+
+    Raises
+    ------
+    RecordError
+        If the value is not such a record.
+    """
+    try:
+        return msgspec.convert(value, kind)
+    except msgspec.ValidationError as error:
+        raise RecordError(str(error)) from error
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 import cbor2
-import msgspec
 import pytest
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
@@ -37,7 +36,7 @@
 from ramptide.protocol.agents import decode_heartbeat, decode_task_reports
 from ramptide.protocol.key_value_store import KEYS_PATH
 from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.records import Progress
+from ramptide.state.records import Progress, RecordError
 
 NULLABLE = {"rigs", "yard", "dueS"}
 JUNK: list[Any] = [
@@ -635,7 +634,7 @@
 
 @pytest.mark.parametrize("value", [[], [0], [0, 1], ["0", ""], [0, "A"], [-1, ""], [True, ""], None, {}])
 def test_a_broken_done_set_is_no_done_set(value: Any) -> None:
-    with pytest.raises((msgspec.ValidationError, ValueError)):
+    with pytest.raises(RecordError):
         Progress.decode(value)
 
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -222,10 +222,10 @@
 
 def test_a_share_rises_while_nothing_is_refused_and_falls_back_at_once() -> None:
     bucket = TokenBucket(10.0, 10.0, 25.0)
-    bucket.wait(20 * S, 1)
+    bucket.wait_time(20 * S, 1)
     assert bucket.rate == 25.0
     bucket.drain()
-    assert bucket.rate == 10.0 and bucket.wait(20 * S, 1) > timedelta(0)
+    assert bucket.rate == 10.0 and bucket.wait_time(20 * S, 1) > timedelta(0)
 
 
 def a_part() -> Shard:
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -142,7 +142,7 @@
     bucket, now, taken = TokenBucket(10.0, 5.0), timedelta(0), []
     for pause, amount in events:
         now += timedelta(milliseconds=pause)
-        if not bucket.wait(now, amount):
+        if not bucket.wait_time(now, amount):
             bucket.take(amount)
             taken.append((now, amount))
     for start, (begin, _) in enumerate(taken):
