--- a/src/ramptide/agents/failure_history.py
+++ b/src/ramptide/agents/failure_history.py
@@ -1,16 +1,25 @@
 """Which jobs failed on a machine, from which it is judged whether the machine or the jobs are at fault."""
 
 from ramptide.agents.owned_machine import OwnedMachine
-from ramptide.cluster.machine_status import FAILED_JOBS_KEPT
 from ramptide.protocol.agents import TaskOutcome
 
+__all__ = ["FAILED_JOBS_KEPT", "record_outcome"]
+
+#: Jobs that a machine's status names as failed there: the message stays small however many jobs were submitted with a
+#: mistake.
+FAILED_JOBS_KEPT = 8
+
 
 def record_outcome(machine: OwnedMachine, job_id: str, cause: str | None) -> None:
-    """Record how a task ended: `Floor.failing` judges by the jobs that failed with no success since."""
+    """Record how a task ended; `MachineIndex` judges by the jobs that failed with no success since.
+
+    Only `TaskOutcome` causes count: an attempt that was stopped or preempted says nothing of the machine.
+    """
     if cause == TaskOutcome.SUCCEEDED:
         machine.consecutive_failures = 0
     elif cause == TaskOutcome.FAILED and job_id not in _failed_since_success(machine):
-        machine.failed_jobs = [*(job for job in machine.failed_jobs if job != job_id), job_id][-FAILED_JOBS_KEPT:]
+        other_failed_jobs = [failed_job for failed_job in machine.failed_jobs if failed_job != job_id]
+        machine.failed_jobs = [*other_failed_jobs, job_id][-FAILED_JOBS_KEPT:]
         machine.consecutive_failures = min(machine.consecutive_failures + 1, FAILED_JOBS_KEPT)
 
 
--- a/src/ramptide/agents/heartbeats.py
+++ b/src/ramptide/agents/heartbeats.py
@@ -7,9 +7,9 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from ramptide.agents.owned_machine import OwnedMachine
+from ramptide.agents.owned_machine import HeartbeatId, OwnedMachine
 from ramptide.agents.shard import Shard
-from ramptide.cluster.membership import View
+from ramptide.cluster.view import View
 from ramptide.config.settings import Tuning
 from ramptide.protocol.agents import Heartbeat, decode_heartbeat, encode_heartbeat_reply, encode_redirect
 from ramptide.protocol.types import MessageError, encode_json
@@ -149,7 +149,7 @@
         if machine is None or shard is None or heartbeat.fencing_token != shard.view:
             return
         if machine.last_heartbeat_at is not None:
-            machine.skip_to((heartbeat.agent_epoch, heartbeat.sequence_number))
+            machine.skip_heartbeat(HeartbeatId.of(heartbeat))
             return
         now = self._runtime.now
         try:
--- a/src/ramptide/agents/machine_table.py
+++ b/src/ramptide/agents/machine_table.py
@@ -8,21 +8,32 @@
 from ramptide.protocol.jobs import JobSpec
 from ramptide.state.task_state import TaskEntry
 
+__all__ = ["MachineTable", "SpecLookup"]
+
+#: Returns the specification of a job by its id, or None while the job is not known.
 SpecLookup = Callable[[str], JobSpec | None]
 
 
 class MachineTable:
-    """The machines of one controller in one view, with an index of the hosts on which a job has tasks."""
+    """The machines of one controller in one view, with an index of the hosts on which a job has tasks.
+
+    Parameters
+    ----------
+    view
+        The number of the view, which is its fencing token too.
+    find_spec
+        Looks up the jobs of the tasks.
+    """
 
-    def __init__(self, view: int, find_run: SpecLookup) -> None:
+    def __init__(self, view: int, find_spec: SpecLookup) -> None:
         self.view = view
-        self.find_spec = find_run
+        self.find_spec = find_spec
         self.machines: dict[str, OwnedMachine] = {}
-        #: The last reports of machines that the fleet record lacks.
+        #: The last heartbeats of machines that the fleet record lacks, by host.
         self.unrecorded: dict[str, Heartbeat] = {}
         #: Machines of which the others do not know the present state yet.
         self.changed_hosts: set[str] = set()
-        #: Machines for whose workers there may be something new to say.
+        #: Machines for whose agents there may be new commands.
         self.hosts_to_notify: set[str] = set()
         self.hosts_by_job: dict[str, set[str]] = {}
 
@@ -41,7 +52,7 @@
         self.hosts_by_job.setdefault(entry.job_id, set()).add(machine.host)
 
     def unrecorded_machines(self) -> dict[str, UnrecordedMachine]:
-        """Return the machines that send heartbeats and that the fleet record lacks, by name."""
+        """Return the machines that send heartbeats and that the fleet record lacks, by host."""
         return {
             heartbeat.host: UnrecordedMachine(heartbeat.machine_type, heartbeat.zone, heartbeat.spot)
             for heartbeat in self.unrecorded.values()
--- a/src/ramptide/api/administration.py
+++ b/src/ramptide/api/administration.py
@@ -4,7 +4,8 @@
 from http import HTTPStatus
 from typing import Any, Protocol
 
-from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
+from ramptide.clients.key_value_store import KeyValueStore
+from ramptide.clients.transactions import Put, Transaction, TransactionResult
 from ramptide.config.settings import BOUNDS, SettingsError, Tuning
 from ramptide.protocol.types import MessageError, decode_json, encode_error, encode_json
 from ramptide.state.records import SETTINGS_KEY
@@ -116,14 +117,14 @@
         changed = {name: value for name, value in tuning.to_value().items() if value != defaults[name]}
         transaction = Transaction(
             conditions={SETTINGS_KEY: self._watch_cache.mod_revision(SETTINGS_KEY)},
-            puts=[(SETTINGS_KEY, changed, None)],
+            puts=[Put(SETTINGS_KEY, changed)],
         )
 
         def on_result(result: TransactionResult) -> None:
-            if result.revision is not None:
-                self._watch_cache.apply_own(result.revision, transaction.puts, transaction.deletes)
+            if result.is_applied:
+                self._watch_cache.apply_commit(transaction, result.commit_revision)
                 self._show_settings(b"", answer)
-            elif result.failed_keys is not None:
+            elif result.is_conflict:
                 answer(HTTPStatus.CONFLICT, encode_error("the settings were changed meanwhile"), JSON)
             else:
                 answer(HTTPStatus.SERVICE_UNAVAILABLE, encode_error("the state service does not answer"), JSON)
--- a/src/ramptide/api/jobs.py
+++ b/src/ramptide/api/jobs.py
@@ -15,7 +15,7 @@
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import SERVICE, JobSpec, JobStatus, decode_job_spec, encode_job_status, is_job_id
 from ramptide.protocol.settings_file import Team
-from ramptide.protocol.types import MessageError, encode_json
+from ramptide.protocol.types import MessageError, encode_error
 from ramptide.state.amounts import amounts_of, limits_of
 from ramptide.state.commit_batcher import CommitBatcher
 from ramptide.state.jobs import Job
@@ -40,11 +40,6 @@
 RETRY_DELAY = timedelta(milliseconds=120)
 
 
-def encode_error(text: str) -> bytes:
-    """Return a JSON body with an error text."""
-    return encode_json({"error": text})
-
-
 class JobApi:
     """Handles users' requests: submissions, polls and cancellations."""
 
@@ -98,7 +93,7 @@
             self._busy(answer, Unavailable.OVERLOADED, delay)
         return delay > MAX_COMMIT_DELAY
 
-    def ended(self, job_id: str, record: FinishedJobRecord) -> None:
+    def remember_finished(self, job_id: str, record: FinishedJobRecord) -> None:
         """Remember a final state that was committed, so that it need not be read again."""
         self._ended[job_id] = record
         while len(self._ended) > ENDED_KEPT:
@@ -266,7 +261,7 @@
                     log.error("broken record %s: %s", row.key, problem)
                     known = False
                 else:
-                    self.ended(job_id, record)
+                    self.remember_finished(job_id, record)
                     if record.status == JobStatus.CANCELLED:
                         # Whoever tells a user so tells the others: the one that wrote it may have ended since.
                         self._cancelled(job_id)
@@ -321,7 +316,7 @@
 
         def done(outcome: TransactionResult) -> None:
             if outcome.is_applied:
-                self.ended(job_id, end)
+                self.remember_finished(job_id, end)
                 self._mirror.apply_commit(transaction, outcome.commit_revision)
                 self._cancelled(job_id)
                 answer(200, encode_job_status(job_id, JobStatus.CANCELLED), {})
--- a/src/ramptide/api/status.py
+++ b/src/ramptide/api/status.py
@@ -10,7 +10,8 @@
 from ramptide.api.telemetry import Telemetry
 from ramptide.autoscaling.autoscaler import Autoscaler
 from ramptide.cluster.machine_index import MachineIndex
-from ramptide.cluster.membership import Membership, View
+from ramptide.cluster.membership import Membership
+from ramptide.cluster.view import View
 from ramptide.state.jobs import Job
 from ramptide.state.records import MachineRecord
 from ramptide.state.watch_cache import WatchCache
--- a/src/ramptide/autoscaling/demand.py
+++ b/src/ramptide/autoscaling/demand.py
@@ -5,7 +5,8 @@
 from typing import Protocol
 
 from ramptide.autoscaling.autoscaler import Demand
-from ramptide.cluster.peers import Peers, WaitingJobRow
+from ramptide.cluster.messages import WaitingJobRow
+from ramptide.cluster.peers import Peers
 from ramptide.scheduling.headroom import task_headroom
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.own_demand import waiting_rows
@@ -56,27 +57,27 @@
         """Return the waiting tasks of all schedulers that their team's limit lets run now, most urgent first."""
         wall, jobs, limits = self._runtime.wall(), self._state.jobs, self._state.limits
         usage = self._cluster_usage.team_usage()
-        waiting = [(jobs[row[0]], row, placed) for row, placed in self._waiting_rows() if row[0] in jobs]
+        waiting = [(jobs[row.job_id], row, placed) for row, placed in self._waiting_rows() if row.job_id in jobs]
         urgency_of = self._urgency_order.urgency_of
-        waiting.sort(key=lambda entry: urgency_of(entry[0], timedelta(seconds=entry[1][2]), wall))
+        waiting.sort(key=lambda entry: urgency_of(entry[0], timedelta(seconds=entry[1].waited_s), wall))
         demands = []
-        for job, (_, startable, waited_s, avoided_hosts), placed in waiting:
+        for job, row, placed in waiting:
             spec = job.spec
             limit = limits.get(spec.team, NO_LIMITS)
-            tasks = min(startable, task_headroom(spec, usage.get(spec.team, NOTHING), limit, limits))
+            tasks = min(row.task_count, task_headroom(spec, usage.get(spec.team, NOTHING), limit, limits))
             if tasks > 0:
                 add_amounts(usage, spec.team, amounts_of(spec).times(tasks))
-                waited = timedelta(seconds=waited_s)
-                demands.append(Demand(spec, tasks, waited, Counter(placed), frozenset(avoided_hosts)))
+                waited = timedelta(seconds=row.waited_s)
+                demands.append(Demand(spec, tasks, waited, Counter(placed), frozenset(row.avoided_hosts)))
         return demands
 
     def _waiting_rows(self) -> list[tuple[WaitingJobRow, Counter[str]]]:
         """Return the rows of all schedulers, each with how many tasks of the job run in each zone, as far as known."""
         scheduler = self._state.require_scheduler()
         rows: list[tuple[WaitingJobRow, Counter[str]]] = [
-            (row, scheduler.jobs[row[0]].zones) for row in waiting_rows(scheduler, self._runtime.now)
+            (row, scheduler.jobs[row.job_id].zones) for row in waiting_rows(scheduler, self._runtime.now)
         ]
         for message in self._peers.last_messages():
             # A job that was handed over to us may still be in its former scheduler's last message.
-            rows += [(row, Counter()) for row in message.waiting_jobs if row[0] not in scheduler.jobs]
+            rows += [(row, Counter()) for row in message.waiting_jobs if row.job_id not in scheduler.jobs]
         return rows
--- a/src/ramptide/autoscaling/rentals.py
+++ b/src/ramptide/autoscaling/rentals.py
@@ -12,11 +12,13 @@
 from ramptide.autoscaling.demand import ClusterDemand
 from ramptide.autoscaling.fleet_observation import FleetObservation
 from ramptide.autoscaling.machine_decisions import MachineDecision, log_decisions, written
-from ramptide.clients.cloud import MAX_RETURNS_PER_CALL, CloudClient
-from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
+from ramptide.clients.cloud import MAX_RETURNS_PER_CALL, CloudClient, RentResult
+from ramptide.clients.key_value_store import KeyValueStore
 from ramptide.clients.rate_limits import CallPriority
+from ramptide.clients.transactions import Put, Transaction, TransactionResult
 from ramptide.cluster.machine_index import MachineIndex
-from ramptide.cluster.membership import VIEW_KEY, Membership, View
+from ramptide.cluster.membership import VIEW_KEY, Membership
+from ramptide.cluster.view import View
 from ramptide.config.settings import Tuning
 from ramptide.protocol.cloud import ListedMachine, MachineType
 from ramptide.scheduling.job_scheduler import JobScheduler
@@ -214,7 +216,7 @@
         if self.machine_types_read:
             self.machine_types_read = False
             machine_types = [msgspec.to_builtins(machine_type) for machine_type in self._state.machine_types.values()]
-            transaction.puts.append((MACHINE_TYPES_KEY, machine_types, None))
+            transaction.puts.append(Put(MACHINE_TYPES_KEY, machine_types))
         # What does not fit is found again by the next step.
         fitting: set[str] = set()
         for name, record in edits.items():
@@ -225,7 +227,7 @@
                 if record is None:
                     transaction.deletes.append(key)
                 else:
-                    transaction.puts.append((key, to_value(record), None))
+                    transaction.puts.append(Put(key, to_value(record)))
         if transaction.size:
             self._commit(transaction, written(decisions, fitting))
 
@@ -268,13 +270,11 @@
 
         def done(outcome: TransactionResult) -> None:
             self._writing = False
-            if outcome.revision is None:
-                self._unconfirmed_decisions = (
-                    decisions if outcome.failed_keys is None and outcome.may_be_applied else []
-                )
+            if not outcome.is_applied:
+                self._unconfirmed_decisions = decisions if outcome.is_unknown else []
                 return
             log_decisions(decisions)
-            self._watch_cache.apply_own(outcome.revision, transaction.puts, transaction.deletes)
+            self._watch_cache.apply_commit(transaction, outcome.commit_revision)
             self._request_recorded()
 
         # A few changes a second that all else waits for: they do not queue behind the users' commits.
@@ -299,7 +299,8 @@
         self._requested.add(name)
         kind = (rental.machine_type, rental.zone, rental.spot)
 
-        def done(hosts: list[str] | None, refused: bool) -> None:
+        def done(result: RentResult) -> None:
+            hosts = result.hosts
             self._requested.discard(name)
             if hosts is not None:
                 log.info("rented %s: %s in %s%s", ", ".join(hosts), kind[0], kind[1], ", spot" if kind[2] else "")
@@ -310,14 +311,14 @@
                     # No more of this kind: the step goes on with the next best one.
                     self.autoscaler.note_refusal(kind, self._runtime.now)
                     self._step()
-            elif refused:
+            elif result.is_refused:
                 log.info("no capacity for %s in %s%s", kind[0], kind[1], ", spot" if kind[2] else "")
                 self._refused.add(name)
                 self.autoscaler.note_refusal(kind, self._runtime.now)
                 # Nothing was rented, so the step goes on with the next best kind.
                 self._step()
 
-        self._cloud.rent(name, rental, done)
+        self._cloud.rent(name, *kind, rental.count, done)
 
     def _adoptions(self, decisions: list[MachineDecision]) -> dict[str, RentalRecord | None]:
         """Return records for machines that nobody recorded, as delayed requests create them.
--- a/src/ramptide/cluster/member_lease.py
+++ b/src/ramptide/cluster/member_lease.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from ramptide.clients.key_value_store import KeyValueStore
+from ramptide.clients.key_value_store import KeyValueStore, LeaseStatus
 
 __all__ = ["LEASE_TIMEOUT", "STEP_INTERVAL", "MemberLease"]
 
@@ -59,17 +59,17 @@
     def _keep_alive(self, lease_id: int) -> None:
         sent_at = self._kept_alive_at = self._runtime.now
 
-        def on_reply(is_alive: bool | None) -> None:
-            if is_alive is None:
+        def on_status(status: LeaseStatus) -> None:
+            if status is LeaseStatus.UNKNOWN:
                 self._retry_soon()
             elif self.lease_id != lease_id:
                 return
-            elif is_alive:
+            elif status is LeaseStatus.ALIVE:
                 self.confirmed_at = sent_at
             else:
                 self._on_lost()
 
-        self._store.keep_lease_alive(lease_id, on_reply)
+        self._store.keep_lease_alive(lease_id, on_status)
 
     def _retry_soon(self) -> None:
         """Nobody knows whether the lease is alive: ask again after one more step."""
--- a/src/ramptide/controller/authority.py
+++ b/src/ramptide/controller/authority.py
@@ -3,8 +3,10 @@
 from datetime import timedelta
 from typing import Protocol
 
-from ramptide.cluster.membership import LEASE_TIMEOUT, VIEW_KEY, Membership, View
+from ramptide.cluster.member_lease import LEASE_TIMEOUT
+from ramptide.cluster.membership import VIEW_KEY, Membership
 from ramptide.cluster.peers import Peers
+from ramptide.cluster.view import View
 from ramptide.state.watch_cache import WatchCache
 from ramptide.transport.runtime import Runtime
 
--- a/src/ramptide/controller/availability.py
+++ b/src/ramptide/controller/availability.py
@@ -7,8 +7,9 @@
 from ramptide.agents.lease_expiry import MISSED_HEARTBEAT_LIMIT
 from ramptide.agents.shard import Shard
 from ramptide.api.telemetry import StallDetector
-from ramptide.cluster.membership import Membership, View
+from ramptide.cluster.membership import Membership
 from ramptide.cluster.peers import Peers
+from ramptide.cluster.view import View
 from ramptide.controller.authority import Authority
 from ramptide.state.watch_cache import WatchCache
 from ramptide.transport.runtime import Runtime
@@ -103,7 +104,7 @@
         return [
             name
             for name, peer in self._peers.by_name.items()
-            if peer.answered_at is None or now - peer.answered_at > PEER_TIMEOUT
+            if peer.replied_at is None or now - peer.replied_at > PEER_TIMEOUT
         ]
 
     def _has_lost_all_machines(self) -> bool:
--- a/src/ramptide/controller/controller.py
+++ b/src/ramptide/controller/controller.py
@@ -21,7 +21,8 @@
 from ramptide.clients.key_value_store import KeyValueStore
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.cluster.membership import Membership
-from ramptide.cluster.peers import Peer, PeerMessage, Peers
+from ramptide.cluster.messages import PeerMessage
+from ramptide.cluster.peers import Peer, Peers
 from ramptide.config.features import Features
 from ramptide.controller.agent_connectivity import AgentConnectivity
 from ramptide.controller.assignments import Assignments
--- a/src/ramptide/controller/decision_loop.py
+++ b/src/ramptide/controller/decision_loop.py
@@ -118,7 +118,7 @@
         changed = shard.take_changed()
         for host in changed:
             self._assignments.update_machine(host, shard.status(host, now))
-        own_acknowledged = shard.acknowledged.get(self._state.member, 0)
+        own_acknowledged = shard.desired_states.acknowledged.get(self._state.member, 0)
         acknowledge_desired(self._state, self._machine_index, scheduler, self._state.member, own_acknowledged)
         self._reconciliation.check()
         if self._authority.may_start():
--- a/src/ramptide/controller/fencing.py
+++ b/src/ramptide/controller/fencing.py
@@ -5,8 +5,9 @@
 
 from ramptide.agents.lease_expiry import CLOCK_DRIFT
 from ramptide.cluster.machine_index import MachineIndex
-from ramptide.cluster.membership import LEASE_TIMEOUT, View
+from ramptide.cluster.member_lease import LEASE_TIMEOUT
 from ramptide.cluster.peers import Peers
+from ramptide.cluster.view import View
 from ramptide.controller.timings import ControllerTimings
 from ramptide.transport.runtime import Runtime
 
--- a/src/ramptide/controller/peer_messages.py
+++ b/src/ramptide/controller/peer_messages.py
@@ -1,18 +1,19 @@
 """What other controllers tell: their messages are taken, applied and answered."""
 
+import logging
 from collections.abc import Callable
 from datetime import timedelta
 from typing import Protocol
 
-import cbor2
-import msgspec
-
 from ramptide.agents.owned_machine import OwnedMachine
 from ramptide.agents.shard import Shard
+from ramptide.cluster.errors import PeerMessageError
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.cluster.machine_status import MachineStatus
-from ramptide.cluster.membership import Membership, View
-from ramptide.cluster.peers import Peer, PeerMessage, PeerReply, Peers
+from ramptide.cluster.membership import Membership
+from ramptide.cluster.messages import PeerMessage, PeerReply, encode_reply
+from ramptide.cluster.peers import Peer, Peers
+from ramptide.cluster.view import View
 from ramptide.controller.cancellations import RecentCancellations
 from ramptide.controller.fencing import Fencing
 from ramptide.controller.shares import QuotaShares
@@ -27,6 +28,8 @@
 
 __all__ = ["DesiredStateGate", "PeerMessageHandler", "acknowledge_desired"]
 
+log = logging.getLogger(__name__)
+
 AT_ONCE = timedelta(0)
 
 
@@ -138,10 +141,11 @@
         """Take another controller's message and return the encoded reply, or None when it is broken."""
         view, has_place = self._state.view, self._state.shard is not None
         number = view.number if view is not None and has_place else 0
-        received = self._peers.receive(body, number)
-        if received is None:
+        try:
+            message, peer = self._peers.receive(body, number)
+        except PeerMessageError as error:
+            log.error("%s", error)
             return None
-        message, peer = received
         reply = PeerReply(
             incarnation=self._membership.incarnation,
             view=number,
@@ -150,7 +154,7 @@
             received=peer.inbox.seq,
             finished_jobs=self._finished_since(message.revision) if message.store_unavailable else None,
         )
-        return cbor2.dumps(msgspec.to_builtins(reply))
+        return encode_reply(reply)
 
     def _finished_since(self, revision: int) -> list[str] | None:
         """Return every job that a user may have been told is cancelled and that a copy as of `revision` still has.
@@ -179,7 +183,7 @@
         self._fencing.note_heard(message.member)
         self._assignments.drop_finished(message.cancelled_jobs)
         takes_tasks = self._gate.takes_tasks
-        shard.apply_desired(message.member, message.sequence_number, message.desired_tasks, takes_tasks)
+        shard.desired_states.apply(message.member, message.sequence_number, message.desired_tasks, takes_tasks)
         if message.desired_tasks:
             self._peers.send_within(peer, AT_ONCE)
         if message.member == view.leader and not message.more:
--- a/src/ramptide/controller/reconciliation.py
+++ b/src/ramptide/controller/reconciliation.py
@@ -102,7 +102,7 @@
     def _processed_by(self, member: str, handover: Handover) -> int:
         """Return up to which message of the job's former scheduler a member has processed them."""
         if member == self._state.member:
-            return self._state.require_shard().acknowledged.get(handover.member, 0)
+            return self._state.require_shard().desired_states.acknowledged.get(handover.member, 0)
         message = self._peers.last_message(member)
         if message is None:
             return 0
--- a/src/ramptide/controller/replication.py
+++ b/src/ramptide/controller/replication.py
@@ -14,8 +14,10 @@
 from ramptide.cluster.change_log import ChangeLog
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.cluster.machine_status import MachineStatus
-from ramptide.cluster.membership import Membership, View
-from ramptide.cluster.peers import MESSAGE_VERSION, SEND_INTERVAL, Peer, PeerMessage, Peers
+from ramptide.cluster.membership import Membership
+from ramptide.cluster.messages import MESSAGE_VERSION, PeerMessage, PreemptionRow
+from ramptide.cluster.peers import SEND_INTERVAL, Peer, Peers
+from ramptide.cluster.view import View
 from ramptide.controller.cancellations import RecentCancellations
 from ramptide.controller.peer_messages import DesiredStateGate
 from ramptide.controller.shares import QuotaShares
@@ -114,7 +116,7 @@
             return
         scheduler.sequence_number += 1
         own = self._mark_desired(scheduler)
-        shard.apply_desired(self._state.member, scheduler.sequence_number, own, self._gate.takes_tasks)
+        shard.desired_states.apply(self._state.member, scheduler.sequence_number, own, self._gate.takes_tasks)
         # The next message says that we have processed our own desired states, so it has to show what came of them: who
         # takes over one of our jobs relies on that.
         for count, host in enumerate([*own, *changed], 1):
@@ -232,13 +234,13 @@
             revision=self._watch_cache.revision,
             version=MESSAGE_VERSION,
             reconciled=self._state.reconciled,
-            acknowledged=shard.acknowledged,
+            acknowledged=shard.desired_states.acknowledged,
             usage=grants_to_wire(scheduler.usage()),
             usage_in_transfer={job_id: grants_to_wire(amounts) for job_id, amounts in in_transfer.items()},
             quota_shares_acknowledged=self._shares.acknowledged,
             handovers_taken=self._share_split.handovers_taken,
             idle_pool=self._machine_index.idle_pool if leads else [],
-            preemptions=[(*key, one.grace_s) for key, one in pending.items()] if leads else [],
+            preemptions=[PreemptionRow(*key, one.grace_s) for key, one in pending.items()] if leads else [],
             cancelled_jobs=self._cancellations.job_ids(),
         )
 
--- a/src/ramptide/controller/state.py
+++ b/src/ramptide/controller/state.py
@@ -12,7 +12,7 @@
 
 from ramptide.agents.shard import Shard
 from ramptide.autoscaling.autoscaler import QUARANTINED
-from ramptide.cluster.membership import View, owner_of
+from ramptide.cluster.view import View, owner_of
 from ramptide.config.settings import Tuning
 from ramptide.controller.errors import NoPlaceInViewError, NoViewError
 from ramptide.protocol.cloud import MachineType
--- a/src/ramptide/controller/view_change.py
+++ b/src/ramptide/controller/view_change.py
@@ -8,7 +8,8 @@
 from ramptide.agents.token_announcer import TokenAnnouncer
 from ramptide.api.telemetry import Telemetry
 from ramptide.cluster.machine_index import MachineIndex
-from ramptide.cluster.membership import Membership, View
+from ramptide.cluster.membership import Membership
+from ramptide.cluster.view import View
 from ramptide.controller.assignments import Assignments
 from ramptide.controller.errors import NoViewError
 from ramptide.controller.fencing import Fencing, SurvivingPeers
--- a/src/ramptide/quota/limit_table.py
+++ b/src/ramptide/quota/limit_table.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
+from ramptide.clients.key_value_store import KeyValueStore
+from ramptide.clients.transactions import Put, Transaction, TransactionResult
 from ramptide.protocol.settings_file import Team
 from ramptide.quota.overrides import LimitError, LimitRecord, change, decode_record, effective, key_of, promote, team_of
 from ramptide.scheduling.job_scheduler import JobScheduler
@@ -128,12 +129,12 @@
         if record is None:
             transaction.deletes.append(key)
         else:
-            transaction.puts.append((key, msgspec.to_builtins(record), None))
+            transaction.puts.append(Put(key, msgspec.to_builtins(record)))
 
     def _commit(self, transaction: Transaction, done: Callable[[TransactionResult], None]) -> None:
         def written(outcome: TransactionResult) -> None:
-            if outcome.revision is not None:
-                self._watch_cache.apply_own(outcome.revision, transaction.puts, transaction.deletes)
+            if outcome.is_applied:
+                self._watch_cache.apply_commit(transaction, outcome.commit_revision)
             done(outcome)
 
         self._store.commit(transaction, written)
@@ -155,7 +156,7 @@
 
         def done(outcome: TransactionResult) -> None:
             self._committing = False
-            if outcome.revision is not None:
+            if outcome.is_applied:
                 log.info("limits in force: %s", ", ".join(acted))
 
         self._commit(transaction, done)
--- a/src/ramptide/quota/operators.py
+++ b/src/ramptide/quota/operators.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ramptide.clients.key_value_store import TransactionResult
+from ramptide.clients.transactions import TransactionResult
 from ramptide.protocol.settings_file import Team
 from ramptide.protocol.types import MessageError, decode_json, encode_error, encode_json
 from ramptide.quota.limit_table import LimitTable
@@ -195,9 +195,9 @@
         """Write changes of limits; 202 when they are pending."""
 
         def on_result(result: TransactionResult) -> None:
-            if result.revision is not None:
+            if result.is_applied:
                 answer(HTTPStatus.ACCEPTED, encode_json({"pending": sorted(changes)}), JSON)
-            elif result.failed_keys is not None:
+            elif result.is_conflict:
                 answer(HTTPStatus.CONFLICT, encode_error("the limits were changed meanwhile"), JSON)
             else:
                 answer(HTTPStatus.SERVICE_UNAVAILABLE, encode_error("the state service does not answer"), JSON)
--- a/src/ramptide/quota/share_exchange.py
+++ b/src/ramptide/quota/share_exchange.py
@@ -7,8 +7,9 @@
 from typing import Protocol
 
 from ramptide.cluster.change_log import ChangeLog
-from ramptide.cluster.membership import View
-from ramptide.cluster.peers import Peer, PeerMessage, Peers
+from ramptide.cluster.messages import PeerMessage
+from ramptide.cluster.peers import Peer, Peers
+from ramptide.cluster.view import View
 from ramptide.placement.bin_packing import Room, admits
 from ramptide.protocol.jobs import PRIORITIES, JobSpec
 from ramptide.quota.fitting import FittingSplit
--- a/src/ramptide/scheduling/handover.py
+++ b/src/ramptide/scheduling/handover.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ramptide.clients.key_value_store import Transaction, TransactionResult
-from ramptide.cluster.membership import View
+from ramptide.clients.transactions import Put, Transaction, TransactionResult
+from ramptide.cluster.view import View
 from ramptide.config.settings import Tuning
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.job_state import JobState
@@ -120,7 +120,7 @@
         handover = Handover(view.number, self._state.member, scheduler.sequence_number + 1)
         record = msgspec.structs.replace(job_state.job.record, scheduler=view.leader, handover=handover)
         key = JOB_PREFIX + job_state.job.job_id
-        transaction = Transaction(conditions={key: job_state.job.mod_revision}, puts=[(key, to_value(record), None)])
+        transaction = Transaction(conditions={key: job_state.job.mod_revision}, puts=[Put(key, to_value(record))])
         self._commit(job_state, view, transaction, may_be_applied=False)
 
     def _commit(self, job_state: JobState, view: View, transaction: Transaction, may_be_applied: bool) -> None:
@@ -131,15 +131,15 @@
         """
 
         def on_result(result: TransactionResult) -> None:
-            if result.revision is not None:
+            if result.is_applied:
                 log.debug("job handed over: job_id=%s scheduler=%s", job_state.job.job_id, view.leader)
-                self._watch_cache.apply_own(result.revision, transaction.puts, transaction.deletes)
+                self._watch_cache.apply_commit(transaction, result.commit_revision)
             if self._state.view is not view:
                 return
-            is_lost = result.failed_keys is None and not result.may_be_applied and not may_be_applied
-            if result.revision is not None or is_lost:
+            is_certain = not result.is_conflict and not result.is_unknown and not may_be_applied
+            if result.is_applied or is_certain:
                 self._unfreeze(job_state, view)
-            elif result.failed_keys is None:
+            elif not result.is_conflict:
                 self._runtime.after(RETRY_DELAY, retry)
             else:
                 # The record moved on, perhaps by the copy: our watch cache must show it before anything is started.
--- a/src/ramptide/scheduling/own_demand.py
+++ b/src/ramptide/scheduling/own_demand.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from ramptide.cluster.peers import WaitingJobRow
+from ramptide.cluster.messages import WaitingJobRow
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.state.amounts import Grants, add_amounts, amounts_of
 
@@ -18,7 +18,8 @@
         startable = job_state.startable if job_state.retry_at <= now else 0
         if startable:
             waited = now - job_state.waiting_since if job_state.waiting_since is not None else NO_TIME
-            rows.append((job_state.job.job_id, startable, waited.total_seconds(), sorted(job_state.avoids)))
+            row = WaitingJobRow(job_state.job.job_id, startable, waited.total_seconds(), sorted(job_state.avoids))
+            rows.append(row)
     return rows
 
 
--- a/src/ramptide/scheduling/results.py
+++ b/src/ramptide/scheduling/results.py
@@ -5,8 +5,9 @@
 
 import msgspec
 
-from ramptide.clients.key_value_store import KeyValueStore, Transaction, TransactionResult
+from ramptide.clients.key_value_store import KeyValueStore
 from ramptide.clients.rate_limits import CallPriority
+from ramptide.clients.transactions import Put, Transaction, TransactionResult
 from ramptide.protocol.jobs import JobStatus
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.job_state import JobState
@@ -74,13 +75,13 @@
         finished = FinishedJobRecord(JobStatus.SUCCEEDED, job.spec.task_count, job.spec.task_count)
         transaction = Transaction(
             conditions={key: job.mod_revision},
-            puts=[(FINISHED_PREFIX + job.job_id, to_value(finished), None)],
+            puts=[Put(FINISHED_PREFIX + job.job_id, to_value(finished))],
             deletes=[key],
         )
 
         def on_result(result: TransactionResult) -> None:
             self._write_finished(job.job_id, result, transaction)
-            if result.revision is not None:
+            if result.is_applied:
                 self._on_finished(job.job_id, finished)
 
         self._write_started(job.job_id, now + RETRY_DELAY)
@@ -90,7 +91,7 @@
         job = job_state.job
         key = JOB_PREFIX + job.job_id
         record = msgspec.structs.replace(job.record, progress=job_state.done.encode())
-        transaction = Transaction(conditions={key: job.mod_revision}, puts=[(key, to_value(record), None)])
+        transaction = Transaction(conditions={key: job.mod_revision}, puts=[Put(key, to_value(record))])
         self._write_started(job.job_id, now + PROGRESS_INTERVAL)
         self._progress.add(transaction, lambda result: self._write_finished(job.job_id, result, transaction))
 
@@ -100,5 +101,5 @@
 
     def _write_finished(self, job_id: str, result: TransactionResult, transaction: Transaction) -> None:
         self._in_flight.discard(job_id)
-        if result.revision is not None:
-            self._watch_cache.apply_own(result.revision, transaction.puts, transaction.deletes)
+        if result.is_applied:
+            self._watch_cache.apply_commit(transaction, result.commit_revision)
--- a/src/ramptide/scheduling/rooms.py
+++ b/src/ramptide/scheduling/rooms.py
@@ -6,7 +6,7 @@
 
 from ramptide.agents.shard import Shard
 from ramptide.cluster.machine_index import MachineIndex
-from ramptide.cluster.membership import View
+from ramptide.cluster.view import View
 from ramptide.placement.bin_packing import ROUNDING, Room, fill
 from ramptide.protocol.jobs import JobSpec
 
--- a/src/ramptide/team_limits/share_split.py
+++ b/src/ramptide/team_limits/share_split.py
@@ -4,8 +4,9 @@
 from datetime import timedelta
 from typing import Protocol
 
-from ramptide.cluster.membership import View
-from ramptide.cluster.peers import PeerMessage, Peers
+from ramptide.cluster.messages import PeerMessage
+from ramptide.cluster.peers import Peers
+from ramptide.cluster.view import View
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.job_state import JobState
 from ramptide.scheduling.own_demand import own_demand
