--- /dev/null
+++ b/src/ramptide/service/client_routes.py
@@ -0,0 +1,96 @@
+"""The routes for users and agents: jobs, heartbeats and health."""
+
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import Protocol
+
+from ramptide.api.jobs import encode_error
+from ramptide.api.telemetry import Route
+from ramptide.controller.controller import Controller
+from ramptide.protocol.agents import HEARTBEAT_PATH
+from ramptide.protocol.jobs import HEALTH_PATH, JOBS_PATH
+from ramptide.protocol.types import encode_json
+from ramptide.service.replies import path_of, refuse_method
+from ramptide.transport.http.server import Exchange
+from ramptide.transport.process_statistics import ProcessStatistics, WorkKind
+from ramptide.transport.runtime import JSON
+
+__all__ = ["ClientRoutes"]
+
+CANCEL_ACTION = "cancel"
+
+
+class _JsonReply(Protocol):
+    def __call__(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
+        """Reply to the request with JSON."""
+
+
+class ClientRoutes:
+    """Hands the requests of users and agents to the parts of the controller that answer them."""
+
+    def __init__(self, controller: Controller, statistics: ProcessStatistics) -> None:
+        self._controller = controller
+        self._measure = statistics.measure
+
+    def handle(self, exchange: Exchange) -> None:
+        """Answer a request, now or later."""
+        path = path_of(exchange.request)
+        if path == HEARTBEAT_PATH:
+            self._receive_heartbeat(exchange)
+        elif path == HEALTH_PATH:
+            self._show_health(exchange)
+        elif path == JOBS_PATH or path.startswith(JOBS_PATH + "/"):
+            self._controller.counters["requests"] += 1
+            subpath = path[len(JOBS_PATH) + 1 :]
+            self._measure(WorkKind.USERS, lambda: self._handle_job_request(exchange, subpath))
+        else:
+            exchange.respond(HTTPStatus.NOT_FOUND, encode_error("no such path"), JSON)
+
+    def _receive_heartbeat(self, exchange: Exchange) -> None:
+        request, controller = exchange.request, self._controller
+        if request.method != "POST":
+            refuse_method(exchange, "POST")
+            return
+        # Leases hang on the agents' heartbeats, so users' requests come after them.
+        exchange.prefer()
+        controller.counters["reports"] += 1
+        reply = _json_reply(exchange)
+        self._measure(WorkKind.HEARTBEATS, lambda: controller.heartbeats.receive_heartbeat(request.body, reply))
+
+    def _show_health(self, exchange: Exchange) -> None:
+        controller = self._controller
+        if exchange.request.method not in ("GET", "HEAD"):
+            refuse_method(exchange, "GET, HEAD")
+            return
+        exchange.prefer()
+        healthy = controller.is_healthy()
+        body = encode_json({"healthy": healthy, "lacks": controller.unavailable_dependencies()})
+        exchange.respond(HTTPStatus.OK if healthy else HTTPStatus.SERVICE_UNAVAILABLE, body, JSON)
+
+    def _handle_job_request(self, exchange: Exchange, subpath: str) -> None:
+        """Route a request by the segments of its path after that of all jobs."""
+        job_api, reply = self._controller.job_api, _json_reply(exchange)
+        match subpath.split("/") if subpath else []:
+            case []:
+                self._call_job_api(exchange, "POST", lambda: job_api.submit(exchange.request.body, reply))
+            case [job_id]:
+                self._call_job_api(exchange, "GET", lambda: job_api.poll(job_id, reply))
+            case [job_id, action] if action == CANCEL_ACTION:
+                self._call_job_api(exchange, "POST", lambda: job_api.cancel(job_id, reply))
+            case _:
+                self._controller.telemetry.answered(Route.OTHER, HTTPStatus.NOT_FOUND)
+                reply(HTTPStatus.NOT_FOUND, encode_error("no such path"))
+
+    def _call_job_api(self, exchange: Exchange, allowed_method: str, call: Callable[[], None]) -> None:
+        if exchange.request.method == allowed_method:
+            call()
+            return
+        self._controller.telemetry.answered(Route.OTHER, HTTPStatus.METHOD_NOT_ALLOWED)
+        refuse_method(exchange, allowed_method)
+
+
+def _json_reply(exchange: Exchange) -> _JsonReply:
+    def reply(status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
+        exchange.respond(status, body, JSON, headers)
+
+    return reply
--- /dev/null
+++ b/src/ramptide/service/process.py
@@ -0,0 +1,70 @@
+"""Puts a controller's process together: event loop, client, controller and servers."""
+
+import secrets
+from datetime import timedelta
+
+from ramptide.api.administration import AdminApi
+from ramptide.config.features import Features
+from ramptide.controller.controller import Controller
+from ramptide.protocol.settings_file import Settings
+from ramptide.service.client_routes import ClientRoutes
+from ramptide.service.connection_limits import ConnectionLimits
+from ramptide.service.peer_routes import PeerRoutes
+from ramptide.transport.event_loop import EventLoop
+from ramptide.transport.http.client import Client
+from ramptide.transport.http.server import Server
+from ramptide.transport.loop_runtime import LoopRuntime
+
+__all__ = ["Service"]
+
+CLIENT_IDLE_TIMEOUT = timedelta(seconds=60)
+PEER_IDLE_TIMEOUT = timedelta(seconds=60)
+#: The whole state of a shard of several hundred machines is well below this.
+MAX_PEER_BODY_BYTES = 8 * 1024 * 1024
+INCARNATION_BYTES = 6
+
+
+class Service:
+    """One controller with its servers for clients (users and agents) and for peers (controllers and operators).
+
+    Parameters
+    ----------
+    settings
+        The settings of this controller and of its cluster.
+    features
+        The features that are switched on; None for the defaults.
+
+    Raises
+    ------
+    OSError
+        If one of the addresses cannot be listened on.
+    """
+
+    def __init__(self, settings: Settings, features: Features | None = None) -> None:
+        self.loop = EventLoop()
+        statistics = self.loop.statistics
+        limits = ConnectionLimits.for_cluster(settings.cluster)
+        runtime = LoopRuntime(self.loop, Client(self.loop, limits.outbound))
+        self.controller = Controller(runtime, settings, secrets.token_hex(INCARNATION_BYTES), features)
+        admin = AdminApi(self.controller, statistics)
+        self.client_server = Server(
+            self.loop,
+            settings.client_address,
+            ClientRoutes(self.controller, statistics).handle,
+            limits.clients,
+            CLIENT_IDLE_TIMEOUT,
+            deferrable=True,
+        )
+        self.peer_server = Server(
+            self.loop,
+            settings.peer_address,
+            PeerRoutes(self.controller, admin, statistics).handle,
+            limits.peers,
+            PEER_IDLE_TIMEOUT,
+            MAX_PEER_BODY_BYTES,
+        )
+
+    def run(self) -> None:
+        """Start the controller and serve requests until the process ends."""
+        self.controller.start()
+        self.loop.run()
--- /dev/null
+++ b/src/ramptide/transport/loop_runtime.py
@@ -0,0 +1,49 @@
+"""The runtime of a real process, on the event loop and the HTTP client."""
+
+from collections.abc import Callable
+from datetime import datetime, timedelta
+
+from ramptide.transport.event_loop import EventLoop, Timer
+from ramptide.transport.http.client import Client
+from ramptide.transport.process_statistics import WorkKind
+from ramptide.transport.runtime import Response, ResponseCallback
+
+__all__ = ["LoopRuntime"]
+
+
+class LoopRuntime:
+    """Time and timers from the loop, calls through the client; implements `Runtime`."""
+
+    def __init__(self, loop: EventLoop, client: Client) -> None:
+        self._loop = loop
+        self._client = client
+
+    @property
+    def now(self) -> timedelta:
+        """The monotonic time; it does not advance during an event."""
+        return self._loop.now
+
+    def wall(self) -> datetime:
+        """Return the wall-clock time, in UTC."""
+        return self._loop.wall()
+
+    def after(self, delay: timedelta, action: Callable[[], None]) -> Timer:
+        """Schedule a call."""
+        return self._loop.after(delay, action)
+
+    def call(
+        self,
+        address: str,
+        method: str,
+        target: str,
+        body: bytes,
+        content_type: str,
+        timeout: timedelta,
+        done: ResponseCallback,
+    ) -> None:
+        """Send a request; `done` gets the response, or None when none came in time."""
+
+        def measured(reply: Response | None) -> None:
+            self._loop.statistics.measure(WorkKind.RESPONSES, lambda: done(reply))
+
+        self._client.call(address, method, target, body, content_type, timeout, measured)
--- a/tests/test_process_statistics.py
+++ b/tests/test_process_statistics.py
@@ -38,7 +38,7 @@
 
     def socket_event() -> None:
         clock.passes(0.25)
-        statistics.measure(WorkKind.REPORTS, lambda: clock.passes(1.0))
+        statistics.measure(WorkKind.HEARTBEATS, lambda: clock.passes(1.0))
         statistics.measure(WorkKind.USERS, lambda: clock.passes(0.5))
 
     statistics.measure(WorkKind.SOCKETS, socket_event)
