--- a/src/ramptide/controller/agent_connectivity.py
+++ b/src/ramptide/controller/agent_connectivity.py
@@ -102,7 +102,7 @@
         known = [addresses[host] for host in self._state.machines if host in addresses]
         if not known or self._may_apply_again(since, probes, replies):
             log.info("applying for a place again: probes=%d replies=%d", probes, replies)
-            self._membership.has_stepped_down = False
+            self._membership.resume()
             return
 
         def on_reply(response: Response | None) -> None:
--- a/src/ramptide/controller/controller.py
+++ b/src/ramptide/controller/controller.py
@@ -40,6 +40,7 @@
 from ramptide.controller.store_events import StoreEvents
 from ramptide.controller.timings import ControllerTimings
 from ramptide.controller.view_change import ViewChange
+from ramptide.protocol.jobs import HealthReply
 from ramptide.protocol.settings_file import Settings
 from ramptide.scheduling.attempts import Attempt
 from ramptide.scheduling.handover import JobHandover
@@ -350,6 +351,10 @@
         self.availability.start()
         self.decision_loop.start()
 
+    def health(self) -> HealthReply:
+        """Return whether requests can be accepted, and what this controller cannot reach."""
+        return HealthReply(self.authority.is_healthy(), self.availability.unavailable_dependencies())
+
     # Events whose receivers are built later than their sources.
 
     def _own_attempts(self, host: str) -> Collection[Attempt]:
--- a/src/ramptide/service/client_routes.py
+++ b/src/ramptide/service/client_routes.py
@@ -1,15 +1,16 @@
 """The routes for users and agents: jobs, heartbeats and health."""
 
+from collections import Counter
 from collections.abc import Callable
 from http import HTTPStatus
 from typing import Protocol
 
-from ramptide.api.jobs import encode_error
-from ramptide.api.telemetry import Route
-from ramptide.controller.controller import Controller
+from ramptide.agents.heartbeats import HeartbeatHandler
+from ramptide.api.jobs import JobApi
+from ramptide.api.telemetry import Route, Telemetry
 from ramptide.protocol.agents import HEARTBEAT_PATH
-from ramptide.protocol.jobs import HEALTH_PATH, JOBS_PATH
-from ramptide.protocol.types import encode_json
+from ramptide.protocol.jobs import HEALTH_PATH, JOBS_PATH, HealthReply
+from ramptide.protocol.types import encode_error, encode_json
 from ramptide.service.replies import path_of, refuse_method
 from ramptide.transport.http.server import Exchange
 from ramptide.transport.process_statistics import ProcessStatistics, WorkKind
@@ -26,10 +27,30 @@
 
 
 class ClientRoutes:
-    """Hands the requests of users and agents to the parts of the controller that answer them."""
-
-    def __init__(self, controller: Controller, statistics: ProcessStatistics) -> None:
-        self._controller = controller
+    """Hands the requests of users and agents to the parts of the controller that answer them.
+
+    Parameters
+    ----------
+    health
+        Returns whether requests can be accepted, and what the controller cannot reach.
+    counters
+        Counts requests and heartbeats, for the metrics.
+    """
+
+    def __init__(
+        self,
+        job_api: JobApi,
+        heartbeats: HeartbeatHandler,
+        health: Callable[[], HealthReply],
+        telemetry: Telemetry,
+        counters: Counter[str],
+        statistics: ProcessStatistics,
+    ) -> None:
+        self._job_api = job_api
+        self._heartbeats = heartbeats
+        self._health = health
+        self._telemetry = telemetry
+        self._counters = counters
         self._measure = statistics.measure
 
     def handle(self, exchange: Exchange) -> None:
@@ -40,36 +61,35 @@
         elif path == HEALTH_PATH:
             self._show_health(exchange)
         elif path == JOBS_PATH or path.startswith(JOBS_PATH + "/"):
-            self._controller.counters["requests"] += 1
+            self._counters["requests"] += 1
             subpath = path[len(JOBS_PATH) + 1 :]
             self._measure(WorkKind.USERS, lambda: self._handle_job_request(exchange, subpath))
         else:
             exchange.respond(HTTPStatus.NOT_FOUND, encode_error("no such path"), JSON)
 
     def _receive_heartbeat(self, exchange: Exchange) -> None:
-        request, controller = exchange.request, self._controller
+        request = exchange.request
         if request.method != "POST":
             refuse_method(exchange, "POST")
             return
         # Leases hang on the agents' heartbeats, so users' requests come after them.
         exchange.prefer()
-        controller.counters["reports"] += 1
+        self._counters["reports"] += 1
         reply = _json_reply(exchange)
-        self._measure(WorkKind.HEARTBEATS, lambda: controller.heartbeats.receive_heartbeat(request.body, reply))
+        self._measure(WorkKind.HEARTBEATS, lambda: self._heartbeats.receive_heartbeat(request.body, reply))
 
     def _show_health(self, exchange: Exchange) -> None:
-        controller = self._controller
         if exchange.request.method not in ("GET", "HEAD"):
             refuse_method(exchange, "GET, HEAD")
             return
         exchange.prefer()
-        healthy = controller.is_healthy()
-        body = encode_json({"healthy": healthy, "lacks": controller.unavailable_dependencies()})
-        exchange.respond(HTTPStatus.OK if healthy else HTTPStatus.SERVICE_UNAVAILABLE, body, JSON)
+        health = self._health()
+        status = HTTPStatus.OK if health.healthy else HTTPStatus.SERVICE_UNAVAILABLE
+        exchange.respond(status, encode_json(health), JSON)
 
     def _handle_job_request(self, exchange: Exchange, subpath: str) -> None:
         """Route a request by the segments of its path after that of all jobs."""
-        job_api, reply = self._controller.job_api, _json_reply(exchange)
+        job_api, reply = self._job_api, _json_reply(exchange)
         match subpath.split("/") if subpath else []:
             case []:
                 self._call_job_api(exchange, "POST", lambda: job_api.submit(exchange.request.body, reply))
@@ -78,14 +98,14 @@
             case [job_id, action] if action == CANCEL_ACTION:
                 self._call_job_api(exchange, "POST", lambda: job_api.cancel(job_id, reply))
             case _:
-                self._controller.telemetry.answered(Route.OTHER, HTTPStatus.NOT_FOUND)
+                self._telemetry.answered(Route.OTHER, HTTPStatus.NOT_FOUND)
                 reply(HTTPStatus.NOT_FOUND, encode_error("no such path"))
 
     def _call_job_api(self, exchange: Exchange, allowed_method: str, call: Callable[[], None]) -> None:
         if exchange.request.method == allowed_method:
             call()
             return
-        self._controller.telemetry.answered(Route.OTHER, HTTPStatus.METHOD_NOT_ALLOWED)
+        self._telemetry.answered(Route.OTHER, HTTPStatus.METHOD_NOT_ALLOWED)
         refuse_method(exchange, allowed_method)
 
 
--- a/src/ramptide/service/peer_routes.py
+++ b/src/ramptide/service/peer_routes.py
@@ -3,9 +3,9 @@
 from http import HTTPStatus
 
 from ramptide.api.administration import AdminApi
-from ramptide.api.jobs import encode_error
-from ramptide.cluster.peers import PEER_MESSAGES_PATH
-from ramptide.controller.controller import Controller
+from ramptide.cluster.messages import PEER_MESSAGES_PATH
+from ramptide.controller.peer_messages import PeerMessageHandler
+from ramptide.protocol.types import encode_error
 from ramptide.service.replies import path_of, refuse_method
 from ramptide.transport.http.server import Exchange
 from ramptide.transport.process_statistics import ProcessStatistics, WorkKind
@@ -15,10 +15,10 @@
 
 
 class PeerRoutes:
-    """Hands messages of controllers to the replication, and all else to the administration API."""
+    """Hands messages of controllers to their handler, and all else to the administration API."""
 
-    def __init__(self, controller: Controller, admin: AdminApi, statistics: ProcessStatistics) -> None:
-        self._controller = controller
+    def __init__(self, peer_messages: PeerMessageHandler, admin: AdminApi, statistics: ProcessStatistics) -> None:
+        self._peer_messages = peer_messages
         self._admin = admin
         self._measure = statistics.measure
 
@@ -35,7 +35,7 @@
             exchange.respond(HTTPStatus.NOT_FOUND, encode_error("no such path"))
 
     def _receive_peer_message(self, exchange: Exchange) -> None:
-        reply = self._controller.replication.receive(exchange.request.body)
+        reply = self._peer_messages.receive(exchange.request.body)
         if reply is None:
             exchange.respond(HTTPStatus.BAD_REQUEST, encode_error("not a message of a controller"))
         else:
--- a/src/ramptide/service/process.py
+++ b/src/ramptide/service/process.py
@@ -3,8 +3,8 @@
 import secrets
 from datetime import timedelta
 
-from ramptide.api.administration import AdminApi
 from ramptide.config.features import Features
+from ramptide.controller.administration import build_admin_api
 from ramptide.controller.controller import Controller
 from ramptide.protocol.settings_file import Settings
 from ramptide.service.client_routes import ClientRoutes
@@ -46,11 +46,20 @@
         limits = ConnectionLimits.for_cluster(settings.cluster)
         runtime = LoopRuntime(self.loop, Client(self.loop, limits.outbound))
         self.controller = Controller(runtime, settings, secrets.token_hex(INCARNATION_BYTES), features)
-        admin = AdminApi(self.controller, statistics)
+        controller = self.controller
+        admin = build_admin_api(controller, statistics)
+        client_routes = ClientRoutes(
+            controller.job_api,
+            controller.heartbeats,
+            controller.health,
+            controller.telemetry,
+            controller.state.counters,
+            statistics,
+        )
         self.client_server = Server(
             self.loop,
             settings.client_address,
-            ClientRoutes(self.controller, statistics).handle,
+            client_routes.handle,
             limits.clients,
             CLIENT_IDLE_TIMEOUT,
             deferrable=True,
@@ -58,7 +67,7 @@
         self.peer_server = Server(
             self.loop,
             settings.peer_address,
-            PeerRoutes(self.controller, admin, statistics).handle,
+            PeerRoutes(controller.peer_messages, admin, statistics).handle,
             limits.peers,
             PEER_IDLE_TIMEOUT,
             MAX_PEER_BODY_BYTES,
--- a/src/ramptide/service/replies.py
+++ b/src/ramptide/service/replies.py
@@ -2,7 +2,7 @@
 
 from http import HTTPStatus
 
-from ramptide.api.jobs import encode_error
+from ramptide.protocol.types import encode_error
 from ramptide.transport.http.messages import Message
 from ramptide.transport.http.server import Exchange
 from ramptide.transport.runtime import JSON
--- a/tools/behavior_digest.py
+++ b/tools/behavior_digest.py
@@ -16,6 +16,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from datetime import timedelta
+from http import HTTPStatus
 from functools import partial
 from pathlib import Path
 
@@ -76,8 +77,8 @@
         return b"b", value
     if isinstance(value, timedelta):
         return b"t", str(value // MICROSECOND).encode()
-    if type(value) is int:
-        return b"i", str(value).encode()
+    if type(value) is int or isinstance(value, HTTPStatus):
+        return b"i", str(int(value)).encode()
     if type(value) is str:
         return b"s", value.encode()
     raise TypeError(f"not on the wire: {type(value)}")
