--- /dev/null
+++ b/src/ramptide/autoscaling/fleet_manager.py
@@ -0,0 +1,286 @@
+"""The leader's step: what to rent, drain and return, recorded in one transaction before the cloud is called."""
+
+import logging
+from collections import Counter
+from collections.abc import Callable
+from datetime import timedelta
+from typing import Protocol
+
+import msgspec
+
+from ramptide.autoscaling.autoscaler import Autoscaler, ScalingPlan
+from ramptide.autoscaling.cloud_list import CloudList
+from ramptide.autoscaling.demand import ClusterDemand
+from ramptide.autoscaling.fleet_edits import FleetEdits
+from ramptide.autoscaling.fleet_observation import FleetObservation
+from ramptide.autoscaling.machine_decisions import MachineDecision, log_decisions, written
+from ramptide.autoscaling.machine_returns import MachineReturns
+from ramptide.autoscaling.rental_requests import RentalRequests
+from ramptide.clients.cloud import CloudClient
+from ramptide.clients.key_value_store import KeyValueStore
+from ramptide.clients.rate_limits import CallPriority
+from ramptide.clients.transactions import Put, Transaction, TransactionResult
+from ramptide.cluster.machine_index import MachineIndex
+from ramptide.cluster.membership import VIEW_KEY, Membership
+from ramptide.cluster.view import View
+from ramptide.config.settings import Tuning
+from ramptide.protocol.cloud import MachineType
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.state.records import MACHINE_TYPES_KEY, RENTAL_PREFIX, MachineRecord, RentalRecord, to_value
+from ramptide.state.watch_cache import WatchCache
+from ramptide.transport.runtime import Runtime, TimerHandle
+
+__all__ = ["FleetManager"]
+
+log = logging.getLogger(__name__)
+
+#: The status of a listed machine that is of no use.
+FAILED_STATUS = "failed"
+
+
+class FleetState(Protocol):
+    """What the fleet manager reads of the controller's state, and the counters that it adds to."""
+
+    @property
+    def tuning(self) -> Tuning:
+        """The operators' settings."""
+
+    @property
+    def view(self) -> View | None:
+        """The newest view; None before the first one."""
+
+    @property
+    def scheduler(self) -> JobScheduler | None:
+        """The jobs that we schedule; None without a place in the view."""
+
+    @property
+    def reconciled(self) -> bool:
+        """Whether it is known of all machines what earlier views left on them."""
+
+    @property
+    def machines(self) -> dict[str, MachineRecord]:
+        """The fleet record, by machine."""
+
+    @property
+    def rentals(self) -> dict[str, RentalRecord]:
+        """The fleet record, by rental."""
+
+    @property
+    def machine_types(self) -> dict[str, MachineType]:
+        """The cloud's machine types."""
+
+    @property
+    def counters(self) -> Counter[str]:
+        """Counts for the metrics."""
+
+    def require_view(self) -> View:
+        """Return the current view; raises when there is none."""
+
+
+class FleetManager:
+    """Rents and returns machines; it runs on every controller and acts only on the leading one.
+
+    Parameters
+    ----------
+    demand, observation
+        What the leader decides by.
+    may_start
+        Tells whether our authority in the view is proven.
+    list_lag
+        How old the cloud's list of machines may be.
+    confirm_timeout
+        How long a cancelled task may be on a silent machine before the machine is returned.
+    """
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        state: FleetState,
+        membership: Membership,
+        watch_cache: WatchCache,
+        store: KeyValueStore,
+        cloud: CloudClient,
+        machine_index: MachineIndex,
+        demand: ClusterDemand,
+        observation: FleetObservation,
+        autoscaler: Autoscaler,
+        may_start: Callable[[], bool],
+        list_lag: timedelta,
+        confirm_timeout: timedelta,
+    ) -> None:
+        self._runtime = runtime
+        self._state = state
+        self._membership = membership
+        self._watch_cache = watch_cache
+        self._store = store
+        self._machine_index = machine_index
+        self._demand = demand
+        self._observation = observation
+        self.autoscaler = autoscaler
+        self._may_start = may_start
+        self._confirm_timeout = confirm_timeout
+        self._cloud_list = CloudList(runtime, state, cloud, list_lag)
+        self._requests = RentalRequests(runtime, state, cloud, autoscaler, self._step)
+        self._returns = MachineReturns(runtime, state, cloud)
+        #: Whether machine types were read that the key-value store does not have yet.
+        self.machine_types_read = False
+        self._rental_count = 0
+        self._is_writing = False
+        #: Decisions of the last write, when its answer was lost.
+        self._unconfirmed_decisions: list[MachineDecision] = []
+        self._timer: TimerHandle | None = runtime.after(state.tuning.step, self._step)
+
+    def new_view(self) -> None:
+        """Start anew in a new view: nothing is rented before a list of machines that is younger than it."""
+        self._cloud_list.new_view()
+        self._unconfirmed_decisions = []
+
+    def note_recorded(self, host: str) -> None:
+        """Note since when a machine is in the fleet record, which every controller follows."""
+        self._cloud_list.note_recorded(host)
+
+    def forget(self, host: str) -> None:
+        """Forget a machine that has left the fleet record."""
+        self._cloud_list.forget(host)
+        self._returns.forget(host)
+
+    # The step.
+
+    def _step(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = self._runtime.after(self._state.tuning.step, self._step)
+        if not self._membership.is_leading or self._state.scheduler is None:
+            return
+        self._cloud_list.read_if_due()
+        self._requests.send_recorded()
+        if self._watch_cache.is_unavailable:
+            self._return_unconfirmed()
+            return
+        # Before the watch has shown the view, a former leader's last changes may be missing here.
+        if self._is_writing or self._watch_cache.revision < self._membership.view_revision:
+            return
+        plan = self._plan()
+        self._machine_index.set_idle_pool(self.autoscaler.idle_pool)
+        self._returns.return_machines(plan.return_now)
+        self._write(plan)
+
+    def _plan(self) -> ScalingPlan:
+        """Decide by what is known now.
+
+        Nothing is rented before a new leader has rebuilt what it knows from heartbeats and a fresh list. Lost machines
+        are returned meanwhile: the answer proves them gone, and that reconciles them.
+        """
+        self.autoscaler.tuning = self._state.tuning
+        machines = self._observation.machines(self._cloud_list.statuses(), self._cloud_list.missing)
+        is_rebuilt = self._state.reconciled and self._cloud_list.has_been_read
+        demands, machine_types = self._demand.demands(), self._state.machine_types.values()
+        return self.autoscaler.step(self._runtime.now, demands, machines, machine_types, is_rebuilt)
+
+    def _return_unconfirmed(self) -> None:
+        """Return machines on which a cancelled task may still run, during an outage of the key-value store.
+
+        Nothing can be written then, but the time limit of a cancellation that was confirmed before passes all the same.
+        """
+        if not self._may_start():
+            return
+        now, timeout = self._runtime.now, self._confirm_timeout
+        unconfirmed_for = self._machine_index.unconfirmed_for
+        self._returns.return_machines(host for host in self._state.machines if unconfirmed_for(host, now) > timeout)
+
+    # The record.
+
+    def _write(self, plan: ScalingPlan) -> None:
+        """Write the step's one transaction; it depends on the view, so that a former leader writes nothing."""
+        self._log_unconfirmed()
+        edits = self._edits(plan)
+        transaction = Transaction(conditions={VIEW_KEY: self._membership.view_revision})
+        if self.machine_types_read:
+            self.machine_types_read = False
+            machine_types = [msgspec.to_builtins(machine_type) for machine_type in self._state.machine_types.values()]
+            transaction.puts.append(Put(MACHINE_TYPES_KEY, machine_types))
+        fitting = self._add_records(transaction, edits.records)
+        if transaction.size:
+            self._commit(transaction, written(edits.decisions, fitting))
+
+    def _edits(self, plan: ScalingPlan) -> FleetEdits:
+        """Return the changes of the fleet record: results of requests, the plan, and machines that nobody recorded."""
+        view, state = self._state.require_view(), self._state
+        edits = FleetEdits(state.rentals, state.machines)
+        requested = {rental_id: rental for rental_id, rental in state.rentals.items() if rental.machines is None}
+        self._requests.keep_only(requested)
+        for rental_id, hosts in self._requests.rented.items():
+            edits.add_rented(rental_id, requested[rental_id], hosts, view.number)
+        edits.delete(self._requests.refused)
+        edits.change_machines(self._newly_up(), plan, self._returns.gone)
+        if plan.rent is not None:
+            self._rental_count += 1
+            rental_id = f"r-{view.number}-{self._membership.incarnation}-{self._rental_count}"
+            edits.add(rental_id, RentalRecord(*plan.rent, self._runtime.wall().timestamp(), plan.count))
+        self._adopt_unexpected(edits, view.number)
+        return edits
+
+    def _newly_up(self) -> list[str]:
+        """Return the machines whose first heartbeat is not recorded yet."""
+        observed = self._machine_index.machines
+        return [
+            host
+            for host, record in self._state.machines.items()
+            if not record.registered and host in observed and observed[host].is_up
+        ]
+
+    def _adopt_unexpected(self, edits: FleetEdits, view: int) -> None:
+        """Record machines that nobody recorded and that send heartbeats, or have been listed for long."""
+        wall_s = self._runtime.wall().timestamp()
+        for host, kind in self._observation.unrecorded_machines().items():
+            if self._is_unexpected(host):
+                edits.adopt(host, RentalRecord(*kind, wall_s, created_in_view=view))
+        for machine in self._cloud_list.listed_for_long():
+            if machine.status != FAILED_STATUS and self._is_unexpected(machine.host):
+                kind = (machine.machine_type, machine.zone, machine.spot)
+                edits.adopt(machine.host, RentalRecord(*kind, wall_s - machine.age_s, created_in_view=view))
+
+    def _is_unexpected(self, host: str) -> bool:
+        """Tell whether no record and no request accounts for a machine.
+
+        Names are not given twice: what was returned for sure is gone, whatever late heartbeats and old lists show.
+        """
+        if self._returns.was_returned(host) or host in self._state.machines:
+            return False
+        return host not in self._requests.rented_hosts() and not self._requests.has_requests_in_flight
+
+    def _add_records(self, transaction: Transaction, records: dict[str, RentalRecord | None]) -> set[str]:
+        """Add the records that fit, and return which; what does not fit is found again by the next step."""
+        fitting: set[str] = set()
+        for rental_id, record in records.items():
+            if transaction.size >= self._store.limits.max_transaction_operations:
+                break
+            fitting.add(rental_id)
+            key = RENTAL_PREFIX + rental_id
+            transaction.conditions[key] = self._watch_cache.mod_revision(key)
+            if record is None:
+                transaction.deletes.append(key)
+            else:
+                transaction.puts.append(Put(key, to_value(record)))
+        return fitting
+
+    def _commit(self, transaction: Transaction, decisions: list[MachineDecision]) -> None:
+        self._is_writing = True
+
+        def on_result(result: TransactionResult) -> None:
+            self._is_writing = False
+            if not result.is_applied:
+                self._unconfirmed_decisions = decisions if result.is_unknown else []
+                return
+            log_decisions(decisions)
+            self._watch_cache.apply_commit(transaction, result.commit_revision)
+            self._requests.send_recorded()
+
+        # A few changes a second that all else waits for: they do not queue behind the users' commits.
+        self._store.commit(transaction, on_result, CallPriority.LEASE)
+
+    def _log_unconfirmed(self) -> None:
+        """Log the decisions of a write whose answer was lost, if the records show that it was applied."""
+        machines = self._state.machines
+        unconfirmed, self._unconfirmed_decisions = self._unconfirmed_decisions, []
+        log_decisions(decision for decision in unconfirmed if decision.shown_by(machines.get(decision.host)))
--- a/src/ramptide/autoscaling/machine_decisions.py
+++ b/src/ramptide/autoscaling/machine_decisions.py
@@ -6,6 +6,8 @@
 
 from ramptide.state.records import MachineRecord
 
+__all__ = ["MachineDecision", "log_decisions", "written"]
+
 log = logging.getLogger(__name__)
 
 
@@ -13,7 +15,7 @@
 class MachineDecision:
     """What a step of the leader decided about a machine.
 
-    `rental`: the record that is to contain it. `leaving`: the reason for leaving that the record is to give.
+    `rental_id`: the rental whose record is to contain it. `drain_reason`: the reason that the record is to give.
     """
 
     host: str
@@ -21,7 +23,7 @@
     zone: str
     rental_id: str
     drain_reason: str | None
-    #: Why it leaves, or what else becomes of it.
+    #: Why it drains, or what else becomes of it.
     outcome: str
 
     def shown_by(self, record: MachineRecord | None) -> bool:
@@ -40,4 +42,5 @@
     for decision in decisions:
         together.setdefault((decision.machine_type, decision.zone, decision.outcome), []).append(decision.host)
     for (machine_type, zone, outcome), hosts in together.items():
-        log.info("%s (%s, %s): %s", ", ".join(hosts), machine_type, zone, outcome)
+        names = ", ".join(hosts)
+        log.info("machines decided: hosts=%r machine_type=%s zone=%s outcome=%r", names, machine_type, zone, outcome)
--- /dev/null
+++ b/src/ramptide/autoscaling/machine_returns.py
@@ -0,0 +1,79 @@
+"""The return of machines to the cloud: its answer proves that they and all on them are gone."""
+
+import logging
+from collections import Counter
+from collections.abc import Iterable
+from datetime import timedelta
+from typing import Protocol
+
+from ramptide.clients.cloud import MAX_RETURNS_PER_CALL, CloudClient
+from ramptide.state.records import MachineRecord
+from ramptide.transport.runtime import Runtime
+
+__all__ = ["MachineReturns"]
+
+log = logging.getLogger(__name__)
+
+#: Names are not given twice, and what shows a machine later than this after its return is no late message any more.
+RETURNED_KEPT = timedelta(hours=1)
+
+
+class ReturnState(Protocol):
+    """The fleet record, and the counters that returns add to."""
+
+    @property
+    def machines(self) -> dict[str, MachineRecord]:
+        """The fleet record, by machine."""
+
+    @property
+    def counters(self) -> Counter[str]:
+        """Counts for the metrics."""
+
+
+class MachineReturns:
+    """Returns machines, and remembers which are gone.
+
+    `gone`: machines that are surely gone and that the fleet record still has.
+    """
+
+    def __init__(self, runtime: Runtime, state: ReturnState, cloud: CloudClient) -> None:
+        self._runtime = runtime
+        self._state = state
+        self._cloud = cloud
+        self._in_flight: set[str] = set()
+        self.gone: set[str] = set()
+        #: When machines were returned, the latest last.
+        self._returned_at: dict[str, timedelta] = {}
+
+    def forget(self, host: str) -> None:
+        """Forget a machine that has left the fleet record."""
+        self.gone.discard(host)
+        self._in_flight.discard(host)
+
+    def was_returned(self, host: str) -> bool:
+        """Tell whether a machine was returned: late heartbeats and old lists that show it mean nothing."""
+        return host in self._returned_at
+
+    def return_machines(self, wanted: Iterable[str]) -> None:
+        """Return machines, as many as one call takes; those on their way or gone are left out."""
+        hosts = [host for host in wanted if host not in self._in_flight and host not in self.gone]
+        hosts = hosts[:MAX_RETURNS_PER_CALL]
+        if not hosts:
+            return
+        self._in_flight.update(hosts)
+
+        def on_returned(is_done: bool) -> None:
+            self._in_flight.difference_update(hosts)
+            if is_done:
+                log.info("machines returned: hosts=%r", ", ".join(hosts))
+                self.gone.update(host for host in hosts if host in self._state.machines)
+                self._note_returned(hosts)
+                self._state.counters["returns"] += len(hosts)
+
+        self._cloud.return_machines(hosts, on_returned)
+
+    def _note_returned(self, hosts: list[str]) -> None:
+        now = self._runtime.now
+        self._returned_at |= dict.fromkeys(hosts, now)
+        while now - self._returned_at[oldest := next(iter(self._returned_at))] > RETURNED_KEPT:
+            del self._returned_at[oldest]
--- a/src/ramptide/controller/controller.py
+++ b/src/ramptide/controller/controller.py
@@ -15,8 +15,8 @@
 from ramptide.api.telemetry import Telemetry
 from ramptide.autoscaling.autoscaler import Autoscaler
 from ramptide.autoscaling.demand import ClusterDemand
+from ramptide.autoscaling.fleet_manager import FleetManager
 from ramptide.autoscaling.fleet_observation import FleetObservation
-from ramptide.autoscaling.rentals import FleetManager
 from ramptide.clients.cloud import CloudClient
 from ramptide.clients.key_value_store import KeyValueStore
 from ramptide.cluster.machine_index import MachineIndex
--- a/src/ramptide/controller/store_events.py
+++ b/src/ramptide/controller/store_events.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from ramptide.agents.heartbeats import HeartbeatHandler
-from ramptide.autoscaling.rentals import FleetManager
+from ramptide.autoscaling.fleet_manager import FleetManager
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.cluster.membership import Membership
 from ramptide.config.settings import Tuning
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -298,7 +298,7 @@
     world = started_world(5)
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None and controller.state.shard is not None
-    controller.fleet_manager._returned["vm-1"] = controller.runtime.now
+    controller.fleet_manager._returns._returned_at["vm-1"] = controller.runtime.now
     controller.state.shard.unrecorded["vm-1"] = beat(1, 2, 99)
     world.run(30)
     assert "vm-1" not in controller.state.machines
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -3,7 +3,7 @@
 import pytest
 from virtual import S, World, busy_world, full_world, leader_of
 
-from ramptide.autoscaling.rentals import FleetManager
+from ramptide.autoscaling.cloud_list import CloudList
 
 MORE_THAN_A_VIEW_RETURNS_AT_ONCE = 7
 
@@ -40,10 +40,10 @@
 
 
 def test_when_it_trusts_only_what_it_saw_listed_the_record_keeps_the_machine(monkeypatch: pytest.MonkeyPatch) -> None:
-    def recorded_just_now(of: FleetManager, host: str) -> None:
+    def recorded_just_now(of: CloudList, host: str) -> None:
         of._recorded_since[host] = of._runtime.now + 1000 * S
 
-    monkeypatch.setattr(FleetManager, "note_recorded", recorded_just_now)
+    monkeypatch.setattr(CloudList, "note_recorded", recorded_just_now)
     world, lost = machines_lost_with_their_leader()
     assert not world.run_until(lambda: lost.isdisjoint(recorded(world)), 15)
 
--- a/tools/behavior_digest.py
+++ b/tools/behavior_digest.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from datetime import timedelta
-from http import HTTPStatus
 from functools import partial
+from http import HTTPStatus
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
