--- a/src/ramptide/agents/heartbeat_intake.py
+++ b/src/ramptide/agents/heartbeat_intake.py
@@ -114,14 +114,14 @@
         a heartbeat or the machine's return proves it gone.
         """
         if machine.unreachable_since is None:
-            log.debug("%s does not hear our answers", machine.host)
+            log.debug("machine unreachable: host=%s", machine.host)
             machine.unreachable_since = now
         for entry in machine.entries.values():
             advance(entry, AttemptEvent.AGENT_UNREACHABLE)
         self._mark_changed(machine.host)
 
     def _mark_reachable(self, machine: OwnedMachine) -> None:
-        log.debug("%s hears our answers again", machine.host)
+        log.debug("machine reachable again: host=%s", machine.host)
         machine.unreachable_since = None
         self._mark_changed(machine.host)
 
@@ -162,7 +162,12 @@
         phase = _reported_phase(report)
         if entry.phase is not phase:
             log.debug(
-                "%s/%d try %d on %s: %s", entry.job_id, entry.task_index, entry.attempt, machine.host, phase.label
+                "task phase changed: task_id=%s/%d attempt=%d host=%s phase=%s",
+                entry.job_id,
+                entry.task_index,
+                entry.attempt,
+                machine.host,
+                phase.label,
             )
         if phase is Phase.ENDED and entry.phase is not Phase.ENDED:
             record_outcome(machine, entry.job_id, report.cause)
--- a/src/ramptide/agents/token_announcer.py
+++ b/src/ramptide/agents/token_announcer.py
@@ -78,7 +78,7 @@
         try:
             heartbeat = decode_heartbeat(reply.body)
         except MessageError as error:
-            log.debug("response of %s to the token: %s", host, error)
+            log.debug("broken reply to the fencing token: host=%s error=%r", host, str(error))
             return
         if heartbeat.host != host:
             return
--- a/src/ramptide/api/jobs.py
+++ b/src/ramptide/api/jobs.py
@@ -258,7 +258,7 @@
                 try:
                     record = from_value(row.value, FinishedJobRecord)
                 except RecordError as problem:
-                    log.error("broken record %s: %s", row.key, problem)
+                    log.error("broken finished-job record: key=%s error=%r", row.key, str(problem))
                     known = False
                 else:
                     self.remember_finished(job_id, record)
--- a/src/ramptide/api/telemetry.py
+++ b/src/ramptide/api/telemetry.py
@@ -87,7 +87,7 @@
         self._over_at, self.last = now, now - self._due
         self.stalls += 1
         self.total += self.last
-        log.info("we stood still for %.1f s", self.last.total_seconds())
+        log.info("controller stalled: stalled_s=%.1f", self.last.total_seconds())
 
     def has_stalled(self, now: timedelta, within: timedelta) -> bool:
         """Tell whether a pause ended less than `within` ago, or ends just now.
@@ -167,12 +167,11 @@
 
 def _log_ended_leases(ended: Sequence[ExpiredLease]) -> None:
     """Log one line for all leases of a round, as many machines may become silent together."""
-    settled = sum(lease.reconciled for lease in ended)
     log.info(
-        "%s silent past the lease: %d tasks are given up%s",
+        "leases expired: hosts=%r tasks_lost=%d reconciled=%d",
         _named([lease.host for lease in ended]),
         sum(lease.lost_tasks for lease in ended),
-        f", {settled} settled as empty" if settled else "",
+        sum(lease.reconciled for lease in ended),
     )
 
 
--- a/src/ramptide/autoscaling/autoscaler.py
+++ b/src/ramptide/autoscaling/autoscaler.py
@@ -186,7 +186,8 @@
             self._become(Trigger.HIGH, now)
 
     def _become(self, trigger: Trigger, now: timedelta) -> None:
-        log.debug("trigger %s: %d wait, %d for long", trigger.value, self.waiting, self.long_waiting)
+        counts = (self.waiting, self.long_waiting)
+        log.debug("trigger changed: trigger=%s waiting=%d long_waiting=%d", trigger.value, *counts)
         self.trigger = trigger
         self._since = now
 
--- a/src/ramptide/clients/key_value_store.py
+++ b/src/ramptide/clients/key_value_store.py
@@ -224,7 +224,8 @@
         if response.status == HTTPStatus.TOO_MANY_REQUESTS:
             return TransactionResult(TransactionOutcome.RATE_LIMITED)
         if response.status != HTTPStatus.SERVICE_UNAVAILABLE:
-            log.error("transaction refused with %d: %r", response.status, response.body[:MAX_LOGGED_BODY_BYTES])
+            body = response.body[:MAX_LOGGED_BODY_BYTES]
+            log.error("transaction refused: status=%d body=%r", response.status, body)
         return TransactionResult(TransactionOutcome.REFUSED)
 
     def create_lease(self, lifetime: timedelta, on_lease: Callable[[int | None], None]) -> None:
--- a/src/ramptide/clients/service_client.py
+++ b/src/ramptide/clients/service_client.py
@@ -158,7 +158,7 @@
         try:
             return decode(body)
         except MessageError as error:
-            log.error("broken answer of %s: %s", self._name, error)
+            log.error("broken response: service=%r error=%r", self._name, str(error))
             return None
 
     def read_pages(
@@ -198,7 +198,7 @@
                 last_key = last_key_of(page)
                 if last_key is None or last_key <= (after or ""):
                     # To follow it would ask for the same page for ever.
-                    log.error("broken answer of %s: a page that leads nowhere", self._name)
+                    log.error("broken response: service=%r error=%r", self._name, "a page that leads nowhere")
                     on_pages(None)
                     return
                 request_page(last_key)
--- a/src/ramptide/cluster/membership.py
+++ b/src/ramptide/cluster/membership.py
@@ -173,11 +173,12 @@
         try:
             view = decode_view(value)
         except MalformedViewError as error:
-            log.error("%s", error)
+            log.error("broken view record: error=%r", str(error))
             return
         self.view = view
         self.view_revision = mod_revision
-        log.info("view %d: leader %s, members %s", view.number, view.leader, ", ".join(view.members))
+        members = ", ".join(view.members)
+        log.info("view changed: view=%d leader=%s members=%r", view.number, view.leader, members)
         self._update_state()
         self._on_view()
 
@@ -194,7 +195,7 @@
             is_leader=self.view is not None and self.view.leader == self.member and self._holds_leader_key(),
         )
         if state is not self.state:
-            log.info("membership: %s -> %s", self.state.name.lower(), state.name.lower())
+            log.info("membership changed: before=%s after=%s", self.state.name.lower(), state.name.lower())
             self.state = state
 
     def _holds_leader_key(self) -> bool:
@@ -236,7 +237,7 @@
         """
         self._lost_leases += 1
         self.incarnation = f"{self._process}.{self._lost_leases}"
-        log.info("our grant is over: we go on as %s", self.incarnation)
+        log.info("lease lost: incarnation=%s", self.incarnation)
         self._lease.forget()
         self._update_state()
 
--- a/src/ramptide/cluster/peers.py
+++ b/src/ramptide/cluster/peers.py
@@ -169,7 +169,7 @@
             try:
                 reply = decode_reply(response.body, peer.name)
             except MalformedReplyError as error:
-                log.error("%s", error)
+                log.error("peer reply refused: member=%s error=%r", error.member, str(error))
                 return
             self._take_reply(peer, message, reply, sent_at, is_current=generation == self._generation)
 
--- a/src/ramptide/controller/agent_connectivity.py
+++ b/src/ramptide/controller/agent_connectivity.py
@@ -22,6 +22,8 @@
 
 log = logging.getLogger(__name__)
 
+#: The cause of stepping down, in the log.
+NO_HEARTBEATS = "no_heartbeats"
 #: So many machines, all silent for so long, tell of our own link.
 MIN_UNREACHED_MACHINES = 3
 UNREACHED_TIMEOUT = timedelta(seconds=0.8)
@@ -78,7 +80,7 @@
         self._unreached_since = self._unreached_since or now
         is_long = now - self._unreached_since >= UNREACHED_TIMEOUT
         if is_long and self._others_hear_agents(self._unreached_since):
-            log.info("stepping down: cause=no_heartbeats machines=%d", len(used))
+            log.info("stepping down: cause=%s machines=%d", NO_HEARTBEATS, len(used))
             self._unreached_since = None
             self._membership.step_down()
             self._probe(since=now, probes=0, replies=0)
--- a/src/ramptide/controller/peer_messages.py
+++ b/src/ramptide/controller/peer_messages.py
@@ -144,7 +144,7 @@
         try:
             message, peer = self._peers.receive(body, number)
         except PeerMessageError as error:
-            log.error("%s", error)
+            log.error("peer message refused: member=%s error=%r", error.member, str(error))
             return None
         reply = PeerReply(
             incarnation=self._membership.incarnation,
--- a/src/ramptide/controller/store_events.py
+++ b/src/ramptide/controller/store_events.py
@@ -116,7 +116,7 @@
         try:
             record = None if value is None else msgspec.convert(value, RentalRecord)
         except msgspec.ValidationError as error:
-            log.error("broken rental record: rental=%s error=%r", rental_id, str(error))
+            log.error("broken rental record: rental_id=%s error=%r", rental_id, str(error))
             return
         before = self._state.rentals.pop(rental_id, None)
         if record is not None:
--- a/src/ramptide/quota/limit_table.py
+++ b/src/ramptide/quota/limit_table.py
@@ -87,7 +87,7 @@
             try:
                 self.records[team] = decode_record(value)
             except LimitError as error:
-                log.error("broken limit of team %r: %s", team, error)
+                log.error("broken limit record: team=%r error=%r", team, str(error))
                 return
         self._apply()
 
@@ -157,7 +157,7 @@
         def done(outcome: TransactionResult) -> None:
             self._committing = False
             if outcome.is_applied:
-                log.info("limits in force: %s", ", ".join(acted))
+                log.info("team limits in force: teams=%r", ", ".join(acted))
 
         self._commit(transaction, done)
 
--- a/src/ramptide/quota/share_exchange.py
+++ b/src/ramptide/quota/share_exchange.py
@@ -316,7 +316,7 @@
             taken = self._ledger.take(told.sender, told.transfers)
         except QuotaMessageError as error:
             self.counters["refused"] += 1
-            log.error("a message of %s about team limits is refused: %s", message.member, error)
+            log.error("quota message refused: member=%s error=%r", message.member, str(error))
             return
         self._said[told.sender] = told
         self._book.take(told.sender, told.accounts)
--- a/src/ramptide/scheduling/job_scheduler.py
+++ b/src/ramptide/scheduling/job_scheduler.py
@@ -294,7 +294,7 @@
 
     def _task_failed(self, state: JobState, attempt: Attempt, now: timedelta) -> None:
         """Hold the failure against the job, unless the machine is known as faulty."""
-        log.info("%s/%d failed on %s", attempt.spec.job_id, attempt.task_index, attempt.host)
+        log.info("task failed: task_id=%s/%d host=%s", attempt.spec.job_id, attempt.task_index, attempt.host)
         state.excluded_until[attempt.host] = now + EXCLUDED_AFTER_FAILURE
         if self._faulty(attempt.host):
             return
--- a/src/ramptide/state/watch_cache.py
+++ b/src/ramptide/state/watch_cache.py
@@ -130,13 +130,13 @@
 
     def _become_current(self, as_of: timedelta) -> None:
         if self.state is not CacheState.CURRENT:
-            log.info("the state service answers")
+            log.info("key-value store available")
         self.state = CacheState.CURRENT
         self.current_as_of = as_of
 
     def _become_unavailable(self) -> None:
         if self.state is CacheState.CURRENT:
-            log.info("the state service does not answer")
+            log.info("key-value store unavailable")
             self.state = CacheState.UNAVAILABLE
 
     # Load and watch.
--- a/src/ramptide/transport/event_loop.py
+++ b/src/ramptide/transport/event_loop.py
@@ -145,4 +145,4 @@
         try:
             self.statistics.measure(work, action)
         except Exception:
-            log.exception("an event failed")
+            log.exception("event failed")
--- a/src/ramptide/transport/http/server.py
+++ b/src/ramptide/transport/http/server.py
@@ -106,7 +106,7 @@
             self.server.handler(exchange)
         except Exception:
             # The client gets an answer whatever went wrong here.
-            log.exception("%s %s failed", request.method, request.target)
+            log.exception("request failed: method=%s target=%s", request.method, request.target)
             exchange.respond(500, _encode_error("internal error"))
 
     def _send_last(self, data: bytes) -> None:
@@ -221,7 +221,7 @@
         if self._full_logged_at is None or self.loop.now - self._full_logged_at > FULL_LOG_INTERVAL:
             self._full_logged_at = self.loop.now
             log.error(
-                "all %d connections are in use: fd_limit is too small for those who call here", self.max_connections
+                "connections exhausted: max_connections=%d hint=%r", self.max_connections, "fd_limit is too small"
             )
         quiet = next((connection for connection in self.connections if not connection.busy), None)
         if quiet is not None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -10,7 +10,17 @@
 from ramptide.controller.controller import Controller
 
 #: Tables that are bounded by a number or by time, whose entries are not those of what is there now.
-BOUNDED = {"_owners", "_ended", "_drops", "_dropped", "_returned", "_popular", "last_changes", "counters", "_cancelled"}
+BOUNDED = {
+    "_owners",
+    "_ended",
+    "_delete_log",
+    "_deleted_ahead",
+    "_returned_at",
+    "_image_uses",
+    "last_changes",
+    "counters",
+    "_cancelled",
+}
 #: The shared world, and what it has of all processes.
 OUTSIDE = {"context", "runtime", "_context", "_runtime", "world", "settings"}
 
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -166,7 +166,7 @@
 def machine(host: str, up: bool = True, tasks: int = 0, age: float = 100.0, **fields: object) -> FleetMachine:
     record = MachineRecord("m", "a", False, 1, 0.0, registered=up)
     room = Room(host, "m", "a", False, 8.0, 0.0, 32.0) if up else None
-    known = {"silent": timedelta(0), "notice": None, "failing": 0, "drained": False} | fields
+    known = {"silent_for": timedelta(0), "preempted_in": None, "accusing_jobs": 0, "is_drained": False} | fields
     return FleetMachine(host, record, FLAVOR, up, age * S, tasks=tasks, room=room, **known)  # type: ignore[arg-type]
 
 
@@ -250,7 +250,7 @@
             decode_job_spec(json.dumps(job_spec(f"j-{host[3:]}{n}", shape="service", pieces=1, cores=2.0)).encode())
             for n in range(services)
         ]
-        found = machine(host, tasks=services, serving=runs, **fields)
+        found = machine(host, tasks=services, services=runs, **fields)
         for run in runs if found.room is not None else ():
             found.room.take(run)
             found.room.service_cpus += run.cpus
@@ -275,13 +275,13 @@
 def test_machines_that_are_no_good_leave() -> None:
     fleet = Autoscaler(Tuning(), S, 10 * S, 30 * S)
     machines = [
-        machine("vm-sick", failing=2),
-        machine("vm-silent", silent=31 * S),
-        machine("vm-hangs", silent=29 * S),
-        machine("vm-dead", silent=12 * S, listed="failed"),
-        machine("vm-new", up=False, age=60.0, silent=31 * S),
-        machine("vm-never", up=False, age=120.0, silent=31 * S),
-        machine("vm-taken", notice=0.2 * S),
+        machine("vm-sick", accusing_jobs=2),
+        machine("vm-silent", silent_for=31 * S),
+        machine("vm-hangs", silent_for=29 * S),
+        machine("vm-dead", silent_for=12 * S, cloud_status="failed"),
+        machine("vm-new", up=False, age=60.0, silent_for=31 * S),
+        machine("vm-never", up=False, age=120.0, silent_for=31 * S),
+        machine("vm-taken", preempted_in=0.2 * S),
         machine("vm-good", tasks=1),
     ]
     plan = fleet.step(timedelta(0), [], machines, [FLAVOR], False)
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -212,11 +212,11 @@
     world.run(7)
     assert status(world, "c2")["lacks"] == its
     assert all(status(world, name)["lacks"] == others for name in ("c0", "c1"))
-    assert f"we lack: {', '.join(its)}" in caplog.text
+    assert f"dependencies changed: unavailable='{', '.join(its)}'" in caplog.text
     world.cloud.is_down = False
     end_faults(world)
     assert all(status(world, name)["lacks"] == [] for name in world.controller_names)
-    assert "we lack: nothing" in caplog.text
+    assert "dependencies changed: unavailable='none'" in caplog.text
 
 
 def test_all_lack_the_state_service_in_an_outage() -> None:
@@ -408,8 +408,8 @@
 @pytest.mark.parametrize("machines", [1, 4])
 def test_tasks_lost_to_ended_leases_are_counted_and_logged(machines: int, caplog: pytest.LogCaptureFixture) -> None:
     world = lost_with_silent_machines(machines, caplog)
-    lines = [record.getMessage() for record in caplog.records if "silent past the lease" in record.getMessage()]
-    assert sum(int(line.split(": ")[1].split()[0]) for line in lines) == 2 * machines
+    lines = [record.getMessage() for record in caplog.records if "leases expired:" in record.getMessage()]
+    assert sum(int(line.split("tasks_lost=")[1].split()[0]) for line in lines) == 2 * machines
     world.run(55)
     assert sum(metrics(world, name)["tasks_lost_total",] for name in world.controller_names) == 2 * machines, (
         "told once"
@@ -423,7 +423,7 @@
     telemetry.take_expired_leases([ExpiredLease(f"vm-{n}", 3, n < 5) for n in range(300)], confirmed=True)
     assert len(caplog.records) == 1
     line = caplog.records[0].getMessage()
-    assert "900 tasks are given up, 5 settled as empty" in line and "vm-9 and 290 more silent" in line
+    assert "tasks_lost=900 reconciled=5" in line and "vm-9 and 290 more'" in line
 
 
 def test_what_a_controller_that_was_left_out_gives_up_is_not_lost() -> None:
@@ -471,7 +471,7 @@
     world.run(35)
 
     def told() -> list[str]:
-        return [record.getMessage() for record in caplog.records if record.getMessage().endswith(": silent")]
+        return [record.getMessage() for record in caplog.records if record.getMessage().endswith("outcome='silent'")]
 
     assert told() == []
     end()
@@ -481,7 +481,7 @@
         for name in world.controller_names
         for host in hosts
     )
-    assert sorted(host for line in told() for host in line.split(" (")[0].split(", ")) == hosts
+    assert sorted(host for line in told() for host in line.split("'")[1].split(", ")) == hosts
 
 
 def test_a_decision_is_logged_once_though_the_answer_to_its_write_was_lost(caplog: pytest.LogCaptureFixture) -> None:
@@ -504,9 +504,10 @@
     world.store._transact = lose  # type: ignore[method-assign]
     caplog.set_level(logging.INFO)
     world.run(45)
-    told = [record.getMessage() for record in caplog.records if record.getMessage().endswith(": silent")]
+    told = [record.getMessage() for record in caplog.records if record.getMessage().endswith("outcome='silent'")]
     assert len(lost) == 1, "what was carried out is not written again"
-    assert told == [f"{host} (m, {world.workers[host].zone}): silent"]
+    zone = world.workers[host].zone
+    assert told == [f"machines decided: hosts='{host}' machine_type=m zone={zone} outcome='silent'"]
 
 
 def test_decisions_whose_records_did_not_fit_are_not_logged() -> None:
@@ -518,8 +519,9 @@
     caplog.set_level(logging.INFO)
     log_decisions(MachineDecision(f"vm-{n}", "m", "ab"[n % 2], "r-1", "silent", "silent") for n in range(5))
     assert [record.getMessage() for record in caplog.records] == [
-        "vm-0, vm-2, vm-4 (m, a): silent", "vm-1, vm-3 (m, b): silent",
-    ]  # fmt: skip
+        "machines decided: hosts='vm-0, vm-2, vm-4' machine_type=m zone=a outcome='silent'",
+        "machines decided: hosts='vm-1, vm-3' machine_type=m zone=b outcome='silent'",
+    ]
 
 
 class ControllerLog(logging.Handler):
@@ -584,10 +586,10 @@
         world.run(20.5)
         told = log.of(name, back)
         world.run(20)
-    assert [line for line in log.of(name, back) if "stood still" in line] == ["we stood still for 19.9 s"]
-    assert told[0] == "we stood still for 19.9 s"
-    assert not [line for line in told if "vm-" in line or "we lack" in line], told
-    assert not [acting for acting, _, line in log.lines if "stood still" in line and acting != name]
+    assert [line for line in log.of(name, back) if "stalled" in line] == ["controller stalled: stalled_s=19.9"]
+    assert told[0] == "controller stalled: stalled_s=19.9"
+    assert not [line for line in told if "vm-" in line or "dependencies changed" in line], told
+    assert not [acting for acting, _, line in log.lines if "stalled" in line and acting != name]
     samples = metrics(world, name)
     assert samples["standstills_total",] == 1 and samples["standstill_seconds_total",] == pytest.approx(20, abs=0.2)
 
@@ -599,8 +601,9 @@
         world.run(5)
         world.nodes["c0"].freeze(2.4)
         world.run(5)
-    lines = [line for line in log.of("c0", timedelta(0)) if "stood still" in line]
-    assert len(lines) == 1 and lines[0] in ("we stood still for 2.3 s", "we stood still for 2.4 s")
+    lines = [line for line in log.of("c0", timedelta(0)) if "stalled" in line]
+    told = ("controller stalled: stalled_s=2.3", "controller stalled: stalled_s=2.4")
+    assert len(lines) == 1 and lines[0] in told
 
 
 def test_every_metric_is_explained_to_operators() -> None:
@@ -614,9 +617,9 @@
 
 
 TROUBLES: list[tuple[Callable[[World, str], None], str, str]] = [
-    (cut_from_state, "state_service_lacking", "the state service does not answer"),
-    (cut_from_workers, "lacks", "no worker of"),
-    (stands_still, "standstills_total", "we stood still for"),
+    (cut_from_state, "state_service_lacking", "key-value store unavailable"),
+    (cut_from_workers, "lacks", "stepping down: cause=no_heartbeats"),
+    (stands_still, "standstills_total", "controller stalled"),
 ]
 
 
@@ -707,7 +710,7 @@
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 24, 40)
     name = leader_of(world)
     cut_from_workers(world, name)
-    assert world.run_until(lambda: of(world, name).membership.is_resting, 15)
+    assert world.run_until(lambda: of(world, name).membership.has_stepped_down, 15)
     for other in world.controller_names:
         if other != name:
             world.nodes[other].kill()
