--- a/src/ramptide/state/amounts.py
+++ b/src/ramptide/state/amounts.py
@@ -8,12 +8,35 @@
 from ramptide.protocol.jobs import JobSpec
 from ramptide.protocol.settings_file import Team
 
+__all__ = [
+    "NOTHING",
+    "NO_LIMIT",
+    "UNITS",
+    "Amounts",
+    "TeamAmounts",
+    "WireAmounts",
+    "add_amounts",
+    "amounts_of",
+    "guarantee_of",
+    "limits_of",
+    "shares_from_wire",
+    "shares_to_wire",
+    "tasks_within",
+    "team_limits",
+    "to_number",
+    "units_allowed",
+    "units_needed",
+    "usage_from_wire",
+]
+
 #: Units in one CPU or GPU. The interfaces carry decimal numbers, which are converted where they come in.
 UNITS = 1_000_000
-#: Decimal numbers that are whole units but for the error of their binary form count as whole.
+#: In units: decimal numbers that are whole units but for the error of their binary form count as whole.
 BINARY_ERROR = 1e-3
 #: Stands for the absence of a limit; larger than any sum of amounts.
 NO_LIMIT = 2**62
+#: What is left of an absent limit, after any sum of amounts was taken from it, is above this.
+ABSENT_LIMIT_THRESHOLD = NO_LIMIT // 2
 
 
 class Amounts(NamedTuple):
@@ -27,7 +50,9 @@
         return Amounts(self.cpus * count, self.gpus * count)
 
 
-Grants = dict[str, Amounts]
+#: Limits, shares or usage by team.
+TeamAmounts = dict[str, Amounts]
+#: CPUs and GPUs as decimal numbers, infinite for no limit, as the messages between controllers carry them.
 WireAmounts = tuple[float, float]
 NOTHING = Amounts(0, 0)
 
@@ -60,7 +85,7 @@
     )
 
 
-def team_limits(teams: Iterable[Team]) -> Grants:
+def team_limits(teams: Iterable[Team]) -> TeamAmounts:
     """Return the limits of those teams that have one, on CPUs, GPUs or both."""
     return {team.name: limits_of(team) for team in teams if team.cpus_max or team.gpus_max}
 
@@ -70,35 +95,38 @@
     return Amounts(units_allowed(team.cpus), units_allowed(team.gpus))
 
 
-def add_amounts(total: Grants, team: str, amounts: Amounts) -> None:
+def add_amounts(total: TeamAmounts, team: str, amounts: Amounts) -> None:
     """Add amounts to a team's entry in `total`, which is changed in place."""
     before = total.get(team, NOTHING)
+    # Indices, since this is called for each task: they are faster than names here.
     total[team] = Amounts(before[0] + amounts[0], before[1] + amounts[1])
 
 
-def tasks_within(left: Amounts, task: Amounts) -> int | None:
-    """Return how many tasks of a size fit what is left of a limit; None when nothing limits them."""
+def tasks_within(remaining: Amounts, task: Amounts) -> int | None:
+    """Return how many tasks of a size fit what remains of a limit; None when nothing limits them."""
     counts = [
-        free // each for free, each in ((left[0], task[0]), (left[1], task[1])) if each > 0 and free < NO_LIMIT // 2
+        left // needed
+        for left, needed in zip(remaining, task, strict=True)
+        if needed > 0 and left < ABSENT_LIMIT_THRESHOLD
     ]
     return max(0, min(counts)) if counts else None
 
 
 def to_number(units: int) -> float:
-    """Return units as the decimal number of CPUs or GPUs that people read."""
+    """Return units as the decimal number of CPUs or GPUs that people read; infinite for `NO_LIMIT`."""
     return math.inf if units == NO_LIMIT else units / UNITS
 
 
-def grants_to_wire(grants: Mapping[str, Amounts]) -> dict[str, WireAmounts]:
+def shares_to_wire(shares: Mapping[str, Amounts]) -> dict[str, WireAmounts]:
     """Return amounts by team as decimal numbers."""
-    return {team: (to_number(one[0]), to_number(one[1])) for team, one in grants.items()}
+    return {team: (to_number(share.cpus), to_number(share.gpus)) for team, share in shares.items()}
 
 
-def grants_from_wire(grants: Mapping[str, WireAmounts]) -> Grants:
-    """Return what another controller grants, never more than the decimal numbers say."""
-    return {team: Amounts(units_allowed(one[0]), units_allowed(one[1])) for team, one in grants.items()}
+def shares_from_wire(shares: Mapping[str, WireAmounts]) -> TeamAmounts:
+    """Return the shares that another controller assigns, never more than the decimal numbers say."""
+    return {team: Amounts(units_allowed(cpus), units_allowed(gpus)) for team, (cpus, gpus) in shares.items()}
 
 
-def use_from_wire(use: Mapping[str, WireAmounts]) -> Grants:
+def usage_from_wire(usage: Mapping[str, WireAmounts]) -> TeamAmounts:
     """Return what another controller uses, never less than the decimal numbers say."""
-    return {team: Amounts(units_needed(one[0]), units_needed(one[1])) for team, one in use.items()}
+    return {team: Amounts(units_needed(cpus), units_needed(gpus)) for team, (cpus, gpus) in usage.items()}
