--- a/src/ramptide/autoscaling/demand.py
+++ b/src/ramptide/autoscaling/demand.py
@@ -11,7 +11,7 @@
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.own_demand import waiting_rows
 from ramptide.scheduling.urgency_order import UrgencyOrder
-from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, Grants, add_amounts, amounts_of
+from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, TeamAmounts, add_amounts, amounts_of
 from ramptide.state.jobs import Job
 from ramptide.team_limits.cluster_usage import ClusterUsage
 from ramptide.transport.runtime import Runtime
@@ -29,7 +29,7 @@
         """The jobs that are not over."""
 
     @property
-    def limits(self) -> Grants:
+    def limits(self) -> TeamAmounts:
         """The limits of the teams that have one."""
 
     def require_scheduler(self) -> JobScheduler:
--- a/src/ramptide/controller/peer_messages.py
+++ b/src/ramptide/controller/peer_messages.py
@@ -19,7 +19,7 @@
 from ramptide.controller.shares import QuotaShares
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.preemption import Preemptor
-from ramptide.state.amounts import grants_from_wire
+from ramptide.state.amounts import shares_from_wire
 from ramptide.state.records import JOB_PREFIX
 from ramptide.state.task_state import TaskRow
 from ramptide.state.watch_cache import WatchCache
@@ -208,7 +208,7 @@
         self._machine_index.set_idle_pool(message.idle_pool)
         if message.quota_shares is not None:
             # Both at once: the new shares leave out what the leader took over.
-            self._shares.take_message(grants_from_wire(message.quota_shares), message.sequence_number)
+            self._shares.take_message(shares_from_wire(message.quota_shares), message.sequence_number)
             for job_id in message.handovers_taken:
                 scheduler.transfer_confirmed(job_id)
         for job_id, task_index, number, grace_s in message.preemptions:
--- a/src/ramptide/controller/replication.py
+++ b/src/ramptide/controller/replication.py
@@ -24,7 +24,7 @@
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.own_demand import own_demand, waiting_rows
 from ramptide.scheduling.preemption import Preemptor
-from ramptide.state.amounts import grants_to_wire
+from ramptide.state.amounts import shares_to_wire
 from ramptide.state.task_state import DesiredTaskRow
 from ramptide.state.watch_cache import WatchCache
 from ramptide.team_limits.share_split import ShareSplit
@@ -179,8 +179,8 @@
                 base=changes.base,
                 machine_status=changes.status,
                 desired_tasks=changes.desired_tasks,
-                quota_shares=grants_to_wire(granted) if granted is not None else None,
-                demand=grants_to_wire(own_demand(scheduler, now)) if is_leader else {},
+                quota_shares=shares_to_wire(granted) if granted is not None else None,
+                demand=shares_to_wire(own_demand(scheduler, now)) if is_leader else {},
                 waiting_jobs=waiting_rows(scheduler, now) if is_leader else [],
                 unrecorded_machines=shard.unrecorded_machines() if is_leader else {},
                 unconfirmed_terminations=unconfirmed,
@@ -235,8 +235,8 @@
             version=MESSAGE_VERSION,
             reconciled=self._state.reconciled,
             acknowledged=shard.desired_states.acknowledged,
-            usage=grants_to_wire(scheduler.usage()),
-            usage_in_transfer={job_id: grants_to_wire(amounts) for job_id, amounts in in_transfer.items()},
+            usage=shares_to_wire(scheduler.usage()),
+            usage_in_transfer={job_id: shares_to_wire(amounts) for job_id, amounts in in_transfer.items()},
             quota_shares_acknowledged=self._shares.acknowledged,
             handovers_taken=self._share_split.handovers_taken,
             idle_pool=self._machine_index.idle_pool if leads else [],
--- a/src/ramptide/controller/shares.py
+++ b/src/ramptide/controller/shares.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from ramptide.controller.state import ControllerState
-from ramptide.state.amounts import Grants
+from ramptide.state.amounts import TeamAmounts
 
 __all__ = ["QuotaShares"]
 
@@ -11,7 +11,7 @@
 class SharePermits(Protocol):
     """The quota feature, which knows what members have passed on to each other."""
 
-    def permits(self, granted: Grants) -> Grants:
+    def permits(self, granted: TeamAmounts) -> TeamAmounts:
         """Return what we may use of each limit, given what the leader grants."""
 
 
@@ -35,12 +35,12 @@
         self.acknowledged = 0
         self._state.quota_shares, self._state.granted_shares = {}, {}
 
-    def take_message(self, granted: Grants, sequence_number: int) -> None:
+    def take_message(self, granted: TeamAmounts, sequence_number: int) -> None:
         """Act on what a message of the leader grants us."""
         self.take(granted)
         self.acknowledged = sequence_number
 
-    def take(self, granted: Grants) -> None:
+    def take(self, granted: TeamAmounts) -> None:
         """Act on the leader's split from now on."""
         self._state.granted_shares = granted
         self.refresh()
--- a/src/ramptide/controller/state.py
+++ b/src/ramptide/controller/state.py
@@ -19,7 +19,7 @@
 from ramptide.protocol.jobs import JobSpec
 from ramptide.protocol.settings_file import Cluster, Objective, Team
 from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.amounts import Grants, guarantee_of, team_limits
+from ramptide.state.amounts import TeamAmounts, guarantee_of, team_limits
 from ramptide.state.jobs import Job
 from ramptide.state.records import MachineRecord, RentalRecord
 
@@ -67,8 +67,8 @@
 
     member: str
     teams: dict[str, Team]
-    limits: Grants
-    guarantees: Grants
+    limits: TeamAmounts
+    guarantees: TeamAmounts
     prompt_classes: frozenset[str]
     tuning: Tuning = field(default_factory=Tuning)
     jobs: dict[str, Job] = field(default_factory=dict)
@@ -82,8 +82,8 @@
     reconciled: bool = False
     shard: Shard | None = None
     scheduler: JobScheduler | None = None
-    granted_shares: Grants = field(default_factory=dict)
-    quota_shares: Grants = field(default_factory=dict)
+    granted_shares: TeamAmounts = field(default_factory=dict)
+    quota_shares: TeamAmounts = field(default_factory=dict)
     _owners: dict[str, str] = field(default_factory=dict)
 
     @classmethod
--- a/src/ramptide/quota/ledger.py
+++ b/src/ramptide/quota/ledger.py
@@ -10,7 +10,7 @@
 from enum import Enum, auto
 
 from ramptide.quota.messages import AccountRow, QuotaMessageError, TransferRow
-from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, Grants, add_amounts
+from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, TeamAmounts, add_amounts
 
 
 class TransferState(Enum):
@@ -56,8 +56,8 @@
     """What has passed between this member and another one, in total; the sums only grow."""
 
     def __init__(self) -> None:
-        self.given: Grants = {}
-        self.taken: Grants = {}
+        self.given: TeamAmounts = {}
+        self.taken: TeamAmounts = {}
         #: The numbers of the last transfers that we issued and that we took.
         self.issued = 0
         self.last_taken = 0
@@ -70,7 +70,7 @@
     def __init__(self, members: Iterable[str], limits: Mapping[str, Amounts]) -> None:
         self._accounts = {member: _Account() for member in members}
         self._limits = limits
-        self._balance: Grants = {}
+        self._balance: TeamAmounts = {}
 
     def balance(self, team: str) -> Amounts:
         """Return by how much transfers have moved our share of a team away from the leader's grant."""
@@ -89,7 +89,7 @@
 
     def in_transfer(self, team: str) -> Amounts:
         """Return what we have deducted and nobody has confirmed."""
-        total: Grants = {}
+        total: TeamAmounts = {}
         for account in self._accounts.values():
             for transfer in account.unconfirmed.values():
                 add_amounts(total, transfer.team, transfer.amounts)
@@ -209,7 +209,7 @@
     def __init__(self) -> None:
         #: By giver, receiver and team.
         self._passed: dict[tuple[str, str, str], Amounts] = {}
-        self._offsets: dict[str, Grants] = {}
+        self._offsets: dict[str, TeamAmounts] = {}
 
     def take(self, member: str, rows: Iterable[AccountRow]) -> None:
         """Take a member's account."""
@@ -228,6 +228,6 @@
         add_amounts(self._offsets.setdefault(giver, {}), team, more.times(-1))
         add_amounts(self._offsets.setdefault(receiver, {}), team, more)
 
-    def offsets(self) -> Mapping[str, Grants]:
+    def offsets(self) -> Mapping[str, TeamAmounts]:
         """Return by how much transfers have moved each member's share; what is on its way counts for its receiver."""
         return self._offsets
--- a/src/ramptide/quota/limit_table.py
+++ b/src/ramptide/quota/limit_table.py
@@ -12,7 +12,7 @@
 from ramptide.quota.overrides import LimitError, LimitRecord, change, decode_record, effective, key_of, promote, team_of
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.placement_round import LeadershipInfo
-from ramptide.state.amounts import Grants
+from ramptide.state.amounts import TeamAmounts
 from ramptide.state.watch_cache import WatchCache
 from ramptide.team_limits.share_split import ShareSplit
 
@@ -29,11 +29,11 @@
         """The teams whose jobs are accepted."""
 
     @property
-    def limits(self) -> Grants:
+    def limits(self) -> TeamAmounts:
         """The limits of the teams that have one."""
 
     @property
-    def guarantees(self) -> Grants:
+    def guarantees(self) -> TeamAmounts:
         """The guarantees of the teams that have one."""
 
     @property
--- a/src/ramptide/quota/operators.py
+++ b/src/ramptide/quota/operators.py
@@ -13,7 +13,7 @@
 from ramptide.quota.overrides import LimitError
 from ramptide.quota.share_exchange import QuotaExchange
 from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.amounts import NOTHING, Amounts, Grants, to_number
+from ramptide.state.amounts import NOTHING, Amounts, TeamAmounts, to_number
 from ramptide.team_limits.cluster_usage import ClusterUsage
 from ramptide.transport.runtime import JSON
 
@@ -57,15 +57,15 @@
         """The teams whose jobs are accepted."""
 
     @property
-    def limits(self) -> Grants:
+    def limits(self) -> TeamAmounts:
         """The limits of the teams that have one."""
 
     @property
-    def guarantees(self) -> Grants:
+    def guarantees(self) -> TeamAmounts:
         """The guarantees of the teams that have one."""
 
     @property
-    def quota_shares(self) -> Grants:
+    def quota_shares(self) -> TeamAmounts:
         """What we may use of each limit."""
 
     @property
--- a/src/ramptide/quota/overrides.py
+++ b/src/ramptide/quota/overrides.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ramptide.protocol.settings_file import Team
-from ramptide.state.amounts import NOTHING, Amounts, Grants, guarantee_of, limits_of
+from ramptide.state.amounts import NOTHING, Amounts, TeamAmounts, guarantee_of, limits_of
 from ramptide.state.records import LIMIT_PREFIX
 
 RECORD_VERSION = 1
@@ -59,8 +59,8 @@
     """What counts now: the teams of which jobs are accepted, and all limits and guarantees."""
 
     teams: dict[str, Team]
-    limits: Grants
-    guarantees: Grants
+    limits: TeamAmounts
+    guarantees: TeamAmounts
 
 
 def key_of(team: str) -> str:
--- a/src/ramptide/quota/share_exchange.py
+++ b/src/ramptide/quota/share_exchange.py
@@ -20,7 +20,7 @@
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.job_state import JobState
 from ramptide.scheduling.victims import within_guarantee
-from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, Grants, amounts_of, tasks_within
+from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, TeamAmounts, amounts_of, tasks_within
 from ramptide.state.jobs import Job
 from ramptide.team_limits.cluster_usage import ClusterUsage
 
@@ -48,15 +48,15 @@
         """The jobs that are not over."""
 
     @property
-    def limits(self) -> Grants:
+    def limits(self) -> TeamAmounts:
         """The limits of the teams that have one."""
 
     @property
-    def guarantees(self) -> Grants:
+    def guarantees(self) -> TeamAmounts:
         """The guarantees of the teams that have one."""
 
     @property
-    def quota_shares(self) -> Grants:
+    def quota_shares(self) -> TeamAmounts:
         """What we may use of each limit."""
 
     @property
@@ -111,7 +111,7 @@
         self._waiting: Demands = {}
         self._short: Demands = {}
         self._claims: list[str] = []
-        self._team_use: Grants = {}
+        self._team_use: TeamAmounts = {}
 
     def new_view(self, view: View | None) -> None:
         """Start with an empty ledger; `view` is None when we have no place in it."""
@@ -125,7 +125,7 @@
 
     # What the rest of the controller asks.
 
-    def permits(self, granted: Grants) -> Grants:
+    def permits(self, granted: TeamAmounts) -> TeamAmounts:
         """Return what we may use of each limit, given what the leader grants."""
         changed = {team: self._ledger.permit(team, granted[team]) for team in self._ledger.moved() if team in granted}
         return {**granted, **changed}
@@ -139,7 +139,7 @@
         """Whether every member of the view takes part: else the leader could not count what was passed on."""
         return self._view is not None and not self.missing()
 
-    def offsets(self) -> Mapping[str, Grants]:
+    def offsets(self) -> Mapping[str, TeamAmounts]:
         """Return by how much transfers have moved each member's share, as the leader knows."""
         return self._book.offsets()
 
@@ -183,7 +183,7 @@
                     break
         return found
 
-    def waits_for_limit(self, job_state: JobState, using: Grants) -> bool:
+    def waits_for_limit(self, job_state: JobState, using: TeamAmounts) -> bool:
         """Tell whether it is the share of its team's limit, and not room, that keeps a job from starting."""
         spec = job_state.job.spec
         share = self._state.quota_shares.get(spec.team, NOTHING)
@@ -229,7 +229,7 @@
                 found.append(TaskDemand(size.cpus, size.gpus, tasks))
         return found
 
-    def _shortfall(self, held: Grants) -> Demands:
+    def _shortfall(self, held: TeamAmounts) -> Demands:
         """Return the waiting tasks that our share does not cover."""
         short: Demands = {}
         for team, demands in self._waiting.items():
@@ -244,11 +244,11 @@
                     )
         return short
 
-    def _left(self, team: str, held: Grants) -> Amounts:
+    def _left(self, team: str, held: TeamAmounts) -> Amounts:
         """Return what of our share is not used."""
         return _less(self._state.quota_shares.get(team, NOTHING), held.get(team, NOTHING))
 
-    def _waiting_for_share(self, scheduler: JobScheduler, held: Grants, now: timedelta) -> set[str]:
+    def _waiting_for_share(self, scheduler: JobScheduler, held: TeamAmounts, now: timedelta) -> set[str]:
         """Return the jobs of which no task starts for want of share, although their team's limit has room for one."""
         found = set()
         for job_state in scheduler.with_pending_tasks.values():
@@ -262,7 +262,7 @@
 
     # Giving and taking.
 
-    def _give_to(self, receiver: str, held: Grants) -> None:
+    def _give_to(self, receiver: str, held: TeamAmounts) -> None:
         """Pass on what a member is short of and we neither use nor need, in sizes of its tasks."""
         for team, demands in self._said[receiver].short.items():
             if team not in self._state.quota_shares or self._ledger.awaits(receiver, team):
--- a/src/ramptide/scheduling/attempts.py
+++ b/src/ramptide/scheduling/attempts.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from ramptide.protocol.jobs import JobSpec
-from ramptide.state.amounts import Amounts, Grants, add_amounts, amounts_of
+from ramptide.state.amounts import Amounts, TeamAmounts, add_amounts, amounts_of
 from ramptide.state.task_state import FINISHED_PHASES, NO_TIME, DesiredState, Phase, TaskKey
 
 
@@ -47,7 +47,7 @@
         #: Attempts that their owners do not show; each is either on its way there or gone.
         self.unshown: dict[TaskKey, Attempt] = {}
         #: What each team's attempts hold.
-        self.usage: Grants = {}
+        self.usage: TeamAmounts = {}
 
     def of_job(self, job_id: str) -> list[Attempt]:
         """Return the attempts of a job, as a list that stays while they are added and removed."""
--- a/src/ramptide/scheduling/handover.py
+++ b/src/ramptide/scheduling/handover.py
@@ -13,7 +13,7 @@
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.job_state import JobState
 from ramptide.scheduling.placement_round import LeadershipInfo
-from ramptide.state.amounts import Grants
+from ramptide.state.amounts import TeamAmounts
 from ramptide.state.commit_batcher import CommitBatcher
 from ramptide.state.records import JOB_PREFIX, Handover, to_value
 from ramptide.state.watch_cache import WatchCache
@@ -48,7 +48,7 @@
 class LimitWaits(Protocol):
     """The quota feature, which brings shares to where jobs wait."""
 
-    def waits_for_limit(self, job_state: JobState, using: Grants) -> bool:
+    def waits_for_limit(self, job_state: JobState, using: TeamAmounts) -> bool:
         """Tell whether it is the share of its team's limit, and not room, that keeps a job from starting."""
 
 
--- a/src/ramptide/scheduling/own_demand.py
+++ b/src/ramptide/scheduling/own_demand.py
@@ -4,7 +4,7 @@
 
 from ramptide.cluster.messages import WaitingJobRow
 from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.amounts import Grants, add_amounts, amounts_of
+from ramptide.state.amounts import TeamAmounts, add_amounts, amounts_of
 
 __all__ = ["own_demand", "waiting_rows"]
 
@@ -23,9 +23,9 @@
     return rows
 
 
-def own_demand(scheduler: JobScheduler, now: timedelta) -> Grants:
+def own_demand(scheduler: JobScheduler, now: timedelta) -> TeamAmounts:
     """Return what the scheduler's waiting tasks would use of each team's limit."""
-    demand: Grants = {}
+    demand: TeamAmounts = {}
     for job_state in scheduler.with_pending_tasks.values():
         if job_state.retry_at <= now:
             spec = job_state.job.spec
--- a/src/ramptide/scheduling/placement_round.py
+++ b/src/ramptide/scheduling/placement_round.py
@@ -17,7 +17,7 @@
 from ramptide.scheduling.rooms import RoomFinder
 from ramptide.scheduling.urgency import DeadlineOutlook, deadline_outlook
 from ramptide.scheduling.urgency_order import GuaranteeUsage, UrgencyOrder
-from ramptide.state.amounts import NOTHING, Amounts, Grants, add_amounts, amounts_of
+from ramptide.state.amounts import NOTHING, Amounts, TeamAmounts, add_amounts, amounts_of
 from ramptide.transport.runtime import Runtime
 
 __all__ = ["PlacementRound"]
@@ -35,11 +35,11 @@
         """The operators' settings."""
 
     @property
-    def limits(self) -> Grants:
+    def limits(self) -> TeamAmounts:
         """The limits of the teams that have one."""
 
     @property
-    def quota_shares(self) -> Grants:
+    def quota_shares(self) -> TeamAmounts:
         """What we may use of each limit."""
 
     @property
--- a/src/ramptide/scheduling/preemption.py
+++ b/src/ramptide/scheduling/preemption.py
@@ -20,7 +20,7 @@
 from ramptide.scheduling.rooms import RoomFinder
 from ramptide.scheduling.urgency_order import UrgencyOrder
 from ramptide.scheduling.victims import RunningTask, may_claim, victims
-from ramptide.state.amounts import NOTHING, Grants, add_amounts, amounts_of
+from ramptide.state.amounts import NOTHING, TeamAmounts, add_amounts, amounts_of
 from ramptide.state.jobs import Job
 from ramptide.state.records import MachineRecord
 from ramptide.state.task_state import TaskKey
@@ -54,15 +54,15 @@
         """The fleet record."""
 
     @property
-    def limits(self) -> Grants:
+    def limits(self) -> TeamAmounts:
         """The limits of the teams that have one."""
 
     @property
-    def guarantees(self) -> Grants:
+    def guarantees(self) -> TeamAmounts:
         """The guarantees of the teams that have one."""
 
     @property
-    def quota_shares(self) -> Grants:
+    def quota_shares(self) -> TeamAmounts:
         """What we may use of each limit."""
 
     @property
@@ -92,7 +92,7 @@
 
     rooms: dict[str, Room]
     #: What teams use over all controllers.
-    used: Grants
+    used: TeamAmounts
     now: timedelta
     #: Tasks that may be stopped, by machine, as far as they were looked up.
     tasks: dict[str, list[RunningTask]] = field(default_factory=dict)
@@ -113,7 +113,7 @@
         machine_index: MachineIndex,
         room_finder: RoomFinder,
         urgency_order: UrgencyOrder,
-        team_usage: Callable[[], Grants],
+        team_usage: Callable[[], TeamAmounts],
         may_start_job: Callable[[JobState], bool],
     ) -> None:
         self._runtime = runtime
@@ -181,7 +181,7 @@
             and self._may_start_job(job_state)
         ]
 
-    def _wanted_tasks(self, job_state: JobState, share_used: Grants) -> int:
+    def _wanted_tasks(self, job_state: JobState, share_used: TeamAmounts) -> int:
         """Return for how many tasks of the job room is to be made, beside what others were told to give way for."""
         spec = job_state.job.spec
         promised = sum(one.claimant == spec.job_id for one in self.pending.values())
--- a/src/ramptide/state/amounts.py
+++ b/src/ramptide/state/amounts.py
@@ -98,17 +98,13 @@
 def add_amounts(total: TeamAmounts, team: str, amounts: Amounts) -> None:
     """Add amounts to a team's entry in `total`, which is changed in place."""
     before = total.get(team, NOTHING)
-    # Indices, since this is called for each task: they are faster than names here.
-    total[team] = Amounts(before[0] + amounts[0], before[1] + amounts[1])
+    total[team] = Amounts(before.cpus + amounts.cpus, before.gpus + amounts.gpus)
 
 
 def tasks_within(remaining: Amounts, task: Amounts) -> int | None:
     """Return how many tasks of a size fit what remains of a limit; None when nothing limits them."""
-    counts = [
-        left // needed
-        for left, needed in zip(remaining, task, strict=True)
-        if needed > 0 and left < ABSENT_LIMIT_THRESHOLD
-    ]
+    pairs = ((remaining.cpus, task.cpus), (remaining.gpus, task.gpus))
+    counts = [left // needed for left, needed in pairs if needed > 0 and left < ABSENT_LIMIT_THRESHOLD]
     return max(0, min(counts)) if counts else None
 
 
--- a/src/ramptide/team_limits/allowances.py
+++ b/src/ramptide/team_limits/allowances.py
@@ -4,9 +4,9 @@
 from collections.abc import Hashable, Mapping
 from typing import Protocol
 
-from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, Grants
+from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, TeamAmounts
 
-Offsets = Mapping[str, Grants]
+Offsets = Mapping[str, TeamAmounts]
 
 
 class SplitPolicy(Protocol):
@@ -22,7 +22,7 @@
 class ProportionalSplit:
     """Gives each member what it uses, and of the rest as large a part as it has of all that waits."""
 
-    def __init__(self, waiting: Mapping[str, Grants]) -> None:
+    def __init__(self, waiting: Mapping[str, TeamAmounts]) -> None:
         self._waiting = waiting
 
     def targets(self, team: str, limit: Amounts, using: Mapping[str, Amounts]) -> dict[str, Amounts]:
@@ -55,7 +55,7 @@
 
     def __init__(self, limits: Mapping[str, Amounts], members: list[str]) -> None:
         self._limits = dict(limits)
-        self._sent: dict[str, deque[tuple[int, Grants]]] = {member: deque([(0, {})]) for member in members}
+        self._sent: dict[str, deque[tuple[int, TeamAmounts]]] = {member: deque([(0, {})]) for member in members}
         #: What the last split of a team rested on, where it changed nothing: the same again needs no work.
         self._settled: dict[str, Hashable] = {}
 
@@ -63,7 +63,7 @@
         """Split by these limits from now on; a team that is not named any more keeps what it was granted last."""
         self._limits = dict(limits)
 
-    def current(self, member: str) -> Grants:
+    def current(self, member: str) -> TeamAmounts:
         """Return the grants by team that the member was sent last."""
         return self._sent[member][-1][1]
 
@@ -82,17 +82,17 @@
     def divide(
         self,
         seq: int,
-        using: Mapping[str, Grants],
+        using: Mapping[str, TeamAmounts],
         policy: SplitPolicy,
         first: str,
         offsets: Offsets | None = None,
-    ) -> dict[str, Grants]:
+    ) -> dict[str, TeamAmounts]:
         """Return new grants for all members, to be sent with message `seq`.
 
         `using` holds each member's amounts by team; what the policy leaves of a limit goes to `first`.
         """
         moved = offsets or {}
-        grants: dict[str, Grants] = {member: dict(self.current(member)) for member in self._sent}
+        grants: dict[str, TeamAmounts] = {member: dict(self.current(member)) for member in self._sent}
         sent = tuple((len(grants), grants[0][0]) for grants in self._sent.values())
         for team, limit in self._limits.items():
             used = {member: using.get(member, {}).get(team, NOTHING) for member in self._sent}
--- a/src/ramptide/team_limits/cluster_usage.py
+++ b/src/ramptide/team_limits/cluster_usage.py
@@ -5,7 +5,7 @@
 
 from ramptide.cluster.peers import Peers
 from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.amounts import NOTHING, Grants, add_amounts, use_from_wire
+from ramptide.state.amounts import NOTHING, TeamAmounts, add_amounts, usage_from_wire
 
 __all__ = ["ClusterUsage"]
 
@@ -24,22 +24,22 @@
         self._state = state
         self._peers = peers
 
-    def team_usage(self) -> Grants:
+    def team_usage(self) -> TeamAmounts:
         """Return what the attempts of all schedulers hold, by team."""
         usage = self._state.require_scheduler().usage()
         for message in self._peers.last_messages():
-            for team, amounts in use_from_wire(message.usage).items():
+            for team, amounts in usage_from_wire(message.usage).items():
                 add_amounts(usage, team, amounts)
         return usage
 
-    def usage_of(self, teams: Iterable[str]) -> Grants:
+    def usage_of(self, teams: Iterable[str]) -> TeamAmounts:
         """Return what the attempts of all schedulers hold, for some teams only."""
         own = self._state.require_scheduler().index.usage
         messages = self._peers.last_messages()
-        usage: Grants = {}
+        usage: TeamAmounts = {}
         for team in teams:
             usage[team] = own.get(team, NOTHING)
             for message in messages:
                 if team in message.usage:
-                    add_amounts(usage, team, use_from_wire({team: message.usage[team]})[team])
+                    add_amounts(usage, team, usage_from_wire({team: message.usage[team]})[team])
         return usage
--- a/src/ramptide/team_limits/share_split.py
+++ b/src/ramptide/team_limits/share_split.py
@@ -11,7 +11,7 @@
 from ramptide.scheduling.job_state import JobState
 from ramptide.scheduling.own_demand import own_demand
 from ramptide.scheduling.placement_round import LeadershipInfo
-from ramptide.state.amounts import NO_LIMIT, Amounts, Grants, add_amounts, use_from_wire
+from ramptide.state.amounts import NO_LIMIT, Amounts, TeamAmounts, add_amounts, usage_from_wire
 from ramptide.team_limits.allowances import ProportionalSplit, ShareAllocator, SplitPolicy
 
 __all__ = ["ShareSplit"]
@@ -29,7 +29,7 @@
         """The name of this controller."""
 
     @property
-    def limits(self) -> Grants:
+    def limits(self) -> TeamAmounts:
         """The limits of the teams that have one."""
 
     @property
@@ -40,7 +40,7 @@
 class ShareTransfers(Protocol):
     """The quota feature, which knows what members have passed on to each other and what sizes of tasks wait."""
 
-    def offsets(self) -> Mapping[str, Grants]:
+    def offsets(self) -> Mapping[str, TeamAmounts]:
         """Return by how much transfers have moved each member's share."""
 
     def split_policy(self) -> SplitPolicy | None:
@@ -66,7 +66,7 @@
         leadership: LeadershipInfo,
         peers: Peers,
         may_start_job: Callable[[JobState], bool],
-        on_own_share: Callable[[Grants], None],
+        on_own_share: Callable[[TeamAmounts], None],
         quota: ShareTransfers | None,
     ) -> None:
         self._state = state
@@ -77,7 +77,7 @@
         self._quota = quota
         self._allocator: ShareAllocator | None = None
         # The last split, and the jobs that it takes as taken over by us: always told together.
-        self._granted: dict[str, Grants] = {}
+        self._granted: dict[str, TeamAmounts] = {}
         self.handovers_taken: list[str] = []
         self._split_at = timedelta(0)
 
@@ -86,7 +86,7 @@
         self._granted, self.handovers_taken = {}, []
         self._allocator = ShareAllocator(self._state.limits, sorted(view.members)) if view is not None else None
 
-    def granted(self, member: str) -> Grants | None:
+    def granted(self, member: str) -> TeamAmounts | None:
         """Return what the last split grants a member; None before the first one."""
         return self._granted.get(member)
 
@@ -135,7 +135,7 @@
                     found.append(job_id)
         return found
 
-    def _divide(self, scheduler: JobScheduler, view: View, now: timedelta) -> dict[str, Grants]:
+    def _divide(self, scheduler: JobScheduler, view: View, now: timedelta) -> dict[str, TeamAmounts]:
         """Return the split; empty until every member has all information."""
         others = self._messages(view)
         if others is None or self._allocator is None:
@@ -164,11 +164,11 @@
             found.append(message)
         return found
 
-    def _use_of(self, message: PeerMessage) -> Grants:
+    def _use_of(self, message: PeerMessage) -> TeamAmounts:
         """Return what a member uses, with what it handed over and nobody else counts yet."""
-        using = use_from_wire(message.usage)
+        using = usage_from_wire(message.usage)
         for job_id, held in message.usage_in_transfer.items():
-            for team, amounts in use_from_wire(held).items() if job_id not in self.handovers_taken else ():
+            for team, amounts in usage_from_wire(held).items() if job_id not in self.handovers_taken else ():
                 add_amounts(using, team, amounts)
         return using
 
@@ -177,4 +177,4 @@
         if policy is not None:
             return policy
         demand = {self._state.member: own_demand(scheduler, now)}
-        return ProportionalSplit(demand | {message.member: use_from_wire(message.demand) for message in others})
+        return ProportionalSplit(demand | {message.member: usage_from_wire(message.demand) for message in others})
--- a/src/ramptide/team_limits/usage.py
+++ b/src/ramptide/team_limits/usage.py
@@ -8,7 +8,7 @@
 from ramptide.protocol.settings_file import Team
 from ramptide.scheduling.headroom import task_headroom
 from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.amounts import NO_LIMIT, NOTHING, Grants, add_amounts, amounts_of, limits_of, to_number
+from ramptide.state.amounts import NO_LIMIT, NOTHING, TeamAmounts, add_amounts, amounts_of, limits_of, to_number
 from ramptide.team_limits.cluster_usage import ClusterUsage
 from ramptide.transport.runtime import Runtime
 
@@ -43,11 +43,11 @@
         """The teams whose jobs are accepted."""
 
     @property
-    def limits(self) -> Grants:
+    def limits(self) -> TeamAmounts:
         """The limits of the teams that have one."""
 
     @property
-    def quota_shares(self) -> Grants:
+    def quota_shares(self) -> TeamAmounts:
         """What we may use of each limit."""
 
     @property
@@ -59,9 +59,9 @@
 class _Totals:
     """Amounts by team."""
 
-    used: Grants
-    share_used: Grants
-    waiting: Grants
+    used: TeamAmounts
+    share_used: TeamAmounts
+    waiting: TeamAmounts
 
 
 class TeamUsageReport:
@@ -100,10 +100,10 @@
 
         return TeamUsage(cpus=resource(0), gpus=resource(1))
 
-    def waiting_for_limits(self, scheduler: JobScheduler) -> Grants:
+    def waiting_for_limits(self, scheduler: JobScheduler) -> TeamAmounts:
         """Return what waiting tasks need, by team, of jobs of which the team's share lets no task run."""
         now, share_used = self._runtime.now, scheduler.usage_with_transfers()
-        waiting: Grants = {}
+        waiting: TeamAmounts = {}
         for job_state in scheduler.with_pending_tasks.values():
             spec = job_state.job.spec
             if job_state.retry_at > now or not job_state.startable:
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -75,7 +75,7 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from(MEMBERS), st.sampled_from(["ask", "start", "end", "deliver", "ack"]))))
 def test_no_two_members_overstep_a_limit_together(events: list[tuple[str, str]]) -> None:
-    """Grants and acknowledgements are delivered when the history says so; members start all they may."""
+    """TeamAmounts and acknowledgements are delivered when the history says so; members start all they may."""
     leader = ShareAllocator(LIMITS, MEMBERS)
     held = dict.fromkeys(MEMBERS, 0)
     using = dict.fromkeys(MEMBERS, 0)
