--- /dev/null
+++ b/tests/test_clients.py
@@ -0,0 +1,168 @@
+"""The clients of the key-value store and the cloud: what each response, or none, becomes."""
+
+import json
+from collections.abc import Callable
+from datetime import timedelta
+from typing import Any
+
+import pytest
+from world import Reply, VirtualContext, World
+
+from ramptide.clients.cloud import CloudClient, RentResult
+from ramptide.clients.key_value_store import KeyValueStore, LeaseStatus, ReadResult, Snapshot
+from ramptide.clients.transactions import Put, Transaction, TransactionOutcome, TransactionResult
+from ramptide.protocol.key_value_store import KeyValue
+from ramptide.protocol.settings_file import CloudLimits, KeyValueStoreLimits
+from ramptide.state.delete_log import DELETES_KEPT, DeleteLog
+from ramptide.transport.runtime import Response
+
+
+class ScriptedService:
+    """Answers each call with the next of its responses, and records the targets."""
+
+    def __init__(self, *responses: Response | None) -> None:
+        self.runtime = VirtualContext(World(1).nodes["c0"])
+        self.runtime.call = self._call  # type: ignore[method-assign]
+        self.targets: list[str] = []
+        self._responses = list(responses)
+
+    def _call(
+        self,
+        address: str,
+        method: str,
+        target: str,
+        body: bytes,
+        content_type: str,
+        timeout: timedelta,
+        on_response: Callable[[Response | None], None],
+    ) -> None:
+        self.targets.append(target)
+        on_response(self._responses.pop(0))
+
+    def store(self) -> KeyValueStore:
+        limits = KeyValueStoreLimits(
+            requests_per_second=1000.0, writes_per_second=1000.0, max_value_kb=16.0, max_transaction_operations=12
+        )
+        return KeyValueStore(self.runtime, "store", limits, 1)
+
+    def cloud(self) -> CloudClient:
+        return CloudClient(self.runtime, "cloud", CloudLimits(requests_per_second=1000.0, list_lag_s=1.0), 1)
+
+
+def reply(status: int, value: Any = None) -> Response:
+    return Reply(status, json.dumps(value).encode())
+
+
+@pytest.mark.parametrize(
+    ("response", "expected"),
+    [
+        (reply(200, {"epoch": 7}), TransactionResult(TransactionOutcome.APPLIED, commit_revision=7)),
+        (reply(200, {"epoch": "x"}), TransactionResult(TransactionOutcome.UNKNOWN)),
+        (reply(409, {"failed": ["a"]}), TransactionResult(TransactionOutcome.CONFLICT, conflicting_keys=("a",))),
+        (reply(409, []), TransactionResult(TransactionOutcome.UNKNOWN)),
+        (reply(429), TransactionResult(TransactionOutcome.RATE_LIMITED)),
+        (reply(503), TransactionResult(TransactionOutcome.REFUSED)),
+        (reply(400), TransactionResult(TransactionOutcome.REFUSED)),
+        (None, TransactionResult(TransactionOutcome.UNKNOWN)),
+    ],
+)
+def test_what_a_response_says_of_a_transaction(response: Response | None, expected: TransactionResult) -> None:
+    results: list[TransactionResult] = []
+    ScriptedService(response).store().commit(Transaction({"a": 0}, [Put("a", 1)]), results.append)
+    assert results == [expected]
+
+
+def test_a_transaction_that_waits_too_long_is_rate_limited() -> None:
+    service = ScriptedService(reply(200, {"epoch": 7}))
+    store, results = service.store(), list[TransactionResult]()
+    store.commit(Transaction(puts=[Put(str(number), 1) for number in range(100_000)]), results.append)
+    store.commit(Transaction(puts=[Put("a", 1)]), results.append)
+    assert [result.outcome for result in results] == [TransactionOutcome.APPLIED]
+    service.runtime.node.world.run(300)
+    assert [result.is_rate_limited for result in results] == [False, True] and len(service.targets) == 1
+
+
+@pytest.mark.parametrize(
+    ("response", "expected"),
+    [
+        (reply(200), LeaseStatus.ALIVE),
+        (reply(404), LeaseStatus.EXPIRED),
+        (reply(503), LeaseStatus.UNKNOWN),
+        (None, LeaseStatus.UNKNOWN),
+    ],
+)
+def test_what_a_response_says_of_a_lease(response: Response | None, expected: LeaseStatus) -> None:
+    statuses: list[LeaseStatus] = []
+    ScriptedService(response).store().keep_lease_alive(3, statuses.append)
+    assert statuses == [expected]
+
+
+@pytest.mark.parametrize(
+    ("response", "expected"),
+    [
+        (
+            reply(200, {"path": "a", "v": 1, "stamp": 2}),
+            ReadResult(is_known=True, key_value=KeyValue("a", 1, 2)),
+        ),
+        (reply(404), ReadResult(is_known=True)),
+        (reply(200, {"path": "a"}), ReadResult(is_known=False)),
+        (None, ReadResult(is_known=False)),
+    ],
+)
+def test_a_key_that_does_not_exist_differs_from_a_read_that_failed(
+    response: Response | None, expected: ReadResult
+) -> None:
+    results: list[ReadResult] = []
+    ScriptedService(response).store().get("a", results.append)
+    assert results == [expected]
+
+
+def page(revision: int, more: bool, *keys: str) -> Response:
+    return reply(200, {"rows": [{"path": key, "v": 1, "stamp": 1} for key in keys], "more": more, "epoch": revision})
+
+
+def test_pages_follow_the_last_key_and_the_snapshot_has_the_revision_of_the_first() -> None:
+    service = ScriptedService(page(5, True, "p/a", "p/b"), page(9, False, "p/c"))
+    snapshots: list[Snapshot | None] = []
+    service.store().list_keys("p/", snapshots.append)
+    assert snapshots == [Snapshot(5, [KeyValue(key, 1, 1) for key in ("p/a", "p/b", "p/c")])]
+    assert service.targets == ["/kv?prefix=p%2F&limit=500", "/kv?prefix=p%2F&limit=500&since=p%2Fb"]
+
+
+@pytest.mark.parametrize(
+    "second", [page(5, True), page(5, True, "p/a"), page(5, True, "p/b"), reply(200, {}), reply(503), None]
+)
+def test_a_page_that_is_broken_or_leads_nowhere_ends_the_list(second: Response | None) -> None:
+    service = ScriptedService(page(5, True, "p/b"), second)
+    snapshots: list[Snapshot | None] = []
+    service.store().list_keys("p/", snapshots.append)
+    assert snapshots == [None] and len(service.targets) == 2
+
+
+@pytest.mark.parametrize(
+    ("response", "expected"),
+    [
+        (reply(200, {"hosts": ["vm-1"]}), RentResult(["vm-1"], is_refused=False)),
+        (reply(400, {"error": "no such type"}), RentResult(None, is_refused=True)),
+        (reply(503, {"error": "no capacity"}), RentResult(None, is_refused=True)),
+        (reply(503, {"error": "try later"}), RentResult(None, is_refused=False)),
+        (reply(500, {"error": "no capacity"}), RentResult(None, is_refused=False)),
+        (None, RentResult(None, is_refused=False)),
+    ],
+)
+def test_only_a_refusal_proves_that_nothing_was_rented(response: Response | None, expected: RentResult) -> None:
+    results: list[RentResult] = []
+    ScriptedService(response).cloud().rent("r-1", "small", "a", False, 1, results.append)
+    assert results == [expected]
+
+
+def test_the_delete_log_knows_what_it_does_not_know() -> None:
+    log = DeleteLog()
+    log.add("before", 1)
+    assert log.since(0) is None, "nothing was loaded yet"
+    log.restart(10)
+    assert log.since(9) is None and log.since(10) == []
+    for number in range(DELETES_KEPT + 1):
+        log.add(f"k{number}", 11 + number)
+    assert log.since(10) is None, "the first deletion was dropped"
+    assert log.since(11) == [f"k{number}" for number in range(1, DELETES_KEPT + 1)]
