--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -115,8 +115,8 @@
     assert inbox.takes(3, 6) and not inbox.takes(0, 4), "an older one says nothing new"
 
 
-class Postponed:
-    """A state service whose answers come when the test says."""
+class DelayedStore:
+    """A key-value store whose answers come when the test says."""
 
     def __init__(self) -> None:
         self.world = World(1)
@@ -140,16 +140,16 @@
 
 def test_an_answer_that_crosses_a_newer_one_brings_nothing_back() -> None:
     """A watch that was opened first answers last: the drop that a later read has shown stays."""
-    state, seen = Postponed(), {}
+    state, seen = DelayedStore(), {}
 
-    def changed(path: str, value: Any, stamp: int) -> None:
-        seen[path] = value
+    def on_change(key: str, value: Any, mod_revision: int) -> None:
+        seen[key] = value
 
-    mirror = WatchCache(state.store, "live/", changed, lambda: None)
-    mirror.start()
+    cache = WatchCache(state.store, "live/", on_change, lambda: None)
+    cache.start()
     state.answer(0, 200, {"rows": [], "more": False, "epoch": 100})
     asked: list[bool] = []
-    mirror.catch_up(asked.append)
+    cache.catch_up(asked.append)
     state.world.run(0.2)
     assert len(state.calls) == 3, "the load, the watch and the read"
     put, drop = {"put": "live/x", "v": 1, "stamp": 105}, {"drop": "live/x", "stamp": 110}
@@ -160,16 +160,16 @@
 
 
 def test_polls_that_come_while_a_read_is_under_way_wait_for_the_next() -> None:
-    state = Postponed()
-    mirror = WatchCache(state.store, "live/", lambda *change: None, lambda: None)
-    mirror.start()
+    state = DelayedStore()
+    cache = WatchCache(state.store, "live/", lambda *change: None, lambda: None)
+    cache.start()
     state.answer(0, 200, {"rows": [], "more": False, "epoch": 1})
     early: list[bool] = []
     late: list[bool] = []
-    mirror.catch_up(early.append)
-    mirror.catch_up(early.append)
+    cache.catch_up(early.append)
+    cache.catch_up(early.append)
     state.world.run(0.1)
-    mirror.catch_up(late.append)
+    cache.catch_up(late.append)
     state.answer(2, 200, {"epoch": 1, "news": []})
     assert early == [True, True] and late == []
     state.world.run(0.1)
@@ -178,12 +178,12 @@
 
 
 def test_only_the_change_at_fault_is_refused() -> None:
-    state = Postponed()
+    state = DelayedStore()
     commits = CommitBatcher(state.store, lambda: {"live/view": 7})
     outcomes: dict[str, TransactionResult] = {}
     for name in ("a", "b", "c"):
-        txn = Transaction(conditions={name: 0}, puts=[Put(name, 1)])
-        commits.add(txn, lambda outcome, name=name: outcomes.update({name: outcome}))  # type: ignore[misc]
+        transaction = Transaction(conditions={name: 0}, puts=[Put(name, 1)])
+        commits.add(transaction, lambda outcome, name=name: outcomes.update({name: outcome}))  # type: ignore[misc]
     state.world.run(0.1)
     assert len(state.calls) == 1 and len(json.loads(state.calls[0][1])["then"]) == 3
     state.answer(0, 409, {"failed": ["b"], "epoch": 5})
@@ -197,7 +197,7 @@
 @given(st.lists(st.tuples(st.sampled_from("abcdefgh"), st.integers(1, 3), st.integers(0, 9)), max_size=60))
 def test_groups_keep_the_limits_and_the_order_of_a_key(changes: list[tuple[str, int, int]]) -> None:
     """Against a plain list of what was asked: each change goes out once, one key never twice in a group."""
-    state = Postponed()
+    state = DelayedStore()
     commits = CommitBatcher(state.store, lambda: {"live/view": 7})
     done: list[int] = []
     for number, (key, ops, wait) in enumerate(changes):
