--- a/src/ramptide/cluster/peers.py
+++ b/src/ramptide/cluster/peers.py
@@ -220,7 +220,7 @@
             message.view == view
             and view
             and self._is_from_member(message)
-            and peer.inbox.takes(message.base, message.sequence_number)
+            and peer.inbox.accept(message.base, message.sequence_number)
         ):
             peer.heard_at = self._runtime.now
             if not message.more:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -72,13 +72,13 @@
             sent.append((taken, table.seq, {key: table.whole.get(key) for key in table.ledger.since(taken)}))
         elif kind in ("deliver", "late") and sent:
             base, upto, changes = sent[-1] if kind == "deliver" else sent[number % len(sent)]
-            if inbox.takes(base, upto):
+            if inbox.accept(base, upto):
                 take_changes(copy, changes)
         elif kind == "answer":
-            taken = inbox.seq
+            taken = inbox.sequence_number
             table.ledger.prune(taken, table.whole)
         whole[table.seq] = dict(table.whole)
-        assert copy == whole[inbox.seq]
+        assert copy == whole[inbox.sequence_number]
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -100,19 +100,19 @@
             sent.append((taken, split or table.seq, split is None, changes, dict(table.whole)))
         elif kind in ("deliver", "late") and sent:
             base, upto, last, changes, whole = sent[-1] if kind == "deliver" else sent[number % len(sent)]
-            if inbox.takes(base, upto):
+            if inbox.accept(base, upto):
                 take_changes(copy, changes)
                 assert copy == whole or not last
         elif kind == "answer":
-            taken = inbox.seq
+            taken = inbox.sequence_number
             table.ledger.prune(taken, table.whole)
     assert copy == table.whole, "no part holds up the next"
 
 
 def test_a_message_after_a_gap_is_not_taken() -> None:
     inbox = ReceivedSequence()
-    assert inbox.takes(0, 3) and not inbox.takes(5, 6), "what changed from 3 to 5 is missing here"
-    assert inbox.takes(3, 6) and not inbox.takes(0, 4), "an older one says nothing new"
+    assert inbox.accept(0, 3) and not inbox.accept(5, 6), "what changed from 3 to 5 is missing here"
+    assert inbox.accept(3, 6) and not inbox.accept(0, 4), "an older one says nothing new"
 
 
 class DelayedStore:
