--- a/src/ramptide/cluster/machine_status.py
+++ b/src/ramptide/cluster/machine_status.py
@@ -1,4 +1,4 @@
-"""The status of a machine as its owner tells the other controllers."""
+"""The status of a machine as its owner reports it to the other controllers."""
 
 from typing import Annotated
 
--- /dev/null
+++ b/src/ramptide/cluster/task_index.py
@@ -0,0 +1,85 @@
+"""Which machines show tasks of a job, and how many of them run."""
+
+from collections import Counter
+from collections.abc import Iterator, Mapping
+
+from ramptide.cluster.observed_machine import ObservedMachine
+from ramptide.protocol.jobs import JobSpec
+from ramptide.state.jobs import Job
+from ramptide.state.task_state import RUNNING_PHASE_NAME, TaskRow
+
+__all__ = ["TaskIndex"]
+
+
+class TaskIndex:
+    """The tasks that machines' owners show, by job.
+
+    Parameters
+    ----------
+    machines
+        The observed machines by name, which their index keeps up to date.
+    jobs
+        The jobs that are not over.
+    """
+
+    def __init__(self, machines: Mapping[str, ObservedMachine], jobs: Mapping[str, Job]) -> None:
+        self._machines = machines
+        self._jobs = jobs
+        #: How many tasks of a job run.
+        self.running_tasks: Counter[str] = Counter()
+        self._hosts_by_job: dict[str, set[str]] = {}
+        #: Jobs that are over and whose tasks are still shown: what these take is known.
+        self._finished_specs: dict[str, JobSpec] = {}
+
+    def clear(self) -> None:
+        """Forget all, as a new view begins."""
+        self.running_tasks.clear()
+        self._hosts_by_job.clear()
+        self._finished_specs.clear()
+
+    def replace(self, host: str, before: list[TaskRow], after: list[TaskRow]) -> set[str]:
+        """Replace the tasks of a machine; return the jobs of both lists."""
+        jobs_before = {job_id for job_id, _, _, _, _ in before}
+        jobs_after = {job_id for job_id, _, _, _, _ in after}
+        self._count_running(before, after)
+        for job_id in jobs_before - jobs_after:
+            self._remove_host(job_id, host)
+        for job_id in jobs_after - jobs_before:
+            self._hosts_by_job.setdefault(job_id, set()).add(host)
+        return jobs_before | jobs_after
+
+    def _count_running(self, before: list[TaskRow], after: list[TaskRow]) -> None:
+        for job_id, _, _, phase, _ in before:
+            if phase == RUNNING_PHASE_NAME:
+                self.running_tasks[job_id] -= 1
+        for job_id, _, _, phase, _ in after:
+            if phase == RUNNING_PHASE_NAME:
+                self.running_tasks[job_id] += 1
+
+    def _remove_host(self, job_id: str, host: str) -> None:
+        """Note that the machine shows no task of the job any more."""
+        hosts = self._hosts_by_job.get(job_id, set())
+        hosts.discard(host)
+        if not hosts:
+            self._hosts_by_job.pop(job_id, None)
+            self._finished_specs.pop(job_id, None)
+        if not self.running_tasks[job_id]:
+            del self.running_tasks[job_id]
+
+    def job_finished(self, job_id: str, spec: JobSpec) -> None:
+        """Keep what tasks of a job take that is over, while any is shown."""
+        if job_id in self._hosts_by_job:
+            self._finished_specs[job_id] = spec
+
+    def spec_of(self, job_id: str) -> JobSpec | None:
+        """Return what is known of a job; None for one that was over before, or that we have yet to hear of."""
+        job = self._jobs.get(job_id)
+        return job.spec if job is not None else self._finished_specs.get(job_id)
+
+    def hosts_of(self, job_id: str) -> set[str]:
+        """Return the machines whose owners show a task of the job."""
+        return self._hosts_by_job.get(job_id, set())
+
+    def tasks_of(self, job_id: str) -> Iterator[tuple[str, TaskRow]]:
+        """Return the tasks of the job that machines' owners show, each with its machine."""
+        return ((host, row) for host in self.hosts_of(job_id) for row in self._machines[host].tasks if row[0] == job_id)
--- a/src/ramptide/scheduling/job_state.py
+++ b/src/ramptide/scheduling/job_state.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
+from ramptide.cluster.failure_attribution import MAX_FAULTY_MACHINES
 from ramptide.protocol.jobs import BATCH, SERVICE
 from ramptide.scheduling.attempts import Attempt
 from ramptide.state.jobs import Job
@@ -17,8 +18,6 @@
 RECOVERED_AFTER = timedelta(seconds=5)
 #: Running so long is enough for a service, which never shows success otherwise.
 SERVICE_RECOVERED_AFTER = timedelta(seconds=60)
-#: A job that failed on more machines than this was most likely at fault itself, even if it runs later.
-MAX_FAULTY_MACHINES = 3
 
 
 @dataclass(slots=True)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -9,7 +9,7 @@
 import pytest
 from virtual import Entry, S, Task, Worker, World, leader_of, submit_job
 
-from ramptide.cluster.machine_index import MachineIndex
+from ramptide.cluster.free_rooms import FreeRooms
 from ramptide.config.features import Features, QuotaFeature
 from ramptide.controller.controller import Controller
 from ramptide.protocol.jobs import decode_job_spec
@@ -195,7 +195,7 @@
     assert c.state.shard is not None
     c.machine_index.refresh()
     before = dict(c.machine_index.rooms)
-    worked_out = counted(monkeypatch, MachineIndex, "_room")
+    worked_out = counted(monkeypatch, FreeRooms, "_room")
     c.machine_index.invalidate_all()
     c.machine_index.refresh(c.state.shard.machines)
     assert len(worked_out) == len(c.state.shard.machines) < SMALL / 2
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -28,8 +28,9 @@
 )
 
 from ramptide.agents.shard import Shard
-from ramptide.cluster.machine_index import MachineIndex, ObservedMachine
+from ramptide.cluster.machine_index import MachineIndex
 from ramptide.cluster.messages import PeerMessage
+from ramptide.cluster.observed_machine import ObservedMachine
 from ramptide.cluster.peers import Peer, Peers
 from ramptide.cluster.view import View
 from ramptide.config.settings import Tuning
@@ -233,12 +234,9 @@
     """The owner's list of the present view is empty: nothing was heard from the machine in it."""
 
     def forgetful(floor: MachineIndex) -> None:
-        floor.machines = {name: ObservedMachine(images=host.images) for name, host in floor.machines.items()}
-        floor.running_tasks.clear()
-        floor._hosts_by_job.clear()
-        floor._finished_specs.clear()
-        floor._unknown_usage.clear()
-        floor.invalidate_all()
+        floor.machines.update({name: ObservedMachine(images=host.images) for name, host in floor.machines.items()})
+        floor._tasks.clear()
+        floor._free_rooms.new_view()
 
     monkeypatch.setattr(MachineIndex, "new_view", forgetful)
     world = full_world()
