--- a/src/ramptide/transport/event_loop.py
+++ b/src/ramptide/transport/event_loop.py
@@ -14,6 +14,8 @@
 
 from ramptide.transport.process_statistics import ProcessStatistics, WorkKind
 
+__all__ = ["EventLoop", "Timer"]
+
 log = logging.getLogger(__name__)
 
 NO_DELAY = timedelta(0)
@@ -35,12 +37,20 @@
 
 
 class _Watch(NamedTuple):
-    """What to call for a socket, and whether that may wait for all else."""
+    """What to call with the event mask of a socket, and whether that may wait for all else."""
 
-    ready: Callable[[int], None]
+    on_ready: Callable[[int], None]
     deferrable: bool
 
 
+class _ScheduledTimer(NamedTuple):
+    """A timer in the heap; `order` keeps timers of equal times in the order in which they were scheduled."""
+
+    due_at: timedelta
+    order: int
+    timer: Timer
+
+
 class EventLoop:
     """Calls back when a socket is ready or a timer is due, on one thread.
 
@@ -57,29 +67,31 @@
     def __init__(self) -> None:
         self.statistics = ProcessStatistics()
         self._selector = selectors.DefaultSelector()
-        self._timers: list[tuple[timedelta, int, Timer]] = []
-        self._order = itertools.count()
+        self._timers: list[_ScheduledTimer] = []
+        self._timer_order = itertools.count()
         self._running = False
         #: File descriptors that were ready and not handled, those that have waited longest first.
-        self._put_off: dict[int, None] = {}
+        self._deferred: dict[int, None] = {}
         self._read_clock()
 
     def _read_clock(self) -> None:
         self.now = timedelta(seconds=time.monotonic())
 
     def wall(self) -> datetime:
-        """Return the wall-clock time."""
+        """Return the wall-clock time, in UTC."""
         return datetime.now(UTC)
 
     def after(self, delay: timedelta, action: Callable[[], None]) -> Timer:
         """Schedule a call; equal times keep the order in which they were scheduled."""
         timer = Timer(action)
-        heapq.heappush(self._timers, (self.now + max(delay, NO_DELAY), next(self._order), timer))
+        heapq.heappush(self._timers, _ScheduledTimer(self.now + max(delay, NO_DELAY), next(self._timer_order), timer))
         return timer
 
-    def watch(self, sock: socket.socket, events: int, ready: Callable[[int], None], deferrable: bool = False) -> None:
-        """Call `ready` with the event mask; a second call for the same socket replaces the first."""
-        watched = _Watch(ready, deferrable)
+    def watch(
+        self, sock: socket.socket, events: int, on_ready: Callable[[int], None], deferrable: bool = False
+    ) -> None:
+        """Call `on_ready` with the event mask; a second call for the same socket replaces the first."""
+        watched = _Watch(on_ready, deferrable)
         try:
             self._selector.modify(sock, events, watched)
         except KeyError:
@@ -102,16 +114,11 @@
 
     def turn(self) -> None:
         """Wait for sockets or the next timer, then process everything that is due."""
-        while self._timers and self._timers[0][2].action is None:
-            heapq.heappop(self._timers)
-        wait_s: float | None = None
-        if self._timers:
-            wait_s = max(0.0, (self._timers[0][0] - timedelta(seconds=time.monotonic())).total_seconds())
-        ready = self._selector.select(wait_s)
+        ready = self._selector.select(self._seconds_to_next_timer())
         self._read_clock()
         deferred: dict[int, Callable[[], None]] = {}
         for key, mask in ready:
-            call = functools.partial(key.data.ready, mask)
+            call = functools.partial(key.data.on_ready, mask)
             if key.data.deferrable:
                 deferred[key.fd] = call
             else:
@@ -119,11 +126,19 @@
         self._run_due_timers()
         self._run_deferred(deferred)
 
+    def _seconds_to_next_timer(self) -> float | None:
+        """Drop cancelled timers from the top of the heap; return how long to wait, or None without a timer."""
+        while self._timers and self._timers[0].timer.action is None:
+            heapq.heappop(self._timers)
+        if not self._timers:
+            return None
+        return max(0.0, (self._timers[0].due_at - timedelta(seconds=time.monotonic())).total_seconds())
+
     def _run_deferred(self, ready: dict[int, Callable[[], None]]) -> None:
         """Run some of the calls, by file descriptor: first those that have waited since earlier turns."""
-        waiting = [fd for fd in self._put_off if fd in ready]
-        waiting += [fd for fd in ready if fd not in self._put_off]
-        self._put_off = dict.fromkeys(waiting[DEFERRABLE_PER_TURN:])
+        waiting = [fd for fd in self._deferred if fd in ready]
+        waiting += [fd for fd in ready if fd not in self._deferred]
+        self._deferred = dict.fromkeys(waiting[DEFERRABLE_PER_TURN:])
         for fd in waiting[:DEFERRABLE_PER_TURN]:
             self._run_guarded(WorkKind.SOCKETS, ready[fd])
 
@@ -131,12 +146,12 @@
         # What becomes due meanwhile waits for the next turn: rounds that take longer than their pause must not keep the
         # sockets waiting.
         due_by = self.now
-        while self._timers and self._timers[0][0] <= due_by:
-            due, _, timer = heapq.heappop(self._timers)
+        while self._timers and self._timers[0].due_at <= due_by:
+            due_at, _, timer = heapq.heappop(self._timers)
             action, timer.action = timer.action, None
             if action is not None:
                 self._read_clock()
-                self.statistics.timer_ran(self.now, self.now - due)
+                self.statistics.timer_ran(self.now, self.now - due_at)
                 self._run_guarded(WorkKind.TIMERS, action)
 
     def _run_guarded(self, work: WorkKind, action: Callable[[], None]) -> None:
--- a/src/ramptide/transport/http/address.py
+++ b/src/ramptide/transport/http/address.py
@@ -1,9 +1,22 @@
 """Network addresses in the form `host:port`."""
 
+from typing import NamedTuple
+
 from ramptide.transport.http.messages import is_ascii_digits
 
+__all__ = ["HostAndPort", "parse_address"]
+
+MAX_PORT = 65535
+
+
+class HostAndPort(NamedTuple):
+    """Where to connect or listen, in the form that sockets take."""
+
+    host: str
+    port: int
+
 
-def parse_address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> HostAndPort:
     """Split an address such as '10.0.0.1:8080' into host and port.
 
     Raises
@@ -12,6 +25,6 @@
         If the text is not an address.
     """
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not is_ascii_digits(port) or not 0 <= int(port) < 65536:
+    if not colon or not host or not is_ascii_digits(port) or not 0 <= int(port) <= MAX_PORT:
         raise ValueError(f"not an address: {text!r}")
-    return host, int(port)
+    return HostAndPort(host, int(port))
--- a/src/ramptide/transport/http/client.py
+++ b/src/ramptide/transport/http/client.py
@@ -5,7 +5,6 @@
 import selectors
 import socket
 from collections import deque
-from collections.abc import Callable
 from datetime import timedelta
 
 from ramptide.transport.event_loop import EventLoop, Timer
@@ -13,6 +12,9 @@
 from ramptide.transport.http.connection import Connection, disable_nagle
 from ramptide.transport.http.messages import HttpError, Message, encode_request
 from ramptide.transport.http.parser import Parser
+from ramptide.transport.runtime import ResponseCallback
+
+__all__ = ["Client"]
 
 log = logging.getLogger(__name__)
 
@@ -20,8 +22,6 @@
 #: Delay until a call that could not be started is reported as failed, so that callers do not spin.
 FAILED_CALL_DELAY = timedelta(milliseconds=50)
 
-ResponseCallback = Callable[[Message | None], None]
-
 
 class _ClientConnection(Connection):
     """Carries one request at a time to one address; idle connections wait in the client's pool."""
@@ -35,33 +35,33 @@
         self.client = client
         self.address = address
         self.parser = Parser(response=True, max_body=MAX_RESPONSE_BODY_BYTES)
-        self.done: ResponseCallback | None = None
-        self.timer: Timer | None = None
-        self.connected = False
+        self.on_response: ResponseCallback | None = None
+        self.timeout_timer: Timer | None = None
+        self.is_connected = False
         code = sock.connect_ex(host_and_port)
         if code not in (0, errno.EINPROGRESS, errno.EWOULDBLOCK):
             raise OSError(code, "connect failed")
         self.loop.watch(sock, selectors.EVENT_WRITE, self.on_ready)
 
-    def send(self, data: bytes, timeout: timedelta, done: ResponseCallback) -> None:
+    def send(self, data: bytes, timeout: timedelta, on_response: ResponseCallback) -> None:
         """Send an encoded request, as soon as the connection is established."""
-        self.done = done
+        self.on_response = on_response
         self.output += data
-        self.timer = self.loop.after(timeout, self.close)
-        if self.connected:
+        self.timeout_timer = self.loop.after(timeout, self.close)
+        if self.is_connected:
             self.flush()
 
     def on_ready(self, mask: int) -> None:
         """Complete the connect, send buffered output and process received bytes."""
-        if not self.connected:
+        if not self.is_connected:
             if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 self.close()
                 return
-            self.connected = True
+            self.is_connected = True
             self._watch()
         if mask & selectors.EVENT_WRITE:
             self.flush()
-        if mask & selectors.EVENT_READ and self.open:
+        if mask & selectors.EVENT_READ and self.is_open:
             self._receive()
 
     def _receive(self) -> None:
@@ -75,38 +75,38 @@
             else:
                 message = self.parser.closed()
         except HttpError as error:
-            log.error("broken response: address=%s error=%r", self.address, str(error))
+            log.error("broken answer from %s: %s", self.address, error)
             self.close()
             return
-        if message is not None and self.done is not None:
-            self._complete(message, reuse=message.keep_alive and data != b"" and self.parser.idle)
-        elif data == b"" or not self.parser.idle and self.done is None:
+        if message is not None and self.on_response is not None:
+            self._complete(message, reuse=message.keep_alive and data != b"" and self.parser.is_idle)
+        elif data == b"" or not self.parser.is_idle and self.on_response is None:
             self.close()
 
     def _complete(self, message: Message, reuse: bool) -> None:
         """Report the response after the connection went back to the pool or was closed."""
-        done, self.done = self.done, None
-        if self.timer is not None:
-            self.timer.cancel()
+        on_response, self.on_response = self.on_response, None
+        if self.timeout_timer is not None:
+            self.timeout_timer.cancel()
         if reuse:
             self.client.release(self)
         else:
             super().close()
             self.client.discard(self)
-        if done is not None:
-            done(message)
+        if on_response is not None:
+            on_response(message)
 
     def close(self) -> None:
         """Close the connection; a request that is under way fails."""
-        if not self.open:
+        if not self.is_open:
             return
         super().close()
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.timeout_timer is not None:
+            self.timeout_timer.cancel()
         self.client.discard(self)
-        done, self.done = self.done, None
-        if done is not None:
-            done(None)
+        on_response, self.on_response = self.on_response, None
+        if on_response is not None:
+            on_response(None)
 
 
 class Client:
@@ -134,9 +134,9 @@
         body: bytes,
         content_type: str,
         timeout: timedelta,
-        done: ResponseCallback,
+        on_response: ResponseCallback,
     ) -> None:
-        """Send a request; `done` gets the response, or None when none came in time."""
+        """Send a request; `on_response` gets the response, or None when none came in time."""
         idle = self._idle.get(address)
         try:
             if idle:
@@ -147,11 +147,11 @@
                 connection = _ClientConnection(self, address)
                 self.open_connections += 1
         except (OSError, ValueError) as error:
-            # A worker may have told an address that is none.
-            log.debug("call failed: address=%s error=%r", address, str(error))
-            self.loop.after(FAILED_CALL_DELAY, lambda: done(None))
+            # An agent may have told an address that is none.
+            log.debug("call to %s: %s", address, error)
+            self.loop.after(FAILED_CALL_DELAY, lambda: on_response(None))
             return
-        connection.send(encode_request(method, target, address, body, content_type), timeout, done)
+        connection.send(encode_request(method, target, address, body, content_type), timeout, on_response)
 
     def _close_idle(self) -> bool:
         """Close the connection that was released first of those that are idle; False when none is."""
--- a/src/ramptide/transport/http/connection.py
+++ b/src/ramptide/transport/http/connection.py
@@ -6,6 +6,8 @@
 
 from ramptide.transport.event_loop import EventLoop
 
+__all__ = ["Connection", "disable_nagle"]
+
 READ_SIZE_BYTES = 256 * 1024
 
 
@@ -16,7 +18,7 @@
         self.loop = loop
         self.sock = sock
         self.output = bytearray()
-        self.open = True
+        self.is_open = True
         #: Whether its input may wait for that of other connections.
         self.deferrable = False
 
@@ -32,7 +34,7 @@
 
     def flush(self) -> None:
         """Send buffered output as far as the socket takes it."""
-        if not self.open:
+        if not self.is_open:
             return
         had_output = bool(self.output)
         try:
@@ -61,8 +63,8 @@
 
     def close(self) -> None:
         """Close the socket; a second call does nothing."""
-        if self.open:
-            self.open = False
+        if self.is_open:
+            self.is_open = False
             self.loop.unwatch(self.sock)
             self.sock.close()
 
--- a/src/ramptide/transport/http/messages.py
+++ b/src/ramptide/transport/http/messages.py
@@ -2,6 +2,8 @@
 
 from http import HTTPStatus
 
+__all__ = ["HttpError", "Message", "encode_request", "encode_response", "is_ascii_digits"]
+
 
 class HttpError(Exception):
     """The peer sent bytes that are not acceptable HTTP.
@@ -67,7 +69,7 @@
 
 
 def encode_request(method: str, target: str, host: str, body: bytes, content_type: str) -> bytes:
-    """Return the bytes of a request."""
+    """Return the bytes of a request; one without a body has no headers for it if its method is GET."""
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n"
     if body or method != "GET":
         head += f"Content-Type: {content_type}\r\nContent-Length: {len(body)}\r\n"
--- a/src/ramptide/transport/http/parser.py
+++ b/src/ramptide/transport/http/parser.py
@@ -6,6 +6,8 @@
 
 from ramptide.transport.http.messages import HttpError, Message, is_ascii_digits
 
+__all__ = ["MAX_REQUEST_BODY_BYTES", "Parser"]
+
 MAX_HEAD_BYTES = 16 * 1024
 MAX_REQUEST_BODY_BYTES = 64 * 1024
 MAX_CHUNK_SIZE_LINE_BYTES = 1024
@@ -41,6 +43,20 @@
 
 
 class _State(Enum):
+    """What the parser reads next. The transitions, with the condition for each:
+
+    | from | to |
+    | --- | --- |
+    | HEAD | BODY (content length), CHUNK_SIZE (chunked), UNTIL_CLOSE (a response with neither), HEAD (no body) |
+    | BODY | HEAD (all bytes have arrived) |
+    | CHUNK_SIZE | CHUNK, TRAILER (the last chunk, of size 0) |
+    | CHUNK | CHUNK_SIZE |
+    | TRAILER | HEAD (an empty line) |
+    | UNTIL_CLOSE | HEAD (the end of the stream) |
+
+    Each return to HEAD with a message completes it.
+    """
+
     HEAD = auto()
     BODY = auto()
     CHUNK_SIZE = auto()
@@ -49,6 +65,16 @@
     UNTIL_CLOSE = auto()
 
 
+class _Progress(Enum):
+    """How a step went that completed no message."""
+
+    ADVANCED = auto()
+    NEEDS_DATA = auto()
+
+
+_StepResult = Message | _Progress
+
+
 class Parser:
     """Turns a stream of bytes into whole messages, however the bytes were split.
 
@@ -70,8 +96,7 @@
         self._body = bytearray()
         #: Whether the client waits for an interim response before it sends the body.
         self.expects_continue = False
-        # Each step returns a whole message, True when it made progress, or False when it needs more bytes.
-        self._steps: dict[_State, Callable[[], Message | bool]] = {
+        self._steps: dict[_State, Callable[[], _StepResult]] = {
             _State.HEAD: self._read_head,
             _State.BODY: self._read_body,
             _State.CHUNK_SIZE: self._read_chunk_size,
@@ -81,7 +106,7 @@
         }
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no part of the next message has arrived."""
         return self._state is _State.HEAD and not self._buffer
 
@@ -98,10 +123,10 @@
             If the bytes are not acceptable HTTP.
         """
         while True:
-            step = self._steps[self._state]()
-            if isinstance(step, Message):
-                return step
-            if not step:
+            result = self._steps[self._state]()
+            if isinstance(result, Message):
+                return result
+            if result is _Progress.NEEDS_DATA:
                 return None
 
     def closed(self) -> Message | None:
@@ -122,14 +147,14 @@
         del self._buffer[: end + 1]
         return line.rstrip(b"\r").decode("latin-1")
 
-    def _read_head(self) -> Message | bool:
+    def _read_head(self) -> _StepResult:
         while self._buffer.startswith(b"\r\n"):
             del self._buffer[:2]
         end = self._buffer.find(b"\r\n\r\n")
         if (end if end >= 0 else len(self._buffer)) > MAX_HEAD_BYTES:
             raise HttpError(431, "headers too long")
         if end < 0:
-            return False
+            return _Progress.NEEDS_DATA
         raw = bytes(self._buffer[:end])
         del self._buffer[: end + 4]
         parse = _parse_head_cached if len(raw) <= MAX_CACHED_HEAD_BYTES else _parse_head
@@ -137,11 +162,11 @@
         self._body.clear()
         if self._response and (message.status < 200 or message.status in (204, 304)):
             # Interim responses are skipped; the others have no body.
-            return message if message.status >= 200 else True
+            return message if message.status >= 200 else _Progress.ADVANCED
         self._message = message
         return self._select_framing(message)
 
-    def _select_framing(self, message: Message) -> Message | bool:
+    def _select_framing(self, message: Message) -> _StepResult:
         """Decide from the headers how the end of the body is found."""
         headers = message.headers
         length, coding = headers.get("content-length"), headers.get("transfer-encoding")
@@ -160,7 +185,7 @@
         else:
             return self._finish()
         self.expects_continue = headers.get("expect", "").lower() == "100-continue"
-        return True
+        return _Progress.ADVANCED
 
     def _check_body_size(self, size: int) -> None:
         if size > self._max_body:
@@ -174,45 +199,46 @@
         self._missing -= take
         return self._missing == 0
 
-    def _read_body(self) -> Message | bool:
-        return self._finish() if self._take_missing() else False
+    def _read_body(self) -> _StepResult:
+        return self._finish() if self._take_missing() else _Progress.NEEDS_DATA
 
-    def _read_chunk_size(self) -> bool:
+    def _read_chunk_size(self) -> _StepResult:
         line = self._read_line(MAX_CHUNK_SIZE_LINE_BYTES)
         if line is None:
-            return False
+            return _Progress.NEEDS_DATA
         size = line.partition(";")[0].strip()
         if not size or len(size) > MAX_CHUNK_SIZE_DIGITS or any(digit not in HEX_DIGITS for digit in size):
             raise HttpError(400, "bad chunk size")
         self._missing = int(size, 16)
         self._check_body_size(len(self._body) + self._missing)
         self._state = _State.CHUNK if self._missing else _State.TRAILER
-        return True
+        return _Progress.ADVANCED
 
-    def _read_chunk(self) -> bool:
+    def _read_chunk(self) -> _StepResult:
         if not self._take_missing() or len(self._buffer) < 2:
-            return False
+            return _Progress.NEEDS_DATA
         if self._buffer[:2] != b"\r\n":
             raise HttpError(400, "bad chunk end")
         del self._buffer[:2]
         self._state = _State.CHUNK_SIZE
-        return True
+        return _Progress.ADVANCED
 
-    def _read_trailer(self) -> Message | bool:
+    def _read_trailer(self) -> _StepResult:
         line = self._read_line(MAX_HEAD_BYTES)
         if line is None:
-            return False
-        return self._finish() if line == "" else True
+            return _Progress.NEEDS_DATA
+        return self._finish() if line == "" else _Progress.ADVANCED
 
-    def _read_until_close(self) -> bool:
+    def _read_until_close(self) -> _StepResult:
         self._body += self._buffer
         self._buffer.clear()
         self._check_body_size(len(self._body))
-        return False
+        return _Progress.NEEDS_DATA
 
     def _finish(self) -> Message:
         message = self._message
-        assert message is not None
+        if message is None:
+            raise RuntimeError("a body was completed for which no head was read")
         message.body = bytes(self._body)
         self._body.clear()
         self._message = None
--- a/src/ramptide/transport/http/server.py
+++ b/src/ramptide/transport/http/server.py
@@ -14,6 +14,9 @@
 from ramptide.transport.http.connection import Connection, disable_nagle
 from ramptide.transport.http.messages import HttpError, Message, encode_response
 from ramptide.transport.http.parser import MAX_REQUEST_BODY_BYTES, Parser
+from ramptide.transport.runtime import JSON
+
+__all__ = ["Exchange", "Server"]
 
 log = logging.getLogger(__name__)
 
@@ -22,16 +25,17 @@
 MAX_ACCEPTS_PER_EVENT = 64
 #: Idle connections are looked for this many times per idle timeout; half a request may take one such period.
 SWEEPS_PER_IDLE_TIMEOUT = 6
-#: While more than this part of the connections is in use, each is closed after its answer: more clients than
+#: While more than this share of the connections is in use, each is closed after its answer: more clients than
 #: connections take turns then, and what is left free is there for those that come.
-CROWDED_PART = 0.75
+CROWDED_SHARE = 0.75
 
 
 class Exchange:
     """One request and the means to answer it, once, now or later."""
 
     def __init__(self, connection: "_ServerConnection", request: Message) -> None:
-        self._connection = connection
+        #: None once the request has been answered.
+        self._connection: _ServerConnection | None = connection
         self.request = request
 
     def prefer(self) -> None:
@@ -40,12 +44,12 @@
             self._connection.deferrable = False
 
     def respond(
-        self, status: int, body: bytes, content_type: str = "application/json", headers: dict[str, str] | None = None
+        self, status: int, body: bytes, content_type: str = JSON, headers: dict[str, str] | None = None
     ) -> None:
         """Send the response; any call after the first does nothing."""
-        connection, self._connection = self._connection, None  # type: ignore[assignment]
+        connection, self._connection = self._connection, None
         if connection is not None:
-            connection.answer(self.request, status, body, content_type, headers or {})
+            connection.reply(self.request, status, body, content_type, headers or {})
 
 
 class _ServerConnection(Connection):
@@ -57,9 +61,9 @@
         self.deferrable = server.deferrable
         self.parser = Parser(max_body=server.max_body)
         #: Whether a request has been handed to the handler and is not answered yet.
-        self.busy = False
+        self.is_answering = False
         #: Whether the last response is written or being written.
-        self.closing = False
+        self.is_closing = False
         self.last_used = self.loop.now
         self._watch()
 
@@ -68,12 +72,12 @@
         if mask & selectors.EVENT_WRITE:
             self.flush()
             self._shut_down_writing()
-        if mask & selectors.EVENT_READ and self.open:
+        if mask & selectors.EVENT_READ and self.is_open:
             data = self.read()
             if data == b"":
                 self.close()
-            elif data and not self.closing:
-                if self.parser.idle:
+            elif data and not self.is_closing:
+                if self.parser.is_idle:
                     self._mark_used()
                 self.parser.feed(data)
                 self.process_next()
@@ -87,20 +91,20 @@
 
     def process_next(self) -> None:
         """Hand the next request to the handler unless the one before is not answered yet."""
-        if self.busy or not self.open:
+        if self.is_answering or not self.is_open:
             return
         try:
             request = self.parser.next()
         except HttpError as error:
             body = _encode_error(str(error))
-            self._send_last(encode_response(error.status, body, "application/json", {}, keep_alive=False))
+            self._send_last(encode_response(error.status, body, JSON, {}, keep_alive=False))
             return
         if request is None:
             if self.parser.expects_continue:
                 self.parser.expects_continue = False
                 self.write(CONTINUE_RESPONSE)
             return
-        self.busy = True
+        self.is_answering = True
         exchange = Exchange(self, request)
         try:
             self.server.handler(exchange)
@@ -114,25 +118,25 @@
 
         Input is still read, and dropped: closing a socket with unread input would destroy the response.
         """
-        self.closing = True
+        self.is_closing = True
         self.write(data)
         self._shut_down_writing()
 
     def _shut_down_writing(self) -> None:
         """Tell the client that nothing more follows, once the last response has been sent."""
-        if self.closing and self.open and not self.output:
+        if self.is_closing and self.is_open and not self.output:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
 
-    def answer(self, request: Message, status: int, body: bytes, content_type: str, headers: dict[str, str]) -> None:
+    def reply(self, request: Message, status: int, body: bytes, content_type: str, headers: dict[str, str]) -> None:
         """Send the response to `request` and go on with the next one."""
-        if not self.open:
+        if not self.is_open:
             return
-        self.busy = False
+        self.is_answering = False
         self._mark_used()
         if request.method == "HEAD":
             body = b""
-        keep_alive = request.keep_alive and not self.server.crowded
+        keep_alive = request.keep_alive and not self.server.is_crowded
         data = encode_response(status, body, content_type, headers, keep_alive)
         if not keep_alive:
             self._send_last(data)
@@ -158,7 +162,7 @@
     handler
         Called with an `Exchange` for each request.
     max_connections
-        Above this number the connection that has been quiet longest is closed.
+        Above this number the connection that has been unused longest is closed.
     idle_timeout
         How long a connection may stay open without a request.
     max_body
@@ -190,15 +194,15 @@
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
         self.sock.bind(parse_address(address))
-        # When a controller fails, all its workers may connect here at once.
+        # When a controller fails, all its agents may connect here at once.
         self.sock.listen(max_connections)
         loop.watch(self.sock, selectors.EVENT_READ, self._accept)
         self._close_idle()
 
     @property
-    def crowded(self) -> bool:
+    def is_crowded(self) -> bool:
         """Whether so many connections are open that none is kept for later requests."""
-        return len(self.connections) > self.max_connections * CROWDED_PART
+        return len(self.connections) > self.max_connections * CROWDED_SHARE
 
     def _accept(self, mask: int) -> None:
         for _ in range(MAX_ACCEPTS_PER_EVENT):
@@ -217,23 +221,23 @@
             self.connections[_ServerConnection(self, sock)] = None
 
     def _make_room(self) -> None:
-        """Close the connection that has been quiet longest, so that slow clients cannot hold all."""
+        """Close the connection that has been unused longest, so that slow clients cannot hold all."""
         if self._full_logged_at is None or self.loop.now - self._full_logged_at > FULL_LOG_INTERVAL:
             self._full_logged_at = self.loop.now
             log.error(
                 "connections exhausted: max_connections=%d hint=%r", self.max_connections, "fd_limit is too small"
             )
-        quiet = next((connection for connection in self.connections if not connection.busy), None)
-        if quiet is not None:
-            quiet.close()
+        longest_unused = next((connection for connection in self.connections if not connection.is_answering), None)
+        if longest_unused is not None:
+            longest_unused.close()
 
     def _close_idle(self) -> None:
         """Close the connections that are over their time limit; repeats itself."""
         sweep_interval = self.idle_timeout / SWEEPS_PER_IDLE_TIMEOUT
         for connection in list(self.connections):
-            between_requests = connection.parser.idle and not connection.closing
+            between_requests = connection.parser.is_idle and not connection.is_closing
             limit = self.idle_timeout if between_requests else sweep_interval
-            if not connection.busy and self.loop.now - connection.last_used > limit:
+            if not connection.is_answering and self.loop.now - connection.last_used > limit:
                 connection.close()
         self.loop.after(sweep_interval, self._close_idle)
 
--- a/src/ramptide/transport/runtime.py
+++ b/src/ramptide/transport/runtime.py
@@ -4,6 +4,8 @@
 from datetime import datetime, timedelta
 from typing import Protocol
 
+__all__ = ["CBOR", "JSON", "Response", "ResponseCallback", "Runtime", "TimerHandle"]
+
 JSON = "application/json"
 CBOR = "application/cbor"
 
@@ -34,10 +36,10 @@
         """The monotonic time; it does not advance during an event."""
 
     def wall(self) -> datetime:
-        """Return the wall-clock time."""
+        """Return the wall-clock time, in UTC."""
 
     def after(self, delay: timedelta, action: Callable[[], None]) -> TimerHandle:
-        """Schedule a call."""
+        """Schedule a call; equal times keep the order in which they were scheduled."""
 
     def call(
         self,
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -163,7 +163,7 @@
 
 
 def test_when_all_are_kept_clients_beyond_the_limit_are_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ramptide.transport.http.server.CROWDED_PART", 10.0)
+    monkeypatch.setattr("ramptide.transport.http.server.CROWDED_SHARE", 10.0)
     assert answers_to(clients=40, connections=16, rounds=3)[1] > 0
 
 
@@ -188,8 +188,8 @@
     clients[0].sendall(b"GET / HTTP/1.1\r\n\r\n")
     until(lambda: list(server.connections) == [second, third, first])
     clients.append(socket.create_connection(address, 5))
-    until(lambda: not second.open)
-    assert first.open and third.open and len(server.connections) == 3
+    until(lambda: not second.is_open)
+    assert first.is_open and third.is_open and len(server.connections) == 3
     for client in clients:
         client.close()
     server.sock.close()
