--- a/src/ramptide/autoscaling/fleet_observation.py
+++ b/src/ramptide/autoscaling/fleet_observation.py
@@ -6,7 +6,8 @@
 
 from ramptide.agents.shard import Shard
 from ramptide.autoscaling.autoscaler import FleetMachine
-from ramptide.cluster.machine_index import MISSED_HEARTBEATS, TOKEN_NOT_SEEN, MachineIndex, ObservedMachine
+from ramptide.cluster.machine_index import MISSED_HEARTBEATS, TOKEN_NOT_SEEN, MachineIndex
+from ramptide.cluster.observed_machine import ObservedMachine
 from ramptide.cluster.peers import Peers
 from ramptide.placement.bin_packing import Room
 from ramptide.protocol.cloud import MachineType
--- a/src/ramptide/controller/peer_messages.py
+++ b/src/ramptide/controller/peer_messages.py
@@ -151,7 +151,7 @@
             view=number,
             store_unavailable=self._watch_cache.is_unavailable,
             newest_view=max(number, self._peers.newest_view),
-            received=peer.inbox.seq,
+            received=peer.inbox.sequence_number,
             finished_jobs=self._finished_since(message.revision) if message.store_unavailable else None,
         )
         return encode_reply(reply)
--- a/src/ramptide/scheduling/draining.py
+++ b/src/ramptide/scheduling/draining.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from datetime import timedelta
 
-from ramptide.cluster.machine_index import ObservedMachine
+from ramptide.cluster.observed_machine import ObservedMachine
 from ramptide.protocol.jobs import SERVICE
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.state.records import MachineRecord
--- a/src/ramptide/transport/http/client.py
+++ b/src/ramptide/transport/http/client.py
@@ -75,7 +75,7 @@
             else:
                 message = self.parser.closed()
         except HttpError as error:
-            log.error("broken answer from %s: %s", self.address, error)
+            log.error("broken response: address=%s error=%r", self.address, str(error))
             self.close()
             return
         if message is not None and self.on_response is not None:
@@ -148,7 +148,7 @@
                 self.open_connections += 1
         except (OSError, ValueError) as error:
             # An agent may have told an address that is none.
-            log.debug("call to %s: %s", address, error)
+            log.debug("call failed: address=%s error=%r", address, str(error))
             self.loop.after(FAILED_CALL_DELAY, lambda: on_response(None))
             return
         connection.send(encode_request(method, target, address, body, content_type), timeout, on_response)
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -15,6 +15,7 @@
 from ramptide.autoscaling import autoscaler as fleet
 from ramptide.autoscaling.autoscaler import QUARANTINED
 from ramptide.autoscaling.fleet_observation import FleetObservation
+from ramptide.cluster.failure_attribution import FailureAttribution
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.controller.controller import Controller
 from ramptide.scheduling.job_scheduler import JobScheduler
@@ -131,14 +132,14 @@
 
 
 def test_without_the_index_of_failures_they_do(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(MachineIndex, "_accuses", lambda self, ref, name: True)
+    monkeypatch.setattr(FailureAttribution, "_accuses", lambda self, ref, name: True)
     assert blamed()
 
 
 def test_when_jobs_that_are_over_count_they_do(monkeypatch: pytest.MonkeyPatch) -> None:
-    accuses = MachineIndex._accuses
+    accuses = FailureAttribution._accuses
     monkeypatch.setattr(
-        MachineIndex, "_accuses", lambda self, ref, name: ref not in self._jobs or accuses(self, ref, name)
+        FailureAttribution, "_accuses", lambda self, ref, name: ref not in self._jobs or accuses(self, ref, name)
     )
     assert blamed(cancel=True, check=lambda world: None)
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -25,8 +25,9 @@
 from ramptide.agents.heartbeat_intake import HeartbeatIntake
 from ramptide.agents.shard import Shard
 from ramptide.agents.token_announcer import TokenAnnouncer
-from ramptide.cluster.machine_index import MachineIndex, ObservedMachine
+from ramptide.cluster.machine_index import MachineIndex
 from ramptide.cluster.member_lease import LEASE_TIMEOUT
+from ramptide.cluster.observed_machine import ObservedMachine
 from ramptide.cluster.peers import Peers
 from ramptide.controller.authority import Authority
 from ramptide.controller.reconciliation import Reconciliation
