--- a/tests/compatibility/http_calls.py
+++ b/tests/compatibility/http_calls.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 import cbor2
-from virtual import job_spec
-from virtual.loopback import ROOT, LoopWorld
 
 from compatibility import codecs
+from virtual import job_spec
+from virtual.loopback import ROOT, LoopWorld
 
 USERS, PEERS = 0, 1
 MISSING = "j-404"
@@ -218,7 +218,9 @@
         "cluster with limits": of_a_cluster(folder, ROOT / "deploy" / "parts.toml"),
         "without the state service": without_state_service(folder),
         "deploy": {
-            "service": sorted(re.findall(r"^[a-z]+(?= =)", (ROOT / "deploy" / "service.toml").read_text(), re.M)),
+            "service": sorted(
+                re.findall(r"^[a-z]+(?= =)", (ROOT / "deploy" / "service.toml").read_text(), re.MULTILINE)
+            ),
             "parts": codecs.load_parts(ROOT / "deploy" / "parts.toml"),
         },
     }
--- a/tests/compatibility/test_operators.py
+++ b/tests/compatibility/test_operators.py
@@ -23,9 +23,7 @@
 
 
 @pytest.mark.parametrize("case", COMMAND_LINES, ids=lambda case: " ".join(case["arguments"]) or "nothing")
-def test_exit_status_output_and_error_line(
-    case: dict[str, Any], tmp_path: Path, capfd: pytest.CaptureFixture[str]
-) -> None:
+def test_exit_status_output_and_error_line(case: dict[str, Any], tmp_path: Path) -> None:
     assert command_lines.result(case["arguments"], tmp_path) == case
 
 
--- a/tests/compatibility/test_records.py
+++ b/tests/compatibility/test_records.py
@@ -4,9 +4,9 @@
 from typing import Any
 
 import pytest
-from virtual import Entry, World
 
 from compatibility import codecs, frozen
+from virtual import Entry, World
 
 CASES = frozen.read_lines("records.jsonl")
 
--- a/tests/compatibility/traffic.py
+++ b/tests/compatibility/traffic.py
@@ -11,9 +11,8 @@
 from typing import Any
 from unittest.mock import patch
 
-from virtual import STORE, VirtualRuntime, Worker, World, leader_of, started_world
-
 from compatibility import codecs
+from virtual import STORE, VirtualRuntime, Worker, World, leader_of, started_world
 
 CBOR = "application/cbor"
 STEP = 0.5
@@ -140,8 +139,8 @@
     world.define_job("j-12", pieces=1, cores=1.0, rank="production", guessS=4.0)
     assert world.submit_until_accepted("j-11", "c1") and world.submit_until_accepted("j-12", "c2")
     world.run(4)
-    world.cloud.listing.pop(sorted(world.cloud.listing)[0], None)
-    world.workers[sorted(world.workers)[0]].hang(6)
+    world.cloud.listing.pop(min(world.cloud.listing), None)
+    world.workers[min(world.workers)].hang(6)
     world.run(4)
     world.nodes[leader_of(world)].kill()
     world.run(10)
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -3,6 +3,8 @@
 from datetime import timedelta
 
 import pytest
+
+from ramptide.config.settings import Tuning
 from virtual import (
     CLOUD,
     SLOW_LINK_FAULTS,
@@ -25,8 +27,6 @@
     submit_job,
 )
 
-from ramptide.config.settings import Tuning
-
 #: A job about which no question is answered for so long is forgotten; "well before" is a third of it.
 FORGOTTEN, WELL_BEFORE = 75 * S, 25 * S
 BESIDE_ROOM = 90 * S
@@ -42,7 +42,7 @@
     asked = [(ref, name) for ref in sorted(world.accepted_jobs) for name in world.controller_names]
 
     def ask(ref: str, name: str) -> None:
-        def told(status: int, body: bytes, headers: object) -> None:
+        def told(status: int, _body: bytes, _headers: object) -> None:
             if status == 200:
                 answered[ref, name] = world.now
             elif status == 404:
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -5,12 +5,12 @@
 from datetime import timedelta
 
 import pytest
-from virtual import Response, S, World, full_world, leader_of, run_with_checks
 
 from ramptide.agents.token_announcer import MAX_IN_FLIGHT, TokenAnnouncer
 from ramptide.controller.controller import Controller
 from ramptide.protocol.agents import COMMANDS_PATH, Heartbeat, decode_heartbeat
 from ramptide.state.task_state import DesiredState, Phase
+from virtual import Response, S, World, full_world, leader_of, run_with_checks
 
 
 def report(host: str, token: int, tenure: int = 1, tally: int = 1) -> bytes:
@@ -34,8 +34,8 @@
         method: str,
         target: str,
         body: bytes,
-        content_type: str,
-        timeout: timedelta,
+        _content_type: str,
+        _timeout: timedelta,
         done: Callable[[Response | None], None],
     ) -> None:
         assert (method, target) == ("POST", COMMANDS_PATH)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -13,6 +13,15 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
+
+from ramptide.agents.shard import Shard
+from ramptide.cluster import peers
+from ramptide.config.settings import SettingsError, Tuning, load
+from ramptide.controller.peer_messages import PeerMessageHandler
+from ramptide.protocol.agents import decode_heartbeat, decode_task_reports
+from ramptide.protocol.key_value_store import KEYS_PATH
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.state.records import Progress
 from virtual import (
     CLOUD,
     SETTINGS_FILE,
@@ -178,7 +187,7 @@
     assert answers(world, "c1", json.dumps(job_spec("j-1") | changes).encode())[0][0] == 201
 
 
-def test_spread_with_a_single_zone_gets_422(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_spread_with_a_single_zone_gets_422() -> None:
     world = started_world(3)
     for node in world.nodes.values():
         assert node.controller is not None
@@ -657,7 +666,7 @@
 
 @pytest.mark.parametrize("value", [True, "1", None, [], {}, float("nan"), float("inf"), -1, 0, 10**400, -(10**400)])
 def test_no_setting_is_changed_to_what_is_out_of_bounds(value: Any) -> None:
-    with pytest.raises(SettingsError, match="^window|^step"):
+    with pytest.raises(SettingsError, match=r"^window|^step"):
         Tuning().changed({"step": value})
     assert Tuning.from_value({"step": value, "window": 3.0}).window == 3 * S
 
@@ -698,10 +707,18 @@
         inner[place[-1]] = value
     path = tmp_path_factory.getbasetemp() / "settings.json"
     path.write_text(json.dumps(whole))
+    refusal = refusal_of(path)
+    if refusal is not None:
+        assert "\n" not in refusal and refusal.startswith(str(path)) and len(refusal) < 400
+
+
+def refusal_of(path: Path) -> str | None:
+    """Return why a settings file is refused; None where it is taken."""
     try:
         load(path)
     except SettingsError as error:
-        assert "\n" not in str(error) and str(error).startswith(str(path)) and len(str(error)) < 400
+        return str(error)
+    return None
 
 
 @pytest.mark.parametrize("body", [b"", b"\xff\xfe", b"[]", b"null", DEEP, b'{"member": "' + b"x" * 10])
--- a/tests/test_behavior_digest.py
+++ b/tests/test_behavior_digest.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 
 import pytest
+
 from virtual import S, World
 
 TOOLS = Path(__file__).resolve().parent.parent / "tools"
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -9,7 +9,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from virtual import Response, S, VirtualRuntime, World, job_spec, leader_of, started_world, submit_job
 
 from ramptide.agents.owned_machine import HeartbeatId
 from ramptide.agents.shard import Shard
@@ -26,6 +25,7 @@
 from ramptide.state.records import MachineRecord
 from ramptide.state.task_state import Phase
 from ramptide.state.watch_cache import WatchCache
+from virtual import Response, S, VirtualRuntime, World, job_spec, leader_of, started_world, submit_job
 
 EVENTS = st.lists(
     st.tuples(st.sampled_from(["set", "drop", "send", "deliver", "late", "answer"]), st.integers(0, 9)), max_size=120
@@ -129,7 +129,7 @@
         self.store = KeyValueStore(self.context, "state", self.limits, 1)
 
     def call(
-        self, address: str, method: str, target: str, body: bytes, content_type: str, timeout: timedelta, done: Any
+        self, _address: str, _method: str, target: str, body: bytes, _content_type: str, _timeout: timedelta, done: Any
     ) -> None:
         self.calls.append((target, body, done))
 
@@ -276,7 +276,7 @@
     assert part.heartbeats.take(beat(5, 100, 5), now + 11 * S)
 
 
-def test_without_the_later_tenure_a_late_report_revives_what_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_the_later_tenure_a_late_report_revives_what_is_gone() -> None:
     part = a_part()
     machine = part.machines["vm-1"]
     assert part.heartbeats.take(beat(1, 1, 5, 1), 0 * S)
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -8,7 +8,6 @@
 
 import msgspec
 import pytest
-from virtual import S, World, check_indexes, end_faults, leader_of, owner_of, play, started_world
 
 from ramptide.agents.failure_history import FAILED_JOBS_KEPT, record_outcome
 from ramptide.agents.owned_machine import OwnedMachine
@@ -21,6 +20,7 @@
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.job_state import JobState
 from ramptide.state.records import MachineRecord
+from virtual import S, World, check_indexes, end_faults, leader_of, owner_of, play, started_world
 
 
 def controllers(world: World) -> list[Controller]:
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -1,7 +1,6 @@
 """The leader keeps the fleet record true to the cloud's list, also across changes of leader."""
 
 import pytest
-from virtual import S, World, busy_world, full_world, leader_of
 
 from ramptide.autoscaling.cloud_list import CloudList
 
--- a/tests/test_hang_restart.py
+++ b/tests/test_hang_restart.py
@@ -1,6 +1,7 @@
 """All controllers start anew while machines hang with tasks of a job that was cancelled just before."""
 
 import pytest
+
 from virtual import (
     Fault,
     FaultContext,
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -4,6 +4,7 @@
 import socket
 from collections.abc import Callable
 from datetime import timedelta
+from itertools import pairwise
 
 import pytest
 from hypothesis import given, settings
@@ -33,7 +34,7 @@
 def parse(parser: Parser, data: bytes, cuts: list[int]) -> list[Message]:
     found = []
     edges = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
-    for start, end in zip(edges, edges[1:], strict=False):
+    for start, end in pairwise(edges):
         parser.feed(data[start:end])
         while (message := parser.next()) is not None:
             found.append(message)
@@ -114,8 +115,10 @@
 
 
 def answers_to(clients: int, connections: int, rounds: int) -> tuple[list[bytes], int]:
-    """So many clients ask again and again, each over its connection as long as that is kept: the answers, and how
-    many connections were closed without one."""
+    """Return the answers to so many clients, and how many connections were closed without one.
+
+    The clients ask again and again, each over its connection as long as that is kept.
+    """
     loop = EventLoop()
     server = Server(loop, "127.0.0.1:0", lambda exchange: exchange.respond(200, b"{}"), connections, timedelta(hours=1))
     address = server.sock.getsockname()
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 import pytest
-from virtual import Entry, S, Task, Worker, World, leader_of, submit_job
 
 from ramptide.cluster.free_rooms import FreeRooms
 from ramptide.config.features import Features, QuotaFeature
@@ -15,6 +14,7 @@
 from ramptide.protocol.jobs import decode_job_spec
 from ramptide.scheduling.urgency_order import UrgencyOrder
 from ramptide.state.records import JobRecord, Progress, to_value
+from virtual import Entry, S, Task, Worker, World, leader_of, submit_job
 
 SMALL, LARGE = 500, 4000
 RENTED_TOGETHER = 50
@@ -76,7 +76,7 @@
     """How many Python functions are called meanwhile."""
     calls = Counter[str]()
 
-    def count(frame: object, event: str, argument: object) -> None:
+    def count(_frame: object, event: str, _argument: object) -> None:
         calls[event] += 1
 
     assert sys.getprofile() is None
--- a/tests/test_loopback_quota.py
+++ b/tests/test_loopback_quota.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 
 import pytest
-from virtual import S
-from virtual.loopback import ROOT, LoopWorld
 
 from ramptide.transport.runtime import JSON
+from virtual import S
+from virtual.loopback import ROOT, LoopWorld
 
 #: One burst takes most of a limit, so that two of them meet at it.
 TEAMS = {"red": 9.0, "green": 8.0, "blue": 8.0, "black": 7.0, "white": 7.0, "brown": 6.0}
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,6 +6,21 @@
 
 import msgspec
 import pytest
+
+from ramptide.agents.shard import Shard
+from ramptide.cluster.machine_index import MachineIndex, ObservedMachine
+from ramptide.cluster.membership import View
+from ramptide.cluster.peers import Peer, PeerMessage, Peers
+from ramptide.config.settings import Tuning
+from ramptide.controller.controller import Controller
+from ramptide.controller.reconciliation import Reconciliation
+from ramptide.controller.replication import Replication
+from ramptide.protocol.key_value_store import TRANSACTION_PATH
+from ramptide.scheduling.job_scheduler import JobScheduler
+from ramptide.state.records import Handover
+from ramptide.state.task_state import DesiredState
+from ramptide.state.watch_cache import WatchCache
+from ramptide.team_limits.share_split import ShareSplit
 from virtual import (
     Respond,
     S,
@@ -61,7 +76,7 @@
 def cancel(world: World, ref: str, teller: str, outage: float, restart: bool) -> None:
     """The outage begins in the moment in which the user is told."""
 
-    def told(status: int, body: bytes, headers: object) -> None:
+    def told(status: int, body: bytes, _headers: object) -> None:
         assert status == 200 and b"withdrawn" in body
         world.cancelled_at[ref] = world.now
         world.store.start_outage(outage)
@@ -332,8 +347,10 @@
 
 
 def handed_over_at_the_limit(world: World) -> None:
-    """A team is at its limit with one job, and another of it waits at the same home. The first goes to the leader, who
-    hears nothing new of the old home for a moment."""
+    """A team is at its limit with one job, and another of it waits at the same home.
+
+    The first goes to the leader, who hears nothing new of the old home for a moment.
+    """
     new, old = leader_of(world), others(world)[0]
     home, lead = world.nodes[old].controller, world.nodes[new].controller
     assert home is not None and lead is not None and home.state.view is not None and home.state.scheduler is not None
@@ -348,7 +365,7 @@
     assert world.run_until(lambda: len(running_attempts(world, "j-1") | running_attempts(world, "j-2")) == 3, 40)
     ref = "j-1" if running_attempts(world, "j-1") else "j-2"
     send = home.peers.send
-    home.peers.send = lambda peer, sync, every=S: peer.name != new and send(peer, sync, every)  # type: ignore
+    home.peers.send = lambda peer, sync, every=S: peer.name != new and send(peer, sync, every)  # type: ignore[assignment, method-assign]
     world.run(0.5)
     said = lead.peers.last_message(old)
     assert said is not None
@@ -376,7 +393,7 @@
 
 
 def test_when_it_counts_before_its_team_uses_its_limit_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    def taken(split: ShareSplit, home: JobScheduler, view: View) -> list[str]:
+    def taken(split: ShareSplit, home: JobScheduler, _view: View) -> list[str]:
         return [
             w.job.job_id for w in home.jobs.values() if w.job.record.handover is not None and split._may_start_job(w)
         ]
@@ -607,7 +624,7 @@
     body = json.dumps(world.job_specs["j-1"]).encode()
     said: list[str] = []
 
-    def hear(status: int, body: bytes, headers: object) -> None:
+    def hear(status: int, body: bytes, _headers: object) -> None:
         if status == 200 and json.loads(body)["status"] in ("done", "withdrawn"):
             said.append(json.loads(body)["status"])
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -5,9 +5,8 @@
 from datetime import timedelta
 from typing import Any
 
-from virtual import World, started_world, submit_job
-
 from ramptide.controller.controller import Controller
+from virtual import World, started_world, submit_job
 
 #: Tables that are bounded by a number or by time, whose entries are not those of what is there now.
 BOUNDED = {
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -9,7 +9,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from virtual import S, job_spec
 
 from ramptide.autoscaling.autoscaler import Autoscaler, Demand, FleetMachine, Trigger
 from ramptide.clients.rate_limits import TokenBucket
@@ -23,6 +22,7 @@
 from ramptide.state.jobs import Job
 from ramptide.state.records import PROGRESS_WINDOW, JobRecord, MachineRecord, Progress, to_value
 from ramptide.team_limits.allowances import ProportionalSplit, ShareAllocator
+from virtual import S, job_spec
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -81,7 +81,7 @@
     using = dict.fromkeys(MEMBERS, 0)
     waiting = dict.fromkeys(MEMBERS, 0)
     told = {member: (using[member], 0) for member in MEMBERS}
-    latest: dict[str, tuple[int, int]] = {member: (0, 0) for member in MEMBERS}
+    latest: dict[str, tuple[int, int]] = dict.fromkeys(MEMBERS, (0, 0))
     seen = dict.fromkeys(MEMBERS, 0)
     for seq, (member, event) in enumerate(events, 1):
         if event == "ask":
@@ -108,7 +108,7 @@
 
 
 def raised_while_the_old_grant_may_be_in_use(leader: ShareAllocator) -> tuple[int, int]:
-    """a may still act on the whole limit while b asks; what b gets before and after a says that it knows better."""
+    """A may still act on the whole limit while b asks; what b gets before and after a says that it knows better."""
     free, hungry = {m: {"t": Amounts(0, 0)} for m in MEMBERS}, {"t": Amounts(50 * UNITS, 0)}
     asks = {member: ProportionalSplit({member: hungry}) for member in MEMBERS}
     assert leader.divide(1, free, asks["a"], "a")["a"]["t"][0] == LIMIT
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -10,6 +10,16 @@
 
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
+
+from ramptide.agents.lease_expiry import ExpiredLease
+from ramptide.api.administration import METRICS_PATH, STATUS_PATH
+from ramptide.api.telemetry import Telemetry
+from ramptide.autoscaling.machine_decisions import MachineDecision, log_decisions, written
+from ramptide.cluster.membership import Membership
+from ramptide.controller.administration import build_admin_api
+from ramptide.controller.controller import Controller
+from ramptide.state.records import RENTAL_PREFIX
+from ramptide.transport.process_statistics import ProcessStatistics
 from virtual import (
     CLOUD,
     STORE,
@@ -28,16 +38,6 @@
     started_world,
 )
 
-from ramptide.agents.lease_expiry import ExpiredLease
-from ramptide.api.administration import METRICS_PATH, STATUS_PATH
-from ramptide.api.telemetry import Telemetry
-from ramptide.autoscaling.machine_decisions import MachineDecision, log_decisions, written
-from ramptide.cluster.membership import Membership
-from ramptide.controller.administration import build_admin_api
-from ramptide.controller.controller import Controller
-from ramptide.state.records import RENTAL_PREFIX
-from ramptide.transport.process_statistics import ProcessStatistics
-
 
 def of(world: World, name: str) -> Controller:
     controller = world.nodes[name].controller
@@ -655,7 +655,9 @@
 
 def test_what_waits_too_long_for_its_turn_is_told_apart_from_an_outage() -> None:
     """At the start of a busy day more is submitted than the state service takes, and operators looked for an outage.
-    The wait was thought to be short when the changes came, as it is when other controllers have much to write, too."""
+
+    The wait was thought to be short when the changes came, as it is when other controllers have much to write, too.
+    """
     world = World(5)
     world.store_limits = world.store_limits | {"write_rps": 6.0}
     for node in world.nodes.values():
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,6 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from virtual import job_spec
 
 from ramptide.placement.bin_packing import ReserveAccess, Room, can_ever_run, choose, fill, may_use, zone_room
 from ramptide.protocol.cloud import MachineType
@@ -17,6 +16,7 @@
 from ramptide.state.amounts import UNITS, Amounts
 from ramptide.state.jobs import Job
 from ramptide.state.records import JobRecord, Progress
+from virtual import job_spec
 
 
 def run_of(**fields: object) -> JobSpec:
@@ -52,15 +52,13 @@
 
 
 def allowed(run: JobSpec, rooms: list[Room], where: tuple[int, ...]) -> bool:
-    """The rules, task by task: may these rooms hold one task each in this order?"""
+    """The rules, task by task: may these rooms hold one task each in this order."""
     zones = [rooms[index].zone for index in where]
     for index in set(where):
         room, count = rooms[index], where.count(index)
-        if (
-            run.machine_types is not None
-            and room.machine_type not in run.machine_types
-            or run.zone not in (None, room.zone)
-        ):
+        if run.machine_types is not None and room.machine_type not in run.machine_types:
+            return False
+        if run.zone not in (None, room.zone):
             return False
         if room.spot and not run.spot:
             return False
--- a/tests/test_process_statistics.py
+++ b/tests/test_process_statistics.py
@@ -52,9 +52,9 @@
 
     def fails() -> None:
         clock.passes(3.0)
-        raise ValueError
+        raise ValueError("the work fails")
 
-    with pytest.raises(ValueError):
+    with pytest.raises(ValueError, match="the work fails"):
         statistics.measure(WorkKind.PEERS, fails)
     assert statistics.by_kind()["peers"] == timedelta(seconds=3)
 
@@ -91,7 +91,7 @@
     seen: list[timedelta] = []
     pairs = [socket.socketpair() for _ in range(3)]
 
-    def event(mask: int) -> None:
+    def event(_mask: int) -> None:
         seen.append(loop.now)
         clock.passes(2.0)
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -6,6 +6,7 @@
 from pathlib import Path
 
 import pytest
+
 from virtual import job_spec
 from virtual.loopback import LoopWorld
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -11,15 +11,16 @@
 import cbor2
 import msgspec
 import pytest
-from virtual import S, Task, Worker, World, leader_of, running_attempts, started_world
 
 from ramptide.config.features import Features, QuotaFeature
 from ramptide.controller.administration import build_admin_api
+from ramptide.controller.controller import Controller
 from ramptide.quota.ledger import AccountBook, Ledger
 from ramptide.quota.messages import TransferRow
 from ramptide.quota.share_exchange import QuotaExchange
 from ramptide.quota.share_waits import ShareWaits
 from ramptide.state.amounts import UNITS, Amounts, add_amounts
+from virtual import S, Task, Worker, World, leader_of, running_attempts, started_world
 
 ON = Features(QuotaFeature(True))
 LIMIT = 12.0
@@ -111,7 +112,7 @@
     world.after(0.3 * S, world.nodes[other].start)
 
 
-def leader_ends(world: World, name: str) -> None:
+def leader_ends(world: World, _name: str) -> None:
     """The leader changes in the middle of a split."""
     old = leader_of(world)
     world.nodes[old].kill()
@@ -130,7 +131,7 @@
     world.after(10 * S, lambda: world.store.refused_callers.discard(name))
 
 
-def messages_lost_and_doubled(world: World, name: str) -> None:
+def messages_lost_and_doubled(world: World, _name: str) -> None:
     world.loss_rate, world.duplication_rate = 0.2, 0.2
     world.after(15 * S, lambda: setattr(world, "loss_rate", 0.0))
 
@@ -139,7 +140,7 @@
     """For longer than `cancel_s`, and jobs of teams at their limits are called off in the moment before."""
 
     def cancel(ref: str) -> None:
-        def on_response(status: int, body: bytes, headers: object) -> None:
+        def on_response(status: int, _body: bytes, _headers: object) -> None:
             if status == 200:
                 world.cancelled_at.setdefault(ref, world.now)
 
@@ -152,7 +153,7 @@
     world.after(0.3 * S, lambda: world.store.start_outage(world.cancel_s + 5))
 
 
-def machine_hangs(world: World, name: str) -> None:
+def machine_hangs(world: World, _name: str) -> None:
     for worker in list(world.workers.values())[:2]:
         worker.hang(12.0)
 
@@ -450,23 +451,24 @@
 # What operators see.
 
 
+def body_of(controller: Controller, path: str) -> bytes:
+    bodies: list[bytes] = []
+    build_admin_api(controller).handle("GET", path, b"", lambda status, body, kind: bodies.append(body))
+    return bodies[0]
+
+
 def test_shares_transfers_and_waits_are_in_status_and_metrics() -> None:
     world = flood(3)
     world.run(20)
     name = leader_of(world)
     controller = world.nodes[name].controller
     assert controller is not None and controller.quota is not None
-    got: dict[str, bytes] = {}
-    for path in ("/admin/status", "/metrics"):
-        build_admin_api(controller).handle(
-            "GET", path, b"", lambda status, body, kind, path=path: got.update({path: body})
-        )  # type: ignore[misc]
-    told = json.loads(got["/admin/status"])["quota"]
+    told = json.loads(body_of(controller, "/admin/status"))["quota"]
     assert told["members_without"] == [] and told["transfers"]["given"] == controller.quota.counters["given"]
     share = told["teams"]["tight"]["cores"]
     assert share["held"] * UNITS == controller.state.quota_shares["tight"].cpus and share["borrowed"] > 0
     assert set(share) == {"held", "used", "borrowed", "in_transfer"} and told["teams"]["tight"]["pending"] is False
-    metrics = got["/metrics"].decode()
+    metrics = body_of(controller, "/metrics").decode()
     for text in (
         'ramptide_quota_held{resource="cores",team="tight"}',
         'ramptide_quota_in_transfer{resource="cores",team="tight"} 0.0',
--- a/tests/test_quota_ledger.py
+++ b/tests/test_quota_ledger.py
@@ -194,6 +194,11 @@
     play(seed, drawn(seed))
 
 
+def play_seeds(count: int) -> None:
+    for seed in range(count):
+        play(seed, drawn(seed))
+
+
 def test_without_the_deduction_before_sending_the_limit_is_passed(monkeypatch: pytest.MonkeyPatch) -> None:
     give = Ledger.give
 
@@ -202,12 +207,10 @@
         self._balance[team] = Amounts(*(one + two for one, two in zip(self._balance[team], amounts, strict=True)))
         return transfer
 
-    for seed in range(20):
-        play(seed, drawn(seed))
+    play_seeds(20)
     monkeypatch.setattr(Ledger, "give", careless)
     with pytest.raises(AssertionError):
-        for seed in range(20):
-            play(seed, drawn(seed))
+        play_seeds(20)
 
 
 def test_without_the_account_book_the_leader_gives_what_was_passed_on(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -221,8 +224,7 @@
 
     monkeypatch.setattr(AccountBook, "take", forgetful)
     with pytest.raises(AssertionError):
-        for seed in range(20):
-            play(seed, drawn(seed))
+        play_seeds(20)
 
 
 def pair() -> tuple[Ledger, Ledger]:
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -4,7 +4,6 @@
 from typing import Any
 
 import pytest
-from virtual import World, leader_of, started_world
 
 from ramptide.clients.transactions import TransactionResult
 from ramptide.config.features import Features, QuotaFeature
@@ -22,6 +21,7 @@
     team_of,
 )
 from ramptide.state.amounts import NO_LIMIT, UNITS, Amounts
+from virtual import World, leader_of, started_world
 
 ON = Features(QuotaFeature(True))
 PLATFORM = Team("tight", cpus=4.0, cpus_max=12.0)
--- a/tests/test_quota_plan.py
+++ b/tests/test_quota_plan.py
@@ -27,8 +27,11 @@
     text = MACHINES + team("red", "cpus = 16\ncpus_max = 32") + team("green", "cpus = 16")
     assert plan(tmp_path, text, capfd) == (
         0,
-        "red: guarantee 8 tasks, limit 16 tasks: holds\ngreen: guarantee 8 tasks, no limit: holds\n"
-        "all guarantees and limits can hold\n",
+        (
+            "red: guarantee 8 tasks, limit 16 tasks: holds\n"
+            "green: guarantee 8 tasks, no limit: holds\n"
+            "all guarantees and limits can hold\n"
+        ),
         "",
     )
     text = MACHINES + team("red", "cpus = 20\ncpus_max = 40") + team("green", "cpus = 16")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,7 +5,6 @@
 from typing import Any
 
 import pytest
-from virtual import SETTINGS_FILE, World, job_spec, leader_of, started_world
 
 from ramptide.api.administration import METRICS_PATH, SETTINGS_PATH, STATUS_PATH
 from ramptide.cli import main
@@ -13,6 +12,7 @@
 from ramptide.controller.administration import build_admin_api
 from ramptide.protocol.jobs import decode_job_spec
 from ramptide.protocol.types import MessageError
+from virtual import SETTINGS_FILE, World, job_spec, leader_of, started_world
 
 
 def written(path: Path, **changes: Any) -> Path:
--- a/tests/test_slow_controllers.py
+++ b/tests/test_slow_controllers.py
@@ -3,9 +3,9 @@
 import random
 
 import pytest
-from virtual import MS, Node, S, World, cancel_job, leader_of, restart_controller, submit_job
 
 from ramptide.controller.controller import Controller
+from virtual import MS, Node, S, World, cancel_job, leader_of, restart_controller, submit_job
 
 #: A controller has some thirty events a second here without users.
 EVENT_COST = 20 * MS
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -4,6 +4,16 @@
 from typing import Any
 
 import pytest
+
+from ramptide.agents.heartbeat_intake import HeartbeatIntake
+from ramptide.agents.shard import Shard
+from ramptide.agents.token_announcer import TokenAnnouncer
+from ramptide.cluster.machine_index import MachineIndex, ObservedMachine
+from ramptide.cluster.membership import LEASE_TIMEOUT
+from ramptide.cluster.peers import Peers
+from ramptide.controller.authority import Authority
+from ramptide.controller.reconciliation import Reconciliation
+from ramptide.state.task_state import FINISHED_PHASE_NAMES
 from virtual import (
     Respond,
     S,
@@ -84,8 +94,10 @@
 
 
 def cancel_behind_a_cut(world: World) -> None:
-    """The owner of a machine loses all but its workers; the job is cancelled elsewhere meanwhile, and the
-    cloud is down, so that the silent machines cannot be given back."""
+    """The owner of a machine loses all but its workers, and the job is cancelled elsewhere meanwhile.
+
+    The cloud is down, so that the silent machines cannot be given back.
+    """
     world.cloud.is_down = True
     worker, _ = world.invariants.running_tasks()[0]
     alone = owner_of(world, worker.host)
@@ -208,8 +220,10 @@
 
 
 def live_after_a_late_copy(with_conditions: bool) -> bool:
-    """A job is accepted and cancelled; then a late copy of the transaction that accepted it arrives. True when
-    the job is among the live ones again."""
+    """A job is accepted and cancelled; then a late copy of the transaction that accepted it arrives.
+
+    True when the job is among the live ones again.
+    """
     world = started_world(8)
     sent: list[dict[str, Any]] = []
     carry_out = world.store._transact
@@ -293,7 +307,9 @@
 
 def crash_in_an_outage(world: World, outage: float) -> list[set[tuple[str, int, int]]]:
     """Two controllers start anew while all lack the state service; what runs before and at each second from then on.
-    What they confirmed before they ended nobody knows."""
+
+    What they confirmed before they ended nobody knows.
+    """
     found = [{(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()}]
     world.store.start_outage(outage)
     world.run(3)
@@ -424,8 +440,10 @@
 
 
 def seconds_to_settle(world: World) -> float:
-    """A controller leaves while users cancel one service after the other, so that some task of a job that is over is
-    always on its way out."""
+    """A controller leaves while users cancel one service after the other.
+
+    So some task of a job that is over is always on its way out.
+    """
     for number in range(60):
         world.define_job(f"j-{number + 10}", shape="service", pieces=1, cores=0.5)
         world.after(number * 0.05 * S, lambda ref=f"j-{number + 10}": submit_job(world, world.rng, ref))  # type: ignore[misc]
@@ -628,8 +646,10 @@
 
 
 def refuse_all_then_serve_two(world: World) -> None:
-    """Each controller is refused by itself, so grants run out although all agree that they lack the state service. Two
-    are served again and leave out the third, which is cut off with its workers by then."""
+    """Each controller is refused by itself, so grants run out although all agree that they lack the state service.
+
+    Two are served again and leave out the third, which is cut off with its workers by then.
+    """
     world.cloud.is_down = True
     third, machines = busy_part(world)
     world.store.refused_callers.update(world.controller_names)
--- a/tests/virtual/invariants.py
+++ b/tests/virtual/invariants.py
@@ -69,7 +69,7 @@
 
     def _check_placement(self, worker: Worker, task: Task, running: list[tuple[Worker, Task]]) -> None:
         spec: dict[str, Any] = self.world.job_specs[task.job_id]
-        if worker.spot and not spec["loaners"] or spec.get("yard") not in (None, worker.zone):
+        if (worker.spot and not spec["loaners"]) or spec.get("yard") not in (None, worker.zone):
             self.violations.append(f"wrong_place {task.job_id} on {worker.host}")
         zones = [other_worker.zone for other_worker, other in running if other.job_id == task.job_id]
         if spec["oneZone"] and len(set(zones)) > 1:
--- a/tests/virtual/node.py
+++ b/tests/virtual/node.py
@@ -187,7 +187,6 @@
 
     def deliver_heartbeat(self, body: bytes, respond: Respond) -> None:
         """Let a worker's heartbeat reach the process."""
-
         observed_respond = self.world.observed(self.name, respond)
 
         def handle(controller: Controller) -> None:
@@ -197,7 +196,6 @@
 
     def deliver_peer_message(self, body: bytes, respond: Respond) -> None:
         """Let another controller's message reach the process."""
-
         observed_respond = self.world.observed(self.name, respond)
 
         def handle(controller: Controller) -> None:
--- a/tests/virtual/users.py
+++ b/tests/virtual/users.py
@@ -28,7 +28,7 @@
         was_accepted = job_id in self.world.accepted_jobs
         known_status = self.final_statuses.get(job_id)
 
-        def on_response(status: int, body: bytes, headers: dict[str, str]) -> None:
+        def on_response(status: int, body: bytes, _headers: dict[str, str]) -> None:
             self._check_response(job_id, was_accepted, known_status, status, json.loads(body))
 
         respond = self.world.observed(controller_name, on_response)
@@ -65,7 +65,7 @@
     """Submit a job at any controller, again until it is accepted."""
     body = json.dumps(world.job_specs[job_id]).encode()
 
-    def on_response(status: int, *rest: object) -> None:
+    def on_response(status: int, *_rest: object) -> None:
         if status in (200, 201):
             world.accepted_jobs.add(job_id)
         elif tries:
@@ -85,7 +85,7 @@
     def retry_later() -> None:
         world.after(RETRY_INTERVAL, lambda: cancel_job(world, rng, job_id))
 
-    def on_response(status: int, body: bytes, headers: object) -> None:
+    def on_response(status: int, body: bytes, _headers: object) -> None:
         if status == 200 and b"withdrawn" in body:
             world.cancelled_at.setdefault(job_id, world.now)
         elif status == 503:
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -97,7 +97,7 @@
         statuses: list[int] = []
         body = json.dumps(self.job_specs[job_id]).encode()
 
-        def on_response(status: int, body: bytes, headers: dict[str, str]) -> None:
+        def on_response(status: int, _body: bytes, _headers: dict[str, str]) -> None:
             statuses.append(status)
 
         for attempt in range(tries):
@@ -116,7 +116,7 @@
         """Return the status and the decoded body of the answer, or None when none came in time."""
         responses: list[tuple[int, dict[str, Any]]] = []
 
-        def on_response(status: int, body: bytes, headers: dict[str, str]) -> None:
+        def on_response(status: int, body: bytes, _headers: dict[str, str]) -> None:
             responses.append((status, json.loads(body)))
 
         respond = self.observed(controller_name, on_response)
@@ -128,7 +128,7 @@
         """Cancel a job; return whether that was confirmed in time."""
         statuses: list[int] = []
 
-        def on_response(status: int, body: bytes, headers: dict[str, str]) -> None:
+        def on_response(status: int, _body: bytes, _headers: dict[str, str]) -> None:
             statuses.append(status)
 
         respond = self.observed(controller_name, on_response)
--- a/tools/measure_quota.py
+++ b/tools/measure_quota.py
@@ -12,8 +12,6 @@
 from datetime import timedelta
 
 from hdrh.histogram import HdrHistogram
-from test_quota import send
-from virtual import S, Task, Worker, World, started_world
 
 from ramptide.config.features import Features, QuotaFeature
 from ramptide.quota.fitting import FittingSplit
@@ -21,6 +19,8 @@
 from ramptide.quota.planner import most_used
 from ramptide.state.amounts import NO_LIMIT, NOTHING, UNITS, Amounts
 from ramptide.team_limits.allowances import ProportionalSplit, SplitPolicy
+from test_quota import send
+from virtual import S, Task, Worker, World, started_world
 
 SECONDS = 60
 SAMPLE_S = 0.05
@@ -108,7 +108,7 @@
                 ref, owner=team, pieces=rng.randint(1, 3), cores=rng.choice([0.7, 1.0, 2.0, 3.0]), guessS=load.run_s
             )
             world.after((at + rng.uniform(0, 0.2)) * S, lambda ref=ref: send(world, rng, ref))  # type: ignore[misc]
-    world.define_job("j-9999", owner=list(TEAMS)[0], pieces=12, cores=1.0, guessS=2.0)
+    world.define_job("j-9999", owner=next(iter(TEAMS)), pieces=12, cores=1.0, guessS=2.0)
     world.after(0.5 * S, lambda: send(world, rng, "j-9999"))
 
 
