--- a/src/ramptide/api/administration.py
+++ b/src/ramptide/api/administration.py
@@ -86,14 +86,14 @@
             handler(body, answer)
         return True
 
-    def _show_status(self, body: bytes, answer: Answer) -> None:
+    def _show_status(self, _body: bytes, answer: Answer) -> None:
         answer(HTTPStatus.OK, encode_json(self._status()), JSON)
 
-    def _show_metrics(self, body: bytes, answer: Answer) -> None:
+    def _show_metrics(self, _body: bytes, answer: Answer) -> None:
         text, content_type = self._metrics()
         answer(HTTPStatus.OK, text, content_type)
 
-    def _show_settings(self, body: bytes, answer: Answer) -> None:
+    def _show_settings(self, _body: bytes, answer: Answer) -> None:
         values, defaults = self._state.tuning.to_value(), Tuning().to_value()
         settings = {
             name: {
--- a/src/ramptide/api/jobs.py
+++ b/src/ramptide/api/jobs.py
@@ -322,7 +322,7 @@
                 answer(200, encode_job_status(job_id, JobStatus.CANCELLED), {})
             elif tries > 1 and not self._mirror.is_unavailable and (outcome.is_conflict or outcome.is_unknown):
                 # The record or the view moved on, or nobody knows: read again and see.
-                self._mirror.catch_up(lambda fresh: self._cancel(job_id, answer, tries - 1))
+                self._mirror.catch_up(lambda _fresh: self._cancel(job_id, answer, tries - 1))
             else:
                 self._not_written(outcome, answer)
 
--- a/src/ramptide/api/telemetry.py
+++ b/src/ramptide/api/telemetry.py
@@ -94,7 +94,7 @@
 
         What arrived during it has not been read yet.
         """
-        return self._late(now) or self._over_at is not None and now - self._over_at < within
+        return self._late(now) or (self._over_at is not None and now - self._over_at < within)
 
     def _late(self, now: timedelta) -> bool:
         return self._due is not None and now - self._due > STALL_THRESHOLD
--- a/src/ramptide/autoscaling/autoscaler.py
+++ b/src/ramptide/autoscaling/autoscaler.py
@@ -257,7 +257,7 @@
     def _silence_reason(self, machine: FleetMachine) -> str | None:
         """Silence counts from the start of the view at the earliest, as workers need a moment to find their owners."""
         boot = timedelta(seconds=machine.machine_type.boot_s) if machine.machine_type is not None else UNKNOWN_BOOT_TIME
-        if machine.is_up or machine.cloud_status == "running" and machine.age > boot:
+        if machine.is_up or (machine.cloud_status == "running" and machine.age > boot):
             return "silent"
         return "never up" if machine.age > boot * self.tuning.boot_factor + BOOT_MARGIN else None
 
--- a/src/ramptide/controller/errors.py
+++ b/src/ramptide/controller/errors.py
@@ -12,4 +12,4 @@
 
 
 class NoPlaceInViewError(ControllerError):
-    """This controller has no place in the view: it owns no machines and schedules no jobs."""
+    """The controller has no place in the view: it owns no machines and schedules no jobs."""
--- a/src/ramptide/controller/replication.py
+++ b/src/ramptide/controller/replication.py
@@ -102,8 +102,8 @@
         #: The number from which on what was removed is forgotten. Several numbers may be used up at a time.
         self._prune_at = PRUNE_INTERVAL
 
-    def new_view(self, view: View | None) -> None:
-        """Start with empty tables in a new view; `view` is None when we have no place in it."""
+    def new_view(self, _view: View | None) -> None:
+        """Start with empty tables in a new view, also when we have no place in it."""
         self._status_changes = ChangeLog()
         self._desired_changes = {name: ChangeLog() for name in self._peers.by_name}
         self._prune_at = PRUNE_INTERVAL
@@ -140,7 +140,7 @@
         return own
 
     def _plan_messages(self, shard: Shard, changed: set[str]) -> None:
-        """Controllers that wait for news of these machines hear at once, the leader soon."""
+        """Plan to tell those that wait for news of these machines at once, and the leader soon."""
         leader = self._state.require_view().leader
         waiting: set[str] = set()
         for host in changed:
--- a/src/ramptide/placement/bin_packing.py
+++ b/src/ramptide/placement/bin_packing.py
@@ -92,7 +92,7 @@
     """Tell whether the job may use this machine, whatever room is left there."""
     closed = room.in_pool and spec.kind != SERVICE
     return may_use(spec, room.machine_type, room.zone, room.spot) and (
-        not closed or reach is ReserveAccess.ALL or room.idle and reach is ReserveAccess.POOL
+        not closed or reach is ReserveAccess.ALL or (room.idle and reach is ReserveAccess.POOL)
     )
 
 
--- a/src/ramptide/quota/ledger.py
+++ b/src/ramptide/quota/ledger.py
@@ -175,7 +175,7 @@
         if limit is None:
             raise QuotaMessageError(f"transfer {row.number} is of team {row.team!r}, which has no limit")
         for amount, most in zip(row.amounts, limit, strict=True):
-            if amount > most or most == NO_LIMIT and amount:
+            if amount > most or (most == NO_LIMIT and amount):
                 raise QuotaMessageError(
                     f"transfer {row.number} of {row.amounts} is more than the limit of {row.team!r}"
                 )
--- a/src/ramptide/quota/operators.py
+++ b/src/ramptide/quota/operators.py
@@ -187,7 +187,7 @@
         self._report = report
         self._limit_table = limit_table
 
-    def show(self, body: bytes, answer: Answer) -> None:
+    def show(self, _body: bytes, answer: Answer) -> None:
         """Answer with the limits that count, and the changes that are pending."""
         answer(HTTPStatus.OK, encode_json(self._report.limits()), JSON)
 
--- a/src/ramptide/scheduling/job_scheduler.py
+++ b/src/ramptide/scheduling/job_scheduler.py
@@ -33,7 +33,7 @@
 class JobScheduler:
     """The jobs whose starts we decide in one view, and every attempt of theirs that may be on a machine."""
 
-    def __init__(self, member: str, first_attempt: int, faulty: Callable[[str], bool] = lambda host: False) -> None:
+    def __init__(self, member: str, first_attempt: int, faulty: Callable[[str], bool] = lambda _host: False) -> None:
         self.member = member
         self._faulty = faulty
         self.jobs: dict[str, JobState] = {}
@@ -281,7 +281,7 @@
             self._task_done(state, attempt)
         elif attempt.phase is Phase.ENDED and cause == TaskOutcome.FAILED:
             self._task_failed(state, attempt, now)
-        elif attempt.phase is Phase.REFUSED or attempt.phase is Phase.ENDED and cause in REFUSAL_CAUSES:
+        elif attempt.phase is Phase.REFUSED or (attempt.phase is Phase.ENDED and cause in REFUSAL_CAUSES):
             state.excluded_until[attempt.host] = now + EXCLUDED_AFTER_REFUSAL
 
     def _task_done(self, state: JobState, attempt: Attempt) -> None:
