--- a/tests/compatibility/test_records.py
+++ b/tests/compatibility/test_records.py
@@ -58,10 +58,12 @@
         node.start()
     world.run(20)
     view = world.store.entries["live/view"].value
-    assert view["number"] > kept["live/view"][0]["number"] and sorted(view["members"]) == world.controller_names
+    assert view["number"] > kept["live/view"][0]["number"]
+    assert sorted(view["members"]) == world.controller_names
     over = [key for key in kept if key.startswith("ended/")]
     live = [key for key in kept if key.startswith("live/job/")]
-    assert over and live
+    assert over
+    assert live
     for key in over:
         record = kept[key][0]
         told = {"ref": key[len("ended/") :], "status": record["status"], "done": record["done"], "running": 0}
@@ -69,5 +71,7 @@
         assert json.dumps(world.store.entries[key].value) == json.dumps(record)
     for key in live:
         answer = world.poll_job(key[len("live/job/") :], "c2")
-        assert answer is not None and answer[0] == 200 and answer[1]["done"] + answer[1]["running"] > 0
+        assert answer is not None
+        assert answer[0] == 200
+        assert answer[1]["done"] + answer[1]["running"] > 0
     assert world.invariants.violations == []
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -230,7 +230,8 @@
     run_with_checks(world, 55)
     world.restore_link_speed()
     end_faults(world)
-    assert "j-1" in world.cancelled_at and running_attempts(world, "j-1") == set()
+    assert "j-1" in world.cancelled_at
+    assert running_attempts(world, "j-1") == set()
     assert world.invariants.violations == []
 
 
@@ -283,7 +284,8 @@
     restart_controller(world, leader_of(world))
     cancel_job(world, world.rng, "j-1")
     run_with_checks(world, 30)
-    assert world.invariants.violations == [] and running_attempts(world, "j-1") == set()
+    assert world.invariants.violations == []
+    assert running_attempts(world, "j-1") == set()
 
 
 def alone_with_workers(world: World, name: str) -> None:
@@ -303,7 +305,8 @@
     run_with_checks(world, away)
     world.heal()
     run_with_checks(world, 25)
-    assert "j-1" in world.cancelled_at and running_attempts(world, "j-1") == set()
+    assert "j-1" in world.cancelled_at
+    assert running_attempts(world, "j-1") == set()
     judge_after_troubles(world)
 
 
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -81,7 +81,8 @@
     taken: list[Heartbeat] = []
     TokenAnnouncer(workers, taken.append).announce(7, {"vm-0": "vm-0"})  # type: ignore[arg-type]
     workers.requests[0][2](Response(409, report("vm-0", 6, tenure=3)))
-    assert [request["tenure"] for _, request, _ in workers.requests] == [1, 3] and taken == []
+    assert [request["tenure"] for _, request, _ in workers.requests] == [1, 3]
+    assert taken == []
     workers.requests[1][2](Response(409, report("vm-0", 6, tenure=4)))
     assert len(workers.requests) == 2, "it will report by itself"
 
@@ -105,7 +106,8 @@
     assert len(workers.requests) == MAX_IN_FLIGHT
     for host, _, done in list(workers.requests[1:]):
         done(Response(200, report(host, 7)))
-    assert len(taken) == MAX_IN_FLIGHT - 1 and len(workers.requests) == 2 * MAX_IN_FLIGHT - 1
+    assert len(taken) == MAX_IN_FLIGHT - 1
+    assert len(workers.requests) == 2 * MAX_IN_FLIGHT - 1
 
 
 def launch_under_way(controller: Controller | None) -> str | None:
@@ -158,7 +160,8 @@
         machines = controller.state.shard.machines.values()
         assert world.run_until(lambda machines=machines: any(one.last_heartbeat_at is not None for one in machines), 2)  # type: ignore[misc]
         told = [one for one in machines if one.last_heartbeat_at is not None and one.last_reply_at is None]
-        assert told and all(one.latest_reply() == one.last_heartbeat_at for one in told)
+        assert told
+        assert all(one.latest_reply() == one.last_heartbeat_at for one in told)
         assert all(
             one.last_heartbeat_at is not None and one.last_heartbeat_at > controller.state.view_since for one in told
         )
@@ -181,6 +184,8 @@
         decode_heartbeat(report(host, controller.state.shard.view, tenure, tally + 1))
     )
     following = decode_heartbeat(report(host, controller.state.shard.view, tenure, tally + 2))
-    assert controller.state.shard.heartbeats.take(following, world.now) and not machine.is_unreachable
+    assert controller.state.shard.heartbeats.take(following, world.now)
+    assert not machine.is_unreachable
     astray = decode_heartbeat(report(host, controller.state.shard.view, tenure, tally + 4))
-    assert controller.state.shard.heartbeats.take(astray, world.now) and machine.is_unreachable
+    assert controller.state.shard.heartbeats.take(astray, world.now)
+    assert machine.is_unreachable
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -165,7 +165,8 @@
     world = started_world(3, teams={"team": 0.0, "tight": 4.0})
     for name in world.controller_names:
         got = answers(world, name, json.dumps(job_spec("j-1") | changes).encode())
-        assert [status for status, _ in got] == [422] and got[0][1]["error"]
+        assert [status for status, _ in got] == [422]
+        assert got[0][1]["error"]
     assert known(world) == set()
 
 
@@ -236,7 +237,8 @@
         ]
     # The page knows no other answer to a ref that was accepted: what was accepted first stays.
     other = answers(world, "c1", json.dumps(world.job_specs["j-1"] | {"pieces": 2, "cores": 1.0}).encode())
-    assert other[0][0] == 200 and world.store.entries["live/job/j-1"][0]["run"] == before
+    assert other[0][0] == 200
+    assert world.store.entries["live/job/j-1"][0]["run"] == before
     assert answers(world, "c1", json.dumps(world.job_specs["j-1"] | {"owner": "nobody"}).encode())[0][0] == 200
     assert answers(world, "c1", json.dumps(world.job_specs["j-1"] | {"pieces": "2"}).encode())[0][0] == 400
     assert world.cancel_job("j-1", "c2")
@@ -265,8 +267,10 @@
         for ref in ("j-999", "j-", "", "x", "j-1%2f", "j-" + "9" * 300, "j-1\n", "../j-1", "\u0661"):
             assert cancelled(world, ref, name)[0] == 404
             polled = world.poll_job(ref, name)
-            assert polled is not None and polled[0] == 404, ref
-    assert cancelled(world, "j-1", "c1")[1]["status"] == "done" and known(world) == {"j-1"}
+            assert polled is not None, ref
+            assert polled[0] == 404, ref
+    assert cancelled(world, "j-1", "c1")[1]["status"] == "done"
+    assert known(world) == {"j-1"}
 
 
 # Broken messages. What is mutated stays of the wrong type or form: a well-formed lie can't be told from the truth.
@@ -320,7 +324,8 @@
     worker, task = world.invariants.running_tasks()[0]
     name = owner_of(world, worker.host)
     controller = world.nodes[name].controller
-    assert controller is not None and controller.state.shard is not None
+    assert controller is not None
+    assert controller.state.shard is not None
     rng = random.Random(seed)
     beat = {
         "host": worker.host, "addr": "h:1", "rig": "m", "yard": worker.zone, "loaners": False,
@@ -363,17 +368,20 @@
     world = busy_world(guessS=500.0)
     worker, _ = world.invariants.running_tasks()[0]
     controller = world.nodes[owner_of(world, worker.host)].controller
-    assert controller is not None and controller.state.shard is not None
+    assert controller is not None
+    assert controller.state.shard is not None
     before = shown(controller.state.shard, worker.host)
     beat = {"host": worker.host, "rig": "m", "yard": worker.zone, "loaners": False, "tenure": worker.agent_epoch,
             "tally": worker.sequence_number + 1, "baton": worker.fencing_token, "pieces": []}  # fmt: skip
     got: list[int] = []
     body = to_json(beat | changes)
     controller.heartbeats.receive_heartbeat(body, lambda status, said: got.append(status))
-    assert got == [400] and shown(controller.state.shard, worker.host) == before
+    assert got == [400]
+    assert shown(controller.state.shard, worker.host) == before
     deep = to_json(beat).replace(b'"pieces": []', b'"pieces": ' + DEEP)
     controller.heartbeats.receive_heartbeat(deep, lambda status, said: got.append(status))
-    assert got == [400, 400] and shown(controller.state.shard, worker.host) == before
+    assert got == [400, 400]
+    assert shown(controller.state.shard, worker.host) == before
 
 
 def test_a_machine_with_a_strange_name_stops_no_leader() -> None:
@@ -421,7 +429,8 @@
         name, body = rng.choice(said)
         value = cbor2.loads(body) | {"base": 0, "seq": 10**6 + taken}
         controller = world.nodes[name].controller
-        assert controller is not None and controller.state.scheduler is not None
+        assert controller is not None
+        assert controller.state.scheduler is not None
         before = (
             dict(controller.state.scheduler.jobs),
             sorted(controller.state.scheduler.changed_hosts),
@@ -436,12 +445,11 @@
             ) == before
         else:
             taken += 1
-    assert refused > 700 and taken > 50
+    assert refused > 700
+    assert taken > 50
     for body in (b"\x81" * 60_000, DEEP, b"\x9b\x7f" + b"\xff" * 7, b"\x5b\x7f" + b"\xff" * 7, b"\xd9\x01\x02\x81\x80"):
-        assert (
-            world.nodes["c0"].controller is not None
-            and world.nodes["c0"].controller.peer_messages.receive(body) is None
-        )
+        assert world.nodes["c0"].controller is not None
+        assert world.nodes["c0"].controller.peer_messages.receive(body) is None
     world.run(10)
 
 
@@ -584,7 +592,8 @@
     world.run(3)
     assert len(sent) == 3
     for node in world.nodes.values():
-        assert node.controller is not None and "j-1" in node.controller.state.jobs
+        assert node.controller is not None
+        assert "j-1" in node.controller.state.jobs
     assert len(world.invariants.running_tasks()) == 6
 
 
@@ -637,8 +646,10 @@
             world.run(0.5)
     world.run(3)
     for node in world.nodes.values():
-        assert node.controller is not None and node.controller.state.jobs["j-1"].spec.task_count == 6
-    assert len(world.invariants.running_tasks()) == 6 and world.invariants.violations == []
+        assert node.controller is not None
+        assert node.controller.state.jobs["j-1"].spec.task_count == 6
+    assert len(world.invariants.running_tasks()) == 6
+    assert world.invariants.violations == []
 
 
 @pytest.mark.parametrize("value", [[], [0], [0, 1], ["0", ""], [0, "A"], [-1, ""], [True, ""], None, {}])
@@ -658,7 +669,8 @@
     host = world.invariants.running_tasks()[0][0].host
     rows = list(controller.machine_index.machines[host].tasks)
     home.apply_status(host, "a", [*rows, ("j-1", 99_999, 7, "ended", "done")], world.now)
-    assert home.jobs["j-1"].done.count == 0 and 99_999 not in home.jobs["j-1"].placed
+    assert home.jobs["j-1"].done.count == 0
+    assert 99_999 not in home.jobs["j-1"].placed
 
 
 # The operators' settings and the settings file.
@@ -709,7 +721,9 @@
     path.write_text(json.dumps(whole))
     refusal = refusal_of(path)
     if refusal is not None:
-        assert "\n" not in refusal and refusal.startswith(str(path)) and len(refusal) < 400
+        assert "\n" not in refusal
+        assert refusal.startswith(str(path))
+        assert len(refusal) < 400
 
 
 def refusal_of(path: Path) -> str | None:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -154,7 +154,8 @@
     assert len(state.calls) == 3, "the load, the watch and the read"
     put, drop = {"put": "live/x", "v": 1, "stamp": 105}, {"drop": "live/x", "stamp": 110}
     state.answer(2, 200, {"epoch": 110, "news": [put, drop]})
-    assert asked == [True] and seen == {"live/x": None}
+    assert asked == [True]
+    assert seen == {"live/x": None}
     state.answer(1, 200, {"epoch": 107, "news": [put]})
     assert seen.get("live/x") is None
 
@@ -171,7 +172,8 @@
     state.world.run(0.1)
     cache.catch_up(late.append)
     state.answer(2, 200, {"epoch": 1, "news": []})
-    assert early == [True, True] and late == []
+    assert early == [True, True]
+    assert late == []
     state.world.run(0.1)
     state.answer(3, 503, {})
     assert late == [False]
@@ -185,7 +187,8 @@
         transaction = Transaction(conditions={name: 0}, puts=[Put(name, 1)])
         commits.add(transaction, lambda outcome, name=name: outcomes.update({name: outcome}))  # type: ignore[misc]
     state.world.run(0.1)
-    assert len(state.calls) == 1 and len(json.loads(state.calls[0][1])["then"]) == 3
+    assert len(state.calls) == 1
+    assert len(json.loads(state.calls[0][1])["then"]) == 3
     state.answer(0, 409, {"failed": ["b"], "epoch": 5})
     assert list(outcomes) == ["b"] and outcomes["b"].conflicting_keys == ("b",)
     state.world.run(0.1)
@@ -211,7 +214,9 @@
         for _, body, _ in state.calls[answered:]:
             sent = json.loads(body)
             paths = [one["put"] for one in sent["then"]]
-            assert len(paths) <= 12 and len(set(paths)) == len(paths) and len(sent["when"]) <= 48
+            assert len(paths) <= 12
+            assert len(set(paths)) == len(paths)
+            assert len(sent["when"]) <= 48
         answered += 1
         state.answer(answered - 1, 200, {"epoch": 10 + answered})
     assert sorted(done) == list(range(len(changes)))
@@ -247,9 +252,8 @@
     """Within a tenure, over tenures, from before the view, and after the lease has certainly run out."""
     part, plain = a_part(), dict[tuple[int, int], Heartbeat]()
     machine = part.machines["vm-1"]
-    assert part.heartbeats.take(beat(1, 1, 4, 1, 2), 0 * S) and not machine.is_reconciled, (
-        "it may be from before the token was seen"
-    )
+    assert part.heartbeats.take(beat(1, 1, 4, 1, 2), 0 * S)
+    assert not machine.is_reconciled, "it may be from before the token was seen"
     assert not machine.entries
     rng, now = random.Random(4), 0 * S
     for tally in range(2, 40):
@@ -291,10 +295,10 @@
     part = a_part()
     assert part.heartbeats.take(beat(1, 1, 5), 0 * S)
     part.remove_machine("vm-1")
-    assert part.heartbeats.take(beat(1, 1, 4), 20 * S) and not part.unrecorded_machines(), "from before this view"
-    assert part.heartbeats.take(beat(1, 2, 5), 21 * S) and part.unrecorded_machines(), (
-        "the leader knows what it returned"
-    )
+    assert part.heartbeats.take(beat(1, 1, 4), 20 * S)
+    assert not part.unrecorded_machines(), "from before this view"
+    assert part.heartbeats.take(beat(1, 2, 5), 21 * S)
+    assert part.unrecorded_machines(), "the leader knows what it returned"
     world = started_world(5)
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None and controller.state.shard is not None
@@ -312,20 +316,22 @@
     controller = world.nodes["c0"].controller
     assert controller is not None
     take = controller.peer_messages.receive
-    assert take(b"") is None and take(b"\xff" * 99) is None and take(cbor2.dumps([1])) is None
+    assert take(b"") is None
+    assert take(b"\xff" * 99) is None
+    assert take(cbor2.dumps([1])) is None
     old = {"member": "c1", "inc": "c1-1", "view": 1, "seq": 10**6, "lacks": False}
-    assert take(cbor2.dumps(old)) is None and "version 0 between controllers" in caplog.text
-    assert (
-        take(cbor2.dumps(old | {"wire": MESSAGE_VERSION - 1})) is None
-        and f"version {MESSAGE_VERSION - 1} between" in caplog.text
-    )
+    assert take(cbor2.dumps(old)) is None
+    assert "version 0 between controllers" in caplog.text
+    assert take(cbor2.dumps(old | {"wire": MESSAGE_VERSION - 1})) is None
+    assert f"version {MESSAGE_VERSION - 1} between" in caplog.text
     whole = cbor2.dumps(
         old
         | {"wire": MESSAGE_VERSION, "base": 10**6, "view": controller.state.view.number if controller.state.view else 0}
     )
     assert take(whole[: len(whole) // 2]) is None
     answer = take(whole)
-    assert answer is not None and cbor2.loads(answer)["have"] < 10**6, "it says from where it needs the changes"
+    assert answer is not None
+    assert cbor2.loads(answer)["have"] < 10**6, "it says from where it needs the changes"
     world.run(2)
     assert all(node.controller is not None and node.controller.state.reconciled for node in world.nodes.values())
 
@@ -361,10 +367,12 @@
     world.sent_bytes.clear()
     world.run(20)
     assert world.invariants.violations == []
-    assert world.invariants.start_count > 3000 and sum(world.is_done(f"j-{number}") for number in range(150, 180)) == 30
+    assert world.invariants.start_count > 3000
+    assert sum(world.is_done(f"j-{number}") for number in range(150, 180)) == 30
     seconds = 20
     state = sum(count for call, count in world.call_counts.items() if not call.startswith("POST sync"))
-    assert state / seconds < 200 and world.call_counts["POST rentals"] <= 28
+    assert state / seconds < 200
+    assert world.call_counts["POST rentals"] <= 28
     assert world.call_counts["POST sync"] / seconds < 100
     assert sum(world.sent_bytes[name] for name in world.controller_names) / seconds < 200_000
 
@@ -385,7 +393,8 @@
     assert survivor is not None
     assert world.run_until(lambda: survivor.state.view is not None and list(survivor.state.view.members) == ["c3"], 10)
     assert world.run_until(lambda: survivor.state.reconciled, 12), "the lease is 8 s"
-    assert survivor.state.shard is not None and len(survivor.state.shard.machines) > 700
+    assert survivor.state.shard is not None
+    assert len(survivor.state.shard.machines) > 700
     world.call_counts.clear()
     world.run(6)
     assert sum(world.is_done(f"j-{number}") for number in range(100, 122)) > 0
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -94,7 +94,8 @@
     assert world.invariants.violations == []
     for ref in bad:
         answer = world.poll_job(ref, world.rng.choice(world.controller_names))
-        assert answer is not None and (answer[0], answer[1]["done"]) == (200, 0)
+        assert answer is not None
+        assert (answer[0], answer[1]["done"]) == (200, 0)
         assert world.cancel_job(ref, world.rng.choice(world.controller_names))
     world.run(20)
     assert not {t.job_id for w in world.workers.values() for t in w.tasks.values()} & set(bad)
@@ -105,7 +106,8 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_good_jobs_get_done_and_only_sick_machines_are_drained(seed: int, after: float) -> None:
     world, found, sick, bad = mixed(seed, after)
-    assert found and found <= sick
+    assert found
+    assert found <= sick
     assert max(world.invariants.starts_by_job[ref] for ref in bad) <= 20
 
 
@@ -217,7 +219,8 @@
     world.cloud._create_worker = rented  # type: ignore[method-assign]
     refs = submit_good(world, 4, pieces=1, cores=1.0, guessS=3.0)
     done = world.run_until(lambda: all(world.is_done(ref) for ref in refs), seconds)
-    assert len(sick) == count and world.invariants.violations == []
+    assert len(sick) == count
+    assert world.invariants.violations == []
     return done
 
 
@@ -251,7 +254,8 @@
     world.define_job("j-2", pieces=1, cores=1.0, guessS=3.0)
     assert world.submit_until_accepted("j-2", "c0")
     done = world.run_until(lambda: world.is_done("j-2"), 150)
-    assert world.invariants.violations == [] and sick.alive
+    assert world.invariants.violations == []
+    assert sick.alive
     return done
 
 
@@ -271,9 +275,8 @@
         check_indexes(world)
 
     world = play(seed, look=look)
-    assert world.invariants.violations == [] and any(
-        world.invariants.starts_by_job[ref] for ref in world.failure_delays
-    )
+    assert world.invariants.violations == []
+    assert any(world.invariants.starts_by_job[ref] for ref in world.failure_delays)
     end_faults(world)
     for ref in world.failure_delays:
         answers = {name: world.poll_job(ref, name) for name in world.controller_names}
@@ -290,11 +293,13 @@
     (ref,) = submit_bad(world, 1, 0.3, **({"pieces": 8, "cores": 1.0} | fields))
     world.run(180)
     answer = world.poll_job(ref, "c2")
-    assert answer is not None and (answer[0], answer[1]["status"]) == (200, "pending")
+    assert answer is not None
+    assert (answer[0], answer[1]["status"]) == (200, "pending")
     assert world.cancel_job(ref, "c0")
     before = world.invariants.starts_by_job[ref]
     world.run(70)
-    assert world.invariants.starts_by_job[ref] == before and world.invariants.violations == []
+    assert world.invariants.starts_by_job[ref] == before
+    assert world.invariants.violations == []
     return before
 
 
@@ -328,7 +333,8 @@
     world.failure_delays.clear()
     assert world.run_until(lambda: all(world.is_done(ref) for ref in refs), 150)
     world.run(30)
-    assert world.invariants.violations == [] and found == set()
+    assert world.invariants.violations == []
+    assert found == set()
 
 
 def all_run_again(world: World) -> bool:
@@ -394,7 +400,8 @@
 
 def test_bad_jobs_rent_and_write_little() -> None:
     machines, changes = rented_for_bad_jobs()
-    assert machines <= 4 and changes <= 30
+    assert machines <= 4
+    assert changes <= 30
 
 
 def test_when_they_count_in_full_they_rent_many(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -451,7 +458,8 @@
     world.run(30)
     work, controller = work_of(world, ref), controllers(world)[0]
     later = world.now + 500 * S
-    assert work.failing and work.idle_for(later, controller.runtime.wall() + 500 * S) == 0 * S
+    assert work.failing
+    assert work.idle_for(later, controller.runtime.wall() + 500 * S) == 0 * S
     work.failed_on.clear()
     assert work.idle_for(later, controller.runtime.wall() + 500 * S) > controller.state.tuning.patience
 
--- a/tests/test_hang_restart.py
+++ b/tests/test_hang_restart.py
@@ -50,7 +50,8 @@
     run_with_checks(world, kill_at)
     restart_all(world, 0.5)
     run_with_checks(world, 25)
-    assert world.invariants.violations == [] and not any(worker.alive for worker in hung)
+    assert world.invariants.violations == []
+    assert not any(worker.alive for worker in hung)
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
@@ -61,7 +62,8 @@
     run_with_checks(world, 14.5)
     restart_all(world, 0.5)
     run_with_checks(world, 15)
-    assert world.invariants.violations == [] and not hung[0].alive
+    assert world.invariants.violations == []
+    assert not hung[0].alive
 
 
 def test_hanging_machines_are_returned_in_time_when_all_are_away_for_a_lease() -> None:
@@ -71,7 +73,8 @@
     run_with_checks(world, 2)
     restart_all(world, 9)
     run_with_checks(world, 25)
-    assert world.invariants.violations == [] and not any(worker.alive for worker in hung)
+    assert world.invariants.violations == []
+    assert not any(worker.alive for worker in hung)
 
 
 @pytest.mark.parametrize("away", [0.5, 2.0, 6.0, None], ids=str)
@@ -89,7 +92,8 @@
     if away is not None:
         world.after(away * S, node.start)
     run_with_checks(world, 25)
-    assert world.invariants.violations == [] and not any(worker.alive for worker in hung)
+    assert world.invariants.violations == []
+    assert not any(worker.alive for worker in hung)
 
 
 @pytest.mark.parametrize(
@@ -107,7 +111,8 @@
     run_with_checks(world, begin)
     trouble(FaultContext(world, world.rng, 9 * S, leader_of(world), []))
     run_with_checks(world, 25)
-    assert world.invariants.violations == [] and not any(worker.alive for worker in hung)
+    assert world.invariants.violations == []
+    assert not any(worker.alive for worker in hung)
 
 
 def test_without_the_guards_a_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -92,7 +92,8 @@
     parser.feed(b" and rest")
     assert parser.next() is None
     message = parser.closed()
-    assert message is not None and message.body == b"part and rest"
+    assert message is not None
+    assert message.body == b"part and rest"
 
 
 def test_what_is_urgent_goes_before_many_deferrable_sockets_of_which_each_has_its_turn() -> None:
@@ -105,7 +106,8 @@
         loop.watch(near, selectors.EVENT_READ, lambda mask, number=number: handled.append(number), number < 40)
     loop.after(timedelta(0), lambda: handled.append("timer"))
     loop.turn()
-    assert handled[:2] == [40, "timer"] and 0 < len(handled) - 2 < 40
+    assert handled[:2] == [40, "timer"]
+    assert 0 < len(handled) - 2 < 40
     for _ in range(20):
         loop.turn()
     assert set(handled) == {*range(41), "timer"}
@@ -156,13 +158,15 @@
 
 def test_more_clients_than_connections_take_turns_and_none_is_cut_off() -> None:
     heads, cut_off = answers_to(clients=40, connections=16, rounds=3)
-    assert cut_off == 0 and all(head.startswith(b"HTTP/1.1 200") for head in heads)
+    assert cut_off == 0
+    assert all(head.startswith(b"HTTP/1.1 200") for head in heads)
     assert sum(b"Connection: close" in head for head in heads) > 40, "most are asked to come back over a new one"
 
 
 def test_while_there_is_room_connections_are_kept() -> None:
     heads, cut_off = answers_to(clients=10, connections=16, rounds=3)
-    assert cut_off == 0 and not any(b"Connection: close" in head for head in heads)
+    assert cut_off == 0
+    assert not any(b"Connection: close" in head for head in heads)
 
 
 def test_when_all_are_kept_clients_beyond_the_limit_are_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -207,4 +211,5 @@
         client.call(address, "GET", "/inspect", b"", JSON, timedelta(seconds=1), answers.append)
     loop.after(timedelta(milliseconds=300), loop.stop)
     loop.run()
-    assert answers == [None, None, None] and client.open_connections == 0
+    assert answers == [None, None, None]
+    assert client.open_connections == 0
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -106,7 +106,8 @@
 
 def test_all_controllers_start_with_4000_machines_and_know_every_task(large: World) -> None:
     for c in controllers(large):
-        assert len(c.state.machines) == LARGE and c.state.shard is not None
+        assert len(c.state.machines) == LARGE
+        assert c.state.shard is not None
         assert sum(c.machine_index.running_tasks.values()) == LARGE * TASKS_ON_EACH
     assert large.invariants.violations == []
     assert max(len(json.dumps(value)) for value, _, _ in large.store.entries.values()) < 4096
@@ -116,7 +117,8 @@
     """What it takes to handle a report and the round after it, on a controller that does not lead."""
     world.run(1.0)
     c = next(c for c in controllers(world) if not c.membership.is_leading)
-    assert c.state.shard is not None and c.state.scheduler is not None
+    assert c.state.shard is not None
+    assert c.state.scheduler is not None
     worker = next(
         world.workers[host]
         for host in c.state.shard.machines
@@ -150,7 +152,8 @@
     """What the leader's round takes that starts one task, beside jobs that find no room."""
     c = next(c for c in controllers(world) if c.membership.is_leading)
     home, part = c.state.scheduler, c.state.shard
-    assert home is not None and part is not None
+    assert home is not None
+    assert part is not None
     world.define_job(ref, pieces=1, cores=2.0, guessS=5000.0)
     assert world.submit_until_accepted(ref, leader_of(world))
     assert world.run_until(lambda: any(task.job_id == ref for _, task in world.invariants.running_tasks()), 10)
@@ -182,7 +185,8 @@
         submit_job(small, small.rng, f"j-80000{number}")
     small.run(5)
     c = next(c for c in controllers(small) if c.membership.is_leading)
-    assert c.state.scheduler is not None and len(c.state.scheduler.with_pending_tasks) >= 20
+    assert c.state.scheduler is not None
+    assert len(c.state.scheduler.with_pending_tasks) >= 20
     ordered = counted(monkeypatch, UrgencyOrder, "urgency_of")
     c.placement_round.run(c.state.scheduler, c.runtime.now)
     assert ordered == []
@@ -200,7 +204,8 @@
     c.machine_index.refresh(c.state.shard.machines)
     assert len(worked_out) == len(c.state.shard.machines) < SMALL / 2
     c.machine_index.refresh()
-    assert len(worked_out) == SMALL and c.machine_index.rooms == before
+    assert len(worked_out) == SMALL
+    assert c.machine_index.rooms == before
 
 
 def test_a_controller_that_was_not_heard_tells_its_whole_table_in_parts(large: World) -> None:
@@ -209,7 +214,8 @@
     one, other = [c for c in controllers(world) if not c.membership.is_leading][:2]
     world.cut_link(one.state.member, other.state.member)
     world.run(1)
-    assert one.state.shard is not None and other.state.shard is not None
+    assert one.state.shard is not None
+    assert other.state.shard is not None
     for host in one.state.shard.machines:
         one.state.shard.mark_changed(host)
     world.run(1)
@@ -269,7 +275,9 @@
         c for c in controllers(world) if c.state.scheduler is not None and c.state.scheduler.with_pending_tasks
     )
     quota, home = controller.quota, controller.state.scheduler
-    assert quota is not None and home is not None and quota.ready
+    assert quota is not None
+    assert home is not None
+    assert quota.ready
     peer = next(iter(controller.peers.by_name.values()))
     round_calls = python_calls(lambda: quota.review(home, controller.runtime.now))
     message_calls = python_calls(lambda: quota.message_for(peer))
--- a/tests/test_loopback_quota.py
+++ b/tests/test_loopback_quota.py
@@ -92,7 +92,8 @@
     assert world.until(lambda: len(world.accepted_jobs) == JOBS, 120)
     assert world.until(lambda: all(world.is_done(ref) for ref in world.job_specs), 180)
     assert world.invariants.violations == []
-    assert counts["sent"] >= SUBMISSIONS and world.invariants.start_count >= JOBS
+    assert counts["sent"] >= SUBMISSIONS
+    assert world.invariants.start_count >= JOBS
     given = [
         line
         for name in world.controller_names
@@ -106,5 +107,6 @@
     assert world.until(lambda: "live/quota/red" in world.store.entries, 10)
     assert world.until(lambda: "pending" not in world.store.entries["live/quota/red"][0], 30)
     status, shown = world.operator("c0", "quota")
-    assert status == 0 and json.loads(shown)["teams"]["red"]["limit"]["cores"] == 5.0
+    assert status == 0
+    assert json.loads(shown)["teams"]["red"]["limit"]["cores"] == 5.0
     assert world.operator("c2", "quota", "red")[0] == 2
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -77,7 +77,8 @@
     """The outage begins in the moment in which the user is told."""
 
     def told(status: int, body: bytes, _headers: object) -> None:
-        assert status == 200 and b"withdrawn" in body
+        assert status == 200
+        assert b"withdrawn" in body
         world.cancelled_at[ref] = world.now
         world.store.start_outage(outage)
         if restart:
@@ -107,7 +108,8 @@
     before = running_attempts(world, "j-2")
     gap(world, others(world)[seed % 2], 40)
     assert world.invariants.violations == []
-    assert running_attempts(world, "j-1") == set() and running_attempts(world, "j-2") == before
+    assert running_attempts(world, "j-1") == set()
+    assert running_attempts(world, "j-2") == before
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
@@ -139,7 +141,8 @@
     before = running_attempts(world, "j-2")
     gap(world, others(world)[0], 40)
     assert world.invariants.violations == []
-    assert running_attempts(world, "j-1") == set() and running_attempts(world, "j-2") == before
+    assert running_attempts(world, "j-1") == set()
+    assert running_attempts(world, "j-2") == before
 
 
 def test_when_it_carries_nothing_a_cancelled_task_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -156,7 +159,8 @@
     world.max_store_delay_s = 1.0
     world.run(3)
     gap(world, others(world)[seed % 2], 40)
-    assert world.invariants.violations == [] and running_attempts(world, "j-1") == set()
+    assert world.invariants.violations == []
+    assert running_attempts(world, "j-1") == set()
     for name in world.controller_names:
         answer = world.poll_job("j-1", name) or world.poll_job("j-1", name)
         assert answer is None or answer[0] == 503 or answer[1]["status"] == "withdrawn"
@@ -183,7 +187,8 @@
     run_with_checks(world, 30)
     world.store.refused_callers.clear()
     run_with_checks(world, 10)
-    assert world.invariants.violations == [] and running_attempts(world, "j-3") == set()
+    assert world.invariants.violations == []
+    assert running_attempts(world, "j-3") == set()
     assert world.run_until(lambda: len(running_attempts(world, "j-2")) == 6, 40), "what nobody cancelled runs again"
 
 
@@ -229,13 +234,15 @@
 def test_a_machine_that_hangs_with_a_cancelled_task_is_returned_in_time(trouble: str) -> None:
     world = busy_world(guessS=500.0)
     hung = hung_and_cancelled(world, trouble)
-    assert world.invariants.violations == [] and not hung[0].alive
+    assert world.invariants.violations == []
+    assert not hung[0].alive
 
 
 def test_many_that_hang_while_leaders_change_are_returned_in_time() -> None:
     world = full_world()
     hung = hung_and_cancelled(world, "elections", machines=6)
-    assert world.invariants.violations == [] and not any(worker.alive for worker in hung)
+    assert world.invariants.violations == []
+    assert not any(worker.alive for worker in hung)
 
 
 def test_without_that_return_the_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -264,7 +271,8 @@
     worker, _ = world.invariants.running_tasks()[0]
     worker.hang(18)
     run_with_checks(world, 30)
-    assert worker.alive and world.invariants.violations == []
+    assert worker.alive
+    assert world.invariants.violations == []
 
 
 # Room that is kept for services.
@@ -353,7 +361,10 @@
     """
     new, old = leader_of(world), others(world)[0]
     home, lead = world.nodes[old].controller, world.nodes[new].controller
-    assert home is not None and lead is not None and home.state.view is not None and home.state.scheduler is not None
+    assert home is not None
+    assert lead is not None
+    assert home.state.view is not None
+    assert home.state.scheduler is not None
     for controller in (home, lead):
         controller.handover.run = lambda home, now: None  # type: ignore[method-assign]
     for node in world.nodes.values():
@@ -471,7 +482,8 @@
     away(world, 12)
     run_with_checks(world, 30)
     assert world.invariants.violations == []
-    assert running_attempts(world, "j-1") == set() and len(running_attempts(world, "j-2")) == 6
+    assert running_attempts(world, "j-1") == set()
+    assert len(running_attempts(world, "j-2")) == 6
 
 
 def ten_leaders(world: World) -> None:
@@ -536,7 +548,8 @@
 def test_machines_that_the_new_leader_cannot_reach_run_nothing_twice(how: str) -> None:
     world = full_world()
     unreachable_then_led_anew(world, how)
-    assert world.invariants.violations == [] and len(world.invariants.running_tasks()) == 16
+    assert world.invariants.violations == []
+    assert len(world.invariants.running_tasks()) == 16
 
 
 @pytest.mark.parametrize("how", ["deaf", "cut"])
@@ -569,7 +582,8 @@
 def test_a_limit_holds_while_machines_cannot_be_asked_and_a_job_is_cancelled() -> None:
     world = started_world(2, teams={"team": 0.0, "few": 24.0})
     limit_and_cancellation(world)
-    assert world.invariants.violations == [] and len(world.invariants.running_tasks()) == 12
+    assert world.invariants.violations == []
+    assert len(world.invariants.running_tasks()) == 12
 
 
 def test_without_waiting_for_them_the_limit_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -638,7 +652,8 @@
     run_with_checks(world, 8)
     for name in world.controller_names:
         answer = world.poll_job("j-1", name)
-        assert answer is not None and answer[0] == 200
+        assert answer is not None
+        assert answer[0] == 200
         said.append(answer[1]["status"])
     return set(said)
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -77,4 +77,5 @@
         if now[path] > was.get(path, 0) + 5
     ]  # fmt: skip
     assert grown == []
-    assert len(before[0]) > 60 and world.now > timedelta(minutes=3)
+    assert len(before[0]) > 60
+    assert world.now > timedelta(minutes=3)
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -50,7 +50,8 @@
         if task % 1000 == 0:
             record = JobRecord(run, "c0", 1, 0.0, work.done.encode())
             largest = max(largest, len(msgspec.json.encode(to_value(record))))
-    assert work.next_task() is None and work.complete
+    assert work.next_task() is None
+    assert work.complete
     holes = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW, 2)))
     assert len(msgspec.json.encode(to_value(JobRecord(run, "c0", 1, 0.0, holes.encode())))) < 2.5 * 1024 > largest
 
@@ -186,8 +187,10 @@
 
 def test_counts_window_and_one_machine_a_step() -> None:
     fleet = Autoscaler(Tuning(pool_size=0, window=2 * S), S, 10 * S, 30 * S)
-    assert steps(fleet, [demand(4)], [], 4) == 0 and fleet.trigger is Trigger.RISING
-    assert steps(fleet, [demand(4)], [], 3, 2.0) == 3 and fleet.waiting == 4
+    assert steps(fleet, [demand(4)], [], 4) == 0
+    assert fleet.trigger is Trigger.RISING
+    assert steps(fleet, [demand(4)], [], 3, 2.0) == 3
+    assert fleet.waiting == 4
     assert steps(fleet, [demand(4)], [machine("vm-0", False, age=1.0), machine("vm-1", False, age=1.0)], 4, 4.0) == 0
     assert (fleet.waiting, fleet.trigger) == (0, Trigger.LOW), "room that boots is taken off"
 
@@ -195,7 +198,8 @@
 def test_long_waiting_tasks_fire_by_themselves() -> None:
     fleet = Autoscaler(Tuning(pool_size=0, window=0 * S, waiting_high=100, long_waiting_high=2), S, 10 * S, 30 * S)
     assert steps(fleet, [demand(4, 5.0)], [], 3) == 0
-    assert steps(fleet, [demand(4, 11.0)], [], 3, 2.0) == 3 and fleet.long_waiting == 4
+    assert steps(fleet, [demand(4, 11.0)], [], 3, 2.0) == 3
+    assert fleet.long_waiting == 4
 
 
 def test_refused_kinds_back_off() -> None:
@@ -217,9 +221,8 @@
         if second < 10:
             assert plan.drain == {}
         left |= plan.drain
-    assert list(left.values()) == ["idle"] and fleet.idle_pool == [
-        host for host in ("vm-0", "vm-1") if host not in left
-    ]
+    assert list(left.values()) == ["idle"]
+    assert fleet.idle_pool == [host for host in ("vm-0", "vm-1") if host not in left]
 
 
 def test_idle_machines_that_no_waiting_task_can_use_leave_though_the_trigger_is_high() -> None:
@@ -229,7 +232,8 @@
         fleet = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S), S, 10 * S, 30 * S)
         run = decode_job_spec(json.dumps(job_spec("j-1", pieces=4, cores=4.0, yard=zone)).encode())
         kept = machine("vm-0")
-        assert kept.room is not None and kept.record.zone == "a"
+        assert kept.room is not None
+        assert kept.record.zone == "a"
         # What is kept for services is no room for an array, yet of use to it before long.
         kept.room.in_pool = True
         found: dict[str, str] = {}
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -130,7 +130,8 @@
         if second == 12:
             world.define_job("j-3", pieces=4, cores=2.0, guessS=10.0)
             assert world.submit_until_accepted("j-3", rest[1])
-    assert world.is_done("j-2") and world.is_done("j-3"), "the others went on"
+    assert world.is_done("j-2"), "the others went on"
+    assert world.is_done("j-3"), "the others went on"
     end_faults(world)
     assert longest_starvation(world, 20)[0] < 15 * S
     assert world.invariants.violations == []
@@ -237,8 +238,11 @@
     world.run(8)
     said = status(world, leader_of(world))
     failing, machines = said["failing_jobs"], said["machines"]
-    assert isinstance(failing, dict) and list(failing) == ["j-9"] and failing["j-9"] > 1
-    assert isinstance(machines, dict) and machines[worker.host]["out_of_use"] == "silent"
+    assert isinstance(failing, dict)
+    assert list(failing) == ["j-9"]
+    assert failing["j-9"] > 1
+    assert isinstance(machines, dict)
+    assert machines[worker.host]["out_of_use"] == "silent"
     assert sum(row["out_of_use"] is not None for row in machines.values()) == 1
 
 
@@ -246,7 +250,8 @@
     world = started_world(5, teams={"team": 0.0, "few": 8.0})
     world.define_job("j-1", owner="few", pieces=10, cores=2.0, guessS=300.0)
     world.define_job("j-2", owner="team", pieces=2, cores=2.0, guessS=300.0)
-    assert world.submit_until_accepted("j-1", "c0") and world.submit_until_accepted("j-2", "c0")
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.submit_until_accepted("j-2", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 40)
     world.run(4)
     said = {name: status(world, name)["teams"] for name in world.controller_names}
@@ -257,11 +262,14 @@
     assert sum(row["waiting_for_limit"] for row in few) == 12.0
     assert all(row["share_used"] <= row["share"] + 1e-6 for row in few)
     unlimited = said["c0"]["team"]["cores"]
-    assert unlimited["limit"] is None and unlimited["share"] is None and unlimited["used"] == 4.0
+    assert unlimited["limit"] is None
+    assert unlimited["share"] is None
+    assert unlimited["used"] == 4.0
     assert sum(teams["team"]["cores"]["waiting_for_limit"] for teams in said.values()) == 0.0
     samples = metrics(world, "c0")
     assert samples["team_limit", "cores", "few"] == samples["team_used", "cores", "few"] == 8.0
-    assert ("team_limit", "cores", "team") not in samples and ("team_limit", "gpus", "few") not in samples
+    assert ("team_limit", "cores", "team") not in samples
+    assert ("team_limit", "gpus", "few") not in samples
     waiting = [metrics(world, name)["team_waiting_for_limit", "cores", "few"] for name in world.controller_names]
     assert sum(waiting) == 12.0
 
@@ -287,7 +295,8 @@
     after = status(world, name)["view_changes"]
     assert after["count"] == before["count"] + 1
     spent = after["last"][-1]["settled_s"]
-    assert after["last"][-1]["view"] == status(world, name)["view"]["number"] and 0 < spent < 6
+    assert after["last"][-1]["view"] == status(world, name)["view"]["number"]
+    assert 0 < spent < 6
     samples = metrics(world, name)
     assert samples["view_changes_total",] == after["count"]
     assert samples["last_settling_seconds",] == pytest.approx(spent, abs=0.001)
@@ -314,7 +323,8 @@
 def test_answers_to_users_are_counted_by_route_and_status() -> None:
     world = started_world(6)
     world.define_job("j-1", guessS=300.0)
-    assert world.submit_until_accepted("j-1", "c0") and world.submit_until_accepted("j-1", "c0")
+    assert world.submit_until_accepted("j-1", "c0")
+    assert world.submit_until_accepted("j-1", "c0")
     world.request("c0", lambda c: c.job_api.submit(b"{}", lambda *said: None))
     for ref in ("j-1", "j-77", "nonsense"):
         world.poll_job(ref, "c0")
@@ -327,7 +337,8 @@
         {},
     )  # fmt: skip
     samples = metrics(world, "c0")
-    assert samples["answers_total", "cancel", "404"] == 2 and samples["unavailable_total", "overloaded"] == 0
+    assert samples["answers_total", "cancel", "404"] == 2
+    assert samples["unavailable_total", "overloaded"] == 0
     assert status(world, "c0")["answers"]["poll"] == {"200": 1, "404": 2}
 
 
@@ -591,7 +602,8 @@
     assert not [line for line in told if "vm-" in line or "dependencies changed" in line], told
     assert not [acting for acting, _, line in log.lines if "stalled" in line and acting != name]
     samples = metrics(world, name)
-    assert samples["standstills_total",] == 1 and samples["standstill_seconds_total",] == pytest.approx(20, abs=0.2)
+    assert samples["standstills_total",] == 1
+    assert samples["standstill_seconds_total",] == pytest.approx(20, abs=0.2)
 
 
 def test_a_short_pause_is_no_standstill() -> None:
@@ -671,7 +683,8 @@
         world.request("c0", lambda c, body=body: c.job_api.submit(body, lambda status, *_: answers.append(status)))  # type: ignore[misc]
     world.run(8)
     reasons = of(world, "c0").telemetry.unavailable
-    assert len(answers) == 60 and set(answers) == {201, 503}
+    assert len(answers) == 60
+    assert set(answers) == {201, 503}
     assert {reason.value for reason, count in reasons.items() if count} == {"overloaded"}
     assert sum(reasons.values()) == answers.count(503)
 
@@ -684,7 +697,8 @@
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 24, 40)
     world.run(3)
     last = of(world, next(name for name in world.controller_names if name != leader_of(world)))
-    assert last.state.shard is not None and len(last.state.shard.machines) > 2
+    assert last.state.shard is not None
+    assert len(last.state.shard.machines) > 2
     for host in last.state.shard.machines:
         world.workers[host].hang(25)
     for name in world.controller_names:
@@ -719,5 +733,6 @@
     assert world.run_until(lambda: of(world, name).membership.is_leading, 15)
     world.heal()
     world.run(30)
-    assert of(world, name).membership.is_leading and of(world, name).state.reconciled
+    assert of(world, name).membership.is_leading
+    assert of(world, name).state.reconciled
     assert world.invariants.violations == []
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -104,7 +104,8 @@
     for room, copy in zip(before, copies, strict=True):
         used = round((room.cpus - copy.cpus) / run.cpus)
         assert used == 0 or may_use(run, room.machine_type, room.zone, room.spot)
-        assert used <= zone_room(run, room.zone, {}) and copy.cpus >= -1e-6
+        assert used <= zone_room(run, room.zone, {})
+        assert copy.cpus >= -1e-6
 
 
 def flavor(**fields: object) -> MachineType:
@@ -165,9 +166,12 @@
     long, short, saves = run_of(guessS=60.0), run_of(guessS=5.0), run_of(guessS=60.0, markEveryS=10.0, markCostS=1.0)
     tasks = [RunningTask(long, 0, 1), RunningTask(short, 1, 2)]
     found = victims(run_of(rank="high"), room, tasks, lambda run: True, {})
-    assert found is not None and [task.attempt for task in found[1]] == [2]
+    assert found is not None
+    assert [task.attempt for task in found[1]] == [2]
     cheaper = victims(run_of(rank="high"), room, [*tasks, RunningTask(saves, 3, 4)], lambda run: True, {})
-    assert cheaper is not None and [task.attempt for task in cheaper[1]] == [4] and cheaper[0] < found[0]
+    assert cheaper is not None
+    assert [task.attempt for task in cheaper[1]] == [4]
+    assert cheaper[0] < found[0]
     assert victims(run_of(rank="high"), room, tasks, lambda run: False, {}) is None
 
 
--- a/tests/test_process_statistics.py
+++ b/tests/test_process_statistics.py
@@ -69,7 +69,8 @@
         statistics.timer_ran(now, delay * MS)
         ran.append((now, delay * MS))
         assert statistics.worst_delay(now) == max(late for at, late in ran if now - at <= WORST_DELAY_KEPT)
-    assert statistics.timers == len(timers) and statistics.delays == sum((late for _, late in ran), timedelta(0))
+    assert statistics.timers == len(timers)
+    assert statistics.delays == sum((late for _, late in ran), timedelta(0))
     assert statistics.worst_delay(now + WORST_DELAY_KEPT + MS) == timedelta(0)
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -53,6 +53,7 @@
     world.start("c1")
     assert world.until(lambda: world.is_done("j-1"), 40)
     reply = world.http("c1", "GET", "/v2/runs/j-1")
-    assert reply is not None and json.loads(reply.body)["status"] == "done"
+    assert reply is not None
+    assert json.loads(reply.body)["status"] == "done"
     assert world.invariants.violations == []
     assert all(process.poll() is None for process in world.processes.values())
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -211,7 +211,8 @@
     world = flood(4, jobs=30, teams={"tight": LIMIT})
     finish(world, 180)
     world.run(3)
-    assert counted(world, "given") > 5 and counted(world, "refused") == 0
+    assert counted(world, "given") > 5
+    assert counted(world, "refused") == 0
     quotas = [node.controller.quota for node in world.nodes.values() if node.controller is not None]
     assert any(quota is not None and quota.waits.count for quota in quotas)
     # What was passed on is all accounted for: together the members hold the limit again.
@@ -308,13 +309,16 @@
     world = started_world(1, teams=TEAMS, parts=ON)
     world.run(3)
     controller = world.nodes["c0"].controller
-    assert controller is not None and controller.quota is not None and controller.state.scheduler is not None
+    assert controller is not None
+    assert controller.quota is not None
+    assert controller.state.scheduler is not None
     sync = sync_of(world, "c0")
     good = late_message(world, {})
     before = dict(controller.state.quota_shares)
     caplog.clear()
     controller.quota.take(msgspec.structs.replace(sync, quota=good | change), controller.state.scheduler)
-    assert controller.state.quota_shares == before and controller.quota.counters["refused"] == 1
+    assert controller.state.quota_shares == before
+    assert controller.quota.counters["refused"] == 1
     assert len([one for one in caplog.records if "refused" in one.message]) == 1
     row = [1, "tight", UNITS, 0]
     controller.quota.take(msgspec.structs.replace(sync, quota=good | {"transfers": [row]}), controller.state.scheduler)
@@ -329,7 +333,9 @@
         world = started_world(1, teams=TEAMS, parts=ON)
         world.run(3)
         controller = world.nodes["c0"].controller
-        assert controller is not None and controller.quota is not None and controller.state.scheduler is not None
+        assert controller is not None
+        assert controller.quota is not None
+        assert controller.state.scheduler is not None
         before = controller.state.quota_shares["tight"].cpus
         controller.quota.take(
             msgspec.structs.replace(sync_of(world, "c0"), quota=late_message(world, late)), controller.state.scheduler
@@ -370,12 +376,15 @@
     world = started_world(1, teams=TEAMS, parts=ON)
     world.run(3)
     controller = world.nodes["c0"].controller
-    assert controller is not None and controller.quota is not None and controller.state.scheduler is not None
+    assert controller is not None
+    assert controller.quota is not None
+    assert controller.state.scheduler is not None
     sync = sync_of(world, "c0")
     controller.quota.take(msgspec.structs.replace(sync, quota=None), controller.state.scheduler)
     assert controller.quota.counters["refused"] == 0
     body = cbor2.loads(cbor2.dumps(msgspec.to_builtins(sync)))
-    assert {"member", "view", "seq", "wire"} <= body.keys() and body["wire"] == 5
+    assert {"member", "view", "seq", "wire"} <= body.keys()
+    assert body["wire"] == 5
 
 
 def test_off_the_part_is_not_imported_and_nothing_of_it_is_told() -> None:
@@ -389,7 +398,8 @@
     world = started_world(1, teams=TEAMS)
     assert all(node.controller is not None and node.controller.quota is None for node in world.nodes.values())
     controller = world.nodes["c0"].controller
-    assert controller is not None and all(said.quota is None for said in controller.peers.last_messages())
+    assert controller is not None
+    assert all(said.quota is None for said in controller.peers.last_messages())
 
 
 # Guarantees.
@@ -415,7 +425,8 @@
     world.define_job("j-2", owner="poor", pieces=6, cores=2.0, guessS=2.0)
     assert world.submit_until_accepted("j-2", "c1")
     world.run_until(lambda: world.is_done("j-2") or world.is_done("j-1"), 60)
-    assert world.is_done("j-1") is not bool(first) and world.invariants.violations == []
+    assert world.is_done("j-1") is not bool(first)
+    assert world.invariants.violations == []
 
 
 @pytest.mark.parametrize("leader_ends_too", [False, True])
@@ -445,7 +456,8 @@
         leader_ends(world, "c0")
     assert world.run_until(lambda: len(running_attempts(world, "j-2")) == 4, 40)
     world.run(10)
-    assert stopped == ["j-1"] * 4 and world.invariants.violations == []
+    assert stopped == ["j-1"] * 4
+    assert world.invariants.violations == []
 
 
 # What operators see.
@@ -462,12 +474,16 @@
     world.run(20)
     name = leader_of(world)
     controller = world.nodes[name].controller
-    assert controller is not None and controller.quota is not None
+    assert controller is not None
+    assert controller.quota is not None
     told = json.loads(body_of(controller, "/admin/status"))["quota"]
-    assert told["members_without"] == [] and told["transfers"]["given"] == controller.quota.counters["given"]
+    assert told["members_without"] == []
+    assert told["transfers"]["given"] == controller.quota.counters["given"]
     share = told["teams"]["tight"]["cores"]
-    assert share["held"] * UNITS == controller.state.quota_shares["tight"].cpus and share["borrowed"] > 0
-    assert set(share) == {"held", "used", "borrowed", "in_transfer"} and told["teams"]["tight"]["pending"] is False
+    assert share["held"] * UNITS == controller.state.quota_shares["tight"].cpus
+    assert share["borrowed"] > 0
+    assert set(share) == {"held", "used", "borrowed", "in_transfer"}
+    assert told["teams"]["tight"]["pending"] is False
     metrics = body_of(controller, "/metrics").decode()
     for text in (
         'ramptide_quota_held{resource="cores",team="tight"}',
@@ -482,9 +498,12 @@
     waits = ShareWaits()
     waits.review({"j-1", "j-2"}, 1 * S)
     waits.review({"j-2"}, 1.5 * S)
-    assert waits.count == 1 and waits.percentiles()[50.0] == pytest.approx(0.5, rel=0.02)
+    assert waits.count == 1
+    assert waits.percentiles()[50.0] == pytest.approx(0.5, rel=0.02)
     waits.review(set(), 4 * S)
-    assert waits.count == 2 and waits.total == 3.5 * S and waits.percentiles()[99.0] == pytest.approx(3, rel=0.02)
+    assert waits.count == 2
+    assert waits.total == 3.5 * S
+    assert waits.percentiles()[99.0] == pytest.approx(3, rel=0.02)
     waits.review({"j-3"}, 5 * S)
     waits.forget()
     waits.review(set(), 9000 * S)
--- a/tests/test_quota_ledger.py
+++ b/tests/test_quota_ledger.py
@@ -234,13 +234,19 @@
 def test_a_transfer_counts_once_however_often_it_arrives() -> None:
     giver, receiver = pair()
     transfer = giver.give("b", TEAM, TASK, LIMIT)
-    assert transfer.state is TransferState.DEDUCTED and giver.balance(TEAM) == TASK.times(-1)
+    assert transfer.state is TransferState.DEDUCTED
+    assert giver.balance(TEAM) == TASK.times(-1)
     rows = giver.offered("b")
-    assert transfer.state is TransferState.SENT and giver.awaits("b", TEAM) and giver.in_transfer(TEAM) == TASK
-    assert receiver.take("a", rows) == rows and receiver.take("a", rows) == []
+    assert transfer.state is TransferState.SENT
+    assert giver.awaits("b", TEAM)
+    assert giver.in_transfer(TEAM) == TASK
+    assert receiver.take("a", rows) == rows
+    assert receiver.take("a", rows) == []
     assert receiver.balance(TEAM) == TASK
     assert [one.state for one in giver.confirm("b", receiver.last_taken("a"))] == [TransferState.TAKEN]
-    assert not giver.awaits("b", TEAM) and giver.offered("b") == [] and giver.confirm("b", 1) == []
+    assert not giver.awaits("b", TEAM)
+    assert giver.offered("b") == []
+    assert giver.confirm("b", 1) == []
     with pytest.raises(LedgerError):
         giver.give("b", TEAM, TASK, NOTHING)
     with pytest.raises(LedgerError):
@@ -263,7 +269,8 @@
     good = TransferRow(row.number + 1, TEAM, UNITS, 0)
     with pytest.raises(QuotaMessageError):
         ledger.take("a", [row, good])
-    assert ledger.balance(TEAM) == NOTHING and ledger.last_taken("a") == 0
+    assert ledger.balance(TEAM) == NOTHING
+    assert ledger.last_taken("a") == 0
     with pytest.raises(QuotaMessageError):
         ledger.confirm("a", 1)
 
@@ -306,10 +313,12 @@
     policy = FittingSplit({name: {TEAM: [demand]} for name, demand in waiting.items()})
     targets = policy.targets(TEAM, limit, dict.fromkeys(MEMBERS, NOTHING))
     given = Amounts(sum(one.cpus for one in targets.values()), sum(one.gpus for one in targets.values()))
-    assert given.cpus <= limit.cpus and given.gpus <= limit.gpus
+    assert given.cpus <= limit.cpus
+    assert given.gpus <= limit.gpus
     left = Amounts(limit.cpus - given.cpus, limit.gpus - given.gpus)
     for name, demand in waiting.items():
         tasks = targets[name].cpus // demand.cpus
-        assert targets[name] == demand.size.times(tasks) and tasks <= demand.count
+        assert targets[name] == demand.size.times(tasks)
+        assert tasks <= demand.count
         assert tasks == demand.count or not tasks_within(left, demand.size)
     assert sum(given) <= sum(most_used(limit, list(waiting.values()))), "the oracle is the best there is"
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -38,18 +38,22 @@
     assert in_force == LimitRecord(1, TeamLimit(4.0, 6.0))
     raised = change("tight", None, in_force, PLATFORM)
     now = effective({"tight": PLATFORM}, {"tight": raised})
-    assert now.limits["tight"] == cores(6) and now.teams["tight"].cpus_max == 6.0
+    assert now.limits["tight"] == cores(6)
+    assert now.teams["tight"].cpus_max == 6.0
     assert promote(raised, PLATFORM) is None, "the platform's limit needs no record"
 
 
 def test_a_removed_team_starts_nothing_and_an_added_one_counts_once_in_force() -> None:
     removed = change("tight", {"removed": True}, None, PLATFORM)
     now = effective({"tight": PLATFORM}, {"tight": removed})
-    assert now.limits["tight"] == (0, 0) and "tight" not in now.teams and "tight" not in now.guarantees
+    assert now.limits["tight"] == (0, 0)
+    assert "tight" not in now.teams
+    assert "tight" not in now.guarantees
     added = change("new", {"cpus_max": 8}, None, None)
     assert "new" not in effective({}, {"new": added}).teams
     now = effective({}, {"new": promote(added, None)})  # type: ignore[dict-item]
-    assert now.teams["new"].cpus_max == 8.0 and now.limits["new"] == cores(8)
+    assert now.teams["new"].cpus_max == 8.0
+    assert now.limits["new"] == cores(8)
 
 
 @pytest.mark.parametrize(
@@ -68,7 +72,8 @@
 def test_changes_that_make_no_sense_are_refused_in_one_line(changes: Any, named: str) -> None:
     with pytest.raises(LimitError, match=named) as raised:
         change("tight", changes, None, PLATFORM)
-    assert "\n" not in str(raised.value) and str(raised.value).startswith("tight")
+    assert "\n" not in str(raised.value)
+    assert str(raised.value).startswith("tight")
 
 
 @pytest.mark.parametrize("value", [None, 5, {}, {"version": 2}, {"version": 1, "in_force": {"cpus": -1}}])
@@ -78,7 +83,8 @@
 
 
 def test_names_of_any_kind_have_a_key() -> None:
-    assert team_of(key_of("night shift/ü")) == "night shift/ü" and " " not in key_of("night shift")
+    assert team_of(key_of("night shift/ü")) == "night shift/ü"
+    assert " " not in key_of("night shift")
     for name in ("", "x" * 201):
         with pytest.raises(LimitError):
             key_of(name)
@@ -126,7 +132,8 @@
     """The member beside the leader whose tasks use most of the limit."""
     use: dict[str, int] = {}
     for name, node in world.nodes.items():
-        assert node.controller is not None and node.controller.state.scheduler is not None
+        assert node.controller is not None
+        assert node.controller.state.scheduler is not None
         use[name] = node.controller.state.scheduler.usage().get("tight", (0, 0))[0]
     name = max((name for name in world.controller_names if name != leader_of(world)), key=lambda one: use[one])
     assert use[name] > UNITS
@@ -157,10 +164,13 @@
     lower(world, 4.0)
     starts = world.invariants.start_count
     watch_limit(world, 4.0, 30)
-    assert world.invariants.violations == [] and world.invariants.start_count > starts and in_use(world) <= 4.0
+    assert world.invariants.violations == []
+    assert world.invariants.start_count > starts
+    assert in_use(world) <= 4.0
     assert admin(world, "c2", {"tight": None})[0] == 202
     assert world.run_until(lambda: in_use(world) >= 10.0, 20), "raised again"
-    assert key_of("tight") not in world.store.entries and world.invariants.violations == []
+    assert key_of("tight") not in world.store.entries
+    assert world.invariants.violations == []
 
 
 def test_without_waiting_for_the_members_something_starts_above_the_new_limit(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -197,7 +207,9 @@
     world.run(15)
     starts = world.invariants.start_count
     watch_limit(world, 4.0, 15)
-    assert world.invariants.violations == [] and world.invariants.start_count > starts and in_use(world) <= 4.0
+    assert world.invariants.violations == []
+    assert world.invariants.start_count > starts
+    assert in_use(world) <= 4.0
 
 
 def submit(world: World, body: bytes, statuses: list[int]) -> None:
@@ -209,7 +221,8 @@
     assert admin(world, "c0", {"tight": {"removed": True}})[0] == 202
     assert world.run_until(lambda: not pending(world, "tight"), 10)
     watch_limit(world, 0.0, 10)
-    assert world.invariants.violations == [] and in_use(world) == 0
+    assert world.invariants.violations == []
+    assert in_use(world) == 0
     got: list[int] = []
     for ref in ("j-0", "j-77"):
         world.define_job(ref, owner="tight", pieces=4, cores=1.0, guessS=3.0)
@@ -227,7 +240,9 @@
 def test_calls_that_make_no_sense_change_nothing(changes: Any) -> None:
     world = started_world(1, teams={"tight": 12.0}, parts=ON)
     status, told = admin(world, "c0", changes)
-    assert status == 400 and told["error"] and not [key for key in world.store.entries if key.startswith("live/quota/")]
+    assert status == 400
+    assert told["error"]
+    assert not [key for key in world.store.entries if key.startswith("live/quota/")]
 
 
 def test_a_broken_record_leaves_the_limit_as_it_was(caplog: pytest.LogCaptureFixture) -> None:
@@ -235,7 +250,8 @@
     world.store.put(key_of("tight"), {"version": 9})
     world.run(2)
     controller = world.nodes["c0"].controller
-    assert controller is not None and controller.state.limits["tight"] == cores(12)
+    assert controller is not None
+    assert controller.state.limits["tight"] == cores(12)
     assert len([one for one in caplog.records if "broken limit of team 'tight'" in one.message]) == len(
         world.controller_names
     )
@@ -244,7 +260,8 @@
 def test_a_change_lost_to_another_one_is_told() -> None:
     world = started_world(1, teams={"tight": 12.0}, parts=ON)
     controller = world.nodes["c0"].controller
-    assert controller is not None and controller.limit_table is not None
+    assert controller is not None
+    assert controller.limit_table is not None
     results: list[TransactionResult] = []
     for most in (5, 6):
         controller.limit_table.request({"tight": {"cpus_max": most}}, results.append)
--- a/tests/test_quota_plan.py
+++ b/tests/test_quota_plan.py
@@ -36,20 +36,23 @@
     )
     text = MACHINES + team("red", "cpus = 20\ncpus_max = 40") + team("green", "cpus = 16")
     code, out, _ = plan(tmp_path, text, capfd)
-    assert code == 1 and "lacks room for 2 tasks (4 cores)" in out
+    assert code == 1
+    assert "lacks room for 2 tasks (4 cores)" in out
     assert "the limit can't be used: 4 tasks too many for the fleet (8 cores)" in out
 
 
 def test_machines_of_the_wrong_type_or_zone_do_not_count(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     for extra in ('types = ["other"]', 'zones = ["b"]'):
         code, out, _ = plan(tmp_path, MACHINES + team("red", f"cpus = 4\n{extra}"), capfd)
-        assert code == 1 and "lacks room for 2 tasks" in out
+        assert code == 1
+        assert "lacks room for 2 tasks" in out
 
 
 def test_tasks_that_fit_the_fleet_and_no_machine_do_not_hold(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     """Four machines of 8 cores take four tasks of 5, not six."""
     code, out, _ = plan(tmp_path, MACHINES + team("red", "cpus = 30", cores=5.0), capfd)
-    assert code == 1 and "lacks room for 2 tasks (10 cores)" in out
+    assert code == 1
+    assert "lacks room for 2 tasks (10 cores)" in out
 
 
 @pytest.mark.parametrize(
@@ -74,7 +77,10 @@
     tmp_path: Path, text: str, named: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
     code, out, err = plan(tmp_path, text, capfd)
-    assert code == 2 and out == "" and named in err and err.count("\n") == 1
+    assert code == 2
+    assert out == ""
+    assert named in err
+    assert err.count("\n") == 1
 
 
 def test_a_missing_file_gets_one_line(capfd: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -43,7 +43,8 @@
 ) -> None:
     assert main(["--config", str(written(tmp_path / "s.json", **changes))]) == 2
     error = capsys.readouterr().err
-    assert named in error and error.count("\n") == 1
+    assert named in error
+    assert error.count("\n") == 1
 
 
 @pytest.mark.parametrize("quota", [None, {}, {"fd_limit": 64}])
@@ -51,7 +52,8 @@
     cluster = {name: value for name, value in SETTINGS_FILE["cluster"].items() if name != "quota"}
     cluster |= {"quota": quota} if quota is not None else {}
     found = load(written(tmp_path / "s.json", cluster=cluster)).cluster.process_limits
-    assert found.cpu is None and found.fd_limit == (quota or {}).get("fd_limit")
+    assert found.cpu is None
+    assert found.fd_limit == (quota or {}).get("fd_limit")
 
 
 def test_a_missing_or_broken_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -64,7 +66,8 @@
 def test_the_command_line(capsys: pytest.CaptureFixture[str]) -> None:
     with pytest.raises(SystemExit) as ended:
         main(["--version"])
-    assert ended.value.code == 0 and "ramptide" in capsys.readouterr().out
+    assert ended.value.code == 0
+    assert "ramptide" in capsys.readouterr().out
     with pytest.raises(SystemExit) as ended:
         main([])
     assert ended.value.code == 2
@@ -101,7 +104,8 @@
 def test_changed_settings_reach_all_and_outlive_restarts() -> None:
     world = started_world(2)
     status, said = administer(world, "c1", "PATCH", SETTINGS_PATH, b'{"cooldown": 33}')
-    assert status == 200 and json.loads(said)["cooldown"]["value"] == 33
+    assert status == 200
+    assert json.loads(said)["cooldown"]["value"] == 33
     assert administer(world, "c1", "PATCH", SETTINGS_PATH, b'{"cooldown": -33}')[0] == 400
     assert administer(world, "c1", "DELETE", SETTINGS_PATH)[0] == 405
     for name in world.controller_names:
@@ -118,9 +122,11 @@
     assert world.submit_until_accepted("j-1", "c0")
     world.run(15)
     status = json.loads(administer(world, "c0", "GET", STATUS_PATH)[1])
-    assert status["view"]["leader"] == leader_of(world) and status["jobs"]["j-1"]["pieces"] == 1
+    assert status["view"]["leader"] == leader_of(world)
+    assert status["jobs"]["j-1"]["pieces"] == 1
     metrics = administer(world, leader_of(world), "GET", METRICS_PATH)[1].decode()
-    assert "ramptide_leading 1.0" in metrics and "ramptide_rentals_total" in metrics
+    assert "ramptide_leading 1.0" in metrics
+    assert "ramptide_rentals_total" in metrics
 
 
 def submitted(world: World, body: bytes) -> int:
@@ -163,7 +169,8 @@
     assert send(owner="tight", cores=2.0, pieces=3, ref="j-8") == 201
     assert send(owner="tight", cores=2.0, pieces=3, ref="j-8") == 200
     world.define_job("j-8", owner="tight", cores=2.0, pieces=3)
-    assert world.cancel_job("j-8", "c1") and world.cancel_job("j-8", "c2")
+    assert world.cancel_job("j-8", "c1")
+    assert world.cancel_job("j-8", "c2")
     assert send(owner="tight", cores=2.0, pieces=3, ref="j-8") == 200
     assert send(owner="nobody", ref="j-8") == 200, "an accepted job is never refused later"
     assert [world.poll_job(ref, "c0")[0] for ref in ("j-8", "j-77", "nonsense")] == [200, 404, 404]  # type: ignore[index]
--- a/tests/test_slow_controllers.py
+++ b/tests/test_slow_controllers.py
@@ -85,7 +85,8 @@
         {worker.host: worker.agent_epoch for worker in world.workers.values() if worker.alive},
     )
     answered = flood(world)
-    assert len(answered) == 800 and views(world) == before
+    assert len(answered) == 800
+    assert views(world) == before
     assert all(world.workers[host].agent_epoch == tenure for host, tenure in machines.items()), "no lease ran out"
     goes_on(world, "j-100")
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -18,7 +18,8 @@
     subprocess.run([sys.executable, str(tmp_path / "run.py"), "compile"], env=environment, check=True)
     compiled = {path.name.split(".")[0] for path in (tmp_path / "target" / "bytecode").rglob("src/ramptide/**/*.pyc")}
     modules = {path.stem for path in (ROOT / "src" / "ramptide").rglob("*.py")}
-    assert len(modules) > 50 and modules <= compiled
+    assert len(modules) > 50
+    assert modules <= compiled
 
 
 def test_the_deploy_file_compiles_with_the_interpreter_and_flags_that_it_runs_with() -> None:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -58,7 +58,8 @@
     for ref in known:
         for name in world.controller_names:
             answer = world.poll_job(ref, name)
-            assert answer is not None and answer[0] == 200, (ref, name, answer)
+            assert answer is not None, (ref, name)
+            assert answer[0] == 200, (ref, name, answer)
     assert world.invariants.violations == []
 
 
@@ -144,7 +145,8 @@
     assert world.run_until(lambda: world.is_done("j-1"), 60)
     assert world.invariants.violations == []
     answer = world.poll_job("j-1", "c2")
-    assert answer is not None and answer[1]["status"] == "done"
+    assert answer is not None
+    assert answer[1]["status"] == "done"
 
 
 def test_a_lost_machine_is_replaced_and_its_tasks_run_again() -> None:
@@ -212,7 +214,8 @@
         used.setdefault(worker.host, []).append(task.job_id)
     assert len(used) == 2
     for refs in used.values():
-        assert world.cancel_job(refs[0], "c0") and world.cancel_job(refs[1], "c0")
+        assert world.cancel_job(refs[0], "c0")
+        assert world.cancel_job(refs[1], "c0")
     assert world.run_until(lambda: len({worker.host for worker, _ in world.invariants.running_tasks()}) == 1, 90)
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 4, 5)
     assert world.run_until(lambda: sum(worker.alive for worker in world.workers.values()) == 2, 30), "one for the pool"
@@ -264,7 +267,8 @@
     world.run(25)
     for name in world.controller_names:
         answer = world.poll_job("j-2", name)
-        assert answer is not None and (answer[0], answer[1]["status"]) == (200, "withdrawn")
+        assert answer is not None
+        assert (answer[0], answer[1]["status"]) == (200, "withdrawn")
     assert world.invariants.violations == []
 
 
@@ -273,14 +277,18 @@
     world.store.start_outage(10)
     world.run(3)
     answer = world.poll_job("j-1", "c0")
-    assert answer is not None and answer[0] == 503
+    assert answer is not None
+    assert answer[0] == 503
     unknown = world.poll_job("j-999", "c0")
-    assert unknown is not None and unknown[0] == 503
+    assert unknown is not None
+    assert unknown[0] == 503
     world.run(12)
     answer = world.poll_job("j-1", "c0")
-    assert answer is not None and answer[1]["running"] == 6
+    assert answer is not None
+    assert answer[1]["running"] == 6
     unknown = world.poll_job("j-999", "c0")
-    assert unknown is not None and unknown[0] == 404
+    assert unknown is not None
+    assert unknown[0] == 404
 
 
 def test_a_change_of_view_costs_no_healthy_machine() -> None:
@@ -332,7 +340,8 @@
     """The crash is 3 s into the outage, and what was confirmed just before it has `cancel_s`, 20 s, from then."""
     world = busy_world(guessS=90.0)
     found = crash_in_an_outage(world, 30)
-    assert found[17] == set() and found[4] == found[0], "gone in time, but not before it must"
+    assert found[17] == set(), "gone in time"
+    assert found[4] == found[0], "but not before it must"
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30), "it runs again afterwards"
     assert world.invariants.violations == []
 
@@ -381,11 +390,13 @@
     """How many launches went to a machine whose lease had run out because it hears nothing."""
     worker = deafen(world)
     world.run(10)
-    assert worker.agent_epoch > 1 and not worker.tasks
+    assert worker.agent_epoch > 1
+    assert not worker.tasks
     world.define_job("j-2", pieces=24, cores=2.0, guessS=30.0)
     assert world.submit_until_accepted("j-2", "c0")
     controller = world.nodes["c0"].controller
-    assert controller is not None and controller.state.shard is not None
+    assert controller is not None
+    assert controller.state.shard is not None
     machine, most = controller.state.shard.machines[worker.host], 0
     for _ in range(200):
         world.run(0.1)
@@ -414,7 +425,8 @@
     for _ in range(250):
         world.run(0.1)
         world.invariants.check()
-    assert world.invariants.violations == [] and not world.invariants.running_tasks()
+    assert world.invariants.violations == []
+    assert not world.invariants.running_tasks()
 
 
 def test_a_member_that_is_unheard_for_long_loses_no_machines() -> None:
@@ -506,7 +518,8 @@
         world.run(0.5)
         world.nodes[other].start()
         world.run(2)
-    assert controller.state.view is not None and not controller.state.reconciled
+    assert controller.state.view is not None
+    assert not controller.state.reconciled
     assert world.run_until(lambda: controller.state.reconciled, 30)
     assert world.invariants.violations == []
     return (world.now - began) / S
@@ -556,9 +569,8 @@
     assert world.run_until(lambda: controller.membership.incarnation != before, 5)
     assert not controller.authority.may_reply(), "the old view is over for it"
     assert world.run_until(lambda: controller.state.reconciled and controller.authority.may_reply(), 15)
-    assert (
-        controller.state.view is not None and controller.state.view.members[name] == controller.membership.incarnation
-    )
+    assert controller.state.view is not None
+    assert controller.state.view.members[name] == controller.membership.incarnation
     assert world.invariants.violations == []
 
 
@@ -609,7 +621,8 @@
 def test_machines_that_hang_past_their_lease_come_back_empty_and_are_used_again() -> None:
     world = busy_world(guessS=500.0)
     hung = hang_half(world, 12)
-    assert world.invariants.violations == [] and len(world.invariants.running_tasks()) == 6
+    assert world.invariants.violations == []
+    assert len(world.invariants.running_tasks()) == 6
     assert all(worker.alive and worker.agent_epoch == 2 for worker in hung)
     world.define_job("j-2", pieces=40, cores=1.0, guessS=30.0)
     assert world.submit_until_accepted("j-2", "c0")
@@ -620,7 +633,8 @@
 def test_given_up_before_their_leases_end_their_tasks_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     world = busy_world(guessS=500.0)
     for node in world.nodes.values():
-        assert node.controller is not None and node.controller.state.shard is not None
+        assert node.controller is not None
+        assert node.controller.state.shard is not None
         monkeypatch.setattr(node.controller.state.shard.leases, "_lease", 2 * S)
     hang_half(world, 12)
     assert any("ran_twice" in rule for rule in world.invariants.violations)
@@ -635,10 +649,12 @@
     world.nodes[frozen].freeze(12)
     world.run(11.9)
     controller = world.nodes[frozen].controller
-    assert controller is not None and leader_of_others(world, frozen) != frozen
+    assert controller is not None
+    assert leader_of_others(world, frozen) != frozen
     starts = controller.state.counters["starts"]
     world.run(0.2)
-    assert controller.state.counters["starts"] == starts and not controller.authority.may_start()
+    assert controller.state.counters["starts"] == starts
+    assert not controller.authority.may_start()
     assert world.run_until(
         lambda: world.is_done("j-1") and (not world.submit_until_accepted("j-2", "c0") or world.is_done("j-2")), 90
     )
--- a/tests/virtual/loopback.py
+++ b/tests/virtual/loopback.py
@@ -221,7 +221,8 @@
     def metrics(self, name: str) -> str:
         """Return a controller's metrics."""
         response = self._call(self.peer_address(name), "GET", "/metrics", b"")
-        assert response is not None and response.status == 200
+        assert response is not None
+        assert response.status == 200
         return response.body.decode()
 
     def _call(self, address: str, method: str, path: str, body: bytes) -> Message | None:
