--- a/src/ramptide/agents/commands.py
+++ b/src/ramptide/agents/commands.py
@@ -64,7 +64,7 @@
         if machine is None or not machine.has_current_token:
             return False
         return any(
-            _needs_start(entry) or _needs_reap(entry) or _needs_stop(entry) and entry.stop_sent_at is None
+            _needs_start(entry) or _needs_reap(entry) or (_needs_stop(entry) and entry.stop_sent_at is None)
             for entry in machine.entries.values()
         )
 
--- a/src/ramptide/agents/heartbeat_intake.py
+++ b/src/ramptide/agents/heartbeat_intake.py
@@ -64,7 +64,7 @@
             reports = self._decode_tasks(raw_tasks)
         self._track_replies(machine, heartbeat_id, now)
         self._note_arrival(machine, heartbeat, heartbeat_id, now)
-        if has_current_token is not machine.has_current_token or has_current_token and not machine.is_reconciled:
+        if has_current_token is not machine.has_current_token or (has_current_token and not machine.is_reconciled):
             self._note_token(machine, has_current_token)
         if has_current_token and reports is not None:
             machine.raw_tasks = raw_tasks
--- a/src/ramptide/clients/key_value_store.py
+++ b/src/ramptide/clients/key_value_store.py
@@ -264,7 +264,7 @@
     def revoke_lease(self, lease_id: int) -> None:
         """End a lease at once; if the request is lost, the lease expires."""
         request = Request(CallPriority.LEASE, "DELETE", f"{LEASES_PATH}/{lease_id}")
-        self._client.call(request, lambda response: None)
+        self._client.call(request, _ignore_response)
 
     def watch(
         self,
@@ -303,3 +303,7 @@
 
 def _last_key(page: KeyValuePage) -> str | None:
     return page.key_values[-1].key if page.key_values else None
+
+
+def _ignore_response(_response: Response | None) -> None:
+    """Take a response that nobody waits for."""
--- a/src/ramptide/clients/rate_limits.py
+++ b/src/ramptide/clients/rate_limits.py
@@ -175,7 +175,7 @@
                     call.reject()
                     continue
                 wait_time = self._wait_time(call)
-                if wait_time > NO_TIME or is_write_waiting and call.writes:
+                if wait_time > NO_TIME or (is_write_waiting and call.writes):
                     # Writes of a lower priority must not use up the tokens that a higher one waits for.
                     is_write_waiting = is_write_waiting or bool(call.writes)
                     next_wait_time = wait_time if next_wait_time is None else min(next_wait_time, wait_time)
--- a/src/ramptide/cluster/membership.py
+++ b/src/ramptide/cluster/membership.py
@@ -206,7 +206,7 @@
 
         An earlier incarnation of our own member has ended for sure, so its key need not expire.
         """
-        return self._leader is None or self._leader.get("member") == self.member and not self._holds_leader_key()
+        return self._leader is None or (self._leader.get("member") == self.member and not self._holds_leader_key())
 
     # What we do about it.
 
--- a/src/ramptide/cluster/observed_machine.py
+++ b/src/ramptide/cluster/observed_machine.py
@@ -73,7 +73,7 @@
 
         A task that was seen there by this controller need not be waited for anew under each owner.
         """
-        return self.is_reported and (self.missed_heartbeats or not self.is_up and not self.is_assumed)
+        return self.is_reported and (self.missed_heartbeats or (not self.is_up and not self.is_assumed))
 
     @property
     def recently_failed_jobs(self) -> list[str]:
--- a/src/ramptide/state/jobs.py
+++ b/src/ramptide/state/jobs.py
@@ -38,7 +38,7 @@
         If the record is broken.
     """
 
-    __slots__ = ("job_id", "spec", "record", "mod_revision", "progress", "submitted_at", "deadline")
+    __slots__ = ("deadline", "job_id", "mod_revision", "progress", "record", "spec", "submitted_at")
 
     def __init__(self, job_id: str, record: JobRecord, mod_revision: int) -> None:
         self.job_id = job_id
--- a/src/ramptide/state/records.py
+++ b/src/ramptide/state/records.py
@@ -66,7 +66,7 @@
         The number of tasks in the set.
     """
 
-    __slots__ = ("low", "bits", "count")
+    __slots__ = ("bits", "count", "low")
 
     def __init__(self, low: int = 0, bits: int = 0) -> None:
         self.low = low
--- a/src/ramptide/transport/http/client.py
+++ b/src/ramptide/transport/http/client.py
@@ -80,7 +80,7 @@
             return
         if message is not None and self.on_response is not None:
             self._complete(message, reuse=message.keep_alive and data != b"" and self.parser.is_idle)
-        elif data == b"" or not self.parser.is_idle and self.on_response is None:
+        elif data == b"" or (not self.parser.is_idle and self.on_response is None):
             self.close()
 
     def _complete(self, message: Message, reuse: bool) -> None:
--- a/src/ramptide/transport/http/messages.py
+++ b/src/ramptide/transport/http/messages.py
@@ -25,7 +25,7 @@
     Header names are in lower case; the headers are shared between copies and must not be changed.
     """
 
-    __slots__ = ("method", "target", "status", "headers", "body", "keep_alive")
+    __slots__ = ("body", "headers", "keep_alive", "method", "status", "target")
 
     def __init__(self, start_line: str, headers: dict[str, str], response: bool) -> None:
         self.method, self.target, self.status = "", "", 0
--- a/src/ramptide/transport/http/parser.py
+++ b/src/ramptide/transport/http/parser.py
@@ -43,7 +43,9 @@
 
 
 class _State(Enum):
-    """What the parser reads next. The transitions, with the condition for each:
+    """What the parser reads next.
+
+    The transitions, with the condition for each:
 
     | from | to |
     | --- | --- |
--- a/src/ramptide/transport/http/server.py
+++ b/src/ramptide/transport/http/server.py
@@ -204,7 +204,7 @@
         """Whether so many connections are open that none is kept for later requests."""
         return len(self.connections) > self.max_connections * CROWDED_SHARE
 
-    def _accept(self, mask: int) -> None:
+    def _accept(self, _mask: int) -> None:
         for _ in range(MAX_ACCEPTS_PER_EVENT):
             try:
                 sock, _peer = self.sock.accept()
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -16,12 +16,13 @@
 
 from ramptide.agents.shard import Shard
 from ramptide.cluster import peers
+from ramptide.cluster.messages import PeerMessage
 from ramptide.config.settings import SettingsError, Tuning, load
 from ramptide.controller.peer_messages import PeerMessageHandler
 from ramptide.protocol.agents import decode_heartbeat, decode_task_reports
 from ramptide.protocol.key_value_store import KEYS_PATH
 from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.records import Progress
+from ramptide.state.records import Progress, RecordError
 from virtual import (
     CLOUD,
     SETTINGS_FILE,
@@ -37,16 +38,6 @@
     started_world,
 )
 
-from ramptide.agents.shard import Shard
-from ramptide.cluster import peers
-from ramptide.cluster.messages import PeerMessage
-from ramptide.config.settings import SettingsError, Tuning, load
-from ramptide.controller.peer_messages import PeerMessageHandler
-from ramptide.protocol.agents import decode_heartbeat, decode_task_reports
-from ramptide.protocol.key_value_store import KEYS_PATH
-from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.records import Progress, RecordError
-
 NULLABLE = {"rigs", "yard", "dueS"}
 JUNK: list[Any] = [
     None, True, -1, 1.5, -0.5, "", "x", " ", "a\nb", [], [1], {}, {"x": 1}, [[]], 2**64, -(2**70), 10**300, 1e300,
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -6,7 +6,6 @@
 from typing import Any
 
 import pytest
-from world import Reply, VirtualContext, World
 
 from ramptide.clients.cloud import CloudClient, RentResult
 from ramptide.clients.key_value_store import KeyValueStore, LeaseStatus, ReadResult, Snapshot
@@ -15,25 +14,27 @@
 from ramptide.protocol.settings_file import CloudLimits, KeyValueStoreLimits
 from ramptide.state.delete_log import DELETES_KEPT, DeleteLog
 from ramptide.transport.runtime import Response
+from virtual import VirtualRuntime, World
+from virtual.network import Response as VirtualResponse
 
 
 class ScriptedService:
     """Answers each call with the next of its responses, and records the targets."""
 
     def __init__(self, *responses: Response | None) -> None:
-        self.runtime = VirtualContext(World(1).nodes["c0"])
+        self.runtime = VirtualRuntime(World(1).nodes["c0"])
         self.runtime.call = self._call  # type: ignore[method-assign]
         self.targets: list[str] = []
         self._responses = list(responses)
 
     def _call(
         self,
-        address: str,
-        method: str,
+        _address: str,
+        _method: str,
         target: str,
-        body: bytes,
-        content_type: str,
-        timeout: timedelta,
+        _body: bytes,
+        _content_type: str,
+        _timeout: timedelta,
         on_response: Callable[[Response | None], None],
     ) -> None:
         self.targets.append(target)
@@ -50,7 +51,7 @@
 
 
 def reply(status: int, value: Any = None) -> Response:
-    return Reply(status, json.dumps(value).encode())
+    return VirtualResponse(status, json.dumps(value).encode())
 
 
 @pytest.mark.parametrize(
@@ -79,7 +80,8 @@
     store.commit(Transaction(puts=[Put("a", 1)]), results.append)
     assert [result.outcome for result in results] == [TransactionOutcome.APPLIED]
     service.runtime.node.world.run(300)
-    assert [result.is_rate_limited for result in results] == [False, True] and len(service.targets) == 1
+    assert [result.is_rate_limited for result in results] == [False, True]
+    assert len(service.targets) == 1
 
 
 @pytest.mark.parametrize(
@@ -136,7 +138,8 @@
     service = ScriptedService(page(5, True, "p/b"), second)
     snapshots: list[Snapshot | None] = []
     service.store().list_keys("p/", snapshots.append)
-    assert snapshots == [None] and len(service.targets) == 2
+    assert snapshots == [None]
+    assert len(service.targets) == 2
 
 
 @pytest.mark.parametrize(
@@ -161,7 +164,8 @@
     log.add("before", 1)
     assert log.since(0) is None, "nothing was loaded yet"
     log.restart(10)
-    assert log.since(9) is None and log.since(10) == []
+    assert log.since(9) is None
+    assert log.since(10) == []
     for number in range(DELETES_KEPT + 1):
         log.add(f"k{number}", 11 + number)
     assert log.since(10) is None, "the first deletion was dropped"
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -66,7 +66,7 @@
     view = View(7, "c0", {"c0": "a"}, {"c1": "b"})
     assert decode_view(encode_view(view)) == view
     for broken in (None, [], {"number": 1}, {"number": "1", "leader": "c0", "members": {}}):
-        with pytest.raises(MalformedViewError, match="^broken view: "):
+        with pytest.raises(MalformedViewError, match=r"^broken view: "):
             decode_view(broken)
 
 
@@ -102,12 +102,14 @@
     receiver = peers()
     with pytest.raises(error) as caught:
         receiver.receive(body, 3)
-    assert caught.value.member == member and receiver.newest_view == 0
-    assert receiver.receive(encode_message(message), 3)[0] == message and receiver.newest_view == 3
+    assert caught.value.member == member
+    assert receiver.newest_view == 0
+    assert receiver.receive(encode_message(message), 3)[0] == message
+    assert receiver.newest_view == 3
 
 
 def test_a_refused_reply_says_who_sent_it() -> None:
     for body in (b"", b"\xff", cbor2.dumps({"inc": 1}), b"\x81" * 60_000):
-        with pytest.raises(MalformedReplyError, match="^broken answer of c1: ") as caught:
+        with pytest.raises(MalformedReplyError, match=r"^broken answer of c1: ") as caught:
             decode_reply(body, "c1")
         assert caught.value.member == "c1"
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -111,8 +111,10 @@
 
 def test_a_message_after_a_gap_is_not_taken() -> None:
     inbox = ReceivedSequence()
-    assert inbox.accept(0, 3) and not inbox.accept(5, 6), "what changed from 3 to 5 is missing here"
-    assert inbox.accept(3, 6) and not inbox.accept(0, 4), "an older one says nothing new"
+    assert inbox.accept(0, 3)
+    assert not inbox.accept(5, 6), "what changed from 3 to 5 is missing here"
+    assert inbox.accept(3, 6)
+    assert not inbox.accept(0, 4), "an older one says nothing new"
 
 
 class DelayedStore:
@@ -142,7 +144,7 @@
     """A watch that was opened first answers last: the drop that a later read has shown stays."""
     state, seen = DelayedStore(), {}
 
-    def on_change(key: str, value: Any, mod_revision: int) -> None:
+    def on_change(key: str, value: Any, _mod_revision: int) -> None:
         seen[key] = value
 
     cache = WatchCache(state.store, "live/", on_change, lambda: None)
@@ -190,7 +192,8 @@
     assert len(state.calls) == 1
     assert len(json.loads(state.calls[0][1])["then"]) == 3
     state.answer(0, 409, {"failed": ["b"], "epoch": 5})
-    assert list(outcomes) == ["b"] and outcomes["b"].conflicting_keys == ("b",)
+    assert list(outcomes) == ["b"]
+    assert outcomes["b"].conflicting_keys == ("b",)
     state.world.run(0.1)
     state.answer(1, 200, {"epoch": 6})
     assert outcomes["a"].commit_revision == outcomes["c"].commit_revision == 6
@@ -230,7 +233,8 @@
     bucket.wait_time(20 * S, 1)
     assert bucket.rate == 25.0
     bucket.drain()
-    assert bucket.rate == 10.0 and bucket.wait_time(20 * S, 1) > timedelta(0)
+    assert bucket.rate == 10.0
+    assert bucket.wait_time(20 * S, 1) > timedelta(0)
 
 
 def a_part() -> Shard:
@@ -301,7 +305,8 @@
     assert part.unrecorded_machines(), "the leader knows what it returned"
     world = started_world(5)
     controller = world.nodes[leader_of(world)].controller
-    assert controller is not None and controller.state.shard is not None
+    assert controller is not None
+    assert controller.state.shard is not None
     controller.fleet_manager._returns._returned_at["vm-1"] = controller.runtime.now
     controller.state.shard.unrecorded["vm-1"] = beat(1, 2, 99)
     world.run(30)
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -3,6 +3,7 @@
 import pytest
 
 from ramptide.autoscaling.cloud_list import CloudList
+from virtual import S, World, busy_world, full_world, leader_of
 
 MORE_THAN_A_VIEW_RETURNS_AT_ONCE = 7
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -196,7 +196,9 @@
     until(lambda: list(server.connections) == [second, third, first])
     clients.append(socket.create_connection(address, 5))
     until(lambda: not second.is_open)
-    assert first.is_open and third.is_open and len(server.connections) == 3
+    assert first.is_open
+    assert third.is_open
+    assert len(server.connections) == 3
     for client in clients:
         client.close()
     server.sock.close()
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -224,11 +224,10 @@
     told = len(one.state.shard.machines)
     base = other.peers.by_name[one.state.member].inbox.sequence_number
     world.run(2)
-    assert (
-        other.peers.by_name[one.state.member].inbox.sequence_number > base
-        and one.peers.by_name[other.state.member].acknowledged > base
-    )
-    assert told > LARGE / 4 and world.longest_body < LONGEST_MESSAGE_BYTES
+    assert other.peers.by_name[one.state.member].inbox.sequence_number > base
+    assert one.peers.by_name[other.state.member].acknowledged > base
+    assert told > LARGE / 4
+    assert world.longest_body < LONGEST_MESSAGE_BYTES
     shown = {host: other.machine_index.machines[host].tasks for host in one.state.shard.machines}
     assert all(len(tasks) == TASKS_ON_EACH for tasks in shown.values())
 
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -23,7 +23,8 @@
             receiver = node.func.value
             if isinstance(receiver, ast.Name) and receiver.id == "log" and node.func.attr in LEVELS:
                 form = node.args[0]
-                assert isinstance(form, ast.Constant) and isinstance(form.value, str), f"{path}:{node.lineno}"
+                assert isinstance(form, ast.Constant), f"{path}:{node.lineno}"
+                assert isinstance(form.value, str), f"{path}:{node.lineno}"
                 yield f"{path.relative_to(SOURCES)}:{node.lineno}", form.value
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -8,9 +8,11 @@
 import pytest
 
 from ramptide.agents.shard import Shard
-from ramptide.cluster.machine_index import MachineIndex, ObservedMachine
-from ramptide.cluster.membership import View
-from ramptide.cluster.peers import Peer, PeerMessage, Peers
+from ramptide.cluster.machine_index import MachineIndex
+from ramptide.cluster.messages import PeerMessage
+from ramptide.cluster.observed_machine import ObservedMachine
+from ramptide.cluster.peers import Peer, Peers
+from ramptide.cluster.view import View
 from ramptide.config.settings import Tuning
 from ramptide.controller.controller import Controller
 from ramptide.controller.reconciliation import Reconciliation
@@ -42,23 +44,6 @@
     submit_job,
 )
 
-from ramptide.agents.shard import Shard
-from ramptide.cluster.machine_index import MachineIndex
-from ramptide.cluster.messages import PeerMessage
-from ramptide.cluster.observed_machine import ObservedMachine
-from ramptide.cluster.peers import Peer, Peers
-from ramptide.cluster.view import View
-from ramptide.config.settings import Tuning
-from ramptide.controller.controller import Controller
-from ramptide.controller.reconciliation import Reconciliation
-from ramptide.controller.replication import Replication
-from ramptide.protocol.key_value_store import TRANSACTION_PATH
-from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.records import Handover
-from ramptide.state.task_state import DesiredState
-from ramptide.state.watch_cache import WatchCache
-from ramptide.team_limits.share_split import ShareSplit
-
 # The state service refuses the leader alone, another controller confirms cancellations, then all lack it.
 
 
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -434,7 +434,8 @@
     telemetry.take_expired_leases([ExpiredLease(f"vm-{n}", 3, n < 5) for n in range(300)], confirmed=True)
     assert len(caplog.records) == 1
     line = caplog.records[0].getMessage()
-    assert "tasks_lost=900 reconciled=5" in line and "vm-9 and 290 more'" in line
+    assert "tasks_lost=900 reconciled=5" in line
+    assert "vm-9 and 290 more'" in line
 
 
 def test_what_a_controller_that_was_left_out_gives_up_is_not_lost() -> None:
@@ -615,7 +616,8 @@
         world.run(5)
     lines = [line for line in log.of("c0", timedelta(0)) if "stalled" in line]
     told = ("controller stalled: stalled_s=2.3", "controller stalled: stalled_s=2.4")
-    assert len(lines) == 1 and lines[0] in told
+    assert len(lines) == 1
+    assert lines[0] in told
 
 
 def test_every_metric_is_explained_to_operators() -> None:
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -266,4 +266,5 @@
     for most in (5, 6):
         controller.limit_table.request({"tight": {"cpus_max": most}}, results.append)
     world.run(2)
-    assert [one.is_applied for one in results] == [True, False] and results[1].conflicting_keys == (key_of("tight"),)
+    assert [one.is_applied for one in results] == [True, False]
+    assert results[1].conflicting_keys == (key_of("tight"),)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,8 +8,9 @@
 from ramptide.agents.heartbeat_intake import HeartbeatIntake
 from ramptide.agents.shard import Shard
 from ramptide.agents.token_announcer import TokenAnnouncer
-from ramptide.cluster.machine_index import MachineIndex, ObservedMachine
-from ramptide.cluster.membership import LEASE_TIMEOUT
+from ramptide.cluster.machine_index import MachineIndex
+from ramptide.cluster.member_lease import LEASE_TIMEOUT
+from ramptide.cluster.observed_machine import ObservedMachine
 from ramptide.cluster.peers import Peers
 from ramptide.controller.authority import Authority
 from ramptide.controller.reconciliation import Reconciliation
@@ -32,17 +33,6 @@
     submit_job,
 )
 
-from ramptide.agents.heartbeat_intake import HeartbeatIntake
-from ramptide.agents.shard import Shard
-from ramptide.agents.token_announcer import TokenAnnouncer
-from ramptide.cluster.machine_index import MachineIndex
-from ramptide.cluster.member_lease import LEASE_TIMEOUT
-from ramptide.cluster.observed_machine import ObservedMachine
-from ramptide.cluster.peers import Peers
-from ramptide.controller.authority import Authority
-from ramptide.controller.reconciliation import Reconciliation
-from ramptide.state.task_state import FINISHED_PHASE_NAMES
-
 
 @pytest.mark.parametrize("seed", range(28))
 def test_no_rule_is_broken_in_generated_histories(seed: int) -> None:
--- a/tests/virtual/indexes.py
+++ b/tests/virtual/indexes.py
@@ -27,7 +27,7 @@
 
 
 def _check_rooms(floor: MachineIndex) -> None:
-    expected = {name: room for name in floor.machines if (room := floor._room(name)) is not None}
+    expected = {name: room for name in floor.machines if (room := floor._free_rooms._room(name)) is not None}
     assert floor.rooms == expected
 
 
@@ -43,10 +43,16 @@
 def _check_failures(controller: Controller) -> None:
     floor, jobs = controller.machine_index, controller.state.jobs
     failed = {(job_id, name) for name, host in floor.machines.items() for job_id in host.failed_jobs}
-    assert {(job_id, name) for job_id, names in floor._hosts_by_failed_job.items() for name in names} == failed
+    assert {
+        (job_id, name) for job_id, names in floor._failures._hosts_by_failed_job.items() for name in names
+    } == failed
     passed = {job_id for job_id, _ in failed if job_id in jobs and jobs[job_id].progress.count}
     passed |= {row[0] for host in floor.machines.values() for row in host.tasks if row[4] == DONE}
-    assert passed & floor._hosts_by_failed_job.keys() <= floor._succeeded_jobs <= floor._hosts_by_failed_job.keys()
+    assert (
+        passed & floor._failures._hosts_by_failed_job.keys()
+        <= floor._failures._succeeded_jobs
+        <= floor._failures._hosts_by_failed_job.keys()
+    )
 
 
 def _check_jobs(scheduler: JobScheduler) -> None:
--- a/tests/virtual/loopback.py
+++ b/tests/virtual/loopback.py
@@ -21,7 +21,7 @@
 from ramptide.transport.http.client import Client
 from ramptide.transport.http.messages import Message
 from ramptide.transport.http.server import Exchange, Server
-from ramptide.transport.runtime import JSON
+from ramptide.transport.runtime import JSON, Response
 from virtual.network import CLOUD, STORE, Respond, encode_body
 from virtual.node import Node
 from virtual.settings import cluster_settings
@@ -58,7 +58,7 @@
     def deliver_heartbeat(self, body: bytes, respond: Respond) -> None:
         """Send a heartbeat, and pass the response on."""
 
-        def on_response(response: Message | None) -> None:
+        def on_response(response: Response | None) -> None:
             if response is None:
                 respond(503, b"{}")
             else:
@@ -209,7 +209,7 @@
         """Tell whether the controller says that it is healthy."""
         return self.status(name, "GET", HEALTH_PATH) == 200
 
-    def http(self, name: str, method: str, path: str, body: bytes = b"") -> Message | None:
+    def http(self, name: str, method: str, path: str, body: bytes = b"") -> Response | None:
         """Return a controller's response to a user, or None when none came in time."""
         return self._call(self.users_address(name), method, path, body)
 
@@ -225,8 +225,8 @@
         assert response.status == 200
         return response.body.decode()
 
-    def _call(self, address: str, method: str, path: str, body: bytes) -> Message | None:
-        responses: list[Message | None] = []
+    def _call(self, address: str, method: str, path: str, body: bytes) -> Response | None:
+        responses: list[Response | None] = []
         self.client.call(address, method, path, body, JSON, REQUEST_TIMEOUT, responses.append)
         self.until(lambda: bool(responses), 6)
         return responses[0]
