--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -252,7 +252,7 @@
     controller = world.nodes["c0"].controller
     assert controller is not None
     assert controller.state.limits["tight"] == cores(12)
-    assert len([one for one in caplog.records if "broken limit of team 'tight'" in one.message]) == len(
+    assert len([one for one in caplog.records if "broken limit record: team='tight'" in one.message]) == len(
         world.controller_names
     )
 
