--- a/src/ramptide/agents/token_announcer.py
+++ b/src/ramptide/agents/token_announcer.py
@@ -13,7 +13,7 @@
 
 from ramptide.protocol.agents import COMMANDS_PATH, Heartbeat, decode_heartbeat, encode_commands
 from ramptide.protocol.types import MessageError
-from ramptide.transport.runtime import JSON, Response, Runtime
+from ramptide.transport.runtime import Request, Response, Runtime
 
 __all__ = ["MAX_IN_FLIGHT", "TokenAnnouncer"]
 
@@ -72,7 +72,7 @@
             self._send_waiting()
 
         body = encode_commands(fencing_token, agent_epoch, [])
-        self._runtime.call(address, "POST", COMMANDS_PATH, body, JSON, RESPONSE_TIMEOUT, on_reply)
+        self._runtime.call(Request(address, "POST", COMMANDS_PATH, RESPONSE_TIMEOUT, body), on_reply)
 
     def _handle_reply(self, host: str, address: str, agent_epoch: int, reply: Response) -> None:
         try:
--- a/src/ramptide/cli.py
+++ b/src/ramptide/cli.py
@@ -18,7 +18,7 @@
 from ramptide.transport.event_loop import EventLoop
 from ramptide.transport.http.address import parse_address
 from ramptide.transport.http.client import Client
-from ramptide.transport.runtime import JSON, Response
+from ramptide.transport.runtime import Request, Response
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 ADMIN_TIMEOUT = timedelta(seconds=10)
@@ -188,10 +188,10 @@
     loop = EventLoop()
     replies: list[Response | None] = []
 
-    def done(reply: Response | None) -> None:
+    def on_response(reply: Response | None) -> None:
         replies.append(reply)
         loop.stop()
 
-    Client(loop, max_connections=1).call(address, method, target, body, JSON, ADMIN_TIMEOUT, done)
+    Client(loop, max_connections=1).call(Request(address, method, target, ADMIN_TIMEOUT, body), on_response)
     loop.run()
     return replies[0]
--- a/src/ramptide/transport/http/client.py
+++ b/src/ramptide/transport/http/client.py
@@ -12,7 +12,7 @@
 from ramptide.transport.http.connection import Connection, disable_nagle
 from ramptide.transport.http.messages import HttpError, Message, encode_request
 from ramptide.transport.http.parser import Parser
-from ramptide.transport.runtime import ResponseCallback
+from ramptide.transport.runtime import Request, ResponseCallback
 
 __all__ = ["Client"]
 
@@ -126,17 +126,9 @@
         self.open_connections = 0
         self._idle: dict[str, deque[_ClientConnection]] = {}
 
-    def call(
-        self,
-        address: str,
-        method: str,
-        target: str,
-        body: bytes,
-        content_type: str,
-        timeout: timedelta,
-        on_response: ResponseCallback,
-    ) -> None:
+    def call(self, request: Request, on_response: ResponseCallback) -> None:
         """Send a request; `on_response` gets the response, or None when none came in time."""
+        address = request.address
         idle = self._idle.get(address)
         try:
             if idle:
@@ -151,7 +143,8 @@
             log.debug("call failed: address=%s error=%r", address, str(error))
             self.loop.after(FAILED_CALL_DELAY, lambda: on_response(None))
             return
-        connection.send(encode_request(method, target, address, body, content_type), timeout, on_response)
+        data = encode_request(request.method, request.target, address, request.body, request.content_type)
+        connection.send(data, request.timeout, on_response)
 
     def _close_idle(self) -> bool:
         """Close the connection that was released first of those that are idle; False when none is."""
--- a/src/ramptide/transport/loop_runtime.py
+++ b/src/ramptide/transport/loop_runtime.py
@@ -6,7 +6,7 @@
 from ramptide.transport.event_loop import EventLoop, Timer
 from ramptide.transport.http.client import Client
 from ramptide.transport.process_statistics import WorkKind
-from ramptide.transport.runtime import Response, ResponseCallback
+from ramptide.transport.runtime import Request, Response, ResponseCallback
 
 __all__ = ["LoopRuntime"]
 
@@ -31,19 +31,10 @@
         """Schedule a call."""
         return self._loop.after(delay, action)
 
-    def call(
-        self,
-        address: str,
-        method: str,
-        target: str,
-        body: bytes,
-        content_type: str,
-        timeout: timedelta,
-        done: ResponseCallback,
-    ) -> None:
-        """Send a request; `done` gets the response, or None when none came in time."""
-
-        def measured(reply: Response | None) -> None:
-            self._loop.statistics.measure(WorkKind.RESPONSES, lambda: done(reply))
-
-        self._client.call(address, method, target, body, content_type, timeout, measured)
+    def call(self, request: Request, on_response: ResponseCallback) -> None:
+        """Send a request; `on_response` gets the response, or None when none came in time."""
+
+        def measured(response: Response | None) -> None:
+            self._loop.statistics.measure(WorkKind.RESPONSES, lambda: on_response(response))
+
+        self._client.call(request, measured)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -15,7 +15,7 @@
 from ramptide.transport.http.messages import HttpError, Message, encode_request, encode_response
 from ramptide.transport.http.parser import Parser
 from ramptide.transport.http.server import Server
-from ramptide.transport.runtime import JSON
+from ramptide.transport.runtime import Request
 
 BODIES = st.binary(max_size=300)
 
@@ -210,7 +210,7 @@
     answers: list[Message | None] = []
     client = Client(loop, 2)
     for address in ("vm-000002", "127.0.0.1:none", ""):
-        client.call(address, "GET", "/inspect", b"", JSON, timedelta(seconds=1), answers.append)
+        client.call(Request(address, "GET", "/inspect", timedelta(seconds=1)), answers.append)
     loop.after(timedelta(milliseconds=300), loop.stop)
     loop.run()
     assert answers == [None, None, None]
