--- a/src/ramptide/clients/cloud.py
+++ b/src/ramptide/clients/cloud.py
@@ -6,7 +6,7 @@
 from http import HTTPStatus
 
 from ramptide.clients.rate_limits import CallPriority, RateLimiter, TokenBucket
-from ramptide.clients.service_client import PagedRequest, Request, ServiceClient
+from ramptide.clients.service_client import PagedRequest, ServiceCall, ServiceClient
 from ramptide.protocol.cloud import (
     MACHINE_TYPES_PATH,
     RENTALS_PATH,
@@ -84,7 +84,7 @@
         def on_response(response: Response | None) -> None:
             on_machine_types(self._client.decode_success(decode_machine_types, response))
 
-        self._client.call(Request(CallPriority.READ, "GET", MACHINE_TYPES_PATH), on_response)
+        self._client.call(ServiceCall(CallPriority.READ, "GET", MACHINE_TYPES_PATH), on_response)
 
     def rent(
         self,
@@ -114,7 +114,7 @@
             on_result(RentResult(hosts, response is not None and _is_refusal(response)))
 
         body = encode_rent_request(request_id, machine_type, zone, spot, count)
-        self._client.call(Request(CallPriority.COMMIT, "POST", RENTALS_PATH, body), on_response)
+        self._client.call(ServiceCall(CallPriority.COMMIT, "POST", RENTALS_PATH, body), on_response)
 
     def return_machines(self, hosts: list[str], on_returned: Callable[[bool], None]) -> None:
         """Return at most `MAX_RETURNS_PER_CALL` machines.
@@ -125,7 +125,7 @@
         def on_response(response: Response | None) -> None:
             on_returned(response is not None and response.status == HTTPStatus.OK)
 
-        request = Request(CallPriority.COMMIT, "POST", RETURN_PATH, encode_return_request(hosts))
+        request = ServiceCall(CallPriority.COMMIT, "POST", RETURN_PATH, encode_return_request(hosts))
         self._client.call(request, on_response)
 
     def list_machines(self, on_machines: Callable[[list[ListedMachine] | None], None]) -> None:
--- a/src/ramptide/clients/key_value_store.py
+++ b/src/ramptide/clients/key_value_store.py
@@ -9,7 +9,7 @@
 from urllib.parse import quote, urlencode
 
 from ramptide.clients.rate_limits import CallPriority, RateLimiter, TokenBucket
-from ramptide.clients.service_client import PagedRequest, Request, ServiceClient
+from ramptide.clients.service_client import PagedRequest, ServiceCall, ServiceClient
 from ramptide.clients.transactions import Transaction, TransactionOutcome, TransactionResult
 from ramptide.protocol.key_value_store import (
     KEYS_PATH,
@@ -174,7 +174,7 @@
             key_value = self._client.decode_success(decode_key_value, response)
             on_result(ReadResult(key_value is not None, key_value))
 
-        request = Request(CallPriority.READ, "GET", f"{KEYS_PATH}/{quote(key, safe='/')}")
+        request = ServiceCall(CallPriority.READ, "GET", f"{KEYS_PATH}/{quote(key, safe='/')}")
         self._client.call(request, on_response, on_send)
 
     def list_keys(self, prefix: str, on_snapshot: Callable[[Snapshot | None], None]) -> None:
@@ -204,7 +204,7 @@
         def on_reject() -> None:
             on_result(TransactionResult(TransactionOutcome.RATE_LIMITED))
 
-        request = Request(priority, "POST", TRANSACTION_PATH, transaction.encode(), writes=transaction.size)
+        request = ServiceCall(priority, "POST", TRANSACTION_PATH, transaction.encode(), writes=transaction.size)
         self._client.call(request, on_response, on_reject=on_reject)
 
     def _transaction_result(self, response: Response | None) -> TransactionResult:
@@ -245,7 +245,7 @@
         def on_response(response: Response | None) -> None:
             on_lease(self._client.decode_success(decode_lease_id, response))
 
-        self._client.call(Request(CallPriority.LEASE, "POST", LEASES_PATH, encode_lease_request(lifetime)), on_response)
+        self._client.call(ServiceCall(CallPriority.LEASE, "POST", LEASES_PATH, encode_lease_request(lifetime)), on_response)
 
     def keep_lease_alive(self, lease_id: int, on_status: Callable[[LeaseStatus], None]) -> None:
         """Extend a lease by its lifetime, and report whether it was alive."""
@@ -259,11 +259,11 @@
                 on_status(LeaseStatus.UNKNOWN)
 
         target = f"{LEASES_PATH}/{lease_id}/touch"
-        self._client.call(Request(CallPriority.LEASE, "POST", target, timeout=KEEP_ALIVE_TIMEOUT), on_response)
+        self._client.call(ServiceCall(CallPriority.LEASE, "POST", target, timeout=KEEP_ALIVE_TIMEOUT), on_response)
 
     def revoke_lease(self, lease_id: int) -> None:
         """End a lease at once; if the request is lost, the lease expires."""
-        request = Request(CallPriority.LEASE, "DELETE", f"{LEASES_PATH}/{lease_id}")
+        request = ServiceCall(CallPriority.LEASE, "DELETE", f"{LEASES_PATH}/{lease_id}")
         self._client.call(request, _ignore_response)
 
     def watch(
@@ -297,7 +297,7 @@
             on_result(WatchResult(self._client.decode_success(decode_events, response), is_compacted))
 
         priority = CallPriority.LEASE if block else CallPriority.READ
-        request = Request(priority, "GET", f"{WATCH_PATH}?{query}", timeout=block + WATCH_TIMEOUT_MARGIN)
+        request = ServiceCall(priority, "GET", f"{WATCH_PATH}?{query}", timeout=block + WATCH_TIMEOUT_MARGIN)
         self._client.call(request, on_response, on_send)
 
 
--- a/src/ramptide/clients/service_client.py
+++ b/src/ramptide/clients/service_client.py
@@ -10,9 +10,9 @@
 
 from ramptide.clients.rate_limits import CallPriority, RateLimiter
 from ramptide.protocol.types import MessageError
-from ramptide.transport.runtime import JSON, Response, ResponseCallback, Runtime
+from ramptide.transport.runtime import Request, Response, ResponseCallback, Runtime
 
-__all__ = ["Page", "PagedRequest", "Request", "ServiceClient"]
+__all__ = ["Page", "PagedRequest", "ServiceCall", "ServiceClient"]
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class ServiceCall:
     """A request to the service.
 
     Attributes
@@ -111,7 +111,7 @@
 
     def call(
         self,
-        request: Request,
+        request: ServiceCall,
         on_response: ResponseCallback,
         on_send: Callable[[], None] | None = None,
         on_reject: Callable[[], None] | None = None,
@@ -140,7 +140,7 @@
             if on_send is not None:
                 on_send()
             timeout = self._call_timeout if request.timeout is None else request.timeout
-            self._runtime.call(self._address, request.method, request.target, request.body, JSON, timeout, receive)
+            self._runtime.call(Request(self._address, request.method, request.target, timeout, request.body), receive)
 
         reject = on_reject or (lambda: on_response(None))
         self._rate_limiter.submit(
@@ -203,6 +203,6 @@
                     return
                 request_page(last_key)
 
-            self.call(Request(request.priority, "GET", f"{request.path}?{urlencode(query)}"), on_response)
+            self.call(ServiceCall(request.priority, "GET", f"{request.path}?{urlencode(query)}"), on_response)
 
         request_page(None)
--- a/src/ramptide/cluster/peers.py
+++ b/src/ramptide/cluster/peers.py
@@ -21,7 +21,7 @@
     decode_reply,
     encode_message,
 )
-from ramptide.transport.runtime import CBOR, Response, Runtime
+from ramptide.transport.runtime import CBOR, Request, Response, Runtime
 
 __all__ = ["MIN_SEND_INTERVAL", "SEND_INTERVAL", "Peer", "Peers"]
 
@@ -174,7 +174,8 @@
             self._take_reply(peer, message, reply, sent_at, is_current=generation == self._generation)
 
         body = encode_message(message)
-        self._runtime.call(peer.address, "POST", PEER_MESSAGES_PATH, body, CBOR, CALL_TIMEOUT, on_response)
+        request = Request(peer.address, "POST", PEER_MESSAGES_PATH, CALL_TIMEOUT, body, CBOR)
+        self._runtime.call(request, on_response)
 
     def _take_reply(
         self, peer: Peer, message: PeerMessage, reply: PeerReply, sent_at: timedelta, is_current: bool
--- a/src/ramptide/controller/agent_connectivity.py
+++ b/src/ramptide/controller/agent_connectivity.py
@@ -16,7 +16,7 @@
 from ramptide.cluster.peers import Peers
 from ramptide.protocol.agents import INSPECT_PATH
 from ramptide.state.records import MachineRecord
-from ramptide.transport.runtime import JSON, Response, Runtime
+from ramptide.transport.runtime import Request, Response, Runtime
 
 __all__ = ["AgentConnectivity"]
 
@@ -113,7 +113,7 @@
             self._runtime.after(PROBE_INTERVAL, lambda: self._probe(since, probes + 1, in_a_row))
 
         address = known[probes % len(known)]
-        self._runtime.call(address, "GET", INSPECT_PATH, b"", JSON, PROBE_INTERVAL, on_reply)
+        self._runtime.call(Request(address, "GET", INSPECT_PATH, PROBE_INTERVAL), on_reply)
 
     def _may_apply_again(self, since: timedelta, probes: int, replies: int) -> bool:
         nobody_leads = probes >= MAX_PROBES_WITHOUT_LEADER and self._membership.is_leaderless
--- a/tests/compatibility/traffic.py
+++ b/tests/compatibility/traffic.py
@@ -12,6 +12,7 @@
 from unittest.mock import patch
 
 from compatibility import codecs
+from ramptide.transport.runtime import Request
 from virtual import STORE, VirtualRuntime, Worker, World, leader_of, started_world
 
 CBOR = "application/cbor"
@@ -45,9 +46,11 @@
         """Record until the stack is closed."""
         call, send = VirtualRuntime.call, World.send
 
-        def recorded_call(context: Any, address: str, method: str, target: str, body: bytes, kind: str, *rest: Any):  # type: ignore[no-untyped-def]
-            self.keep(context.node.name, address, f"{method} {target} {kind}", _text(body, kind == CBOR))
-            return call(context, address, method, target, body, kind, *rest)
+        def recorded_call(context: Any, request: Request, on_response: Any) -> None:
+            kind = request.content_type
+            text = _text(request.body, kind == CBOR)
+            self.keep(context.node.name, request.address, f"{request.method} {request.target} {kind}", text)
+            call(context, request, on_response)
 
         def recorded_send(world: World, source: str, target: str, request: Callable[[Any], None], *rest: Any):  # type: ignore[no-untyped-def]
             def recorded_request(answer: Callable[[int, Any], None]) -> None:
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -10,6 +10,7 @@
 from ramptide.controller.controller import Controller
 from ramptide.protocol.agents import COMMANDS_PATH, Heartbeat, decode_heartbeat
 from ramptide.state.task_state import DesiredState, Phase
+from ramptide.transport.runtime import Request
 from virtual import Response, S, World, full_world, leader_of, run_with_checks
 
 
@@ -28,18 +29,9 @@
     def __init__(self) -> None:
         self.requests: list[tuple[str, dict[str, object], Callable[[Response | None], None]]] = []
 
-    def call(
-        self,
-        address: str,
-        method: str,
-        target: str,
-        body: bytes,
-        _content_type: str,
-        _timeout: timedelta,
-        done: Callable[[Response | None], None],
-    ) -> None:
-        assert (method, target) == ("POST", COMMANDS_PATH)
-        self.requests.append((address, json.loads(body), done))
+    def call(self, request: Request, done: Callable[[Response | None], None]) -> None:
+        assert (request.method, request.target) == ("POST", COMMANDS_PATH)
+        self.requests.append((request.address, json.loads(request.body), done))
 
 
 def seconds_to_settle(silence: Callable[[World, str], None]) -> float:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -13,7 +13,7 @@
 from ramptide.protocol.key_value_store import KeyValue
 from ramptide.protocol.settings_file import CloudLimits, KeyValueStoreLimits
 from ramptide.state.delete_log import DELETES_KEPT, DeleteLog
-from ramptide.transport.runtime import Response
+from ramptide.transport.runtime import Request, Response
 from virtual import VirtualRuntime, World
 from virtual.network import Response as VirtualResponse
 
@@ -27,17 +27,8 @@
         self.targets: list[str] = []
         self._responses = list(responses)
 
-    def _call(
-        self,
-        _address: str,
-        _method: str,
-        target: str,
-        _body: bytes,
-        _content_type: str,
-        _timeout: timedelta,
-        on_response: Callable[[Response | None], None],
-    ) -> None:
-        self.targets.append(target)
+    def _call(self, request: Request, on_response: Callable[[Response | None], None]) -> None:
+        self.targets.append(request.target)
         on_response(self._responses.pop(0))
 
     def store(self) -> KeyValueStore:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -25,6 +25,7 @@
 from ramptide.state.records import MachineRecord
 from ramptide.state.task_state import Phase
 from ramptide.state.watch_cache import WatchCache
+from ramptide.transport.runtime import Request
 from virtual import Response, S, VirtualRuntime, World, job_spec, leader_of, started_world, submit_job
 
 EVENTS = st.lists(
@@ -130,10 +131,8 @@
         )
         self.store = KeyValueStore(self.context, "state", self.limits, 1)
 
-    def call(
-        self, _address: str, _method: str, target: str, body: bytes, _content_type: str, _timeout: timedelta, done: Any
-    ) -> None:
-        self.calls.append((target, body, done))
+    def call(self, request: Request, done: Any) -> None:
+        self.calls.append((request.target, request.body, done))
 
     def answer(self, index: int, status: int, value: Any) -> None:
         _, _, done = self.calls[index]
--- a/tests/test_loopback_quota.py
+++ b/tests/test_loopback_quota.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from ramptide.transport.runtime import JSON
+from ramptide.transport.runtime import Request
 from virtual import S
 from virtual.loopback import ROOT, LoopWorld
 
@@ -75,7 +75,8 @@
 
     for name in world.controller_names:
         counts["sent"] += 1
-        world.client.call(world.users_address(name), "POST", "/v2/runs", body, JSON, timedelta(seconds=5), done)
+        request = Request(world.users_address(name), "POST", "/v2/runs", timedelta(seconds=5), body)
+        world.client.call(request, done)
     world.after(3 * S, lambda: send(world, ref, counts))
 
 
--- a/tests/virtual/loopback.py
+++ b/tests/virtual/loopback.py
@@ -21,7 +21,7 @@
 from ramptide.transport.http.client import Client
 from ramptide.transport.http.messages import Message
 from ramptide.transport.http.server import Exchange, Server
-from ramptide.transport.runtime import JSON, Response
+from ramptide.transport.runtime import JSON, Request, Response
 from virtual.network import CLOUD, STORE, Respond, encode_body
 from virtual.node import Node
 from virtual.settings import cluster_settings
@@ -64,7 +64,7 @@
             else:
                 respond(response.status, response.body)
 
-        self._client.call(self._address, "POST", HEARTBEAT_PATH, body, JSON, HEARTBEAT_TIMEOUT, on_response)
+        self._client.call(Request(self._address, "POST", HEARTBEAT_PATH, HEARTBEAT_TIMEOUT, body), on_response)
 
 
 class LoopWorld(World):
@@ -227,7 +227,7 @@
 
     def _call(self, address: str, method: str, path: str, body: bytes) -> Response | None:
         responses: list[Response | None] = []
-        self.client.call(address, method, path, body, JSON, REQUEST_TIMEOUT, responses.append)
+        self.client.call(Request(address, method, path, REQUEST_TIMEOUT, body), responses.append)
         self.until(lambda: bool(responses), 6)
         return responses[0]
 
--- a/tests/virtual/node.py
+++ b/tests/virtual/node.py
@@ -12,6 +12,7 @@
 from ramptide.protocol.agents import COMMANDS_PATH, INSPECT_PATH
 from ramptide.protocol.key_value_store import TRANSACTION_PATH
 from ramptide.protocol.settings_file import decode_settings
+from ramptide.transport.runtime import Request
 from virtual.clock import EPOCH, S
 from virtual.network import CLOUD, STORE, Respond, Response, ignore_response
 from virtual.settings import cluster_settings
@@ -62,52 +63,52 @@
         self.world.after(delay, fire)
         return handle
 
-    def call(
-        self,
-        address: str,
-        method: str,
-        target: str,
-        body: bytes,
-        content_type: str,
-        timeout: timedelta,
-        done: Callable[[Response | None], None],
-    ) -> None:
-        """Send a request; `done` gets the response, or None when none came in time."""
+    def call(self, request: Request, on_response: Callable[[Response | None], None]) -> None:
+        """Send a request; `on_response` gets the response, or None when none came in time."""
+        address, target = request.address, request.target
 
-        def on_response(response: Response | None) -> None:
+        def finish(response: Response | None) -> None:
             if self.alive:
-                self.node.dispatch(self, lambda: done(response))
+                self.node.dispatch(self, lambda: on_response(response))
 
-        self._show_call(address, method, target, content_type, body, timeout)
+        self._show_call(request)
         if address == STORE and target == TRANSACTION_PATH and self.rng.random() < self.world.late_write_rate:
-            self._write_late(method, target, body)
-            self.world.after(timeout, lambda: on_response(None))
+            self._write_late(request)
+            self.world.after(request.timeout, lambda: finish(None))
             return
-        self.world.call_counts[method + " " + urlsplit(target).path.split("/")[1]] += 1
-        self.world.sent_bytes[address] += len(body)
-        self.world.longest_body = max(self.world.longest_body, len(body))
-
-        def request(respond: Respond) -> None:
-            self._deliver(address, method, target, body, respond)
-
-        self.world.send(self.node.name, address, request, timeout, on_response)
-
-    def _show_call(
-        self, address: str, method: str, target: str, content_type: str, body: bytes, timeout: timedelta
-    ) -> None:
+        self.world.call_counts[request.method + " " + urlsplit(target).path.split("/")[1]] += 1
+        self.world.sent_bytes[address] += len(request.body)
+        self.world.longest_body = max(self.world.longest_body, len(request.body))
+        self.world.send(
+            self.node.name, address, lambda respond: self._deliver(request, respond), request.timeout, finish
+        )
+
+    def _show_call(self, request: Request) -> None:
         observer = self.world.observer
         if observer is not None:
-            observer.called(self.now, self.node.name, address, method, target, content_type, body, timeout)
-
-    def _write_late(self, method: str, target: str, body: bytes) -> None:
+            observer.called(
+                self.now,
+                self.node.name,
+                request.address,
+                request.method,
+                request.target,
+                request.content_type,
+                request.body,
+                request.timeout,
+            )
+
+    def _write_late(self, request: Request) -> None:
         """Carry a write out well after newer ones of the same controller; nobody gets its response."""
         delay = self.world.rng.uniform(2, 12) * S
         name, store = self.node.name, self.world.store
-        self.world.after(delay, lambda: store.handle(name, method, target, body, ignore_response))
+        self.world.after(
+            delay, lambda: store.handle(name, request.method, request.target, request.body, ignore_response)
+        )
 
-    def _deliver(self, address: str, method: str, target: str, body: bytes, respond: Respond) -> None:
+    def _deliver(self, request: Request, respond: Respond) -> None:
         """Hand a request that has arrived to the stand-in or the controller at the address."""
         world = self.world
+        address, method, target, body = request.address, request.method, request.target, request.body
         if address == STORE:
             world.after_store_delay(lambda: world.store.handle(self.node.name, method, target, body, respond))
         elif address == CLOUD:
