--- a/src/ramptide/agents/lease_expiry.py
+++ b/src/ramptide/agents/lease_expiry.py
@@ -46,7 +46,7 @@
 
     def __init__(self, table: MachineTable, lease_duration: timedelta, heartbeat_interval: timedelta) -> None:
         self._table = table
-        self._expires_after = lease_duration * CLOCK_DRIFT + LEASE_MARGIN
+        self._lease_duration = lease_duration
         self._missed_heartbeats_after = heartbeat_interval * MISSED_HEARTBEAT_LIMIT
 
     def expire(self, now: timedelta, others_fenced_at: timedelta | None) -> list[ExpiredLease]:
@@ -56,6 +56,7 @@
         In this view only we reply; members of earlier views may have replied until `others_fenced_at` (None: not known
         yet). Returned are the leases that changed something.
         """
+        expires_after = self._lease_duration * CLOCK_DRIFT + LEASE_MARGIN
         expired = []
         for machine in self._table.machines.values():
             self._check_heartbeats(machine, now)
@@ -64,7 +65,7 @@
                 if others_fenced_at is None:
                     continue
                 latest_reply = max(latest_reply, others_fenced_at)
-            if now - latest_reply > self._expires_after:
+            if now - latest_reply > expires_after:
                 lease = self._expire_machine(machine)
                 if lease.reconciled or lease.lost_tasks:
                     expired.append(lease)
--- a/src/ramptide/agents/owned_machine.py
+++ b/src/ramptide/agents/owned_machine.py
@@ -60,9 +60,9 @@
     machine_type: MachineType | None
     #: Whether no reply of an earlier view can be carried out any more.
     is_reconciled: bool
-    #: No other controller of this view has answered it after this moment.
+    #: No other controller of this view has replied to it after this moment.
     no_other_owner_since: timedelta
-    #: Whether no controller of an earlier view has answered it after that moment either.
+    #: Whether no controller of an earlier view has replied to it after that moment either.
     no_earlier_owner_since: bool = False
     entries: dict[TaskKey, TaskEntry] = field(default_factory=dict)
     last_heartbeat_id: HeartbeatId = NO_HEARTBEAT
--- a/src/ramptide/service/client_routes.py
+++ b/src/ramptide/service/client_routes.py
@@ -54,7 +54,7 @@
         self._measure = statistics.measure
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer a request, now or later."""
+        """Respond to a request, now or later."""
         path = path_of(exchange.request)
         if path == HEARTBEAT_PATH:
             self._receive_heartbeat(exchange)
--- a/src/ramptide/service/peer_routes.py
+++ b/src/ramptide/service/peer_routes.py
@@ -23,7 +23,7 @@
         self._measure = statistics.measure
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer a request, now or later."""
+        """Respond to a request, now or later."""
         request = exchange.request
         path = path_of(request)
         if path == PEER_MESSAGES_PATH:
--- a/src/ramptide/service/replies.py
+++ b/src/ramptide/service/replies.py
@@ -16,5 +16,5 @@
 
 
 def refuse_method(exchange: Exchange, allowed: str) -> None:
-    """Answer that the path takes only the `allowed` methods."""
+    """Respond that the path takes only the `allowed` methods."""
     exchange.respond(HTTPStatus.METHOD_NOT_ALLOWED, encode_error("method not allowed"), JSON, {"Allow": allowed})
--- a/src/ramptide/transport/http/client.py
+++ b/src/ramptide/transport/http/client.py
@@ -84,7 +84,7 @@
             self.close()
 
     def _complete(self, message: Message, reuse: bool) -> None:
-        """Report the response after the connection went back to the pool or was closed."""
+        """Hand the response to the caller after the connection went back to the pool or was closed."""
         on_response, self.on_response = self.on_response, None
         if self.timeout_timer is not None:
             self.timeout_timer.cancel()
--- a/src/ramptide/transport/http/messages.py
+++ b/src/ramptide/transport/http/messages.py
@@ -11,7 +11,7 @@
     Attributes
     ----------
     status
-        The status code that a server answers with.
+        The status code that a server responds with.
     """
 
     def __init__(self, status: int, text: str) -> None:
--- a/src/ramptide/transport/http/server.py
+++ b/src/ramptide/transport/http/server.py
@@ -25,16 +25,16 @@
 MAX_ACCEPTS_PER_EVENT = 64
 #: Idle connections are looked for this many times per idle timeout; half a request may take one such period.
 SWEEPS_PER_IDLE_TIMEOUT = 6
-#: While more than this share of the connections is in use, each is closed after its answer: more clients than
+#: While more than this share of the connections is in use, each is closed after its response: more clients than
 #: connections take turns then, and what is left free is there for those that come.
 CROWDED_SHARE = 0.75
 
 
 class Exchange:
-    """One request and the means to answer it, once, now or later."""
+    """One request and the means to respond to it, once, now or later."""
 
     def __init__(self, connection: "_ServerConnection", request: Message) -> None:
-        #: None once the request has been answered.
+        #: None once the request has been responded to.
         self._connection: _ServerConnection | None = connection
         self.request = request
 
@@ -60,8 +60,8 @@
         self.server = server
         self.deferrable = server.deferrable
         self.parser = Parser(max_body=server.max_body)
-        #: Whether a request has been handed to the handler and is not answered yet.
-        self.is_answering = False
+        #: Whether a request has been handed to the handler that has not responded yet.
+        self.is_handling = False
         #: Whether the last response is written or being written.
         self.is_closing = False
         self.last_used = self.loop.now
@@ -90,8 +90,8 @@
             connections[self] = None
 
     def process_next(self) -> None:
-        """Hand the next request to the handler unless the one before is not answered yet."""
-        if self.is_answering or not self.is_open:
+        """Hand the next request to the handler unless the one before still waits for its response."""
+        if self.is_handling or not self.is_open:
             return
         try:
             request = self.parser.next()
@@ -104,13 +104,13 @@
                 self.parser.expects_continue = False
                 self.write(CONTINUE_RESPONSE)
             return
-        self.is_answering = True
+        self.is_handling = True
         exchange = Exchange(self, request)
         try:
             self.server.handler(exchange)
         except Exception:
-            # The client gets an answer whatever went wrong here.
-            log.exception("request failed: method=%s target=%s", request.method, request.target)
+            # The client gets a response whatever went wrong here.
+            log.exception("%s %s failed", request.method, request.target)
             exchange.respond(500, _encode_error("internal error"))
 
     def _send_last(self, data: bytes) -> None:
@@ -132,7 +132,7 @@
         """Send the response to `request` and go on with the next one."""
         if not self.is_open:
             return
-        self.is_answering = False
+        self.is_handling = False
         self._mark_used()
         if request.method == "HEAD":
             body = b""
@@ -227,7 +227,7 @@
             log.error(
                 "connections exhausted: max_connections=%d hint=%r", self.max_connections, "fd_limit is too small"
             )
-        longest_unused = next((connection for connection in self.connections if not connection.is_answering), None)
+        longest_unused = next((connection for connection in self.connections if not connection.is_handling), None)
         if longest_unused is not None:
             longest_unused.close()
 
@@ -237,7 +237,7 @@
         for connection in list(self.connections):
             between_requests = connection.parser.is_idle and not connection.is_closing
             limit = self.idle_timeout if between_requests else sweep_interval
-            if not connection.is_answering and self.loop.now - connection.last_used > limit:
+            if not connection.is_handling and self.loop.now - connection.last_used > limit:
                 connection.close()
         self.loop.after(sweep_interval, self._close_idle)
 
