--- a/src/ramptide/autoscaling/demand.py
+++ b/src/ramptide/autoscaling/demand.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from typing import Protocol
 
-from ramptide.autoscaling.autoscaler import Demand
+from ramptide.autoscaling.fleet_types import Demand
 from ramptide.cluster.messages import WaitingJobRow
 from ramptide.cluster.peers import Peers
 from ramptide.scheduling.headroom import task_headroom
--- a/src/ramptide/autoscaling/fleet_edits.py
+++ b/src/ramptide/autoscaling/fleet_edits.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ramptide.autoscaling.autoscaler import ScalingPlan
+from ramptide.autoscaling.fleet_types import ScalingPlan
 from ramptide.autoscaling.machine_decisions import MachineDecision
 from ramptide.state.records import MachineRecord, RentalRecord, RentedMachine
 
--- a/src/ramptide/autoscaling/fleet_manager.py
+++ b/src/ramptide/autoscaling/fleet_manager.py
@@ -8,11 +8,12 @@
 
 import msgspec
 
-from ramptide.autoscaling.autoscaler import Autoscaler, ScalingPlan
+from ramptide.autoscaling.autoscaler import Autoscaler
 from ramptide.autoscaling.cloud_list import CloudList
 from ramptide.autoscaling.demand import ClusterDemand
 from ramptide.autoscaling.fleet_edits import FleetEdits
 from ramptide.autoscaling.fleet_observation import FleetObservation
+from ramptide.autoscaling.fleet_types import ScalingPlan
 from ramptide.autoscaling.machine_decisions import MachineDecision, log_decisions, written
 from ramptide.autoscaling.machine_returns import MachineReturns
 from ramptide.autoscaling.rental_requests import RentalRequests
--- a/src/ramptide/autoscaling/fleet_observation.py
+++ b/src/ramptide/autoscaling/fleet_observation.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from ramptide.agents.shard import Shard
-from ramptide.autoscaling.autoscaler import FleetMachine
+from ramptide.autoscaling.fleet_types import FleetMachine
 from ramptide.cluster.machine_index import MISSED_HEARTBEATS, TOKEN_NOT_SEEN, MachineIndex
 from ramptide.cluster.observed_machine import ObservedMachine
 from ramptide.cluster.peers import Peers
--- a/src/ramptide/autoscaling/rental_requests.py
+++ b/src/ramptide/autoscaling/rental_requests.py
@@ -6,6 +6,7 @@
 from typing import Protocol
 
 from ramptide.autoscaling.autoscaler import Autoscaler
+from ramptide.autoscaling.fleet_types import MachineKind
 from ramptide.clients.cloud import CloudClient, RentResult
 from ramptide.state.records import RentalRecord
 from ramptide.transport.runtime import Runtime
@@ -83,11 +84,11 @@
             elif result.is_refused:
                 self._take_refusal(rental_id, rental)
 
-        kind = (rental.machine_type, rental.zone, rental.spot)
+        kind = MachineKind(rental.machine_type, rental.zone, rental.spot)
         self._cloud.rent(rental_id, *kind, rental.count, on_result)
 
     def _take_hosts(self, rental_id: str, rental: RentalRecord, hosts: list[str]) -> None:
-        kind = (rental.machine_type, rental.zone, rental.spot)
+        kind = MachineKind(rental.machine_type, rental.zone, rental.spot)
         log.info("machines rented: hosts=%r machine_type=%s zone=%s spot=%s", ", ".join(hosts), *kind)
         self.rented[rental_id] = hosts
         self._autoscaler.note_rental(kind)
@@ -98,7 +99,7 @@
             self._on_shortage()
 
     def _take_refusal(self, rental_id: str, rental: RentalRecord) -> None:
-        kind = (rental.machine_type, rental.zone, rental.spot)
+        kind = MachineKind(rental.machine_type, rental.zone, rental.spot)
         log.info("no capacity: machine_type=%s zone=%s spot=%s", *kind)
         self.refused.add(rental_id)
         self._autoscaler.note_refusal(kind, self._runtime.now)
--- a/src/ramptide/clients/key_value_store.py
+++ b/src/ramptide/clients/key_value_store.py
@@ -245,7 +245,9 @@
         def on_response(response: Response | None) -> None:
             on_lease(self._client.decode_success(decode_lease_id, response))
 
-        self._client.call(ServiceCall(CallPriority.LEASE, "POST", LEASES_PATH, encode_lease_request(lifetime)), on_response)
+        self._client.call(
+            ServiceCall(CallPriority.LEASE, "POST", LEASES_PATH, encode_lease_request(lifetime)), on_response
+        )
 
     def keep_lease_alive(self, lease_id: int, on_status: Callable[[LeaseStatus], None]) -> None:
         """Extend a lease by its lifetime, and report whether it was alive."""
--- a/src/ramptide/controller/controller.py
+++ b/src/ramptide/controller/controller.py
@@ -15,6 +15,7 @@
 from ramptide.api.telemetry import Telemetry
 from ramptide.autoscaling.autoscaler import Autoscaler
 from ramptide.autoscaling.demand import ClusterDemand
+from ramptide.autoscaling.faulty_machines import AgentDurations
 from ramptide.autoscaling.fleet_manager import FleetManager
 from ramptide.autoscaling.fleet_observation import FleetObservation
 from ramptide.clients.cloud import CloudClient
@@ -273,9 +274,8 @@
             self.fencing.others_fenced_at,
             timings.heartbeat_interval,
         )
-        autoscaler = Autoscaler(
-            state.tuning, timings.heartbeat_interval, timings.lease_duration, timings.confirm_timeout
-        )
+        durations = AgentDurations(timings.heartbeat_interval, timings.lease_duration, timings.confirm_timeout)
+        autoscaler = Autoscaler(state.tuning, durations)
         self.fleet_manager = FleetManager(
             runtime,
             state,
--- a/src/ramptide/controller/state.py
+++ b/src/ramptide/controller/state.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 
 from ramptide.agents.shard import Shard
-from ramptide.autoscaling.autoscaler import QUARANTINED
+from ramptide.autoscaling.fleet_types import QUARANTINED
 from ramptide.cluster.view import View, owner_of
 from ramptide.config.settings import Tuning
 from ramptide.controller.errors import NoPlaceInViewError, NoViewError
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -2,7 +2,6 @@
 
 import json
 from collections.abc import Callable
-from datetime import timedelta
 
 import pytest
 
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -11,9 +11,9 @@
 
 from ramptide.agents.failure_history import FAILED_JOBS_KEPT, record_outcome
 from ramptide.agents.owned_machine import OwnedMachine
-from ramptide.autoscaling import autoscaler as fleet
-from ramptide.autoscaling.autoscaler import QUARANTINED
+from ramptide.autoscaling import faulty_machines
 from ramptide.autoscaling.fleet_observation import FleetObservation
+from ramptide.autoscaling.fleet_types import QUARANTINED
 from ramptide.cluster.failure_attribution import FailureAttribution
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.controller.controller import Controller
@@ -163,7 +163,7 @@
 
 
 def test_a_verdict_at_once_takes_a_healthy_machine(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fleet, "QUARANTINE_AFTER", 0.1 * S)
+    monkeypatch.setattr(faulty_machines, "QUARANTINE_AFTER", 0.1 * S)
     assert probed_elsewhere(5.0)
 
 
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -10,7 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ramptide.autoscaling.autoscaler import Autoscaler, Demand, FleetMachine, Trigger
+from ramptide.autoscaling.autoscaler import Autoscaler
+from ramptide.autoscaling.demand_signal import Trigger
+from ramptide.autoscaling.faulty_machines import AgentDurations
+from ramptide.autoscaling.fleet_types import Demand, FleetMachine
 from ramptide.clients.rate_limits import TokenBucket
 from ramptide.cluster.view import owner_of
 from ramptide.config.settings import Tuning
@@ -161,6 +164,7 @@
     assert all(two[host] == three[host] for host in hosts if three[host] != "c")
 
 
+DURATIONS = AgentDurations(S, 10 * S, 30 * S)
 FLAVOR = MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"], price=1.0, spot_price=0.4, boot_s=30.0)
 
 
@@ -186,7 +190,7 @@
 
 
 def test_counts_window_and_one_machine_a_step() -> None:
-    fleet = Autoscaler(Tuning(pool_size=0, window=2 * S), S, 10 * S, 30 * S)
+    fleet = Autoscaler(Tuning(pool_size=0, window=2 * S), DURATIONS)
     assert steps(fleet, [demand(4)], [], 4) == 0
     assert fleet.trigger is Trigger.RISING
     assert steps(fleet, [demand(4)], [], 3, 2.0) == 3
@@ -196,14 +200,14 @@
 
 
 def test_long_waiting_tasks_fire_by_themselves() -> None:
-    fleet = Autoscaler(Tuning(pool_size=0, window=0 * S, waiting_high=100, long_waiting_high=2), S, 10 * S, 30 * S)
+    fleet = Autoscaler(Tuning(pool_size=0, window=0 * S, waiting_high=100, long_waiting_high=2), DURATIONS)
     assert steps(fleet, [demand(4, 5.0)], [], 3) == 0
     assert steps(fleet, [demand(4, 11.0)], [], 3, 2.0) == 3
     assert fleet.long_waiting == 4
 
 
 def test_refused_kinds_back_off() -> None:
-    fleet = Autoscaler(Tuning(pool_size=0, window=0 * S), S, 10 * S, 30 * S)
+    fleet = Autoscaler(Tuning(pool_size=0, window=0 * S), DURATIONS)
     fleet.step(timedelta(0), [demand(2)], [], [FLAVOR], True)
     fleet.note_refusal(("m", "a", False), timedelta(0))
     assert steps(fleet, [demand(2)], [], 6, 0.5) == 0
@@ -211,7 +215,7 @@
 
 
 def test_pool_is_refilled_and_idle_machines_leave_after_the_cooldown() -> None:
-    fleet = Autoscaler(Tuning(pool_size=1, cooldown=10 * S), S, 10 * S, 30 * S)
+    fleet = Autoscaler(Tuning(pool_size=1, cooldown=10 * S), DURATIONS)
     assert steps(fleet, [], [], 1) == 1, "the pool is short"
     idle = [machine("vm-0"), machine("vm-1")]
     left: dict[str, str] = {}
@@ -229,7 +233,7 @@
     """A job bound to a zone without capacity kept the trigger high for good, and with it every idle machine."""
 
     def left(zone: str) -> dict[str, str]:
-        fleet = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S), S, 10 * S, 30 * S)
+        fleet = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S), DURATIONS)
         run = decode_job_spec(json.dumps(job_spec("j-1", pieces=4, cores=4.0, yard=zone)).encode())
         kept = machine("vm-0")
         assert kept.room is not None
@@ -261,7 +265,7 @@
         return found
 
     def left(*machines: FleetMachine, waiting: int = 0) -> dict[str, str]:
-        fleet = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S, started=15 * S), S, 10 * S, 30 * S)
+        fleet = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S, started=15 * S), DURATIONS)
         found: dict[str, str] = {}
         for second in range(20):
             demands = [demand(waiting)] if waiting else []
@@ -277,7 +281,7 @@
 
 
 def test_machines_that_are_no_good_leave() -> None:
-    fleet = Autoscaler(Tuning(), S, 10 * S, 30 * S)
+    fleet = Autoscaler(Tuning(), DURATIONS)
     machines = [
         machine("vm-sick", accusing_jobs=2),
         machine("vm-silent", silent_for=31 * S),
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -623,8 +623,9 @@
 def test_given_up_before_their_leases_end_their_tasks_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     world = busy_world(guessS=500.0)
     for node in world.nodes.values():
-        assert node.controller is not None and node.controller.shard is not None
-        monkeypatch.setattr(node.controller.shard.leases, "_lease_duration", 2 * S)
+        assert node.controller is not None
+        assert node.controller.state.shard is not None
+        monkeypatch.setattr(node.controller.state.shard.leases, "_lease_duration", 2 * S)
     hang_half(world, 12)
     assert any("ran_twice" in rule for rule in world.invariants.violations)
 
--- a/tests/virtual/loopback.py
+++ b/tests/virtual/loopback.py
@@ -21,7 +21,7 @@
 from ramptide.transport.http.client import Client
 from ramptide.transport.http.messages import Message
 from ramptide.transport.http.server import Exchange, Server
-from ramptide.transport.runtime import JSON, Request, Response
+from ramptide.transport.runtime import Request, Response
 from virtual.network import CLOUD, STORE, Respond, encode_body
 from virtual.node import Node
 from virtual.settings import cluster_settings
