--- a/src/ramptide/api/jobs.py
+++ b/src/ramptide/api/jobs.py
@@ -1,16 +1,18 @@
-"""Users' requests: submissions, polls and cancellations. Nothing is confirmed before its commit."""
+"""The users' job API: submissions, polls and cancellations. Nothing is confirmed before its commit."""
 
-import logging
 import math
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from datetime import timedelta
+from http import HTTPStatus
 
 import msgspec
 
+from ramptide.api.job_lookup import JobLookup, LookupFailure
 from ramptide.api.telemetry import Answer, Route, Telemetry, Unavailable
-from ramptide.clients.key_value_store import KeyValueStore, ReadResult
+from ramptide.clients.key_value_store import KeyValueStore
 from ramptide.clients.transactions import Put, Transaction, TransactionResult
 from ramptide.cluster.membership import Membership
+from ramptide.cluster.view import View
 from ramptide.placement.bin_packing import can_ever_run
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import SERVICE, JobSpec, JobStatus, decode_job_spec, encode_job_status, is_job_id
@@ -25,110 +27,97 @@
     FinishedJobRecord,
     JobRecord,
     Progress,
-    RecordError,
-    from_value,
     to_value,
 )
 from ramptide.state.watch_cache import WatchCache
+from ramptide.transport.runtime import Runtime
 
-log = logging.getLogger(__name__)
+__all__ = ["JobApi"]
 
+NO_TIME = timedelta(0)
+#: How often a change is tried for one request.
 MAX_ATTEMPTS = 5
+#: A request is refused at once when its commit would wait for longer than this.
 MAX_COMMIT_DELAY = timedelta(seconds=1)
-MAX_RETRY_AFTER_S = 30
-ENDED_KEPT = 5000
 RETRY_DELAY = timedelta(milliseconds=120)
+MAX_RETRY_AFTER_S = 30
+#: Of the largest value that the store takes, so much is left for what a record holds beside the description, in KiB.
+RECORD_OVERHEAD_KB = 2
+NO_SUCH_JOB = "no such job"
 
 
 class JobApi:
-    """Handles users' requests: submissions, polls and cancellations."""
+    """Handles users' requests.
+
+    Parameters
+    ----------
+    jobs, machine_types, teams
+        What is known at the moment, by id or name; read at each request.
+    choose_scheduler
+        Returns the member that is to schedule a new job.
+    running_count
+        Returns how many tasks of a job run.
+    on_cancelled
+        Told of each cancellation that a user is told of.
+    """
 
     def __init__(
         self,
+        runtime: Runtime,
         store: KeyValueStore,
-        mirror: WatchCache,
+        watch_cache: WatchCache,
         membership: Membership,
-        commits: CommitBatcher,
-        jobs: dict[str, Job],
-        machine_types: dict[str, MachineType],
-        teams: dict[str, Team],
-        home_for: Callable[[JobSpec], str],
-        running: Callable[[str], int],
-        cancelled: Callable[[str], None],
+        commit_batcher: CommitBatcher,
+        jobs: Mapping[str, Job],
+        machine_types: Mapping[str, MachineType],
+        teams: Mapping[str, Team],
+        choose_scheduler: Callable[[JobSpec], str],
+        running_count: Callable[[str], int],
+        on_cancelled: Callable[[str], None],
         telemetry: Telemetry,
     ) -> None:
-        self._store = store
-        self._mirror = mirror
+        self._runtime = runtime
+        self._max_record_bytes = (store.limits.max_value_kb - RECORD_OVERHEAD_KB) * 1024
+        self._watch_cache = watch_cache
         self._membership = membership
-        self._commits = commits
+        self._commit_batcher = commit_batcher
         self._jobs = jobs
         self._machine_types = machine_types
         self._teams = teams
-        self._home_for = home_for
-        self._running = running
-        self._cancelled = cancelled
+        self._choose_scheduler = choose_scheduler
+        self._running_count = running_count
+        self._on_cancelled = on_cancelled
         self._telemetry = telemetry
-        # Final states never change, so one that was read or committed here need not be read again.
-        self._ended: dict[str, FinishedJobRecord] = {}
-        self._asking: dict[str, list[Callable[[FinishedJobRecord | None, bool], None]]] = {}
-
-    def _busy(self, answer: Answer, reason: Unavailable, wait: timedelta = timedelta(0)) -> None:
-        self._telemetry.unavailable[reason] += 1
-        seconds = min(max(math.ceil(wait.total_seconds()), 1), MAX_RETRY_AFTER_S)
-        answer(503, encode_error(reason.text), {"Retry-After": str(seconds)})
-
-    def _cannot_commit(self) -> Unavailable | None:
-        """Return why no change can be written now, or None when it can."""
-        if self._mirror.is_unavailable:
-            return Unavailable.STATE_SERVICE
-        return Unavailable.VIEW if self._membership.view is None else None
-
-    def _overloaded(self, answer: Answer) -> bool:
-        """Reject the request if the queue of writes is too long; tell whether it was rejected.
-
-        More is asked than the state service can take, so the user is told at once when to retry.
-        """
-        delay = self._commits.delay()
-        if delay > MAX_COMMIT_DELAY:
-            self._busy(answer, Unavailable.OVERLOADED, delay)
-        return delay > MAX_COMMIT_DELAY
+        self._lookup = JobLookup(store, watch_cache, jobs, on_cancelled)
 
     def remember_finished(self, job_id: str, record: FinishedJobRecord) -> None:
         """Remember a final state that was committed, so that it need not be read again."""
-        self._ended[job_id] = record
-        while len(self._ended) > ENDED_KEPT:
-            del self._ended[next(iter(self._ended))]
-
-    def _not_written(self, outcome: TransactionResult, answer: Answer) -> None:
-        """Answer for a change that was given up on: it waited too long for its turn, or had no answer."""
-        if outcome.is_rate_limited:
-            self._busy(answer, Unavailable.OVERLOADED, self._commits.delay())
-        else:
-            self._busy(answer, Unavailable.STATE_SERVICE)
+        self._lookup.remember_finished(job_id, record)
 
     # Submissions.
 
     def submit(self, body: bytes, answer: Answer) -> None:
-        """Accept a job, or answer with the state of one that has the same reference."""
+        """Accept a job, or answer with the state of one that has the same id: a repeated request does no harm."""
         answer = self._telemetry.counting(Route.SUBMIT, answer)
         try:
             spec = decode_job_spec(body)
-        except MessageError as bad:
-            answer(400, encode_error(str(bad)), {})
+        except MessageError as error:
+            answer(HTTPStatus.BAD_REQUEST, encode_error(str(error)), {})
             return
         if spec.job_id in self._jobs:
-            self._known(spec.job_id, answer, None)
-        elif (reason := self._cannot_commit()) is not None:
-            self._busy(answer, reason)
+            self._answer_existing(spec.job_id, answer, None)
+        elif (reason := self._commit_obstacle()) is not None:
+            self._answer_unavailable(answer, reason)
         elif not self._machine_types:
-            self._busy(answer, Unavailable.MACHINE_TYPES)
-        elif (problem := self._never(spec)) is not None:
+            self._answer_unavailable(answer, Unavailable.MACHINE_TYPES)
+        elif (problem := self._why_never(spec)) is not None:
             # A job that was accepted is never refused later, whatever the types or teams are by now.
-            self._known(spec.job_id, answer, problem)
+            self._answer_existing(spec.job_id, answer, problem)
         else:
             self._accept(spec, answer, MAX_ATTEMPTS)
 
-    def _never(self, spec: JobSpec) -> str | None:
+    def _why_never(self, spec: JobSpec) -> str | None:
+        """Return why the job can never run, in words for the user; None when it can."""
         team = self._teams.get(spec.team)
         if team is None:
             return f"owner: no team {spec.team!r}"
@@ -136,194 +125,180 @@
             return "no allowed machine takes a task of this job"
         tasks = spec.task_count if spec.kind == SERVICE else 1
         limit, needed = limits_of(team), amounts_of(spec).times(tasks)
-        if needed[0] > limit[0] or needed[1] > limit[1]:
+        if needed.cpus > limit.cpus or needed.gpus > limit.gpus:
             return f"the job needs more than the limit of team {spec.team!r}"
         return None
 
-    def _accept(self, spec: JobSpec, answer: Answer, tries: int) -> None:
+    def _accept(self, spec: JobSpec, answer: Answer, attempts: int) -> None:
         view = self._membership.view
-        assert view is not None
-        if self._overloaded(answer):
+        if view is None:
+            self._answer_unavailable(answer, Unavailable.VIEW)
+            return
+        if self._is_overloaded(answer):
+            return
+        value = to_value(self._new_record(spec, view))
+        if len(msgspec.json.encode(value)) > self._max_record_bytes:
+            answer(HTTPStatus.BAD_REQUEST, encode_error("the description is too long"), {})
             return
-        record = JobRecord(
+        live_key, finished_key = JOB_PREFIX + spec.job_id, FINISHED_PREFIX + spec.job_id
+        transaction = Transaction(conditions={live_key: 0, finished_key: 0}, puts=[Put(live_key, value)])
+
+        def on_result(result: TransactionResult) -> None:
+            if result.is_applied:
+                self._watch_cache.apply_commit(transaction, result.commit_revision)
+                answer(HTTPStatus.CREATED, encode_job_status(spec.job_id, JobStatus.PENDING), {})
+            elif live_key in result.conflicting_keys or finished_key in result.conflicting_keys:
+                self._answer_existing(spec.job_id, answer, None)
+            elif result.is_conflict and attempts > 1:
+                # Only the view moved on; the watch cache will have the new one in a moment.
+                self._runtime.after(RETRY_DELAY, lambda: self._accept(spec, answer, attempts - 1))
+            elif result.is_unknown and attempts > 1 and not self._watch_cache.is_unavailable:
+                self._accept(spec, answer, 1)
+            else:
+                self._answer_not_written(result, answer)
+
+        self._commit_batcher.add(transaction, on_result)
+
+    def _new_record(self, spec: JobSpec, view: View) -> JobRecord:
+        return JobRecord(
             spec=spec,
-            scheduler=self._home_for(spec),
+            scheduler=self._choose_scheduler(spec),
             created_in_view=view.number,
-            submitted_timestamp=self._store.runtime.wall().timestamp(),
+            submitted_timestamp=self._runtime.wall().timestamp(),
             progress=Progress().encode(),
         )
-        value = to_value(record)
-        if len(msgspec.json.encode(value)) > (self._store.limits.max_value_kb - 2) * 1024:
-            answer(400, encode_error("the description is too long"), {})
-            return
-        key, ended = JOB_PREFIX + spec.job_id, FINISHED_PREFIX + spec.job_id
-        transaction = Transaction(conditions={key: 0, ended: 0}, puts=[Put(key, value)])
-
-        def done(outcome: TransactionResult) -> None:
-            if outcome.is_applied:
-                self._mirror.apply_commit(transaction, outcome.commit_revision)
-                answer(201, encode_job_status(spec.job_id, JobStatus.PENDING), {})
-            elif key in outcome.conflicting_keys or ended in outcome.conflicting_keys:
-                self._known(spec.job_id, answer, None)
-            elif outcome.is_conflict and tries > 1:
-                # Only the view moved on; the mirror will have the new one in a moment.
-                self._store.runtime.after(RETRY_DELAY, lambda: self._accept(spec, answer, tries - 1))
-            elif outcome.is_unknown and tries > 1 and not self._mirror.is_unavailable:
-                self._accept(spec, answer, min(tries - 1, 1))
-            else:
-                self._not_written(outcome, answer)
-
-        self._commits.add(transaction, done)
 
-    def _known(self, job_id: str, answer: Answer, problem: str | None) -> None:
+    def _answer_existing(self, job_id: str, answer: Answer, problem: str | None) -> None:
         """Answer with the state of a job that exists; otherwise with `problem`, or 503 where that is None."""
 
-        def missing() -> None:
+        def on_missing() -> None:
             if problem is None:
-                self._busy(answer, Unavailable.BEING_ACCEPTED)
+                self._answer_unavailable(answer, Unavailable.BEING_ACCEPTED)
             else:
-                answer(422, encode_error(problem), {})
+                answer(HTTPStatus.UNPROCESSABLE_ENTITY, encode_error(problem), {})
 
-        self._tell(job_id, answer, missing)
+        self._answer_state(job_id, answer, on_missing)
 
     # Polls.
 
     def poll(self, job_id: str, answer: Answer) -> None:
         """Answer with the present state of a job."""
         answer = self._telemetry.counting(Route.POLL, answer)
-        if not is_job_id(job_id):
-            answer(404, encode_error("no such job"), {})
-            return
-
-        self._tell(job_id, answer, lambda: answer(404, encode_error("no such job"), {}))
-
-    def _tell(self, job_id: str, answer: Answer, missing: Callable[[], None]) -> None:
-        """Answers with the job's present state, or calls `missing` when it was never accepted."""
-
-        def found(state: Job | FinishedJobRecord | None, known: bool) -> None:
-            if not known:
-                self._busy(answer, Unavailable.STATE_SERVICE)
-            elif isinstance(state, FinishedJobRecord):
-                answer(200, encode_job_status(job_id, state.status, state.done_count, 0), {})
-            elif state is not None:
-                done = state.progress.count
-                count = min(self._running(job_id), state.spec.task_count - done)
-                status = JobStatus.RUNNING if count else JobStatus.PENDING
-                answer(200, encode_job_status(job_id, status, done, count), {})
-            else:
-                missing()
-
-        self._find(job_id, found)
-
-    def _find(self, job_id: str, found: Callable[[Job | FinishedJobRecord | None, bool], None]) -> None:
-        """Report the job, or its final state, from a read of the state service that began after this call.
-
-        So no answer is older than one that another controller gave. One read of the changes serves all who ask before
-        it is sent, since the watched copy has the jobs that are not over. A final state that is known already can't
-        change. `found` gets None for a job that does not exist, and False when the state service could not be read.
-        """
-        if job_id in self._ended:
-            found(self._ended[job_id], True)
-            return
-
-        def read(fresh: bool) -> None:
-            if not fresh:
-                found(None, False)
-            elif job_id in self._jobs:
-                found(self._jobs[job_id], True)
+        if is_job_id(job_id):
+            self._answer_state(job_id, answer, lambda: _answer_no_such_job(answer))
+        else:
+            _answer_no_such_job(answer)
+
+    def _answer_state(self, job_id: str, answer: Answer, on_missing: Callable[[], None]) -> None:
+        """Answer with the job's present state, or call `on_missing` when it was never accepted."""
+
+        def on_found(found: Job | FinishedJobRecord | LookupFailure) -> None:
+            if found is LookupFailure.UNAVAILABLE:
+                self._answer_unavailable(answer, Unavailable.STATE_SERVICE)
+            elif isinstance(found, FinishedJobRecord):
+                answer(HTTPStatus.OK, encode_job_status(job_id, found.status, found.done_count, 0), {})
+            elif isinstance(found, Job):
+                answer(HTTPStatus.OK, self._encode_live(found), {})
             else:
-                # A job moves from live to ended in one transaction and never back, so one that was ever
-                # accepted and is not live any more is found there.
-                self._read_ended(job_id, found)
+                on_missing()
 
-        self._mirror.catch_up(read)
+        self._lookup.find(job_id, on_found)
 
-    def _read_ended(self, job_id: str, found: Callable[[FinishedJobRecord | None, bool], None]) -> None:
-        """Read a final state; requests made before the read is sent share it, later ones wait for the next."""
-        waiting = self._asking.get(job_id)
-        if waiting is not None:
-            waiting.append(found)
-            return
-        asked = self._asking[job_id] = [found]
-
-        def sending() -> None:
-            del self._asking[job_id]
-
-        def done(result: ReadResult) -> None:
-            row, known = result.key_value, result.is_known
-            if self._asking.get(job_id) is asked:
-                del self._asking[job_id]
-            record = None
-            if row is not None:
-                try:
-                    record = from_value(row.value, FinishedJobRecord)
-                except RecordError as problem:
-                    log.error("broken finished-job record: key=%s error=%r", row.key, str(problem))
-                    known = False
-                else:
-                    self.remember_finished(job_id, record)
-                    if record.status == JobStatus.CANCELLED:
-                        # Whoever tells a user so tells the others: the one that wrote it may have ended since.
-                        self._cancelled(job_id)
-            for one in asked:
-                one(record, known)
-
-        self._store.get(FINISHED_PREFIX + job_id, done, sending)
+    def _encode_live(self, job: Job) -> bytes:
+        done = job.progress.count
+        running = min(self._running_count(job.job_id), job.spec.task_count - done)
+        status = JobStatus.RUNNING if running else JobStatus.PENDING
+        return encode_job_status(job.job_id, status, done, running)
 
     # Cancellations.
 
     def cancel(self, job_id: str, answer: Answer) -> None:
         """Cancel a job; the answer is sent once the cancellation is committed."""
         answer = self._telemetry.counting(Route.CANCEL, answer)
-        if not is_job_id(job_id):
-            answer(404, encode_error("no such job"), {})
-            return
-        self._cancel(job_id, answer, MAX_ATTEMPTS)
+        if is_job_id(job_id):
+            self._cancel(job_id, answer, MAX_ATTEMPTS)
+        else:
+            _answer_no_such_job(answer)
 
-    def _cancel(self, job_id: str, answer: Answer, tries: int) -> None:
-        reason = self._cannot_commit()
+    def _cancel(self, job_id: str, answer: Answer, attempts: int) -> None:
+        reason = self._commit_obstacle()
         if reason is not None:
-            self._busy(answer, reason)
+            self._answer_unavailable(answer, reason)
             return
 
-        def found(state: Job | FinishedJobRecord | None, known: bool) -> None:
-            if not known:
-                self._busy(answer, Unavailable.STATE_SERVICE)
-            elif state is None:
-                answer(404, encode_error("no such job"), {})
-            elif isinstance(state, FinishedJobRecord):
-                answer(200, encode_job_status(job_id, state.status), {})
+        def on_found(found: Job | FinishedJobRecord | LookupFailure) -> None:
+            if found is LookupFailure.UNAVAILABLE:
+                self._answer_unavailable(answer, Unavailable.STATE_SERVICE)
+            elif isinstance(found, FinishedJobRecord):
+                answer(HTTPStatus.OK, encode_job_status(job_id, found.status), {})
+            elif isinstance(found, Job):
+                self._write_cancellation(found, answer, attempts)
             else:
-                self._withdraw(state, answer, tries)
+                _answer_no_such_job(answer)
 
         job = self._jobs.get(job_id)
         if job is not None:
             # The transaction is conditional on the record's revision, so it is as good as a read.
-            self._withdraw(job, answer, tries)
+            self._write_cancellation(job, answer, attempts)
         else:
-            self._find(job_id, found)
+            self._lookup.find(job_id, on_found)
 
-    def _withdraw(self, job: Job, answer: Answer, tries: int) -> None:
-        if self._overloaded(answer):
+    def _write_cancellation(self, job: Job, answer: Answer, attempts: int) -> None:
+        if self._is_overloaded(answer):
             return
         job_id = job.job_id
-        end = FinishedJobRecord(JobStatus.CANCELLED, job.spec.task_count, job.progress.count)
+        record = FinishedJobRecord(JobStatus.CANCELLED, job.spec.task_count, job.progress.count)
         transaction = Transaction(
             conditions={JOB_PREFIX + job_id: job.mod_revision},
-            puts=[Put(FINISHED_PREFIX + job_id, to_value(end))],
+            puts=[Put(FINISHED_PREFIX + job_id, to_value(record))],
             deletes=[JOB_PREFIX + job_id],
         )
 
-        def done(outcome: TransactionResult) -> None:
-            if outcome.is_applied:
-                self.remember_finished(job_id, end)
-                self._mirror.apply_commit(transaction, outcome.commit_revision)
-                self._cancelled(job_id)
-                answer(200, encode_job_status(job_id, JobStatus.CANCELLED), {})
-            elif tries > 1 and not self._mirror.is_unavailable and (outcome.is_conflict or outcome.is_unknown):
+        def on_result(result: TransactionResult) -> None:
+            may_retry = attempts > 1 and not self._watch_cache.is_unavailable
+            if result.is_applied:
+                self.remember_finished(job_id, record)
+                self._watch_cache.apply_commit(transaction, result.commit_revision)
+                self._on_cancelled(job_id)
+                answer(HTTPStatus.OK, encode_job_status(job_id, JobStatus.CANCELLED), {})
+            elif may_retry and (result.is_conflict or result.is_unknown):
                 # The record or the view moved on, or nobody knows: read again and see.
-                self._mirror.catch_up(lambda _fresh: self._cancel(job_id, answer, tries - 1))
+                self._watch_cache.catch_up(lambda _is_fresh: self._cancel(job_id, answer, attempts - 1))
             else:
-                self._not_written(outcome, answer)
+                self._answer_not_written(result, answer)
+
+        self._commit_batcher.add(transaction, on_result)
+
+    # Answers of status 503.
+
+    def _answer_unavailable(self, answer: Answer, reason: Unavailable, retry_after: timedelta = NO_TIME) -> None:
+        self._telemetry.unavailable[reason] += 1
+        seconds = min(max(math.ceil(retry_after.total_seconds()), 1), MAX_RETRY_AFTER_S)
+        answer(HTTPStatus.SERVICE_UNAVAILABLE, encode_error(reason.text), {"Retry-After": str(seconds)})
+
+    def _commit_obstacle(self) -> Unavailable | None:
+        """Return why no change can be written now, or None when it can."""
+        if self._watch_cache.is_unavailable:
+            return Unavailable.STATE_SERVICE
+        return Unavailable.VIEW if self._membership.view is None else None
+
+    def _is_overloaded(self, answer: Answer) -> bool:
+        """Refuse the request if the queue of writes is too long; return whether it was refused.
+
+        More is asked than the key-value store can take, so the user is told at once when to retry.
+        """
+        delay = self._commit_batcher.delay()
+        if delay > MAX_COMMIT_DELAY:
+            self._answer_unavailable(answer, Unavailable.OVERLOADED, delay)
+        return delay > MAX_COMMIT_DELAY
+
+    def _answer_not_written(self, result: TransactionResult, answer: Answer) -> None:
+        """Answer for a change that was given up on: it waited too long for its turn, or had no answer."""
+        if result.is_rate_limited:
+            self._answer_unavailable(answer, Unavailable.OVERLOADED, self._commit_batcher.delay())
+        else:
+            self._answer_unavailable(answer, Unavailable.STATE_SERVICE)
+
 
-        self._commits.add(transaction, done)
+def _answer_no_such_job(answer: Answer) -> None:
+    answer(HTTPStatus.NOT_FOUND, encode_error(NO_SUCH_JOB), {})
--- a/src/ramptide/controller/controller.py
+++ b/src/ramptide/controller/controller.py
@@ -100,6 +100,7 @@
         )
         self.limit_table = self._build_limit_table(self.quota) if self.quota is not None else None
         self.job_api = JobApi(
+            runtime,
             self.store,
             self.watch_cache,
             self.membership,
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -197,7 +197,7 @@
     world.define_job("j-2", pieces=2, cores=1.0)
     record = json.dumps(world.job_specs["j-2"]).encode()
     for controller in controllers(world):
-        controller.job_api._home_for = lambda run: home
+        controller.job_api._choose_scheduler = lambda run: home
     world.request("c0", lambda c: c.job_api.submit(record, lambda status, *rest: None))
     assert sum(worker.is_faulty for worker in world.workers.values()) >= 2
     assert world.run_until(lambda: world.is_done("j-2"), 60)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -354,7 +354,7 @@
         controller.handover.run = lambda home, now: None  # type: ignore[method-assign]
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller.job_api._home_for = lambda run: old
+        node.controller.job_api._choose_scheduler = lambda run: old
     for ref in ("j-1", "j-2"):
         world.define_job(ref, owner="few", pieces=3, cores=4.0, guessS=300.0)
         assert world.submit_until_accepted(ref, old)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,7 +11,7 @@
 #: Tables that are bounded by a number or by time, whose entries are not those of what is there now.
 BOUNDED = {
     "_owners",
-    "_ended",
+    "_finished",
     "_delete_log",
     "_deleted_ahead",
     "_returned_at",
