--- a/src/ramptide/agents/heartbeats.py
+++ b/src/ramptide/agents/heartbeats.py
@@ -10,7 +10,7 @@
 from ramptide.agents.owned_machine import HeartbeatId, OwnedMachine
 from ramptide.agents.shard import Shard
 from ramptide.cluster.view import View
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.protocol.agents import Heartbeat, decode_heartbeat, encode_heartbeat_reply, encode_redirect
 from ramptide.protocol.types import MessageError, encode_json
 from ramptide.state.watch_cache import WatchCache
--- a/src/ramptide/api/administration.py
+++ b/src/ramptide/api/administration.py
@@ -6,7 +6,8 @@
 
 from ramptide.clients.key_value_store import KeyValueStore
 from ramptide.clients.transactions import Put, Transaction, TransactionResult
-from ramptide.config.settings import BOUNDS, SettingsError, Tuning
+from ramptide.config.settings import SettingsError
+from ramptide.config.tuning import BOUNDS, Tuning
 from ramptide.protocol.types import MessageError, decode_json, encode_error, encode_json
 from ramptide.state.records import SETTINGS_KEY
 from ramptide.state.watch_cache import WatchCache
--- a/src/ramptide/autoscaling/autoscaler.py
+++ b/src/ramptide/autoscaling/autoscaler.py
@@ -13,7 +13,7 @@
 from ramptide.autoscaling.fleet_types import IDLE, UNDERUTILIZED, Demand, FleetMachine, MachineKind, ScalingPlan
 from ramptide.autoscaling.idle_pool import IdlePool
 from ramptide.autoscaling.machine_choice import MachineChoice
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.protocol.cloud import MachineType
 
 __all__ = ["Autoscaler"]
--- a/src/ramptide/autoscaling/cloud_list.py
+++ b/src/ramptide/autoscaling/cloud_list.py
@@ -6,7 +6,7 @@
 
 from ramptide.clients.cloud import CloudClient
 from ramptide.cluster.view import View
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.protocol.cloud import ListedMachine
 from ramptide.state.records import MachineRecord
 from ramptide.transport.runtime import Runtime
--- a/src/ramptide/autoscaling/consolidation.py
+++ b/src/ramptide/autoscaling/consolidation.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from ramptide.autoscaling.fleet_types import UNDERUTILIZED, FleetMachine
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.placement.bin_packing import fill
 
 __all__ = ["ServiceConsolidation"]
--- a/src/ramptide/autoscaling/demand_signal.py
+++ b/src/ramptide/autoscaling/demand_signal.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ramptide.autoscaling.fleet_types import Demand, FleetMachine
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.placement.bin_packing import Room, empty_room, fill, needs
 
 __all__ = ["DemandSignal", "Trigger"]
--- a/src/ramptide/autoscaling/faulty_machines.py
+++ b/src/ramptide/autoscaling/faulty_machines.py
@@ -16,7 +16,7 @@
     FleetMachine,
     ScalingPlan,
 )
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 
 __all__ = ["AgentDurations", "FaultyMachines"]
 
--- a/src/ramptide/autoscaling/fleet_manager.py
+++ b/src/ramptide/autoscaling/fleet_manager.py
@@ -24,7 +24,7 @@
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.cluster.membership import VIEW_KEY, Membership
 from ramptide.cluster.view import View
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.protocol.cloud import MachineType
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.state.records import MACHINE_TYPES_KEY, RENTAL_PREFIX, MachineRecord, RentalRecord, to_value
--- a/src/ramptide/autoscaling/idle_pool.py
+++ b/src/ramptide/autoscaling/idle_pool.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from ramptide.autoscaling.fleet_types import Demand, FleetMachine
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.placement.bin_packing import empty_room, fill
 
 __all__ = ["IdlePool"]
--- a/src/ramptide/autoscaling/machine_choice.py
+++ b/src/ramptide/autoscaling/machine_choice.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from ramptide.autoscaling.fleet_types import Demand, MachineKind
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.placement.bin_packing import empty_room, fill
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import JobSpec
--- a/src/ramptide/cluster/free_rooms.py
+++ b/src/ramptide/cluster/free_rooms.py
@@ -6,7 +6,7 @@
 
 from ramptide.cluster.observed_machine import ObservedMachine, active_jobs
 from ramptide.cluster.task_index import TaskIndex
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.placement.bin_packing import Room, empty_room
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import SERVICE, JobSpec
--- a/src/ramptide/cluster/machine_index.py
+++ b/src/ramptide/cluster/machine_index.py
@@ -14,7 +14,7 @@
 from ramptide.cluster.observed_machine import ObservedMachine, active_jobs
 from ramptide.cluster.task_index import TaskIndex
 from ramptide.cluster.unconfirmed_terminations import UnconfirmedTerminations
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.placement.bin_packing import Room
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import JobSpec
--- a/src/ramptide/controller/state.py
+++ b/src/ramptide/controller/state.py
@@ -13,7 +13,7 @@
 from ramptide.agents.shard import Shard
 from ramptide.autoscaling.fleet_types import QUARANTINED
 from ramptide.cluster.view import View, owner_of
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.controller.errors import NoPlaceInViewError, NoViewError
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import JobSpec
--- a/src/ramptide/controller/store_events.py
+++ b/src/ramptide/controller/store_events.py
@@ -9,7 +9,7 @@
 from ramptide.autoscaling.fleet_manager import FleetManager
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.cluster.membership import Membership
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.controller.assignments import Assignments
 from ramptide.controller.fencing import SurvivingPeers
 from ramptide.controller.state import ControllerState
--- a/src/ramptide/scheduling/handover.py
+++ b/src/ramptide/scheduling/handover.py
@@ -9,7 +9,7 @@
 
 from ramptide.clients.transactions import Put, Transaction, TransactionResult
 from ramptide.cluster.view import View
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.job_state import JobState
 from ramptide.scheduling.placement_round import LeadershipInfo
@@ -48,7 +48,7 @@
 class LimitWaits(Protocol):
     """The quota feature, which brings shares to where jobs wait."""
 
-    def waits_for_limit(self, job_state: JobState, using: TeamAmounts) -> bool:
+    def waits_for_limit(self, job_state: JobState, usage: TeamAmounts) -> bool:
         """Tell whether it is the share of its team's limit, and not room, that keeps a job from starting."""
 
 
--- a/src/ramptide/scheduling/placement_round.py
+++ b/src/ramptide/scheduling/placement_round.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from ramptide.cluster.machine_index import MachineIndex
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.placement.bin_packing import ROUNDING, ReserveAccess, Room, choose, choose_many, needs, usable
 from ramptide.protocol.jobs import SERVICE, JobSpec
 from ramptide.scheduling.headroom import UNLIMITED, task_headroom
--- a/src/ramptide/scheduling/preemption.py
+++ b/src/ramptide/scheduling/preemption.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from ramptide.cluster.machine_index import MachineIndex
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.placement.bin_packing import Room, admits, needs
 from ramptide.protocol.agents import TaskStatus
 from ramptide.protocol.jobs import JobSpec
--- a/src/ramptide/scheduling/urgency_order.py
+++ b/src/ramptide/scheduling/urgency_order.py
@@ -3,7 +3,7 @@
 from datetime import datetime, timedelta
 from typing import Any, Protocol
 
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.protocol.jobs import JobSpec
 from ramptide.scheduling.urgency import urgency
 from ramptide.state.jobs import Job
--- a/tests/compatibility/codecs.py
+++ b/tests/compatibility/codecs.py
@@ -18,7 +18,7 @@
 from ramptide.api import administration as admin
 from ramptide.cluster import membership, messages, view
 from ramptide.config import features as parts_file
-from ramptide.config import settings
+from ramptide.config import tuning
 from ramptide.controller import replication as syncing
 from ramptide.controller.administration import build_admin_api
 from ramptide.protocol import agents, cloud, jobs, key_value_store, settings_file, types
@@ -64,7 +64,7 @@
 
 def _settings_record(body: bytes) -> bytes:
     """The operators' settings: what is stored, with the default of each that is not."""
-    return types.encode_json(settings.Tuning.from_value(types.decode_json(body)).to_value())
+    return types.encode_json(tuning.Tuning.from_value(types.decode_json(body)).to_value())
 
 
 RECORDS: dict[str, Codec] = {
@@ -252,13 +252,13 @@
 
 def change_settings(changes: Any) -> dict[str, float | int]:
     """The operators' settings after a change of the defaults."""
-    return settings.Tuning().changed(changes).to_value()
+    return tuning.Tuning().changed(changes).to_value()
 
 
 def setting_bounds() -> dict[str, list[Any]]:
     """Each setting with its default, its bounds and its text."""
-    defaults = settings.Tuning().to_value()
-    return {name: [defaults[name], bound.low, bound.high, bound.text] for name, bound in settings.BOUNDS.items()}
+    defaults = tuning.Tuning().to_value()
+    return {name: [defaults[name], bound.low, bound.high, bound.text] for name, bound in tuning.BOUNDS.items()}
 
 
 def load_parts(path: Path) -> Any:
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from virtual import (
     CLOUD,
     SLOW_LINK_FAULTS,
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -17,7 +17,8 @@
 from ramptide.agents.shard import Shard
 from ramptide.cluster import peers
 from ramptide.cluster.messages import PeerMessage
-from ramptide.config.settings import SettingsError, Tuning, load
+from ramptide.config.settings import SettingsError, load
+from ramptide.config.tuning import Tuning
 from ramptide.controller.peer_messages import PeerMessageHandler
 from ramptide.protocol.agents import decode_heartbeat, decode_task_reports
 from ramptide.protocol.key_value_store import KEYS_PATH
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -13,7 +13,7 @@
 from ramptide.cluster.observed_machine import ObservedMachine
 from ramptide.cluster.peers import Peer, Peers
 from ramptide.cluster.view import View
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.controller.controller import Controller
 from ramptide.controller.reconciliation import Reconciliation
 from ramptide.controller.replication import Replication
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,7 +8,8 @@
 
 from ramptide.api.administration import METRICS_PATH, SETTINGS_PATH, STATUS_PATH
 from ramptide.cli import main
-from ramptide.config.settings import BOUNDS, SettingsError, Tuning, load
+from ramptide.config.settings import SettingsError, load
+from ramptide.config.tuning import BOUNDS, Tuning
 from ramptide.controller.administration import build_admin_api
 from ramptide.protocol.jobs import decode_job_spec
 from ramptide.protocol.types import MessageError
