--- a/src/ramptide/api/telemetry.py
+++ b/src/ramptide/api/telemetry.py
@@ -14,7 +14,7 @@
 
 VIEW_CHANGES_KEPT = 10
 HOSTS_NAMED = 10
-#: A controller whose round comes so much later than planned stood still.
+#: A controller whose round comes so much later than planned has stalled.
 STALL_THRESHOLD = timedelta(seconds=2)
 
 Answer = Callable[[int, bytes, dict[str, str]], None]
@@ -57,8 +57,8 @@
 class ViewChange(msgspec.Struct):
     """A change of membership.
 
-    `settled_s`: how many seconds it took until all machines were settled; None when they are not yet, or when the next
-    change came first.
+    `settled_s`: how many seconds it took until all machines were reconciled; None when they are not yet, or when the
+    next change came first.
     """
 
     view: int
@@ -123,7 +123,7 @@
         self.last_changes.append(ViewChange(number))
 
     def reconciled(self, spent: timedelta) -> None:
-        """Note that all machines are settled in the present view, `spent` after it was heard of."""
+        """Note that all machines are reconciled in the present view, `spent` after it was heard of."""
         self.reconciled_changes += 1
         self.reconciliation_total += spent
         self.reconciliation_last = spent
@@ -150,28 +150,28 @@
             found.setdefault(route.value, {})[str(status)] = count
         return found
 
-    def take_expired_leases(self, ended: Sequence[ExpiredLease], confirmed: bool) -> None:
-        """Count and log leases that ended.
+    def take_expired_leases(self, expired: Sequence[ExpiredLease], confirmed: bool) -> None:
+        """Count and log leases that expired.
 
         Not `confirmed`: we may have been left out of the view, while the machines go on under another controller. So
         these are kept until a later call confirms them, and dropped when the view changes.
         """
-        self._unconfirmed += ended
+        self._unconfirmed += expired
         if not confirmed or not self._unconfirmed:
             return
-        ended, self._unconfirmed = self._unconfirmed, []
-        self.leases_expired += len(ended)
-        self.tasks_lost += sum(lease.lost_tasks for lease in ended)
-        _log_ended_leases(ended)
+        expired, self._unconfirmed = self._unconfirmed, []
+        self.leases_expired += len(expired)
+        self.tasks_lost += sum(lease.lost_tasks for lease in expired)
+        _log_expired_leases(expired)
 
 
-def _log_ended_leases(ended: Sequence[ExpiredLease]) -> None:
+def _log_expired_leases(expired: Sequence[ExpiredLease]) -> None:
     """Log one line for all leases of a round, as many machines may become silent together."""
     log.info(
         "leases expired: hosts=%r tasks_lost=%d reconciled=%d",
-        _named([lease.host for lease in ended]),
-        sum(lease.lost_tasks for lease in ended),
-        sum(lease.reconciled for lease in ended),
+        _named([lease.host for lease in expired]),
+        sum(lease.lost_tasks for lease in expired),
+        sum(lease.reconciled for lease in expired),
     )
 
 
--- a/src/ramptide/placement/bin_packing.py
+++ b/src/ramptide/placement/bin_packing.py
@@ -27,8 +27,8 @@
 class Room:
     """What is free on a machine, and what matters for choosing it.
 
-    `worker_waiting`: its worker waits for our answer, so a launch leaves at once. `in_pool`: for services only.
-    `service_cores`: the cores that services hold; where there are some, arrays leave `service_reserve` (cores, memory)
+    `heartbeat_held`: its agent waits for our reply, so a start leaves at once. `in_pool`: for services only.
+    `service_cpus`: the CPUs that services hold; where there are some, arrays leave `service_reserve` (CPUs, memory)
     free for more of them.
     """
 
@@ -50,8 +50,8 @@
         """Return how many tasks of the job this room takes."""
         cpus, ram = self.cpus, self.ram_gb
         if self.service_cpus and spec.kind != SERVICE and reach is not ReserveAccess.ALL:
-            reserved_cores, reserved_ram = self.service_reserve
-            cpus, ram = cpus - reserved_cores, ram - reserved_ram
+            reserved_cpus, reserved_ram = self.service_reserve
+            cpus, ram = cpus - reserved_cpus, ram - reserved_ram
         counts = [
             int((free + ROUNDING) / each)
             for free, each in ((cpus, spec.cpus), (self.gpus, spec.gpus), (ram, spec.ram_gb))
@@ -201,9 +201,9 @@
     """Return the sort key of a room, the best lowest. A busy machine goes before an idle one, so that machines empty.
 
     Services go together, on machines where their images are soon all cached and which empty one after the other when
-    services end: there to one that holds the image, then one whose worker waits for our answer (see `workers`), then
+    services end: there to one that holds the image, then one whose agent waits for our reply (`heartbeat_held`), then
     the one with most services, so that the others empty. Another machine is opened where several more will fit. Arrays
-    keep off the machines whose workers wait, take spot ones where they may, and fill machines in one fixed order, so
+    keep off the machines whose agents wait, take spot ones where they may, and fill machines in one fixed order, so
     that the last ones empty.
     """
     missing = spec.image not in room.images
--- a/src/ramptide/scheduling/attempts.py
+++ b/src/ramptide/scheduling/attempts.py
@@ -13,7 +13,7 @@
 class Attempt:
     """One start that we decided on, or found and took over; held until it is proven gone.
 
-    `seq`: the number of the message to the owner that first tells of its present desired state.
+    `sequence_number`: the number of the message to the owner that first tells of its present desired state.
     """
 
     spec: JobSpec
--- a/src/ramptide/scheduling/job_scheduler.py
+++ b/src/ramptide/scheduling/job_scheduler.py
@@ -1,13 +1,14 @@
 """The jobs whose starts this controller alone decides, and the attempts of their tasks."""
 
 import heapq
-import logging
 from collections.abc import Callable, Collection
 from datetime import timedelta
 
 from ramptide.protocol.agents import REFUSAL_CAUSES, TaskOutcome
 from ramptide.protocol.jobs import BATCH
-from ramptide.scheduling.attempts import Attempt, AttemptIndex, sum_amounts
+from ramptide.scheduling.attempts import Attempt, AttemptIndex
+from ramptide.scheduling.attempts_in_transfer import AttemptsInTransfer
+from ramptide.scheduling.failing_jobs import FailingJobs
 from ramptide.scheduling.job_state import JobState
 from ramptide.state.amounts import Amounts, add_amounts
 from ramptide.state.jobs import Job
@@ -22,35 +23,40 @@
     TaskRow,
 )
 
-log = logging.getLogger(__name__)
+__all__ = ["JobScheduler"]
 
-#: A job stays away so long from a machine on which a task of it failed.
-EXCLUDED_AFTER_FAILURE = timedelta(seconds=60)
 #: A job stays away so long from a machine that refused a task of it, as the refusal may pass at once.
 EXCLUDED_AFTER_REFUSAL = timedelta(milliseconds=300)
 
 
 class JobScheduler:
-    """The jobs whose starts we decide in one view, and every attempt of theirs that may be on a machine."""
-
-    def __init__(self, member: str, first_attempt: int, faulty: Callable[[str], bool] = lambda _host: False) -> None:
+    """The jobs whose starts we decide in one view, and every attempt of theirs that may be on a machine.
+
+    Parameters
+    ----------
+    member
+        The name of this controller.
+    first_attempt
+        Attempts are numbered from the one after this.
+    is_faulty
+        Tells whether a machine is known as faulty.
+    """
+
+    def __init__(self, member: str, first_attempt: int, is_faulty: Callable[[str], bool] = lambda _host: False) -> None:
         self.member = member
-        self._faulty = faulty
         self.jobs: dict[str, JobState] = {}
-        #: Attempts of jobs that were handed over, until the new home counts them.
-        self.in_transfer: dict[str, list[Attempt]] = {}
+        self._in_transfer = AttemptsInTransfer()
         #: The number of our last message to the other controllers.
         self.sequence_number = 0
         #: Something changed that the next round of decisions has to see.
         self.needs_round = True
         #: Machines of which we desire something else than before.
         self.changed_hosts: set[str] = set()
-        #: Jobs with results that are not written to the state service.
+        #: Jobs with results that are not written to the key-value store.
         self.with_new_results: set[str] = set()
         #: Jobs of which some task is neither done nor placed.
         self.with_pending_tasks: dict[str, JobState] = {}
-        #: Jobs that fail wherever they run.
-        self.failing: dict[str, JobState] = {}
+        self.failing_jobs = FailingJobs(is_faulty)
         self._next_attempt = first_attempt
         self.index = AttemptIndex()
         #: The index's own view of the attempts on each machine.
@@ -66,84 +72,84 @@
         self.changed_hosts.add(attempt.host)
         self.needs_round = True
 
-    def _update_pending(self, state: JobState) -> None:
-        if state.waiting > 0 and state.job.job_id in self.jobs:
-            self.with_pending_tasks[state.job.job_id] = state
+    def _update_pending(self, job_state: JobState) -> None:
+        if job_state.waiting > 0 and job_state.job.job_id in self.jobs:
+            self.with_pending_tasks[job_state.job.job_id] = job_state
         else:
-            self.with_pending_tasks.pop(state.job.job_id, None)
+            self.with_pending_tasks.pop(job_state.job.job_id, None)
 
     # Which jobs are ours.
 
     def take_job(self, job: Job, now: timedelta, failed_on: Collection[str] = ()) -> JobState:
         """Take a job, or its changed record.
 
-        `failed_on`: where it failed under its former home, should there be one.
+        `failed_on`: where it failed under its former scheduler, should there be one.
         """
-        state = self.jobs.get(job.job_id)
-        if state is None:
-            state = JobState(job, job.progress.copy(), now, failed_on=set(failed_on))
-            self.jobs[job.job_id] = state
-            self._back_off(state, now)
+        job_state = self.jobs.get(job.job_id)
+        if job_state is None:
+            job_state = JobState(job, job.progress.copy(), now, failed_on=set(failed_on))
+            self.jobs[job.job_id] = job_state
+            self.failing_jobs.back_off(job_state, now)
             self.needs_round = True
-        elif state.job.progress.count > state.done.count:
-            state.done = job.progress.copy()
-        self._update_pending(state)
-        return state
+        elif job_state.job.progress.count > job_state.done.count:
+            job_state.done = job.progress.copy()
+        self._update_pending(job_state)
+        return job_state
 
     def release_job(self, job_id: str) -> None:
-        """Let go of a job that has another home now, which decides about the attempts from then on."""
-        state = self.jobs.pop(job_id, None)
-        if state is None:
+        """Let go of a job that has another scheduler now, which decides about the attempts from then on."""
+        job_state = self.jobs.pop(job_id, None)
+        if job_state is None:
             return
-        self._update_pending(state)
-        self.failing.pop(job_id, None)
+        self._update_pending(job_state)
+        self.failing_jobs.discard(job_id)
         for attempt in self.index.of_job(job_id):
-            # Counted as ours until the new home says that it counts them, and lowers our allowance for it.
+            # Counted as ours until the new scheduler says that it counts them, and lowers our quota share for it.
             self._remove(attempt)
-            self.in_transfer.setdefault(job_id, []).append(attempt)
+            self._in_transfer.add(attempt)
         self.needs_round = True
 
     def transfer_confirmed(self, job_id: str) -> None:
-        """Stop counting the attempts of a job that was handed over, as its new home counts them."""
-        self.in_transfer.pop(job_id, None)
+        """Stop counting the attempts of a job that was handed over, as its new scheduler counts them."""
+        self._in_transfer.confirm(job_id)
 
     def job_finished(self, job_id: str) -> None:
         """Start no task of the job any more; what may be on a machine still counts until it is gone."""
-        state = self.jobs.pop(job_id, None)
-        if state is None:
+        job_state = self.jobs.pop(job_id, None)
+        if job_state is None:
             return
-        self._update_pending(state)
-        self.failing.pop(job_id, None)
+        self._update_pending(job_state)
+        self.failing_jobs.discard(job_id)
         self.with_new_results.discard(job_id)
         for attempt in self.index.of_job(job_id):
             self._set_desired(attempt, DesiredState.REAP if attempt.phase in FINISHED_PHASES else DesiredState.STOP)
         self.needs_round = True
 
     def results_recorded(self, job_id: str) -> None:
-        """Let workers forget the results of the job that the state service has now."""
-        state = self.jobs.get(job_id)
+        """Let agents forget the results of the job that the key-value store has now."""
+        job_state = self.jobs.get(job_id)
         for attempt in self.index.of_job(job_id):
-            if attempt.phase is Phase.ENDED and state is not None and attempt.task_index in state.job.progress:
+            if attempt.phase is Phase.ENDED and job_state is not None and attempt.task_index in job_state.job.progress:
                 self._set_desired(attempt, DesiredState.REAP)
 
     # Starting and stopping.
 
-    def start(self, state: JobState, task: int, host: str, zone: str, now: timedelta) -> Attempt:
+    def start(self, job_state: JobState, task: int, host: str, zone: str, now: timedelta) -> Attempt:
         """Start a task on a machine."""
         self._next_attempt += 1
-        state.started_at = now
-        if state.failing:
-            state.probe = task
-        spec = state.job.spec
+        job_state.started_at = now
+        if job_state.failing:
+            job_state.probe = task
+        spec = job_state.job.spec
         attempt = Attempt(spec, task, self._next_attempt, host, zone, DesiredState.RUN, self.sequence_number + 1, now)
-        self._place(state, attempt)
+        self._place(job_state, attempt)
         return attempt
 
-    def _place(self, state: JobState, attempt: Attempt) -> None:
+    def _place(self, job_state: JobState, attempt: Attempt) -> None:
         self._add(attempt)
-        state.placed[attempt.task_index] = attempt
-        state.zones[attempt.zone] += 1
-        self._update_pending(state)
+        job_state.placed[attempt.task_index] = attempt
+        job_state.zones[attempt.zone] += 1
+        self._update_pending(job_state)
 
     def stop(self, attempt: Attempt, grace: timedelta) -> None:
         """Have an attempt stopped; it may save its work for as long as the grace."""
@@ -158,14 +164,14 @@
 
     def _free_task(self, attempt: Attempt) -> None:
         """Let the task of an attempt that is proven gone be started again."""
-        state = self.jobs.get(attempt.spec.job_id)
-        if state is None or state.placed.get(attempt.task_index) is not attempt:
+        job_state = self.jobs.get(attempt.spec.job_id)
+        if job_state is None or job_state.placed.get(attempt.task_index) is not attempt:
             return
-        del state.placed[attempt.task_index]
-        state.zones[attempt.zone] -= 1
-        if attempt.task_index not in state.done:
-            heapq.heappush(state.retry_tasks, attempt.task_index)
-        self._update_pending(state)
+        del job_state.placed[attempt.task_index]
+        job_state.zones[attempt.zone] -= 1
+        if attempt.task_index not in job_state.done:
+            heapq.heappush(job_state.retry_tasks, attempt.task_index)
+        self._update_pending(job_state)
         self.needs_round = True
 
     def _discard(self, attempt: Attempt) -> None:
@@ -177,8 +183,7 @@
         for attempt in list(self.attempts.get(host, {}).values()):
             attempt.phase = Phase.GONE
             self._discard(attempt)
-        for attempts in self.in_transfer.values():
-            attempts[:] = [attempt for attempt in attempts if attempt.host != host]
+        self._in_transfer.remove_machine(host)
 
     # What owners show.
 
@@ -202,13 +207,13 @@
             if key not in shown:
                 self.index.unshown[key] = attempt
 
-    def acknowledged(self, ack: int, answered: Callable[[str], list[TaskRow] | None]) -> None:
+    def acknowledged(self, ack: int, confirmed_tasks: Callable[[str], list[TaskRow] | None]) -> None:
         """Note that an owner has processed our messages up to `ack`: what it does not show is not there.
 
-        `answered` gives its list for a machine, None while that proves nothing.
+        `confirmed_tasks` returns its list for a machine, None while that proves nothing.
         """
         for attempt in list(self.index.unshown.values()):
-            if ack < attempt.sequence_number or answered(attempt.host) is None:
+            if ack < attempt.sequence_number or confirmed_tasks(attempt.host) is None:
                 continue
             if attempt.desired is DesiredState.RUN:
                 # The owner did not know the machine when our desired state came. A later message of ours may still
@@ -216,39 +221,21 @@
                 self._set_desired(attempt, DesiredState.REAP)
             else:
                 self._discard(attempt)
-        if self.in_transfer:
-            self._prune_transfers(ack, answered)
-
-    def _prune_transfers(self, ack: int, answered: Callable[[str], list[TaskRow] | None]) -> None:
-        for job_id, attempts in list(self.in_transfer.items()):
-            left = []
-            for attempt in attempts:
-                tasks = answered(attempt.host)
-                gone = (
-                    tasks is not None
-                    and ack >= attempt.sequence_number
-                    and all(row[:3] != attempt.key for row in tasks)
-                )
-                if not gone:
-                    left.append(attempt)
-            if left:
-                self.in_transfer[job_id] = left
-            else:
-                del self.in_transfer[job_id]
+        self._in_transfer.prune(ack, confirmed_tasks)
 
     def _adopt(self, host: str, zone: str, key: TaskKey, phase: Phase, now: timedelta) -> Attempt:
-        """Take over an attempt of a job of ours that an earlier home started."""
+        """Take over an attempt of a job of ours that an earlier scheduler started."""
         job_id, task, number = key
-        state = self.jobs[job_id]
+        job_state = self.jobs[job_id]
         attempt = Attempt(
-            state.job.spec, task, number, host, zone, DesiredState.RUN, self.sequence_number + 1, now, phase
+            job_state.job.spec, task, number, host, zone, DesiredState.RUN, self.sequence_number + 1, now, phase
         )
         attempt.running_since = now if phase is Phase.RUNNING else None
-        if phase not in FINISHED_PHASES and (task in state.done or task in state.placed):
+        if phase not in FINISHED_PHASES and (task in job_state.done or task in job_state.placed):
             self._add(attempt)
             self._set_desired(attempt, DesiredState.STOP)
         elif phase not in FINISHED_PHASES:
-            self._place(state, attempt)
+            self._place(job_state, attempt)
         else:
             self._add(attempt)
             attempt.phase = Phase.QUEUED
@@ -261,71 +248,50 @@
             attempt.running_since = now
         if phase not in FINISHED_PHASES:
             return
-        state = self.jobs.get(attempt.spec.job_id)
-        if before not in FINISHED_PHASES and state is not None:
-            self._take_outcome(state, attempt, cause, now)
-        # Reaped only once its result is in the state service: until then the worker keeps it for us.
+        job_state = self.jobs.get(attempt.spec.job_id)
+        if before not in FINISHED_PHASES and job_state is not None:
+            self._take_outcome(job_state, attempt, cause, now)
+        # Reaped only once its result is in the key-value store: until then the agent keeps it for us.
         if (
             phase is not Phase.ENDED
             or cause != TaskOutcome.SUCCEEDED
-            or state is None
-            or attempt.task_index in state.job.progress
+            or job_state is None
+            or attempt.task_index in job_state.job.progress
         ):
             self._set_desired(attempt, DesiredState.REAP)
         self._free_task(attempt)
 
     # How tasks end.
 
-    def _take_outcome(self, state: JobState, attempt: Attempt, cause: str | None, now: timedelta) -> None:
+    def _take_outcome(self, job_state: JobState, attempt: Attempt, cause: str | None, now: timedelta) -> None:
         if attempt.phase is Phase.ENDED and cause == TaskOutcome.SUCCEEDED:
-            self._task_done(state, attempt)
+            self._task_done(job_state, attempt)
         elif attempt.phase is Phase.ENDED and cause == TaskOutcome.FAILED:
-            self._task_failed(state, attempt, now)
+            self.failing_jobs.task_failed(job_state, attempt, now)
         elif attempt.phase is Phase.REFUSED or (attempt.phase is Phase.ENDED and cause in REFUSAL_CAUSES):
-            state.excluded_until[attempt.host] = now + EXCLUDED_AFTER_REFUSAL
+            job_state.excluded_until[attempt.host] = now + EXCLUDED_AFTER_REFUSAL
 
-    def _task_done(self, state: JobState, attempt: Attempt) -> None:
-        state.longest_failed_run = NO_TIME
-        self._clear_failures(state)
-        if state.job.spec.kind == BATCH and state.done.add(attempt.task_index):
+    def _task_done(self, job_state: JobState, attempt: Attempt) -> None:
+        job_state.longest_failed_run = NO_TIME
+        self._clear_failures(job_state)
+        if job_state.job.spec.kind == BATCH and job_state.done.add(attempt.task_index):
             self.with_new_results.add(attempt.spec.job_id)
-            self._update_pending(state)
+            self._update_pending(job_state)
             self.needs_round = True
 
-    def _task_failed(self, state: JobState, attempt: Attempt, now: timedelta) -> None:
-        """Hold the failure against the job, unless the machine is known as faulty."""
-        log.info("task failed: task_id=%s/%d host=%s", attempt.spec.job_id, attempt.task_index, attempt.host)
-        state.excluded_until[attempt.host] = now + EXCLUDED_AFTER_FAILURE
-        if self._faulty(attempt.host):
-            return
-        state.failed_on.add(attempt.host)
-        if attempt.running_since is not None:
-            state.longest_failed_run = max(state.longest_failed_run, now - attempt.running_since)
-        self._back_off(state, now)
-
-    def _back_off(self, state: JobState, now: timedelta) -> None:
-        if state.failing:
-            self.failing[state.job.job_id] = state
-            state.back_off(now)
-
-    def _clear_failures(self, state: JobState) -> None:
-        state.forget_failures()
-        if self.failing.pop(state.job.job_id, None) is not None:
+    def _clear_failures(self, job_state: JobState) -> None:
+        if self.failing_jobs.clear(job_state):
             self.needs_round = True
 
     def clear_recovered(self, now: timedelta) -> None:
         """Forget the failures of jobs of which a task has run for well over what others took to fail."""
-        for state in list(self.failing.values()):
-            if state.has_recovered(now):
-                self._clear_failures(state)
+        if self.failing_jobs.clear_recovered(now):
+            self.needs_round = True
 
     def machine_faulty(self, host: str) -> None:
         """Take back what failed on a machine: it was the machine's fault, not the jobs'."""
-        for state in self.jobs.values():
-            if host in state.failed_on:
-                state.failed_on.discard(host)
-                if not state.failing and state.job.job_id in self.failing:
-                    self._clear_failures(state)
+        if self.failing_jobs.machine_faulty(host, self.jobs):
+            self.needs_round = True
 
     # What the others need to know.
 
@@ -335,7 +301,14 @@
         if entries is None:
             return None
         return [
-            (a.spec.job_id, a.task_index, a.number, a.desired.label, a.grace.total_seconds()) for a in entries.values()
+            (
+                attempt.spec.job_id,
+                attempt.task_index,
+                attempt.number,
+                attempt.desired.label,
+                attempt.grace.total_seconds(),
+            )
+            for attempt in entries.values()
         ]
 
     def usage(self) -> dict[str, Amounts]:
@@ -343,13 +316,13 @@
         return dict(self.index.usage)
 
     def amounts_in_transfer(self) -> dict[str, dict[str, Amounts]]:
-        """Return the same for each job that was handed over and that its new home does not count yet."""
-        return {job_id: sum_amounts(attempts) for job_id, attempts in self.in_transfer.items()}
+        """Return the same for each job that was handed over and that its new scheduler does not count yet."""
+        return self._in_transfer.amounts_by_job()
 
     def usage_with_transfers(self) -> dict[str, Amounts]:
-        """Return both together: what our allowance has to cover."""
+        """Return both together: what our quota share has to cover."""
         total = self.usage()
-        for attempts in self.in_transfer.values():
-            for team, amounts in sum_amounts(attempts).items():
+        for held in self.amounts_in_transfer().values():
+            for team, amounts in held.items():
                 add_amounts(total, team, amounts)
         return total
--- a/src/ramptide/scheduling/victims.py
+++ b/src/ramptide/scheduling/victims.py
@@ -10,8 +10,8 @@
 
 #: Far above what other tasks cost: a replica is stopped last, as people wait for its answers.
 SERVICE_LOSS = 1e6
-#: Above what most tasks of a rank cost, so that a lower rank goes first on the same machine.
-RANK_LOSS = 1e3
+#: Above what most tasks of a priority cost, so that a lower priority goes first on the same machine.
+PRIORITY_LOSS = 1e3
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,31 +31,31 @@
 def may_claim(
     spec: JobSpec,
     victim: JobSpec,
-    using: Mapping[str, Amounts],
+    usage: Mapping[str, Amounts],
     guarantees: Mapping[str, Amounts],
 ) -> bool:
-    """Tell whether a task of `victim` may be stopped for one of `run`.
+    """Tell whether a task of `victim` may be stopped for one of `spec`.
 
-    Lower ranks give way to higher ones. Work of any rank that another team runs beyond its own
+    Lower priorities give way to higher ones. Work of any priority that another team runs beyond its own
     guarantee gives way to what a team may run within its guarantee. Nothing else does.
     """
     if PRIORITIES.index(victim.priority) < PRIORITIES.index(spec.priority):
         return True
     if victim.team == spec.team or spec.team not in guarantees:
         return False
-    if not within_guarantee(spec, using, guarantees):
+    if not within_guarantee(spec, usage, guarantees):
         return False
-    used, going = using.get(victim.team, NOTHING), amounts_of(victim)
+    used, going = usage.get(victim.team, NOTHING), amounts_of(victim)
     kept = guarantees.get(victim.team, NOTHING)
     return used[0] - going[0] >= kept[0] and used[1] - going[1] >= kept[1]
 
 
-def within_guarantee(spec: JobSpec, using: Mapping[str, Amounts], guarantees: Mapping[str, Amounts]) -> bool:
+def within_guarantee(spec: JobSpec, usage: Mapping[str, Amounts], guarantees: Mapping[str, Amounts]) -> bool:
     """Tell whether one more task of the job keeps its team within its guarantee."""
     guaranteed = guarantees.get(spec.team)
     if guaranteed is None:
         return False
-    used, task = using.get(spec.team, NOTHING), amounts_of(spec)
+    used, task = usage.get(spec.team, NOTHING), amounts_of(spec)
     return used[0] + task[0] <= guaranteed[0] and used[1] + task[1] <= guaranteed[1]
 
 
@@ -94,4 +94,4 @@
         lost = spec.checkpoint_cost_s
     else:
         lost = spec.estimated_runtime_s
-    return (lost * max(spec.cpus, 1.0) + RANK_LOSS * PRIORITIES.index(spec.priority), spec.job_id, task.task_index)
+    return (lost * max(spec.cpus, 1.0) + PRIORITY_LOSS * PRIORITIES.index(spec.priority), spec.job_id, task.task_index)
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -17,6 +17,7 @@
 from ramptide.cluster.failure_attribution import FailureAttribution
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.controller.controller import Controller
+from ramptide.scheduling.failing_jobs import FailingJobs
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.job_state import JobState
 from ramptide.state.records import MachineRecord
@@ -314,14 +315,14 @@
 
 
 def test_without_the_pause_probes_follow_each_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    back_off = JobScheduler._back_off
+    back_off = FailingJobs.back_off
 
-    def at_once(home: JobScheduler, work: JobState, now: timedelta) -> None:
-        back_off(home, work, now)
+    def at_once(failing_jobs: FailingJobs, work: JobState, now: timedelta) -> None:
+        back_off(failing_jobs, work, now)
         work.retry_at = 0 * S
         work.excluded_until.clear()
 
-    monkeypatch.setattr(JobScheduler, "_back_off", at_once)
+    monkeypatch.setattr(FailingJobs, "back_off", at_once)
     assert starts_of_a_bad_job() > 50
 
 
--- a/tests/virtual/indexes.py
+++ b/tests/virtual/indexes.py
@@ -56,7 +56,7 @@
 
 
 def _check_jobs(scheduler: JobScheduler) -> None:
-    assert scheduler.failing == {job_id: job for job_id, job in scheduler.jobs.items() if job.failing}
+    assert scheduler.failing_jobs.by_id == {job_id: job for job_id, job in scheduler.jobs.items() if job.failing}
     assert scheduler.with_pending_tasks == {job_id: job for job_id, job in scheduler.jobs.items() if job.waiting > 0}
 
 
