--- a/src/ramptide/controller/replication.py
+++ b/src/ramptide/controller/replication.py
@@ -173,13 +173,13 @@
                 self._peers.send(peer, _part_of(base, split, changes), AT_ONCE)
                 continue
             is_leader = peer.name == view.leader
-            granted = self._share_split.granted(peer.name)
+            share = self._share_split.share_of(peer.name)
             message = msgspec.structs.replace(
                 base,
                 base=changes.base,
                 machine_status=changes.status,
                 desired_tasks=changes.desired_tasks,
-                quota_shares=shares_to_wire(granted) if granted is not None else None,
+                quota_shares=shares_to_wire(share) if share is not None else None,
                 demand=shares_to_wire(own_demand(scheduler, now)) if is_leader else {},
                 waiting_jobs=waiting_rows(scheduler, now) if is_leader else [],
                 unrecorded_machines=shard.unrecorded_machines() if is_leader else {},
--- a/src/ramptide/quota/fitting.py
+++ b/src/ramptide/quota/fitting.py
@@ -32,21 +32,21 @@
         """Return what waits of the team, by member."""
         return tuple((member, tuple(demands[team])) for member, demands in self._waiting.items() if team in demands)
 
-    def targets(self, team: str, limit: Amounts, using: Mapping[str, Amounts]) -> dict[str, Amounts]:
+    def targets(self, team: str, limit: Amounts, usage: Mapping[str, Amounts]) -> dict[str, Amounts]:
         """Return what each member should have, given what each uses."""
         left = Amounts(
-            max(0, limit.cpus - sum(used.cpus for used in using.values())),
-            max(0, limit.gpus - sum(used.gpus for used in using.values())),
+            max(0, limit.cpus - sum(used.cpus for used in usage.values())),
+            max(0, limit.gpus - sum(used.gpus for used in usage.values())),
         )
         portions = [
             _Portion(member, demand)
-            for member in sorted(using)
+            for member in sorted(usage)
             for demand in self._waiting.get(member, {}).get(team, ())
             if demand.count
         ]
         left = _in_proportion(portions, left)
         _while_any_fits(portions, left)
-        targets = dict(using)
+        targets = dict(usage)
         for portion in portions:
             more, before = portion.demand.size.times(portion.tasks), targets[portion.member]
             targets[portion.member] = Amounts(before.cpus + more.cpus, before.gpus + more.gpus)
@@ -60,22 +60,26 @@
 
 
 def _in_proportion(portions: list[_Portion], left: Amounts) -> Amounts:
-    """Give each demand the same part of its tasks, rounded down, and return what is left."""
+    """Give each demand the same fraction of its tasks, rounded down, and return what is left."""
     wanted = NOTHING
     for portion in portions:
         more = portion.demand.size.times(portion.demand.count)
         wanted = Amounts(wanted.cpus + more.cpus, wanted.gpus + more.gpus)
-    # The resource that is shorter decides; a part is numerator by denominator, as whole numbers.
-    parts = [(free, need) for free, need in zip(left, wanted, strict=True) if need > free]
-    numerator, denominator = min(parts, key=lambda shard: shard[0] / shard[1], default=(1, 1))
+    # The resource that is shorter decides; a fraction is numerator by denominator, as whole numbers.
+    fractions = [(free, need) for free, need in zip(left, wanted, strict=True) if need > free]
+    numerator, denominator = min(fractions, key=lambda fraction: fraction[0] / fraction[1], default=(1, 1))
     for portion in portions:
         left = _take(portion, portion.demand.count * numerator // denominator, left)
     return left
 
 
+def _largest_first(portion: _Portion) -> tuple[int, int, str]:
+    return (-portion.demand.gpus, -portion.demand.cpus, portion.member)
+
+
 def _while_any_fits(portions: list[_Portion], left: Amounts) -> None:
     """Give what is left to whole tasks, the largest first, as these fit in the least places."""
-    for portion in sorted(portions, key=lambda one: (-one.demand.gpus, -one.demand.cpus, one.member)):
+    for portion in sorted(portions, key=_largest_first):
         fits = tasks_within(left, portion.demand.size)
         tasks = min(MANY if fits is None else fits, portion.demand.count - portion.tasks)
         if tasks > 0:
--- a/src/ramptide/team_limits/share_split.py
+++ b/src/ramptide/team_limits/share_split.py
@@ -1,4 +1,4 @@
-"""The leader's split of the team limits: when it is worked out anew, from what, and what is told with it."""
+"""The leader's split of the team limits: when it is worked out anew, from what, and what is sent with it."""
 
 from collections.abc import Callable, Mapping
 from datetime import timedelta
@@ -12,7 +12,8 @@
 from ramptide.scheduling.own_demand import own_demand
 from ramptide.scheduling.placement_round import LeadershipInfo
 from ramptide.state.amounts import NO_LIMIT, Amounts, TeamAmounts, add_amounts, usage_from_wire
-from ramptide.team_limits.allowances import ProportionalSplit, ShareAllocator, SplitPolicy
+from ramptide.team_limits.share_allocator import ShareAllocator
+from ramptide.team_limits.split_policy import ProportionalSplit, SplitPolicy
 
 __all__ = ["ShareSplit"]
 
@@ -44,7 +45,7 @@
         """Return by how much transfers have moved each member's share."""
 
     def split_policy(self) -> SplitPolicy | None:
-        """Return how to split; None while some member does not tell the sizes of its tasks."""
+        """Return how to split; None while some member does not send the sizes of its tasks."""
 
 
 class ShareSplit:
@@ -76,24 +77,24 @@
         self._on_own_share = on_own_share
         self._quota = quota
         self._allocator: ShareAllocator | None = None
-        # The last split, and the jobs that it takes as taken over by us: always told together.
-        self._granted: dict[str, TeamAmounts] = {}
+        # The last split, and the jobs that it takes as taken over by us: always sent together.
+        self._shares: dict[str, TeamAmounts] = {}
         self.handovers_taken: list[str] = []
         self._split_at = timedelta(0)
 
     def new_view(self, view: View | None) -> None:
         """Start anew; `view` is None when we have no place in it."""
-        self._granted, self.handovers_taken = {}, []
+        self._shares, self.handovers_taken = {}, []
         self._allocator = ShareAllocator(self._state.limits, sorted(view.members)) if view is not None else None
 
-    def granted(self, member: str) -> TeamAmounts | None:
-        """Return what the last split grants a member; None before the first one."""
-        return self._granted.get(member)
+    def share_of(self, member: str) -> TeamAmounts | None:
+        """Return what the last split gives a member; None before the first one."""
+        return self._shares.get(member)
 
-    def acknowledged(self, member: str, seq: int) -> None:
-        """Note that a member acts on the grants of our message `seq`."""
-        if self._allocator is not None and seq:
-            self._allocator.acknowledged(member, seq)
+    def acknowledged(self, member: str, sequence_number: int) -> None:
+        """Note that a member acts on the shares of our message `sequence_number`."""
+        if self._allocator is not None and sequence_number:
+            self._allocator.acknowledged(member, sequence_number)
 
     def limits_changed(self) -> None:
         """Split by the controller's limits as they are now."""
@@ -102,11 +103,13 @@
 
     def within(self, team: str, limit: Amounts) -> bool:
         """Tell whether the shares that members may still act on are together within a limit."""
-        if self._allocator is None or not self._granted:
+        if self._allocator is None or not self._shares:
             return False
         offsets = self._quota.offsets() if self._quota is not None else {}
-        held = [self._allocator.most(member, team, offsets) for member in self._granted]
-        return all(most == NO_LIMIT or sum(one[side] for one in held) <= most for side, most in enumerate(limit))
+        held = [self._allocator.most(member, team, offsets) for member in self._shares]
+        return all(
+            most == NO_LIMIT or sum(amounts[side] for amounts in held) <= most for side, most in enumerate(limit)
+        )
 
     def update(self, scheduler: JobScheduler, view: View, now: timedelta) -> None:
         """As leader, split the limits anew; controllers whose share changes hear at once."""
@@ -114,8 +117,8 @@
             return
         self._split_at = now
         self.handovers_taken = self._taken_over(scheduler, view)
-        before, self._granted = self._granted, self._divide(scheduler, view, now)
-        for name, new in self._granted.items():
+        before, self._shares = self._shares, self._divide(scheduler, view, now)
+        for name, new in self._shares.items():
             if name in self._peers.by_name and new != before.get(name):
                 self._peers.send_within(self._peers.by_name[name], AT_ONCE)
 
@@ -123,7 +126,7 @@
         """Return jobs that were handed over to us and whose tasks we count now.
 
         Only those that their former scheduler's last message shows as handed over: in an older message it counts them
-        among its own, and the grant sent with this would cover them twice.
+        among its own, and the share sent with this would cover them twice.
         """
         found = []
         for job_state in scheduler.jobs.values():
@@ -140,15 +143,17 @@
         others = self._messages(view)
         if others is None or self._allocator is None:
             return {}
-        using = {self._state.member: scheduler.usage()} | {message.member: self._use_of(message) for message in others}
+        usage = {self._state.member: scheduler.usage()} | {
+            message.member: self._usage_of(message) for message in others
+        }
         offsets = self._quota.offsets() if self._quota is not None else None
-        # Told with the messages from the next one on: none that bears its number has left yet.
-        grants = self._allocator.divide(
-            scheduler.sequence_number + 1, using, self._policy(scheduler, others, now), self._state.member, offsets
+        # Sent with the messages from the next one on: none that bears its number has left yet.
+        shares = self._allocator.divide(
+            scheduler.sequence_number + 1, usage, self._policy(scheduler, others, now), self._state.member, offsets
         )
         self._allocator.acknowledged(self._state.member, scheduler.sequence_number + 1)
-        self._on_own_share(grants[self._state.member])
-        return grants
+        self._on_own_share(shares[self._state.member])
+        return shares
 
     def _messages(self, view: View) -> list[PeerMessage] | None:
         """Return the last message of each other member; None while one of them, or we, lacks information."""
@@ -164,13 +169,13 @@
             found.append(message)
         return found
 
-    def _use_of(self, message: PeerMessage) -> TeamAmounts:
+    def _usage_of(self, message: PeerMessage) -> TeamAmounts:
         """Return what a member uses, with what it handed over and nobody else counts yet."""
-        using = usage_from_wire(message.usage)
+        usage = usage_from_wire(message.usage)
         for job_id, held in message.usage_in_transfer.items():
             for team, amounts in usage_from_wire(held).items() if job_id not in self.handovers_taken else ():
-                add_amounts(using, team, amounts)
-        return using
+                add_amounts(usage, team, amounts)
+        return usage
 
     def _policy(self, scheduler: JobScheduler, others: list[PeerMessage], now: timedelta) -> SplitPolicy:
         policy = self._quota.split_policy() if self._quota is not None else None
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -16,7 +16,7 @@
 from ramptide.autoscaling.fleet_types import Demand, FleetMachine
 from ramptide.clients.rate_limits import TokenBucket
 from ramptide.cluster.view import owner_of
-from ramptide.config.settings import Tuning
+from ramptide.config.tuning import Tuning
 from ramptide.placement.bin_packing import Room
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import decode_job_spec
@@ -24,7 +24,8 @@
 from ramptide.state.amounts import UNITS, Amounts
 from ramptide.state.jobs import Job
 from ramptide.state.records import PROGRESS_WINDOW, JobRecord, MachineRecord, Progress, to_value
-from ramptide.team_limits.allowances import ProportionalSplit, ShareAllocator
+from ramptide.team_limits.share_allocator import ShareAllocator
+from ramptide.team_limits.split_policy import ProportionalSplit
 from virtual import S, job_spec
 
 
--- a/tests/test_quota_ledger.py
+++ b/tests/test_quota_ledger.py
@@ -12,7 +12,8 @@
 from ramptide.quota.messages import AccountRow, QuotaMessageError, TaskDemand, TransferRow, decode
 from ramptide.quota.planner import most_used
 from ramptide.state.amounts import NO_LIMIT, NOTHING, UNITS, Amounts, add_amounts, tasks_within
-from ramptide.team_limits.allowances import ProportionalSplit, ShareAllocator, SplitPolicy
+from ramptide.team_limits.share_allocator import ShareAllocator
+from ramptide.team_limits.split_policy import ProportionalSplit, SplitPolicy
 
 MEMBERS = ["a", "b", "c"]
 LIMIT = Amounts(20 * UNITS, 6 * UNITS)
--- a/tools/measure_quota.py
+++ b/tools/measure_quota.py
@@ -18,7 +18,7 @@
 from ramptide.quota.messages import TaskDemand
 from ramptide.quota.planner import most_used
 from ramptide.state.amounts import NO_LIMIT, NOTHING, UNITS, Amounts
-from ramptide.team_limits.allowances import ProportionalSplit, SplitPolicy
+from ramptide.team_limits.split_policy import ProportionalSplit, SplitPolicy
 from test_quota import send
 from virtual import S, Task, Worker, World, started_world
 
