--- a/src/ramptide/cli.py
+++ b/src/ramptide/cli.py
@@ -100,7 +100,7 @@
 def _run_controller(path: Path, parts_path: Path | None) -> int:
     try:
         loaded = settings.load(path)
-        parts = load_features(parts_path) if parts_path is not None else None
+        features = load_features(parts_path) if parts_path is not None else None
     except settings.SettingsError as error:
         return _fail(str(error), EXIT_USAGE_ERROR)
     level = os.environ.get("LOG_LEVEL", "info")
@@ -113,7 +113,7 @@
     from ramptide.service import Service
 
     try:
-        service = Service(loaded, parts)
+        service = Service(loaded, features)
     except OSError as error:
         return _fail(f"cannot listen: {error}")
     service.run()
--- a/src/ramptide/transport/http/server.py
+++ b/src/ramptide/transport/http/server.py
@@ -110,7 +110,7 @@
             self.server.handler(exchange)
         except Exception:
             # The client gets a response whatever went wrong here.
-            log.exception("%s %s failed", request.method, request.target)
+            log.exception("request failed: method=%s target=%s", request.method, request.target)
             exchange.respond(500, _encode_error("internal error"))
 
     def _send_last(self, data: bytes) -> None:
