--- a/tests/compatibility/test_records.py
+++ b/tests/compatibility/test_records.py
@@ -48,12 +48,12 @@
     world.store.revision = max(revision for _, revision in stored.values())
     world.store.entries = {key: Entry(value, revision, None) for key, (value, revision) in kept.items()}
     for key, (record, _) in kept.items():
-        ref = key.rpartition("/")[2]
+        job_id = key.rpartition("/")[2]
         if key.startswith("live/job/"):
-            world.job_specs[ref] = record["run"]
+            world.job_specs[job_id] = record["run"]
         elif key.startswith("ended/"):
-            world.define_job(ref, pieces=record["pieces"])
-            world.invariants.finished_tasks |= {(ref, number) for number in range(record["done"])}
+            world.define_job(job_id, pieces=record["pieces"])
+            world.invariants.finished_tasks |= {(job_id, number) for number in range(record["done"])}
     for node in world.nodes.values():
         node.start()
     world.run(20)
--- a/tests/compatibility/traffic.py
+++ b/tests/compatibility/traffic.py
@@ -121,8 +121,8 @@
     world.define_job("j-1", pieces=3, guessS=3.0)
     world.define_job("j-2", shape="service", pieces=2, loaners=True, rank="high", markEveryS=5.0, markCostS=1.0)
     world.define_job("j-3", owner="tight", pieces=5, oneZone=True, rigs=["m"], yard="b", dueS=60.0)
-    for name, ref in zip(world.controller_names, ("j-1", "j-2", "j-3"), strict=True):
-        assert world.submit_until_accepted(ref, name)
+    for name, job_id in zip(world.controller_names, ("j-1", "j-2", "j-3"), strict=True):
+        assert world.submit_until_accepted(job_id, name)
     world.run(8)
     assert world.cancel_job("j-2", "c1")
     world.run(8)
@@ -244,8 +244,8 @@
     world.define_job("j-30", pieces=12, guessS=3.0)
     world.define_job("j-31", owner="tight", pieces=5, guessS=3.0)
     world.define_job("j-32", owner="tight", shape="service", pieces=2)
-    for name, ref in zip(world.controller_names, ("j-30", "j-31", "j-32"), strict=True):
-        assert world.submit_until_accepted(ref, name)
+    for name, job_id in zip(world.controller_names, ("j-30", "j-31", "j-32"), strict=True):
+        assert world.submit_until_accepted(job_id, name)
     world.run(8)
     return world
 
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -39,21 +39,21 @@
     """Each second every controller is asked for every accepted job: the longest that any was silent about any."""
     answered: dict[tuple[str, str], timedelta] = {}
     began = world.now
-    asked = [(ref, name) for ref in sorted(world.accepted_jobs) for name in world.controller_names]
+    asked = [(job_id, name) for job_id in sorted(world.accepted_jobs) for name in world.controller_names]
 
-    def ask(ref: str, name: str) -> None:
+    def ask(job_id: str, name: str) -> None:
         def told(status: int, _body: bytes, _headers: object) -> None:
             if status == 200:
-                answered[ref, name] = world.now
+                answered[job_id, name] = world.now
             elif status == 404:
-                world.invariants.violations.append(f"forgotten {ref} by {name}")
+                world.invariants.violations.append(f"forgotten {job_id} by {name}")
 
-        world.request(name, lambda controller: controller.job_api.poll(ref, told))
+        world.request(name, lambda controller: controller.job_api.poll(job_id, told))
 
     worst = (timedelta(0), "")
     for _ in range(seconds):
-        for ref, name in asked:
-            ask(ref, name)
+        for job_id, name in asked:
+            ask(job_id, name)
         world.run(1.0)
         world.invariants.check()
         worst = max([worst, *((world.now - answered.get(one, began), f"{one[0]} at {one[1]}") for one in asked)])
@@ -62,12 +62,12 @@
 
 def finish_all(world: World, seconds: float) -> list[str]:
     """The users cancel their services; the accepted jobs that have not come to an end after that."""
-    for ref in sorted(world.accepted_jobs - world.cancelled_at.keys()):
-        if world.job_specs[ref]["shape"] == "service":
-            cancel_job(world, world.rng, ref)
+    for job_id in sorted(world.accepted_jobs - world.cancelled_at.keys()):
+        if world.job_specs[job_id]["shape"] == "service":
+            cancel_job(world, world.rng, job_id)
 
     def left() -> list[str]:
-        return [ref for ref in sorted(world.accepted_jobs) if f"ended/{ref}" not in world.store.entries]
+        return [job_id for job_id in sorted(world.accepted_jobs) if f"ended/{job_id}" not in world.store.entries]
 
     world.run_until(lambda: not left(), seconds)
     return left()
@@ -79,8 +79,8 @@
     end_faults(world)
     silent, job = longest_unanswered(world, 30)
     assert silent < WELL_BEFORE, f"no answer about {job}"
-    waited, ref = longest_starvation(world, 95)
-    assert waited < BESIDE_ROOM, f"{ref} waits beside room"
+    waited, job_id = longest_starvation(world, 95)
+    assert waited < BESIDE_ROOM, f"{job_id} waits beside room"
     assert finish_all(world, 150) == []
     assert world.invariants.violations == []
 
@@ -102,10 +102,10 @@
     """Small jobs of the same team and class as the one that is to begin, together more than there is room for."""
     seconds, per_second = int(LARGEST_BEGIN) + 60, 3
     for number in range(seconds * per_second):
-        ref = f"j-{number + 100}"
-        world.define_job(ref, pieces=1, cores=2.0, guessS=8.0, **fields)
+        job_id = f"j-{number + 100}"
+        world.define_job(job_id, pieces=1, cores=2.0, guessS=8.0, **fields)
         at = number / per_second * S
-        world.after(at, lambda ref=ref: submit_job(world, world.rng, ref))  # type: ignore[misc]
+        world.after(at, lambda job_id=job_id: submit_job(world, world.rng, job_id))  # type: ignore[misc]
 
 
 def job_begins(world: World, flow: dict[str, object], job: dict[str, object]) -> float:
@@ -181,11 +181,11 @@
 def more_work_than_room(world: World) -> list[str]:
     """Urgent and not, of several ranks and bounds; arrays that together need more than the machines have."""
     bounds: list[dict[str, object]] = [{}, {"oneZone": True}, {"spread": True}, {"yard": "a"}]
-    refs = [f"j-{number}" for number in range(24)]
-    for number, ref in enumerate(refs):
+    job_ids = [f"j-{number}" for number in range(24)]
+    for number, job_id in enumerate(job_ids):
         urgent = number % 3 == 0
         world.define_job(
-            ref,
+            job_id,
             owner=("team", "few")[number % 2],
             rank=("normal", "high", "low")[number % 3],
             pieces=6,
@@ -194,8 +194,8 @@
             dueS=45.0 if urgent else None,
             **bounds[number % 4],
         )
-        world.after(number * 1.5 * S, lambda ref=ref: submit_job(world, world.rng, ref, USER_TRIES))  # type: ignore[misc]
-    return refs
+        world.after(number * 1.5 * S, lambda job_id=job_id: submit_job(world, world.rng, job_id, USER_TRIES))  # type: ignore[misc]
+    return job_ids
 
 
 @pytest.mark.parametrize("in_order", [True, False], ids=["in order", "in any order"])
@@ -203,7 +203,7 @@
 def test_more_work_than_room_urgent_and_not_over_slow_links(seed: int, in_order: bool) -> None:
     world = started_world(seed, teams={"team": 0.0, "few": 16.0}, capacity=6)
     world.cloud.pool_capacity = 3
-    refs = more_work_than_room(world)
+    job_ids = more_work_than_room(world)
     world.run(5)
     for _ in range(8):
         slow_everything(world, in_order)
@@ -211,11 +211,11 @@
     world.restore_link_speed()
     end_faults(world)
     assert world.invariants.violations == []
-    assert set(refs) <= world.accepted_jobs
+    assert set(job_ids) <= world.accepted_jobs
     silent, job = longest_unanswered(world, 10)
     assert silent < WELL_BEFORE, f"no answer about {job}"
-    waited, ref = longest_starvation(world, 100)
-    assert waited < BESIDE_ROOM, f"{ref} waits beside room"
+    waited, job_id = longest_starvation(world, 100)
+    assert waited < BESIDE_ROOM, f"{job_id} waits beside room"
     assert finish_all(world, 300) == []
     assert world.invariants.violations == []
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -50,7 +50,8 @@
 def answers(world: World, node: str, body: bytes, seconds: float = 3.0) -> list[tuple[int, dict[str, Any]]]:
     got: list[tuple[int, dict[str, Any]]] = []
     world.request(
-        node, lambda c: c.job_api.submit(body, lambda status, said, headers: got.append((status, json.loads(said))))
+        node,
+        lambda c: c.job_api.submit(body, lambda status, response, headers: got.append((status, json.loads(response)))),
     )
     world.run(seconds)
     return got
@@ -239,10 +240,10 @@
     )  # fmt: skip
 
 
-def cancelled(world: World, ref: str, node: str) -> tuple[int, dict[str, Any]]:
+def cancelled(world: World, job_id: str, node: str) -> tuple[int, dict[str, Any]]:
     got: list[tuple[int, dict[str, Any]]] = []
     world.request(
-        node, lambda c: c.job_api.cancel(ref, lambda status, body, headers: got.append((status, json.loads(body))))
+        node, lambda c: c.job_api.cancel(job_id, lambda status, body, headers: got.append((status, json.loads(body))))
     )
     world.run(3)
     (answer,) = got
@@ -256,11 +257,11 @@
     assert world.run_until(lambda: world.is_done("j-1"), 60)
     for name in world.controller_names:
         assert cancelled(world, "j-1", name) == (200, {"ref": "j-1", "status": "done"})
-        for ref in ("j-999", "j-", "", "x", "j-1%2f", "j-" + "9" * 300, "j-1\n", "../j-1", "\u0661"):
-            assert cancelled(world, ref, name)[0] == 404
-            polled = world.poll_job(ref, name)
-            assert polled is not None, ref
-            assert polled[0] == 404, ref
+        for job_id in ("j-999", "j-", "", "x", "j-1%2f", "j-" + "9" * 300, "j-1\n", "../j-1", "\u0661"):
+            assert cancelled(world, job_id, name)[0] == 404
+            polled = world.poll_job(job_id, name)
+            assert polled is not None, job_id
+            assert polled[0] == 404, job_id
     assert cancelled(world, "j-1", "c1")[1]["status"] == "done"
     assert known(world) == {"j-1"}
 
@@ -319,7 +320,7 @@
     assert controller is not None
     assert controller.state.shard is not None
     rng = random.Random(seed)
-    beat = {
+    heartbeat = {
         "host": worker.host, "addr": "h:1", "rig": "m", "yard": worker.zone, "loaners": False,
         "tenure": worker.agent_epoch, "tally": worker.sequence_number + 1, "baton": worker.fencing_token,
         "warningS": None,
@@ -327,9 +328,9 @@
     }  # fmt: skip
     refused = 0
     for _ in range(1500):
-        body, before = broken(rng, beat, to_json), shown(controller.state.shard, worker.host)
+        body, before = broken(rng, heartbeat, to_json), shown(controller.state.shard, worker.host)
         got: list[int] = []
-        controller.heartbeats.receive_heartbeat(body, lambda status, said, got=got: got.append(status))  # type: ignore[misc]
+        controller.heartbeats.receive_heartbeat(body, lambda status, response, got=got: got.append(status))  # type: ignore[misc]
         if got and got[0] != 200:
             refused += 1
             assert got[0] in (400, 421, 503), body
@@ -363,15 +364,15 @@
     assert controller is not None
     assert controller.state.shard is not None
     before = shown(controller.state.shard, worker.host)
-    beat = {"host": worker.host, "rig": "m", "yard": worker.zone, "loaners": False, "tenure": worker.agent_epoch,
+    heartbeat = {"host": worker.host, "rig": "m", "yard": worker.zone, "loaners": False, "tenure": worker.agent_epoch,
             "tally": worker.sequence_number + 1, "baton": worker.fencing_token, "pieces": []}  # fmt: skip
     got: list[int] = []
-    body = to_json(beat | changes)
-    controller.heartbeats.receive_heartbeat(body, lambda status, said: got.append(status))
+    body = to_json(heartbeat | changes)
+    controller.heartbeats.receive_heartbeat(body, lambda status, response: got.append(status))
     assert got == [400]
     assert shown(controller.state.shard, worker.host) == before
-    deep = to_json(beat).replace(b'"pieces": []', b'"pieces": ' + DEEP)
-    controller.heartbeats.receive_heartbeat(deep, lambda status, said: got.append(status))
+    deep = to_json(heartbeat).replace(b'"pieces": []', b'"pieces": ' + DEEP)
+    controller.heartbeats.receive_heartbeat(deep, lambda status, response: got.append(status))
     assert got == [400, 400]
     assert shown(controller.state.shard, worker.host) == before
 
@@ -380,12 +381,12 @@
     """What reports and is not recorded is taken over under its name: the state service takes no such key."""
     world = started_world(3)
     for host in ("vm 1", "vm-\n", "v" * 190, "\u00e9" * 60):
-        beat = {"host": host, "rig": "m", "yard": "a", "loaners": False, "tenure": 1, "tally": 1, "baton": 9,
+        heartbeat = {"host": host, "rig": "m", "yard": "a", "loaners": False, "tenure": 1, "tally": 1, "baton": 9,
                 "pieces": []}  # fmt: skip
         for name in world.controller_names:
             got: list[int] = []
-            world.request(name, lambda c, got=got, beat=beat: c.heartbeats.receive_heartbeat(  # type: ignore[misc]
-                to_json(beat), lambda status, said: got.append(status)))  # fmt: skip
+            world.request(name, lambda c, got=got, heartbeat=heartbeat: c.heartbeats.receive_heartbeat(  # type: ignore[misc]
+                to_json(heartbeat), lambda status, response: got.append(status)))  # fmt: skip
             assert got == [400]
     world.run(5)
     assert all(len(key.encode()) <= 200 and not set(key) & set(" \n") for key in world.store.entries)
@@ -414,11 +415,11 @@
     world.define_job("j-2", pieces=20, cores=1.0, guessS=3.0)
     assert world.submit_until_accepted("j-2", "c0")
     rng = random.Random(seed)
-    said = messages(world, 4)
+    sent_messages = messages(world, 4)
     refused = taken = 0
-    assert said
+    assert sent_messages
     for _ in range(1500):
-        name, body = rng.choice(said)
+        name, body = rng.choice(sent_messages)
         value = cbor2.loads(body) | {"base": 0, "seq": 10**6 + taken}
         controller = world.nodes[name].controller
         assert controller is not None
@@ -452,14 +453,14 @@
     rate = [0.4]
 
     def flawed(handler: PeerMessageHandler, body: bytes) -> bytes | None:
-        said = take(handler, body)
-        if said is None or rng.random() >= rate[0]:
-            return said
+        reply = take(handler, body)
+        if reply is None or rng.random() >= rate[0]:
+            return reply
         return (
-            said[: rng.randrange(len(said))]
+            reply[: rng.randrange(len(reply))]
             if rng.random() < 0.5
             else cbor2.dumps(
-                cbor2.loads(said)
+                cbor2.loads(reply)
                 | {rng.choice(["have", "view", "newest", "lacks"]): rng.choice([None, "x", -1, -(2**70)])}
             )
         )
@@ -657,12 +658,12 @@
         for node in world.nodes.values()
         if (c := node.controller) is not None and c.state.scheduler and "j-1" in c.state.scheduler.jobs
     )
-    home: JobScheduler = controller.state.scheduler  # type: ignore[assignment]
+    scheduler: JobScheduler = controller.state.scheduler  # type: ignore[assignment]
     host = world.invariants.running_tasks()[0][0].host
     rows = list(controller.machine_index.machines[host].tasks)
-    home.apply_status(host, "a", [*rows, ("j-1", 99_999, 7, "ended", "done")], world.now)
-    assert home.jobs["j-1"].done.count == 0
-    assert 99_999 not in home.jobs["j-1"].placed
+    scheduler.apply_status(host, "a", [*rows, ("j-1", 99_999, 7, "ended", "done")], world.now)
+    assert scheduler.jobs["j-1"].done.count == 0
+    assert 99_999 not in scheduler.jobs["j-1"].placed
 
 
 # The operators' settings and the settings file.
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -238,13 +238,13 @@
 
 def a_part() -> Shard:
     run = decode_job_spec(json.dumps(job_spec("j-1", cores=1.0, pieces=100)).encode())
-    part = Shard(5, 8 * S, 1 * S, lambda ref: run if ref == "j-1" else None)
+    part = Shard(5, 8 * S, 1 * S, lambda job_id: run if job_id == "j-1" else None)
     record = MachineRecord("m", "a", False, 1, 0.0, None, True, "r")
     part.add_machine("vm-1", record, MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"]), timedelta(0), [])
     return part
 
 
-def beat(tenure: int, tally: int, baton: int, *tasks: int) -> Heartbeat:
+def new_heartbeat(tenure: int, tally: int, baton: int, *tasks: int) -> Heartbeat:
     pieces = [{"piece": f"j-1/{task}", "try": task, "status": "running"} for task in tasks]
     machine = {"host": "vm-1", "rig": "m", "yard": "a", "loaners": False}
     message = machine | {"tenure": tenure, "tally": tally, "baton": baton, "pieces": pieces}
@@ -255,14 +255,14 @@
     """Within a tenure, over tenures, from before the view, and after the lease has certainly run out."""
     part, plain = a_part(), dict[tuple[int, int], Heartbeat]()
     machine = part.machines["vm-1"]
-    assert part.heartbeats.take(beat(1, 1, 4, 1, 2), 0 * S)
+    assert part.heartbeats.take(new_heartbeat(1, 1, 4, 1, 2), 0 * S)
     assert not machine.is_reconciled, "it may be from before the token was seen"
     assert not machine.entries
     rng, now = random.Random(4), 0 * S
     for tally in range(2, 40):
         now += 1 * S
         tenure = 1 + tally // 10
-        report = beat(tenure, tally, 5, *rng.sample(range(8), 3))
+        report = new_heartbeat(tenure, tally, 5, *rng.sample(range(8), 3))
         assert part.heartbeats.take(report, now)
         machine.last_reply_at = now
         shown = {key: entry.phase for key, entry in machine.entries.items()}
@@ -277,40 +277,40 @@
     assert machine.is_reconciled
     part.leases.expire(now + 9.2 * S, 0 * S)
     assert all(entry.phase is Phase.GONE for entry in machine.entries.values())
-    assert not part.heartbeats.take(beat(4, 99, 5, 1, 2, 3), now + 10 * S), (
+    assert not part.heartbeats.take(new_heartbeat(4, 99, 5, 1, 2, 3), now + 10 * S), (
         "a late one of the tenure that ended revives nothing"
     )
-    assert part.heartbeats.take(beat(5, 100, 5), now + 11 * S)
+    assert part.heartbeats.take(new_heartbeat(5, 100, 5), now + 11 * S)
 
 
 def test_without_the_later_tenure_a_late_report_revives_what_is_gone() -> None:
     part = a_part()
     machine = part.machines["vm-1"]
-    assert part.heartbeats.take(beat(1, 1, 5, 1), 0 * S)
+    assert part.heartbeats.take(new_heartbeat(1, 1, 5, 1), 0 * S)
     machine.last_reply_at = 0 * S
     part.leases.expire(10 * S, 0 * S)
     machine.last_heartbeat_id = HeartbeatId(1, 1)
-    assert part.heartbeats.take(beat(1, 2, 5, 1), 11 * S)
+    assert part.heartbeats.take(new_heartbeat(1, 2, 5, 1), 11 * S)
     assert any(entry.phase is Phase.RUNNING for entry in machine.entries.values())
 
 
 def test_a_late_report_of_a_returned_machine_brings_nothing_back() -> None:
     part = a_part()
-    assert part.heartbeats.take(beat(1, 1, 5), 0 * S)
+    assert part.heartbeats.take(new_heartbeat(1, 1, 5), 0 * S)
     part.remove_machine("vm-1")
-    assert part.heartbeats.take(beat(1, 1, 4), 20 * S)
+    assert part.heartbeats.take(new_heartbeat(1, 1, 4), 20 * S)
     assert not part.unrecorded_machines(), "from before this view"
-    assert part.heartbeats.take(beat(1, 2, 5), 21 * S)
+    assert part.heartbeats.take(new_heartbeat(1, 2, 5), 21 * S)
     assert part.unrecorded_machines(), "the leader knows what it returned"
     world = started_world(5)
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None
     assert controller.state.shard is not None
     controller.fleet_manager._returns._returned_at["vm-1"] = controller.runtime.now
-    controller.state.shard.unrecorded["vm-1"] = beat(1, 2, 99)
+    controller.state.shard.unrecorded["vm-1"] = new_heartbeat(1, 2, 99)
     world.run(30)
     assert "vm-1" not in controller.state.machines
-    controller.state.shard.unrecorded["vm-2"] = beat(1, 2, 99)
+    controller.state.shard.unrecorded["vm-2"] = new_heartbeat(1, 2, 99)
     controller.state.shard.unrecorded["vm-2"].host = "vm-2"
     assert world.run_until(lambda: "vm-2" in controller.state.machines, 10), "one that nobody returned is taken over"
 
@@ -355,8 +355,8 @@
     for number, fields in enumerate(arrays, services):
         world.define_job(f"j-{number}", **fields)
     rng = random.Random(seed)
-    for number, ref in enumerate(world.job_specs):
-        world.after(number * 0.02 * S, lambda ref=ref: submit_job(world, rng, ref))  # type: ignore[misc]
+    for number, job_id in enumerate(world.job_specs):
+        world.after(number * 0.02 * S, lambda job_id=job_id: submit_job(world, rng, job_id))  # type: ignore[misc]
     return world
 
 
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -28,30 +28,30 @@
     return [node.controller for node in world.nodes.values() if node.controller is not None]
 
 
-def work_of(world: World, ref: str) -> JobState:
+def work_of(world: World, job_id: str) -> JobState:
     """What the job's home keeps of it."""
     return next(
-        c.state.scheduler.jobs[ref]
+        c.state.scheduler.jobs[job_id]
         for c in controllers(world)
-        if c.state.scheduler is not None and ref in c.state.scheduler.jobs
+        if c.state.scheduler is not None and job_id in c.state.scheduler.jobs
     )
 
 
 def submit_bad(world: World, count: int, after: float = 0.5, **fields: object) -> list[str]:
-    refs = [f"j-9{number}" for number in range(count)]
-    for number, ref in enumerate(refs):
-        world.failure_delays[ref] = after
-        world.define_job(ref, **fields)
-        assert world.submit_until_accepted(ref, world.controller_names[number % len(world.controller_names)])
-    return refs
+    job_ids = [f"j-9{number}" for number in range(count)]
+    for number, job_id in enumerate(job_ids):
+        world.failure_delays[job_id] = after
+        world.define_job(job_id, **fields)
+        assert world.submit_until_accepted(job_id, world.controller_names[number % len(world.controller_names)])
+    return job_ids
 
 
 def submit_good(world: World, count: int, **fields: object) -> list[str]:
-    refs = [f"j-{number}" for number in range(count)]
-    for number, ref in enumerate(refs):
-        world.define_job(ref, **fields)
-        assert world.submit_until_accepted(ref, world.controller_names[number % len(world.controller_names)])
-    return refs
+    job_ids = [f"j-{number}" for number in range(count)]
+    for number, job_id in enumerate(job_ids):
+        world.define_job(job_id, **fields)
+        assert world.submit_until_accepted(job_id, world.controller_names[number % len(world.controller_names)])
+    return job_ids
 
 
 def watch(world: World, seconds: int, check: Callable[[World], None] = check_indexes) -> set[str]:
@@ -75,13 +75,13 @@
     world = started_world(seed, capacity=10)
     found = watch(world, 200)
     services = [f"j-7{number}" for number in range(4)]
-    for ref in services:
-        world.define_job(ref, shape="service", pieces=2, cores=1.0)
-        assert world.submit_until_accepted(ref, "c0")
+    for job_id in services:
+        world.define_job(job_id, shape="service", pieces=2, cores=1.0)
+        assert world.submit_until_accepted(job_id, "c0")
     warm = [f"j-8{number}" for number in range(4)]
-    for ref in warm:
-        world.define_job(ref, pieces=4, cores=4.0, guessS=6.0)
-        assert world.submit_until_accepted(ref, "c0")
+    for job_id in warm:
+        world.define_job(job_id, pieces=4, cores=4.0, guessS=6.0)
+        assert world.submit_until_accepted(job_id, "c0")
     assert world.run_until(lambda: len({worker.host for worker, _ in world.invariants.running_tasks()}) >= 6, 30)
     bad = submit_bad(world, 4, after, pieces=3)
     world.run(5)
@@ -91,13 +91,13 @@
         world.workers[host].is_faulty = True
     good = submit_good(world, 24, pieces=4, guessS=4.0)
     world.run(90)
-    assert all(world.is_done(ref) for ref in good + warm)
+    assert all(world.is_done(job_id) for job_id in good + warm)
     assert world.invariants.violations == []
-    for ref in bad:
-        answer = world.poll_job(ref, world.rng.choice(world.controller_names))
+    for job_id in bad:
+        answer = world.poll_job(job_id, world.rng.choice(world.controller_names))
         assert answer is not None
         assert (answer[0], answer[1]["done"]) == (200, 0)
-        assert world.cancel_job(ref, world.rng.choice(world.controller_names))
+        assert world.cancel_job(job_id, world.rng.choice(world.controller_names))
     world.run(20)
     assert not {t.job_id for w in world.workers.values() for t in w.tasks.values()} & set(bad)
     return world, found, sick, bad
@@ -109,7 +109,7 @@
     world, found, sick, bad = mixed(seed, after)
     assert found
     assert found <= sick
-    assert max(world.invariants.starts_by_job[ref] for ref in bad) <= 20
+    assert max(world.invariants.starts_by_job[job_id] for job_id in bad) <= 20
 
 
 def blamed(after: float = 0.5, cancel: bool = False, check: Callable[[World], None] = check_indexes) -> set[str]:
@@ -121,8 +121,8 @@
     found = watch(world, 100, check)
     bad = submit_bad(world, 3, after, pieces=2)
     world.run(20)
-    for ref in bad if cancel else ():
-        assert world.cancel_job(ref, "c1")
+    for job_id in bad if cancel else ():
+        assert world.cancel_job(job_id, "c1")
     world.run(60)
     assert world.invariants.violations == []
     return found
@@ -135,14 +135,16 @@
 
 
 def test_without_the_index_of_failures_they_do(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(FailureAttribution, "_accuses", lambda self, ref, name: True)
+    monkeypatch.setattr(FailureAttribution, "_accuses", lambda self, job_id, name: True)
     assert blamed()
 
 
 def test_when_jobs_that_are_over_count_they_do(monkeypatch: pytest.MonkeyPatch) -> None:
     accuses = FailureAttribution._accuses
     monkeypatch.setattr(
-        FailureAttribution, "_accuses", lambda self, ref, name: ref not in self._jobs or accuses(self, ref, name)
+        FailureAttribution,
+        "_accuses",
+        lambda self, job_id, name: job_id not in self._jobs or accuses(self, job_id, name),
     )
     assert blamed(cancel=True, check=lambda world: None)
 
@@ -192,13 +194,13 @@
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 9, 30)
     parts = Counter(owner_of(world, host) for host in world.workers)
-    home = max((name for name in world.controller_names if name != leader_of(world)), key=lambda name: parts[name])
+    scheduler = max((name for name in world.controller_names if name != leader_of(world)), key=lambda name: parts[name])
     for host, worker in world.workers.items():
-        worker.is_faulty = owner_of(world, host) == home
+        worker.is_faulty = owner_of(world, host) == scheduler
     world.define_job("j-2", pieces=2, cores=1.0)
     record = json.dumps(world.job_specs["j-2"]).encode()
     for controller in controllers(world):
-        controller.job_api._choose_scheduler = lambda run: home
+        controller.job_api._choose_scheduler = lambda run: scheduler
     world.request("c0", lambda c: c.job_api.submit(record, lambda status, *rest: None))
     assert sum(worker.is_faulty for worker in world.workers.values()) >= 2
     assert world.run_until(lambda: world.is_done("j-2"), 60)
@@ -218,8 +220,8 @@
         return host
 
     world.cloud._create_worker = rented  # type: ignore[method-assign]
-    refs = submit_good(world, 4, pieces=1, cores=1.0, guessS=3.0)
-    done = world.run_until(lambda: all(world.is_done(ref) for ref in refs), seconds)
+    job_ids = submit_good(world, 4, pieces=1, cores=1.0, guessS=3.0)
+    done = world.run_until(lambda: all(world.is_done(job_id) for job_id in job_ids), seconds)
     assert len(sick) == count
     assert world.invariants.violations == []
     return done
@@ -235,7 +237,7 @@
     monkeypatch.setattr(
         FleetObservation,
         "machines",
-        lambda self, *said: [replace(one, consecutive_failures=0) for one in known(self, *said)],
+        lambda self, *found: [replace(one, consecutive_failures=0) for one in known(self, *found)],
     )
     assert not done_though_the_first_are_sick(6, 400)
 
@@ -277,11 +279,11 @@
 
     world = play(seed, look=look)
     assert world.invariants.violations == []
-    assert any(world.invariants.starts_by_job[ref] for ref in world.failure_delays)
+    assert any(world.invariants.starts_by_job[job_id] for job_id in world.failure_delays)
     end_faults(world)
-    for ref in world.failure_delays:
-        answers = {name: world.poll_job(ref, name) for name in world.controller_names}
-        live = f"live/job/{ref}" in world.store.entries or f"ended/{ref}" in world.store.entries
+    for job_id in world.failure_delays:
+        answers = {name: world.poll_job(job_id, name) for name in world.controller_names}
+        live = f"live/job/{job_id}" in world.store.entries or f"ended/{job_id}" in world.store.entries
         assert all(answer is not None and answer[0] == (200 if live else 404) for answer in answers.values()), answers
     assert world.invariants.violations == []
 
@@ -291,15 +293,15 @@
 
 def starts_of_a_bad_job(**fields: object) -> int:
     world = started_world(5, capacity=6)
-    (ref,) = submit_bad(world, 1, 0.3, **({"pieces": 8, "cores": 1.0} | fields))
+    (job_id,) = submit_bad(world, 1, 0.3, **({"pieces": 8, "cores": 1.0} | fields))
     world.run(180)
-    answer = world.poll_job(ref, "c2")
+    answer = world.poll_job(job_id, "c2")
     assert answer is not None
     assert (answer[0], answer[1]["status"]) == (200, "pending")
-    assert world.cancel_job(ref, "c0")
-    before = world.invariants.starts_by_job[ref]
+    assert world.cancel_job(job_id, "c0")
+    before = world.invariants.starts_by_job[job_id]
     world.run(70)
-    assert world.invariants.starts_by_job[ref] == before
+    assert world.invariants.starts_by_job[job_id] == before
     assert world.invariants.violations == []
     return before
 
@@ -317,10 +319,10 @@
 def test_without_the_pause_probes_follow_each_other(monkeypatch: pytest.MonkeyPatch) -> None:
     back_off = FailingJobs.back_off
 
-    def at_once(failing_jobs: FailingJobs, work: JobState, now: timedelta) -> None:
-        back_off(failing_jobs, work, now)
-        work.retry_at = 0 * S
-        work.excluded_until.clear()
+    def at_once(failing_jobs: FailingJobs, job_state: JobState, now: timedelta) -> None:
+        back_off(failing_jobs, job_state, now)
+        job_state.retry_at = 0 * S
+        job_state.excluded_until.clear()
 
     monkeypatch.setattr(FailingJobs, "back_off", at_once)
     assert starts_of_a_bad_job() > 50
@@ -329,10 +331,10 @@
 def test_a_bad_job_that_stops_failing_runs_to_the_end() -> None:
     world = started_world(5, capacity=6)
     found = watch(world, 300)
-    refs = submit_bad(world, 2, 0.3, pieces=8, cores=1.0)
+    job_ids = submit_bad(world, 2, 0.3, pieces=8, cores=1.0)
     world.run(60)
     world.failure_delays.clear()
-    assert world.run_until(lambda: all(world.is_done(ref) for ref in refs), 150)
+    assert world.run_until(lambda: all(world.is_done(job_id) for job_id in job_ids), 150)
     world.run(30)
     assert world.invariants.violations == []
     assert found == set()
@@ -347,8 +349,8 @@
     for worker, task in world.invariants.running_tasks():
         if worker.host in two:
             worker._finish(task, "error")
-    work = work_of(world, "j-1")
-    assert world.run_until(lambda: bool(work.failing), 10), "two machines are the least that speaks against a job"
+    job_state = work_of(world, "j-1")
+    assert world.run_until(lambda: bool(job_state.failing), 10), "two machines are the least that speaks against a job"
     return world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 12)
 
 
@@ -369,15 +371,15 @@
     tasks = {worker.host: (worker, task) for worker, task in world.invariants.running_tasks()}
     (one, first), (other, second) = list(tasks.values())[:2]
     one._finish(first, "error")
-    work = work_of(world, "j-1")
-    assert world.run_until(lambda: bool(work.failed_on), 10)
+    job_state = work_of(world, "j-1")
+    assert world.run_until(lambda: bool(job_state.failed_on), 10)
     for controller in controllers(world):
         controller.state.machines[one.host] = replace(controller.state.machines[one.host], drain_reason=QUARANTINED)
         if controller.state.scheduler is not None:
             controller.state.scheduler.machine_faulty(one.host)
     other._finish(second, "error")
     world.run(3)
-    return work.failing
+    return job_state.failing
 
 
 def test_a_job_is_not_blamed_for_a_sick_machine() -> None:
@@ -455,14 +457,14 @@
 
 def test_a_bad_job_has_no_share_of_those_that_waited_long() -> None:
     world = started_world(5, capacity=6)
-    (ref,) = submit_bad(world, 1, 0.3, pieces=8)
+    (job_id,) = submit_bad(world, 1, 0.3, pieces=8)
     world.run(30)
-    work, controller = work_of(world, ref), controllers(world)[0]
+    job_state, controller = work_of(world, job_id), controllers(world)[0]
     later = world.now + 500 * S
-    assert work.failing
-    assert work.idle_for(later, controller.runtime.wall() + 500 * S) == 0 * S
-    work.failed_on.clear()
-    assert work.idle_for(later, controller.runtime.wall() + 500 * S) > controller.state.tuning.patience
+    assert job_state.failing
+    assert job_state.idle_for(later, controller.runtime.wall() + 500 * S) == 0 * S
+    job_state.failed_on.clear()
+    assert job_state.idle_for(later, controller.runtime.wall() + 500 * S) > controller.state.tuning.patience
 
 
 def handed_over(world: World) -> int:
@@ -470,15 +472,18 @@
     world.define_job("j-1", shape="service", pieces=4, cores=5.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 4, 30)
-    (ref,) = submit_bad(world, 1, 0.3, pieces=8, cores=0.5)
+    (job_id,) = submit_bad(world, 1, 0.3, pieces=8, cores=0.5)
     world.run(40)
-    work = work_of(world, ref)
-    other = next(name for name in world.controller_names if name != work.job.record.scheduler)
-    before, record = world.invariants.starts_by_job[ref], msgspec.structs.replace(work.job.record, scheduler=other)
-    world.store.put(f"live/job/{ref}", msgspec.to_builtins(record))
+    job_state = work_of(world, job_id)
+    other = next(name for name in world.controller_names if name != job_state.job.record.scheduler)
+    before, record = (
+        world.invariants.starts_by_job[job_id],
+        msgspec.structs.replace(job_state.job.record, scheduler=other),
+    )
+    world.store.put(f"live/job/{job_id}", msgspec.to_builtins(record))
     world.run(10)
-    assert work_of(world, ref) is not work
-    return world.invariants.starts_by_job[ref] - before
+    assert work_of(world, job_id) is not job_state
+    return world.invariants.starts_by_job[job_id] - before
 
 
 def test_its_next_home_knows_where_a_job_failed() -> None:
@@ -486,7 +491,7 @@
 
 
 def test_without_that_all_its_tasks_start_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(MachineIndex, "hosts_failed_on", lambda self, ref: set())
+    monkeypatch.setattr(MachineIndex, "hosts_failed_on", lambda self, job_id: set())
     assert handed_over(started_world(4, capacity=6)) > 6
 
 
@@ -501,8 +506,8 @@
 
 def test_what_a_machine_tells_of_failures() -> None:
     machine = OwnedMachine("vm-1", MachineRecord("m", "a", False, 1, 0.0), None, True, 0 * S)
-    for ref in ("j-1", "j-2", "j-1"):
-        record_outcome(machine, ref, "error")
+    for job_id in ("j-1", "j-2", "j-1"):
+        record_outcome(machine, job_id, "error")
     assert (machine.failed_jobs, machine.consecutive_failures) == (["j-1", "j-2"], 2)
     record_outcome(machine, "j-3", "done")
     assert (machine.failed_jobs, machine.consecutive_failures) == (["j-1", "j-2"], 0)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -30,25 +30,25 @@
     world = World(5, teams=teams, capacity=machines, members=members, parts=parts)
     world.store_limits |= {"rps": 300.0, "write_rps": 60.0, "value_kb": 4.0}
     for first in range(0, machines, RENTED_TOGETHER):
-        ref = f"j-{first}"
-        world.define_job(ref, pieces=RENTED_TOGETHER * TASKS_ON_EACH, cores=0.5, ramGb=1.0, guessS=5000.0)
+        job_id = f"j-{first}"
+        world.define_job(job_id, pieces=RENTED_TOGETHER * TASKS_ON_EACH, cores=0.5, ramGb=1.0, guessS=5000.0)
         hosts = [f"vm-{number:06d}" for number in range(first, min(first + RENTED_TOGETHER, machines))]
         yard = "ab"[first // RENTED_TOGETHER % 2]
         record = {"flavor": "m", "yard": yard, "spot": False, "at": 0.0, "count": len(hosts), "born": 0}
         put(world, f"live/rental/r-{first}", record | {"hosts": {host: [True, None] for host in hosts}})
-        run = decode_job_spec(json.dumps(world.job_specs[ref]).encode())
-        home = world.controller_names[first // RENTED_TOGETHER % members]
-        put(world, f"live/job/{ref}", to_value(JobRecord(run, home, 0, 0.0, Progress().encode())))
+        run = decode_job_spec(json.dumps(world.job_specs[job_id]).encode())
+        scheduler = world.controller_names[first // RENTED_TOGETHER % members]
+        put(world, f"live/job/{job_id}", to_value(JobRecord(run, scheduler, 0, 0.0, Progress().encode())))
         for number, host in enumerate(hosts):
-            add_machine(world, host, yard, _tasks(ref, number))
+            add_machine(world, host, yard, _tasks(job_id, number))
     for node in world.nodes.values():
         node.start()
     return world
 
 
-def _tasks(ref: str, machine: int) -> list[Task]:
+def _tasks(job_id: str, machine: int) -> list[Task]:
     first = machine * TASKS_ON_EACH
-    return [Task(ref, number, 1, "running") for number in range(first, first + TASKS_ON_EACH)]
+    return [Task(job_id, number, 1, "running") for number in range(first, first + TASKS_ON_EACH)]
 
 
 def put(world: World, key: str, value: dict[str, Any]) -> None:
@@ -129,13 +129,13 @@
         task.status = "flushing"
     worker.sequence_number += 1
     body = worker.encode_status()
-    home, part, now = c.state.scheduler, c.state.shard, c.runtime.now
-    c.decision_loop._run_round(home, part, now, False)
+    scheduler, part, now = c.state.scheduler, c.state.shard, c.runtime.now
+    c.decision_loop._run_round(scheduler, part, now, False)
     answers: list[int] = []
 
     def handle() -> None:
         c.heartbeats.receive_heartbeat(body, lambda status, _: answers.append(status))
-        c.decision_loop._run_round(home, part, now, False)
+        c.decision_loop._run_round(scheduler, part, now, False)
 
     calls = python_calls(handle)
     assert answers == [200]
@@ -148,16 +148,16 @@
     assert work_of_a_report(large, changed) < 1.5 * work_of_a_report(small, changed)
 
 
-def work_of_a_start(world: World, ref: str) -> int:
+def work_of_a_start(world: World, job_id: str) -> int:
     """What the leader's round takes that starts one task, beside jobs that find no room."""
     c = next(c for c in controllers(world) if c.membership.is_leading)
-    home, part = c.state.scheduler, c.state.shard
-    assert home is not None
+    scheduler, part = c.state.scheduler, c.state.shard
+    assert scheduler is not None
     assert part is not None
-    world.define_job(ref, pieces=1, cores=2.0, guessS=5000.0)
-    assert world.submit_until_accepted(ref, leader_of(world))
-    assert world.run_until(lambda: any(task.job_id == ref for _, task in world.invariants.running_tasks()), 10)
-    return python_calls(lambda: c.placement_round.run(home, c.runtime.now))
+    world.define_job(job_id, pieces=1, cores=2.0, guessS=5000.0)
+    assert world.submit_until_accepted(job_id, leader_of(world))
+    assert world.run_until(lambda: any(task.job_id == job_id for _, task in world.invariants.running_tasks()), 10)
+    return python_calls(lambda: c.placement_round.run(scheduler, c.runtime.now))
 
 
 def test_the_work_of_a_placement_round_with_nothing_to_place_does_not_grow(large: World, small: World) -> None:
@@ -191,7 +191,7 @@
     c.placement_round.run(c.state.scheduler, c.runtime.now)
     assert ordered == []
     waits = [c.state.scheduler.jobs[f"j-80000{number}"] for number in range(20)]
-    assert all(work.waiting_since is not None and work.without_room_since is not None for work in waits)
+    assert all(job_state.waiting_since is not None and job_state.without_room_since is not None for job_state in waits)
 
 
 def test_only_the_rooms_that_are_asked_for_are_worked_out(small: World, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -273,12 +273,12 @@
     controller = next(
         c for c in controllers(world) if c.state.scheduler is not None and c.state.scheduler.with_pending_tasks
     )
-    quota, home = controller.quota, controller.state.scheduler
+    quota, scheduler = controller.quota, controller.state.scheduler
     assert quota is not None
-    assert home is not None
+    assert scheduler is not None
     assert quota.ready
     peer = next(iter(controller.peers.by_name.values()))
-    round_calls = python_calls(lambda: quota.review(home, controller.runtime.now))
+    round_calls = python_calls(lambda: quota.review(scheduler, controller.runtime.now))
     message_calls = python_calls(lambda: quota.message_for(peer))
     assert world.invariants.violations == []
     return round_calls, message_calls
--- a/tests/test_loopback_quota.py
+++ b/tests/test_loopback_quota.py
@@ -49,12 +49,12 @@
     for burst in range(BURSTS):
         team, at = rng.choice(list(TEAMS)), rng.uniform(0, FLOOD_S)
         for number in range(JOBS_A_BURST):
-            ref = f"j-{burst * JOBS_A_BURST + number}"
+            job_id = f"j-{burst * JOBS_A_BURST + number}"
             world.define_job(
-                ref, owner=team, pieces=rng.choice([1, 1, 2]), cores=rng.choice([0.5, 1.0, 1.5]), ramGb=1.0,
+                job_id, owner=team, pieces=rng.choice([1, 1, 2]), cores=rng.choice([0.5, 1.0, 1.5]), ramGb=1.0,
                 guessS=rng.choice([0.1, 0.3]),
             )  # fmt: skip
-            world.after((at + rng.uniform(0, 0.2)) * S, lambda ref=ref: send(world, ref, counts))  # type: ignore[misc]
+            world.after((at + rng.uniform(0, 0.2)) * S, lambda job_id=job_id: send(world, job_id, counts))  # type: ignore[misc]
     return counts
 
 
@@ -63,21 +63,21 @@
     world.after((begin + seconds) * S, lambda: world.resume(name))
 
 
-def send(world: LoopWorld, ref: str, counts: Counter[str]) -> None:
-    if ref in world.accepted_jobs:
+def send(world: LoopWorld, job_id: str, counts: Counter[str]) -> None:
+    if job_id in world.accepted_jobs:
         return
-    body = json.dumps(world.job_specs[ref]).encode()
+    body = json.dumps(world.job_specs[job_id]).encode()
 
     def done(reply: object) -> None:
         if reply is not None and reply.status in (200, 201):  # type: ignore[attr-defined]
-            world.accepted_jobs.add(ref)
+            world.accepted_jobs.add(job_id)
             counts["accepted"] += 1
 
     for name in world.controller_names:
         counts["sent"] += 1
         request = Request(world.users_address(name), "POST", "/v2/runs", timedelta(seconds=5), body)
         world.client.call(request, done)
-    world.after(3 * S, lambda: send(world, ref, counts))
+    world.after(3 * S, lambda: send(world, job_id, counts))
 
 
 def test_racing_submissions_never_pass_a_limit_while_controllers_freeze_and_end(world: LoopWorld) -> None:
@@ -91,7 +91,7 @@
     world.after(44 * S, lambda: world.kill("c2"))
     world.after(44.3 * S, lambda: world.start("c2"))
     assert world.until(lambda: len(world.accepted_jobs) == JOBS, 120)
-    assert world.until(lambda: all(world.is_done(ref) for ref in world.job_specs), 180)
+    assert world.until(lambda: all(world.is_done(job_id) for job_id in world.job_specs), 180)
     assert world.invariants.violations == []
     assert counts["sent"] >= SUBMISSIONS
     assert world.invariants.start_count >= JOBS
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -58,20 +58,20 @@
     run_with_checks(world, 15)
 
 
-def cancel(world: World, ref: str, teller: str, outage: float, restart: bool) -> None:
+def cancel(world: World, job_id: str, teller: str, outage: float, restart: bool) -> None:
     """The outage begins in the moment in which the user is told."""
 
     def told(status: int, body: bytes, _headers: object) -> None:
         assert status == 200
         assert b"withdrawn" in body
-        world.cancelled_at[ref] = world.now
+        world.cancelled_at[job_id] = world.now
         world.store.start_outage(outage)
         if restart:
             world.nodes[teller].kill()
             world.after(0.3 * S, world.nodes[teller].start)
 
-    world.request(teller, lambda c: c.job_api.cancel(ref, told))
-    assert world.run_until(lambda: ref in world.cancelled_at, 3)
+    world.request(teller, lambda c: c.job_api.cancel(job_id, told))
+    assert world.run_until(lambda: job_id in world.cancelled_at, 3)
 
 
 def two_jobs(seed: int) -> World:
@@ -240,10 +240,12 @@
 def test_without_the_memory_of_the_view_before_it_goes_on_when_views_change(monkeypatch: pytest.MonkeyPatch) -> None:
     """The owner's list of the present view is empty: nothing was heard from the machine in it."""
 
-    def forgetful(floor: MachineIndex) -> None:
-        floor.machines.update({name: ObservedMachine(images=host.images) for name, host in floor.machines.items()})
-        floor._tasks.clear()
-        floor._free_rooms.new_view()
+    def forgetful(machine_index: MachineIndex) -> None:
+        machine_index.machines.update(
+            {name: ObservedMachine(images=host.images) for name, host in machine_index.machines.items()}
+        )
+        machine_index._tasks.clear()
+        machine_index._free_rooms.new_view()
 
     monkeypatch.setattr(MachineIndex, "new_view", forgetful)
     world = full_world()
@@ -311,12 +313,12 @@
 
 
 def job_for_another_part(world: World) -> None:
-    """A job whose home is not the leader, and for which its home's own part has no room."""
+    """A job whose scheduler is not the leader, and for which its scheduler's own part has no room."""
     world.define_job("j-1", pieces=30, cores=4.0, guessS=6.0)
     assert world.submit_until_accepted("j-1", others(world)[0])
-    home = others(world)[0]
+    scheduler = others(world)[0]
     entry = world.store.entries["live/job/j-1"]
-    world.store.put("live/job/j-1", entry.value | {"home": home}, entry.lease_id)
+    world.store.put("live/job/j-1", entry.value | {"home": scheduler}, entry.lease_id)
 
 
 @pytest.mark.parametrize("late", [None, 4.0])
@@ -336,41 +338,41 @@
     assert not world.run_until(lambda: world.is_done("j-1"), 100)
 
 
-# A job is handed over while the old home's messages are slow.
+# A job is handed over while the former scheduler's messages are slow.
 
 
 def handed_over_at_the_limit(world: World) -> None:
-    """A team is at its limit with one job, and another of it waits at the same home.
+    """A team is at its limit with one job, and another of it waits at the same scheduler.
 
-    The first goes to the leader, who hears nothing new of the old home for a moment.
+    The first goes to the leader, who hears nothing new of the former scheduler for a moment.
     """
     new, old = leader_of(world), others(world)[0]
-    home, lead = world.nodes[old].controller, world.nodes[new].controller
-    assert home is not None
+    former, lead = world.nodes[old].controller, world.nodes[new].controller
+    assert former is not None
     assert lead is not None
-    assert home.state.view is not None
-    assert home.state.scheduler is not None
-    for controller in (home, lead):
-        controller.handover.run = lambda home, now: None  # type: ignore[method-assign]
+    assert former.state.view is not None
+    assert former.state.scheduler is not None
+    for controller in (former, lead):
+        controller.handover.run = lambda scheduler, now: None  # type: ignore[method-assign]
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller.job_api._choose_scheduler = lambda run: old
-    for ref in ("j-1", "j-2"):
-        world.define_job(ref, owner="few", pieces=3, cores=4.0, guessS=300.0)
-        assert world.submit_until_accepted(ref, old)
+    for job_id in ("j-1", "j-2"):
+        world.define_job(job_id, owner="few", pieces=3, cores=4.0, guessS=300.0)
+        assert world.submit_until_accepted(job_id, old)
     assert world.run_until(lambda: len(running_attempts(world, "j-1") | running_attempts(world, "j-2")) == 3, 40)
-    ref = "j-1" if running_attempts(world, "j-1") else "j-2"
-    send = home.peers.send
-    home.peers.send = lambda peer, sync, every=S: peer.name != new and send(peer, sync, every)  # type: ignore[assignment, method-assign]
+    job_id = "j-1" if running_attempts(world, "j-1") else "j-2"
+    send = former.peers.send
+    former.peers.send = lambda peer, sync, every=S: peer.name != new and send(peer, sync, every)  # type: ignore[assignment, method-assign]
     world.run(0.5)
-    said = lead.peers.last_message(old)
-    assert said is not None
-    job = home.state.jobs[ref]
-    hand = Handover(home.state.view.number, old, said.sequence_number)
+    message = lead.peers.last_message(old)
+    assert message is not None
+    job = former.state.jobs[job_id]
+    hand = Handover(former.state.view.number, old, message.sequence_number)
     record = msgspec.structs.replace(job.record, scheduler=new, handover=hand)
-    world.store.put(f"live/job/{ref}", msgspec.to_builtins(record))
+    world.store.put(f"live/job/{job_id}", msgspec.to_builtins(record))
     run_with_checks(world, 2)
-    home.peers.send = send  # type: ignore[method-assign]
+    former.peers.send = send  # type: ignore[method-assign]
     run_with_checks(world, 5)
 
 
@@ -389,9 +391,11 @@
 
 
 def test_when_it_counts_before_its_team_uses_its_limit_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    def taken(split: ShareSplit, home: JobScheduler, _view: View) -> list[str]:
+    def taken(split: ShareSplit, scheduler: JobScheduler, _view: View) -> list[str]:
         return [
-            w.job.job_id for w in home.jobs.values() if w.job.record.handover is not None and split._may_start_job(w)
+            w.job.job_id
+            for w in scheduler.jobs.values()
+            if w.job.record.handover is not None and split._may_start_job(w)
         ]
 
     monkeypatch.setattr(ShareSplit, "_taken_over", taken)
@@ -438,10 +442,10 @@
 def test_without_that_a_new_home_would_miss_a_start(monkeypatch: pytest.MonkeyPatch) -> None:
     mark = Replication.mark
 
-    def late(syncing: Replication, home: JobScheduler, part: Shard, changed: set[str]) -> None:
-        mark(syncing, home, part, changed)
+    def late(syncing: Replication, scheduler: JobScheduler, part: Shard, changed: set[str]) -> None:
+        mark(syncing, scheduler, part, changed)
         for host in {
-            one for one, at in syncing._status_changes._last_change.items() if at == home.sequence_number
+            one for one, at in syncing._status_changes._last_change.items() if at == scheduler.sequence_number
         } - changed:
             del syncing._status_changes._last_change[host]
 
@@ -491,25 +495,25 @@
         {"spread": True},
         {"yard": "a", "owner": "few"},
     ]
-    refs = [f"j-{number}" for number in range(20)]
-    for number, ref in enumerate(refs):
-        world.define_job(ref, pieces=3, cores=2.0, guessS=(4.0, 15.0, 30.0)[number % 3], **kinds[number % 5])
-        world.after(number * 5 * S, lambda ref=ref: submit_job(world, world.rng, ref))  # type: ignore[misc]
-    return refs
+    job_ids = [f"j-{number}" for number in range(20)]
+    for number, job_id in enumerate(job_ids):
+        world.define_job(job_id, pieces=3, cores=2.0, guessS=(4.0, 15.0, 30.0)[number % 3], **kinds[number % 5])
+        world.after(number * 5 * S, lambda job_id=job_id: submit_job(world, world.rng, job_id))  # type: ignore[misc]
+    return job_ids
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_ten_leaders_in_two_minutes_starve_nobody(seed: int) -> None:
     world = started_world(seed, teams={"team": 0.0, "few": 8.0})
-    refs = many_jobs(world)
+    job_ids = many_jobs(world)
     world.run(5)
     ten_leaders(world)
     end_faults(world)
     assert longest_starvation(world, 60)[0] < 60 * S
     assert world.invariants.violations == []
     # One whose controller ended while it was asked may not have been accepted, and its user asks no more here.
-    assert len(world.accepted_jobs) >= len(refs) - 3
-    assert world.run_until(lambda: all(world.is_done(ref) for ref in world.accepted_jobs), 60)
+    assert len(world.accepted_jobs) >= len(job_ids) - 3
+    assert world.run_until(lambda: all(world.is_done(job_id) for job_id in world.accepted_jobs), 60)
 
 
 def unreachable_then_led_anew(world: World, how: str) -> None:
@@ -547,16 +551,16 @@
 
 def limit_and_cancellation(world: World) -> None:
     """A team is at its limit when the leader ends, half of its machines can't be asked, and one job is cancelled."""
-    for ref in ("j-1", "j-2", "j-3"):
-        world.define_job(ref, owner="few", pieces=6, cores=2.0, guessS=300.0)
-        assert world.submit_until_accepted(ref, "c0")
+    for job_id in ("j-1", "j-2", "j-3"):
+        world.define_job(job_id, owner="few", pieces=6, cores=2.0, guessS=300.0)
+        assert world.submit_until_accepted(job_id, "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 12, 40)
     world.cloud.is_down = True
     for host in sorted({worker.host for worker, _ in world.invariants.running_tasks()})[::2]:
         for name in world.controller_names:
             world.cut_link(host, name)
     restart_controller(world, leader_of(world))
-    running = next(ref for ref in ("j-1", "j-2", "j-3") if running_attempts(world, ref))
+    running = next(job_id for job_id in ("j-1", "j-2", "j-3") if running_attempts(world, job_id))
     world.after(3 * S, lambda: cancel_job(world, world.rng, running))
     run_with_checks(world, 25)
     world.heal()
@@ -597,9 +601,9 @@
 def test_tasks_that_end_far_apart_across_changes_of_leader_are_all_counted() -> None:
     """The first task of each job ends before the leader does, the last one after its successor has ended, too."""
     world = started_world(5)
-    for ref in ("j-1", "j-2"):
-        world.define_job(ref, pieces=3, cores=2.0, guessS=2.0)
-        assert world.submit_until_accepted(ref, "c1")
+    for job_id in ("j-1", "j-2"):
+        world.define_job(job_id, pieces=3, cores=2.0, guessS=2.0)
+        assert world.submit_until_accepted(job_id, "c1")
     ends = iter([2.0, 14.0, 30.0] * 4)
     begin = Worker._run
 
@@ -621,26 +625,26 @@
 def at_the_end(world: World, offset: float) -> set[str]:
     """Asked around the moment of the end, at different controllers; then all are asked for what became of it."""
     body = json.dumps(world.job_specs["j-1"]).encode()
-    said: list[str] = []
+    statuses: list[str] = []
 
     def hear(status: int, body: bytes, _headers: object) -> None:
         if status == 200 and json.loads(body)["status"] in ("done", "withdrawn"):
-            said.append(json.loads(body)["status"])
+            statuses.append(json.loads(body)["status"])
 
     def ask() -> None:
         world.request("c0", lambda c: c.job_api.cancel("j-1", hear))
         world.request("c1", lambda c: c.job_api.poll("j-1", hear))
         world.request("c2", lambda c: c.job_api.submit(body, hear))
 
-    world.invariants.on_job_done = lambda ref: world.after(offset * S, ask)
+    world.invariants.on_job_done = lambda job_id: world.after(offset * S, ask)
     assert world.run_until(lambda: len(world.invariants.finished_tasks) == 2, 40)
     run_with_checks(world, 8)
     for name in world.controller_names:
         answer = world.poll_job("j-1", name)
         assert answer is not None
         assert answer[0] == 200
-        said.append(answer[1]["status"])
-    return set(said)
+        statuses.append(answer[1]["status"])
+    return set(statuses)
 
 
 @pytest.mark.parametrize("offset", [0.0, 0.05, 0.2, 0.5, 0.8, 1.1, 1.5])
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -44,18 +44,18 @@
 
 def test_a_job_of_100000_tasks_fits_a_small_value_and_is_walked_once() -> None:
     run = decode_job_spec(json.dumps(job_spec("j-1", pieces=100_000)).encode())
-    work = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, Progress().encode()), 1), Progress(), timedelta(0))
+    job_state = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, Progress().encode()), 1), Progress(), timedelta(0))
     largest = 0
     for _ in range(100_000):
-        task = work.next_task()
+        task = job_state.next_task()
         assert task is not None
         # Every tenth ends far later than its neighbours, so the set has holes.
-        work.done.add(task)
+        job_state.done.add(task)
         if task % 1000 == 0:
-            record = JobRecord(run, "c0", 1, 0.0, work.done.encode())
+            record = JobRecord(run, "c0", 1, 0.0, job_state.done.encode())
             largest = max(largest, len(msgspec.json.encode(to_value(record))))
-    assert work.next_task() is None
-    assert work.complete
+    assert job_state.next_task() is None
+    assert job_state.complete
     holes = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW, 2)))
     assert len(msgspec.json.encode(to_value(JobRecord(run, "c0", 1, 0.0, holes.encode())))) < 2.5 * 1024 > largest
 
@@ -63,13 +63,13 @@
 def test_tasks_past_the_window_wait_for_the_oldest() -> None:
     run = decode_job_spec(json.dumps(job_spec("j-1", pieces=100_000)).encode())
     done = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW)))
-    work = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, done.encode()), 1), done, timedelta(0))
-    assert work.next_task() == 0
-    work.placed[0] = None  # type: ignore[assignment]
-    assert work.next_task() is None
-    del work.placed[0]
+    job_state = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, done.encode()), 1), done, timedelta(0))
+    assert job_state.next_task() == 0
+    job_state.placed[0] = None  # type: ignore[assignment]
+    assert job_state.next_task() is None
+    del job_state.placed[0]
     done.add(0)
-    assert work.next_task() == PROGRESS_WINDOW
+    assert job_state.next_task() == PROGRESS_WINDOW
 
 
 MEMBERS = ["a", "b", "c"]
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -50,7 +50,7 @@
 
     def look(controller: Controller) -> None:
         build_admin_api(controller, ProcessStatistics()).handle(
-            "GET", path, b"", lambda code, said, kind: got.append(said)
+            "GET", path, b"", lambda code, response, kind: got.append(response)
         )
 
     world.request(name, look)
@@ -236,8 +236,8 @@
     worker = world.invariants.running_tasks()[0][0]
     worker.hang(30)
     world.run(8)
-    said = status(world, leader_of(world))
-    failing, machines = said["failing_jobs"], said["machines"]
+    found = status(world, leader_of(world))
+    failing, machines = found["failing_jobs"], found["machines"]
     assert isinstance(failing, dict)
     assert list(failing) == ["j-9"]
     assert failing["j-9"] > 1
@@ -254,18 +254,18 @@
     assert world.submit_until_accepted("j-2", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 40)
     world.run(4)
-    said = {name: status(world, name)["teams"] for name in world.controller_names}
-    assert all(set(teams) == {"team", "few"} for teams in said.values())
-    few = [teams["few"]["cores"] for teams in said.values()]
+    teams_by_member = {name: status(world, name)["teams"] for name in world.controller_names}
+    assert all(set(teams) == {"team", "few"} for teams in teams_by_member.values())
+    few = [teams["few"]["cores"] for teams in teams_by_member.values()]
     assert all(row["limit"] == 8.0 and row["used"] == 8.0 for row in few)
     assert sum(row["share"] for row in few) == sum(row["share_used"] for row in few) == 8.0
     assert sum(row["waiting_for_limit"] for row in few) == 12.0
     assert all(row["share_used"] <= row["share"] + 1e-6 for row in few)
-    unlimited = said["c0"]["team"]["cores"]
+    unlimited = teams_by_member["c0"]["team"]["cores"]
     assert unlimited["limit"] is None
     assert unlimited["share"] is None
     assert unlimited["used"] == 4.0
-    assert sum(teams["team"]["cores"]["waiting_for_limit"] for teams in said.values()) == 0.0
+    assert sum(teams["team"]["cores"]["waiting_for_limit"] for teams in teams_by_member.values()) == 0.0
     samples = metrics(world, "c0")
     assert samples["team_limit", "cores", "few"] == samples["team_used", "cores", "few"] == 8.0
     assert ("team_limit", "cores", "team") not in samples
@@ -325,10 +325,10 @@
     world.define_job("j-1", guessS=300.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.submit_until_accepted("j-1", "c0")
-    world.request("c0", lambda c: c.job_api.submit(b"{}", lambda *said: None))
-    for ref in ("j-1", "j-77", "nonsense"):
-        world.poll_job(ref, "c0")
-        world.cancel_job(ref, "c0")
+    world.request("c0", lambda c: c.job_api.submit(b"{}", lambda *_response: None))
+    for job_id in ("j-1", "j-77", "nonsense"):
+        world.poll_job(job_id, "c0")
+        world.cancel_job(job_id, "c0")
     assert counts(of(world, "c0")) == (
         {
             ("submit", 201): 1, ("submit", 200): 1, ("submit", 400): 1, ("poll", 200): 1, ("poll", 404): 2,
@@ -347,7 +347,7 @@
     body = json.dumps(job_spec("j-5")).encode()
 
     def submit(name: str) -> None:
-        world.request(name, lambda c: c.job_api.submit(body, lambda *said: None))
+        world.request(name, lambda c: c.job_api.submit(body, lambda *_response: None))
 
     world.cloud.is_down = True
     world.nodes["c0"].start()
@@ -370,7 +370,7 @@
     world.run(4)
     submit("c1")
     world.cancel_job("j-6", "c1")
-    world.request("c1", lambda c: c.job_api.poll("j-6", lambda *said: None))
+    world.request("c1", lambda c: c.job_api.poll("j-6", lambda *_response: None))
     world.run(4)
     answers, reasons = counts(of(world, "c1"))
     assert reasons == {"machine_types": 1, "overloaded": 1, "state_service": 3}
@@ -383,7 +383,7 @@
     controller = of(world, "c0")
     known = controller.state.jobs["j-1"]
     right, known.mod_revision = known.mod_revision, known.mod_revision - 1
-    world.request("c0", lambda c: c.job_api.cancel("j-1", lambda *said: None))
+    world.request("c0", lambda c: c.job_api.cancel("j-1", lambda *_response: None))
     known.mod_revision = right
     world.run(3)
     assert {key: count for key, count in counts(controller)[0].items() if key[0] == "cancel"} == {("cancel", 200): 1}
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -40,32 +40,32 @@
         world.define_job(
             f"j-{number}", owner=rng.choice(limited), pieces=pieces, cores=cores, guessS=rng.choice([1.0, 3.0])
         )
-        world.after(rng.uniform(0, seconds) * S, lambda ref=f"j-{number}": send(world, rng, ref))  # type: ignore[misc]
+        world.after(rng.uniform(0, seconds) * S, lambda job_id=f"j-{number}": send(world, rng, job_id))  # type: ignore[misc]
     return world
 
 
-def send(world: World, rng: random.Random, ref: str) -> None:
+def send(world: World, rng: random.Random, job_id: str) -> None:
     """Asks one controller after another until one accepts."""
-    if ref in world.accepted_jobs:
+    if job_id in world.accepted_jobs:
         return
-    body = json.dumps(world.job_specs[ref]).encode()
+    body = json.dumps(world.job_specs[job_id]).encode()
 
     def answered(status: int, *_: Any) -> None:
         if status in (200, 201):
-            world.accepted_jobs.add(ref)
+            world.accepted_jobs.add(job_id)
 
     world.request(rng.choice(world.controller_names), lambda controller: controller.job_api.submit(body, answered))
-    world.after(2 * S, lambda: send(world, rng, ref))
+    world.after(2 * S, lambda: send(world, rng, job_id))
 
 
 def finish(world: World, seconds: float = 90.0) -> None:
     """All jobs are done in the end, and no rule was broken at any moment."""
 
-    def over(ref: str) -> bool:
-        return world.is_done(ref) or ref in world.cancel_requested
+    def over(job_id: str) -> bool:
+        return world.is_done(job_id) or job_id in world.cancel_requested
 
     assert world.run_until(lambda: all(map(over, world.job_specs)), seconds), [
-        ref for ref in world.job_specs if not over(ref)
+        job_id for job_id in world.job_specs if not over(job_id)
     ]
     assert world.invariants.violations == []
 
@@ -139,17 +139,17 @@
 def state_service_down(world: World, name: str) -> None:
     """For longer than `cancel_s`, and jobs of teams at their limits are called off in the moment before."""
 
-    def cancel(ref: str) -> None:
+    def cancel(job_id: str) -> None:
         def on_response(status: int, _body: bytes, _headers: object) -> None:
             if status == 200:
-                world.cancelled_at.setdefault(ref, world.now)
+                world.cancelled_at.setdefault(job_id, world.now)
 
-        world.request(name, lambda controller: controller.job_api.cancel(ref, on_response))
+        world.request(name, lambda controller: controller.job_api.cancel(job_id, on_response))
 
     running = sorted({task.job_id for _, task in world.invariants.running_tasks()})[:3]
-    for ref in running:
-        world.cancel_requested.add(ref)
-        cancel(ref)
+    for job_id in running:
+        world.cancel_requested.add(job_id)
+        cancel(job_id)
     world.after(0.3 * S, lambda: world.store.start_outage(world.cancel_s + 5))
 
 
@@ -329,7 +329,7 @@
     late = {"view": 99, "transfers": [[1, "tight", UNITS, 0]]}
     for guarded, gained in ((True, 0), (False, UNITS)):
         if not guarded:
-            monkeypatch.setattr(QuotaExchange, "_check_sender", lambda self, said, sync: None)
+            monkeypatch.setattr(QuotaExchange, "_check_sender", lambda self, quota_message, message: None)
         world = started_world(1, teams=TEAMS, parts=ON)
         world.run(3)
         controller = world.nodes["c0"].controller
@@ -359,7 +359,7 @@
     rng = random.Random(4)
     for number in range(30):
         world.define_job(f"j-{number}", owner="tight", pieces=3, cores=2.0, guessS=1.0)
-        world.after(rng.uniform(0, 10) * S, lambda ref=f"j-{number}": send(world, rng, ref))  # type: ignore[misc]
+        world.after(rng.uniform(0, 10) * S, lambda job_id=f"j-{number}": send(world, rng, job_id))  # type: ignore[misc]
     world.run(20)
     assert counted(world, "given") == 0
     # One after the other is switched on, while the work goes on.
@@ -399,7 +399,7 @@
     assert all(node.controller is not None and node.controller.quota is None for node in world.nodes.values())
     controller = world.nodes["c0"].controller
     assert controller is not None
-    assert all(said.quota is None for said in controller.peers.last_messages())
+    assert all(message.quota is None for message in controller.peers.last_messages())
 
 
 # Guarantees.
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -224,9 +224,9 @@
     assert world.invariants.violations == []
     assert in_use(world) == 0
     got: list[int] = []
-    for ref in ("j-0", "j-77"):
-        world.define_job(ref, owner="tight", pieces=4, cores=1.0, guessS=3.0)
-        body = json.dumps(world.job_specs[ref]).encode()
+    for job_id in ("j-0", "j-77"):
+        world.define_job(job_id, owner="tight", pieces=4, cores=1.0, guessS=3.0)
+        body = json.dumps(world.job_specs[job_id]).encode()
         submit(world, body, got)
         world.run(1)
     assert got == [200, 422]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -97,16 +97,18 @@
     got: list[tuple[int, bytes]] = []
     controller = world.nodes[node].controller
     assert controller is not None
-    assert build_admin_api(controller).handle(method, path, body, lambda status, said, kind: got.append((status, said)))
+    assert build_admin_api(controller).handle(
+        method, path, body, lambda status, response, kind: got.append((status, response))
+    )
     world.run(1.0)
     return got[0]
 
 
 def test_changed_settings_reach_all_and_outlive_restarts() -> None:
     world = started_world(2)
-    status, said = administer(world, "c1", "PATCH", SETTINGS_PATH, b'{"cooldown": 33}')
+    status, response = administer(world, "c1", "PATCH", SETTINGS_PATH, b'{"cooldown": 33}')
     assert status == 200
-    assert json.loads(said)["cooldown"]["value"] == 33
+    assert json.loads(response)["cooldown"]["value"] == 33
     assert administer(world, "c1", "PATCH", SETTINGS_PATH, b'{"cooldown": -33}')[0] == 400
     assert administer(world, "c1", "DELETE", SETTINGS_PATH)[0] == 405
     for name in world.controller_names:
@@ -174,5 +176,5 @@
     assert world.cancel_job("j-8", "c2")
     assert send(owner="tight", cores=2.0, pieces=3, ref="j-8") == 200
     assert send(owner="nobody", ref="j-8") == 200, "an accepted job is never refused later"
-    assert [world.poll_job(ref, "c0")[0] for ref in ("j-8", "j-77", "nonsense")] == [200, 404, 404]  # type: ignore[index]
+    assert [world.poll_job(job_id, "c0")[0] for job_id in ("j-8", "j-77", "nonsense")] == [200, 404, 404]  # type: ignore[index]
     assert not world.cancel_job("j-77", "c0")
--- a/tests/test_slow_controllers.py
+++ b/tests/test_slow_controllers.py
@@ -36,11 +36,11 @@
         world.invariants.check()
 
 
-def goes_on(world: World, ref: str) -> None:
+def goes_on(world: World, job_id: str) -> None:
     """A new array is accepted and done."""
-    world.define_job(ref, pieces=4, guessS=2.0)
-    submit_job(world, world.rng, ref, 60)
-    assert world.run_until(lambda: world.is_done(ref), 60)
+    world.define_job(job_id, pieces=4, guessS=2.0)
+    submit_job(world, world.rng, job_id, 60)
+    assert world.run_until(lambda: world.is_done(job_id), 60)
     assert world.invariants.violations == []
 
 
@@ -127,9 +127,9 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_cancellations_in_an_outage_end_in_time(seed: int) -> None:
     world = slow_world(seed)
-    for ref in ("j-0", "j-1", "j-3"):
-        world.accepted_jobs.add(ref)
-        cancel_job(world, world.rng, ref)
+    for job_id in ("j-0", "j-1", "j-3"):
+        world.accepted_jobs.add(job_id)
+        cancel_job(world, world.rng, job_id)
     world.after(0.4 * S, lambda: world.store.start_outage(30))
     watch(world, 45)
     assert world.invariants.violations == []
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -41,15 +41,15 @@
     assert world.invariants.start_count > 0
     # Every accepted job stays known: any controller answers for it once the troubles are over.
     end_faults(world)
-    waited, ref = longest_starvation(world, 100)
-    assert waited < 90 * S, f"{ref} waits beside room"
+    waited, job_id = longest_starvation(world, 100)
+    assert waited < 90 * S, f"{job_id} waits beside room"
     known = {key.split("/")[-1] for key in world.store.entries if key.startswith(("live/job/", "ended/"))}
     assert world.accepted_jobs <= known
-    for ref in known:
+    for job_id in known:
         for name in world.controller_names:
-            answer = world.poll_job(ref, name)
-            assert answer is not None, (ref, name)
-            assert answer[0] == 200, (ref, name, answer)
+            answer = world.poll_job(job_id, name)
+            assert answer is not None, (job_id, name)
+            assert answer[0] == 200, (job_id, name, answer)
     assert world.invariants.violations == []
 
 
@@ -179,8 +179,8 @@
     assert controller is not None
     nodes = [node.controller for node in world.nodes.values() if node.controller is not None]
     schedulers = [one.state.scheduler for one in nodes if one.state.scheduler is not None]
-    works = [work for scheduler in schedulers for work in scheduler.jobs.values()]
-    assert any(work.backoff > 0 * S for work in works)
+    works = [job_state for scheduler in schedulers for job_state in scheduler.jobs.values()]
+    assert any(job_state.backoff > 0 * S for job_state in works)
 
 
 def test_idle_machines_are_returned_down_to_the_pool() -> None:
@@ -203,9 +203,9 @@
     for worker, task in world.invariants.running_tasks():
         used.setdefault(worker.host, []).append(task.job_id)
     assert len(used) == 2
-    for refs in used.values():
-        assert world.cancel_job(refs[0], "c0")
-        assert world.cancel_job(refs[1], "c0")
+    for job_ids in used.values():
+        assert world.cancel_job(job_ids[0], "c0")
+        assert world.cancel_job(job_ids[1], "c0")
     assert world.run_until(lambda: len({worker.host for worker, _ in world.invariants.running_tasks()}) == 1, 90)
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 4, 5)
     assert world.run_until(lambda: sum(worker.alive for worker in world.workers.values()) == 2, 30), "one for the pool"
@@ -436,8 +436,12 @@
     world.run(4)
     got: list[tuple[int, dict[str, str]]] = []
     body = json.dumps(job_spec("j-5")).encode()
-    world.request("c1", lambda c: c.job_api.submit(body, lambda status, said, headers: got.append((status, headers))))
-    world.request("c1", lambda c: c.job_api.poll("j-1", lambda status, said, headers: got.append((status, headers))))
+    world.request(
+        "c1", lambda c: c.job_api.submit(body, lambda status, response, headers: got.append((status, headers)))
+    )
+    world.request(
+        "c1", lambda c: c.job_api.poll("j-1", lambda status, response, headers: got.append((status, headers)))
+    )
     assert [(status, "Retry-After" in headers) for status, headers in got] == [(503, True)] * 2
 
 
@@ -448,10 +452,10 @@
     """
     for number in range(60):
         world.define_job(f"j-{number + 10}", shape="service", pieces=1, cores=0.5)
-        world.after(number * 0.05 * S, lambda ref=f"j-{number + 10}": submit_job(world, world.rng, ref))  # type: ignore[misc]
+        world.after(number * 0.05 * S, lambda job_id=f"j-{number + 10}": submit_job(world, world.rng, job_id))  # type: ignore[misc]
     world.run(25)
     for number in range(60):
-        world.after(number * 0.3 * S, lambda ref=f"j-{number + 10}": cancel_job(world, world.rng, ref))  # type: ignore[misc]
+        world.after(number * 0.3 * S, lambda job_id=f"j-{number + 10}": cancel_job(world, world.rng, job_id))  # type: ignore[misc]
     world.run(1)
     gone = next(name for name in world.controller_names if name != leader_of(world))
     world.nodes[gone].kill()
@@ -468,8 +472,10 @@
 
 
 def test_without_the_memory_of_what_was_clear_it_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    def forgetful(floor: MachineIndex, host: ObservedMachine) -> bool:
-        return host.is_reconciled and all(row[0] in floor._jobs or row[3] in FINISHED_PHASE_NAMES for row in host.tasks)
+    def forgetful(machine_index: MachineIndex, host: ObservedMachine) -> bool:
+        return host.is_reconciled and all(
+            row[0] in machine_index._jobs or row[3] in FINISHED_PHASE_NAMES for row in host.tasks
+        )
 
     monkeypatch.setattr(MachineIndex, "check_all_tasks_known", forgetful)
     # Announced tokens settle the machines at once, in the short moments between two cancellations, too.
@@ -635,7 +641,9 @@
     world = busy_world(guessS=15.0)
     frozen = leader_of(world)
     world.define_job("j-2", pieces=12, cores=2.0, guessS=10.0)
-    world.request(frozen, lambda c: c.job_api.submit(json.dumps(world.job_specs["j-2"]).encode(), lambda *said: None))
+    world.request(
+        frozen, lambda c: c.job_api.submit(json.dumps(world.job_specs["j-2"]).encode(), lambda *_response: None)
+    )
     world.nodes[frozen].freeze(12)
     world.run(11.9)
     controller = world.nodes[frozen].controller
--- a/tests/virtual/indexes.py
+++ b/tests/virtual/indexes.py
@@ -26,32 +26,34 @@
         _check_attempts(controller.machine_index, controller.state.scheduler)
 
 
-def _check_rooms(floor: MachineIndex) -> None:
-    expected = {name: room for name in floor.machines if (room := floor._free_rooms._room(name)) is not None}
-    assert floor.rooms == expected
+def _check_rooms(machine_index: MachineIndex) -> None:
+    expected = {
+        name: room for name in machine_index.machines if (room := machine_index._free_rooms._room(name)) is not None
+    }
+    assert machine_index.rooms == expected
 
 
-def _check_tasks(floor: MachineIndex) -> None:
-    running = Counter(row[0] for host in floor.machines.values() for row in host.tasks if row[3] == RUNNING)
-    assert {job_id: count for job_id, count in floor.running_tasks.items() if count} == running
-    for job_id in {row[0] for host in floor.machines.values() for row in host.tasks}:
-        assert floor.hosts_of_job(job_id) == sorted(
-            name for name, host in floor.machines.items() if any(row[0] == job_id for row in host.tasks)
+def _check_tasks(machine_index: MachineIndex) -> None:
+    running = Counter(row[0] for host in machine_index.machines.values() for row in host.tasks if row[3] == RUNNING)
+    assert {job_id: count for job_id, count in machine_index.running_tasks.items() if count} == running
+    for job_id in {row[0] for host in machine_index.machines.values() for row in host.tasks}:
+        assert machine_index.hosts_of_job(job_id) == sorted(
+            name for name, host in machine_index.machines.items() if any(row[0] == job_id for row in host.tasks)
         )
 
 
 def _check_failures(controller: Controller) -> None:
-    floor, jobs = controller.machine_index, controller.state.jobs
-    failed = {(job_id, name) for name, host in floor.machines.items() for job_id in host.failed_jobs}
+    machine_index, jobs = controller.machine_index, controller.state.jobs
+    failed = {(job_id, name) for name, host in machine_index.machines.items() for job_id in host.failed_jobs}
     assert {
-        (job_id, name) for job_id, names in floor._failures._hosts_by_failed_job.items() for name in names
+        (job_id, name) for job_id, names in machine_index._failures._hosts_by_failed_job.items() for name in names
     } == failed
     passed = {job_id for job_id, _ in failed if job_id in jobs and jobs[job_id].progress.count}
-    passed |= {row[0] for host in floor.machines.values() for row in host.tasks if row[4] == DONE}
+    passed |= {row[0] for host in machine_index.machines.values() for row in host.tasks if row[4] == DONE}
     assert (
-        passed & floor._failures._hosts_by_failed_job.keys()
-        <= floor._failures._succeeded_jobs
-        <= floor._failures._hosts_by_failed_job.keys()
+        passed & machine_index._failures._hosts_by_failed_job.keys()
+        <= machine_index._failures._succeeded_jobs
+        <= machine_index._failures._hosts_by_failed_job.keys()
     )
 
 
@@ -60,12 +62,12 @@
     assert scheduler.with_pending_tasks == {job_id: job for job_id, job in scheduler.jobs.items() if job.waiting > 0}
 
 
-def _check_attempts(floor: MachineIndex, scheduler: JobScheduler) -> None:
+def _check_attempts(machine_index: MachineIndex, scheduler: JobScheduler) -> None:
     attempts = [attempt for entries in scheduler.attempts.values() for attempt in entries.values()]
     usage = sum_amounts(attempts)
     for team in usage | scheduler.usage():
         assert scheduler.usage().get(team, (0.0, 0.0)) == pytest.approx(usage.get(team, (0.0, 0.0)))
     indexed = [attempt for entries in scheduler.index.by_job.values() for attempt in entries.values()]
     assert sorted(attempt.key for attempt in indexed) == sorted(attempt.key for attempt in attempts)
-    shown = {tuple(row[:3]) for host in floor.machines.values() if host.is_reconciled for row in host.tasks}
+    shown = {tuple(row[:3]) for host in machine_index.machines.values() if host.is_reconciled for row in host.tasks}
     assert all(attempt.key in scheduler.index.unshown or attempt.key in shown for attempt in attempts)
