--- a/tests/compatibility/freeze.py
+++ b/tests/compatibility/freeze.py
@@ -1,6 +1,6 @@
 """Writes the frozen files from the present sources: `PYTHONHASHSEED=0 python3 -m compatibility.freeze`, in `tests`.
 
-The files say what users, workers, the cloud, the state service, operators and controllers of another build see. They
+The files say what users, agents, the cloud, the state service, operators and controllers of another build see. They
 are written again only when an interface changes on purpose, with the page that describes it. Today nothing of that kind
 is allowed: a test of this folder that fails shows a fault of the sources, never of the frozen files. To add a case,
 add it here, write the files again, and see that no other line of them has changed.
--- a/tests/compatibility/http_calls.py
+++ b/tests/compatibility/http_calls.py
@@ -1,4 +1,4 @@
-"""Calls of real processes by users, workers, controllers and operators, and the whole bytes that they answer."""
+"""Calls of real processes by users, agents, controllers and operators, and the whole bytes that they answer."""
 
 import json
 import re
--- a/tests/compatibility/test_answers.py
+++ b/tests/compatibility/test_answers.py
@@ -1,4 +1,4 @@
-"""The whole answers of real processes to users, workers, controllers and operators; status fields and metric names."""
+"""The whole answers of real processes to users, agents, controllers and operators; status fields and metric names."""
 
 from typing import Any
 
--- a/tests/compatibility/test_protocol.py
+++ b/tests/compatibility/test_protocol.py
@@ -1,4 +1,4 @@
-"""Messages of users, workers, the cloud and the state service, and the settings file, as the frozen files have them."""
+"""Messages of users, agents, the cloud and the state service, and the settings file, as the frozen files have them."""
 
 from typing import Any
 
--- a/tests/compatibility/traffic.py
+++ b/tests/compatibility/traffic.py
@@ -13,7 +13,7 @@
 
 from compatibility import codecs
 from ramptide.transport.runtime import Request
-from virtual import STORE, VirtualRuntime, Worker, World, leader_of, started_world
+from virtual import STORE, Agent, VirtualRuntime, World, leader_of, started_world
 
 CBOR = "application/cbor"
 STEP = 0.5
@@ -144,7 +144,7 @@
     assert world.submit_until_accepted("j-12", "c2")
     world.run(4)
     world.cloud.listing.pop(min(world.cloud.listing), None)
-    world.workers[min(world.workers)].hang(6)
+    world.agents[min(world.agents)].hang(6)
     world.run(4)
     world.nodes[leader_of(world)].kill()
     world.run(10)
@@ -157,7 +157,7 @@
 
 
 def cut_day() -> World:
-    """A controller loses its workers, a worker its controllers; users cancel while the state service is out for one."""
+    """A controller loses its agents, an agent its controllers; users cancel while the state service is out for one."""
     world = started_world(13, capacity=6)
     world.define_job("j-40", shape="service", pieces=8, cores=2.0)
     world.define_job("j-41", pieces=6, cores=2.0, guessS=30.0, loaners=True)
@@ -175,7 +175,7 @@
     world.store.refused_callers.clear()
     world.run(6)
     lonely = leader_of(world)
-    for host in world.workers:
+    for host in world.agents:
         world.cut_link(lonely, host)
     world.run(10)
     world.heal()
@@ -192,28 +192,28 @@
     assert world.submit_until_accepted("j-51", "c0")
     assert world.submit_until_accepted("j-50", "c0")
     world.run(10)
-    sick, failed, silent, deaf, taken = sorted(host for host, worker in world.workers.items() if worker.booted)[:5]
-    world.workers[sick].is_faulty = True
-    for task in world.workers[sick].tasks.values():
+    sick, failed, silent, deaf, taken = sorted(host for host, agent in world.agents.items() if agent.booted)[:5]
+    world.agents[sick].is_faulty = True
+    for task in world.agents[sick].tasks.values():
         task.status, task.cause = "ended", "error"
-    world.workers[failed].die()
+    world.agents[failed].die()
     world.cloud.listing[failed]["status"] = "failed"
-    world.workers[silent].die()
+    world.agents[silent].die()
     world.hosts_without_responses.add(deaf)
-    encode_status = Worker.encode_status
+    encode_status = Agent.encode_status
 
-    def with_notice(worker: Worker) -> bytes:
-        told = json.loads(encode_status(worker))
-        return json.dumps(told | ({"warningS": 0.3} if worker.host == taken else {})).encode()
+    def with_notice(agent: Agent) -> bytes:
+        told = json.loads(encode_status(agent))
+        return json.dumps(told | ({"warningS": 0.3} if agent.host == taken else {})).encode()
 
     world.cloud.boot_seconds = (500.0, 600.0)
     world.failure_delays["j-52"] = 0.3
     world.define_job("j-52", pieces=2, cores=0.5, rank="production")
-    with patch.object(Worker, "encode_status", with_notice):
+    with patch.object(Agent, "encode_status", with_notice):
         assert world.submit_until_accepted("j-52", "c2")
         for _ in range(40):
             for host, row in world.cloud.listing.items():
-                row["status"] = "running" if world.workers[host].booted or host == failed else "booting"
+                row["status"] = "running" if world.agents[host].booted or host == failed else "booting"
             world.run(1)
         assert world.cancel_job("j-51", "c1")
         world.run(50)
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize(("rank", "shape"), [("normal", "batch"), ("production", "batch"), ("high", "service")])
-def test_a_job_of_low_rank_begins_within_four_minutes_of_a_flow_of_higher_ranks(rank: str, shape: str) -> None:
+def test_a_job_of_low_priority_begins_within_four_minutes_of_a_flow_of_higher_ones(rank: str, shape: str) -> None:
     """Patience alone reorders jobs of one rank: a job of low rank waited for as long as more urgent work came."""
     world = started_world(12, capacity=5)
     assert job_begins(world, {"rank": rank}, LOW | {"shape": shape}) < LARGEST_BEGIN
@@ -174,7 +174,7 @@
 def slow_everything(world: World, in_order: bool) -> None:
     """Between all hosts, those of machines yet to come excepted."""
     for name in world.controller_names:
-        world.slow_down_links(name, [STORE, CLOUD, *sorted(world.workers)], in_order)
+        world.slow_down_links(name, [STORE, CLOUD, *sorted(world.agents)], in_order)
         world.slow_down_links(name, [other for other in world.controller_names if other != name], in_order)
 
 
@@ -256,11 +256,11 @@
     assert sorted(heard) == list(range(50)) != heard
 
 
-# Late copies, answers that do not arrive, a controller left with its workers, processes that are back at once.
+# Late copies, answers that do not arrive, a controller left with its agents, processes that are back at once.
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_copies_of_all_reports_up_to_five_leases_late_break_nothing(seed: int) -> None:
+def test_copies_of_all_heartbeats_up_to_five_leases_late_break_nothing(seed: int) -> None:
     """Leaders change meanwhile, so old reports reach new owners, too."""
     world = busy_world(seed + 40, guessS=25.0)
     world.late_heartbeat_rate = 1.0
@@ -278,7 +278,7 @@
 def test_machines_that_hear_no_answer_across_a_change_of_leader_run_nothing_twice(seed: int) -> None:
     """Their reports arrive all the time, at one controller after the other."""
     world = full_world()
-    busy = sorted({worker.host for worker, _ in world.invariants.running_tasks()})
+    busy = sorted({agent.host for agent, _ in world.invariants.running_tasks()})
     world.hosts_without_responses.update(world.rng.sample(busy, 4))
     run_with_checks(world, 3 + seed)
     restart_controller(world, leader_of(world))
@@ -288,7 +288,7 @@
     assert running_attempts(world, "j-1") == set()
 
 
-def alone_with_workers(world: World, name: str) -> None:
+def alone_with_agents(world: World, name: str) -> None:
     for other in (STORE, *(each for each in world.controller_names if each != name)):
         world.cut_link(name, other)
 
@@ -296,10 +296,10 @@
 @pytest.mark.parametrize("lead", [True, False])
 @pytest.mark.parametrize("away", [5, 15, 40])
 def test_a_controller_that_loses_the_state_service_and_its_peers_ends_what_others_cancel(lead: bool, away: int) -> None:
-    """Workers and users still reach it, and the cloud does."""
+    """Agents and users still reach it, and the cloud does."""
     world = busy_world(guessS=500.0)
     name = leader_of(world) if lead else next(each for each in world.controller_names if each != leader_of(world))
-    alone_with_workers(world, name)
+    alone_with_agents(world, name)
     run_with_checks(world, 1)
     cancel_job(world, world.rng, "j-1")
     run_with_checks(world, away)
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Workers are told the token of a new membership view directly, so that work goes on soon."""
+"""Agents are told the token of a new membership view directly, so that work goes on soon."""
 
 import json
 from collections.abc import Callable
@@ -22,7 +22,7 @@
     ).encode()  # fmt: skip
 
 
-class Workers:
+class Agents:
     """A runtime that keeps the requests until the test answers them."""
 
     def __init__(self) -> None:
@@ -58,50 +58,50 @@
 
 @pytest.mark.parametrize("silence", [killed, stands_still])
 def test_work_goes_on_within_a_second_of_a_change_of_membership(silence: Callable[[World, str], None]) -> None:
-    """A worker whose report the lost controller never answers waits 4 s for it, and then asks the others."""
+    """An agent whose report the lost controller never answers waits 4 s for it, and then asks the others."""
     assert seconds_to_settle(silence) < 1
 
 
-def test_without_announcements_it_waits_for_the_workers_next_reports(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_announcements_it_waits_for_the_agents_next_heartbeats(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(TokenAnnouncer, "announce", lambda announcer, token, addresses: None)
     assert seconds_to_settle(stands_still) > 1.5
 
 
-def test_a_worker_of_another_session_is_asked_again_once() -> None:
-    workers = Workers()
+def test_an_agent_of_another_epoch_is_asked_again_once() -> None:
+    agents = Agents()
     taken: list[Heartbeat] = []
-    TokenAnnouncer(workers, taken.append).announce(7, {"vm-0": "vm-0"})  # type: ignore[arg-type]
-    workers.requests[0][2](Response(409, report("vm-0", 6, tenure=3)))
-    assert [request["tenure"] for _, request, _ in workers.requests] == [1, 3]
+    TokenAnnouncer(agents, taken.append).announce(7, {"vm-0": "vm-0"})  # type: ignore[arg-type]
+    agents.requests[0][2](Response(409, report("vm-0", 6, tenure=3)))
+    assert [request["tenure"] for _, request, _ in agents.requests] == [1, 3]
     assert taken == []
-    workers.requests[1][2](Response(409, report("vm-0", 6, tenure=4)))
-    assert len(workers.requests) == 2, "it will report by itself"
+    agents.requests[1][2](Response(409, report("vm-0", 6, tenure=4)))
+    assert len(agents.requests) == 2, "it will report by itself"
 
 
-def test_what_a_worker_says_of_an_earlier_token_or_of_another_host_is_not_taken() -> None:
-    workers = Workers()
+def test_what_an_agent_says_of_an_earlier_token_or_of_another_host_is_not_taken() -> None:
+    agents = Agents()
     taken: list[Heartbeat] = []
-    announcer = TokenAnnouncer(workers, taken.append)  # type: ignore[arg-type]
+    announcer = TokenAnnouncer(agents, taken.append)  # type: ignore[arg-type]
     announcer.announce(7, {"vm-0": "vm-0", "vm-1": "vm-1", "vm-2": "vm-2"})
-    workers.requests[1][2](Response(200, report("vm-9", 7)))
-    workers.requests[2][2](Response(200, b"no report"))
+    agents.requests[1][2](Response(200, report("vm-9", 7)))
+    agents.requests[2][2](Response(200, b"no report"))
     announcer.announce(8, {})
-    workers.requests[0][2](Response(200, report("vm-0", 7)))
+    agents.requests[0][2](Response(200, report("vm-0", 7)))
     assert taken == []
 
 
 def test_machines_that_do_not_respond_hold_up_only_their_places() -> None:
-    workers = Workers()
+    agents = Agents()
     taken: list[Heartbeat] = []
-    TokenAnnouncer(workers, taken.append).announce(7, {f"vm-{n}": f"vm-{n}" for n in range(40)})  # type: ignore[arg-type]
-    assert len(workers.requests) == MAX_IN_FLIGHT
-    for host, _, done in list(workers.requests[1:]):
+    TokenAnnouncer(agents, taken.append).announce(7, {f"vm-{n}": f"vm-{n}" for n in range(40)})  # type: ignore[arg-type]
+    assert len(agents.requests) == MAX_IN_FLIGHT
+    for host, _, done in list(agents.requests[1:]):
         done(Response(200, report(host, 7)))
     assert len(taken) == MAX_IN_FLIGHT - 1
-    assert len(workers.requests) == 2 * MAX_IN_FLIGHT - 1
+    assert len(agents.requests) == 2 * MAX_IN_FLIGHT - 1
 
 
-def launch_under_way(controller: Controller | None) -> str | None:
+def start_under_way(controller: Controller | None) -> str | None:
     """The host to which an answer with a launch is on its way."""
     if controller is None or controller.state.shard is None:
         return None
@@ -111,23 +111,23 @@
     return None
 
 
-def controller_with_a_launch_under_way(world: World) -> tuple[Controller, str]:
+def controller_with_a_start_under_way(world: World) -> tuple[Controller, str]:
     for _ in range(400):
         world.run(0.02)
         for node in world.nodes.values():
-            host = launch_under_way(node.controller)
+            host = start_under_way(node.controller)
             if node.controller is not None and host is not None:
                 return node.controller, host
     raise AssertionError("nothing was launched")
 
 
-def test_a_direct_report_after_the_first_one_of_the_view_changes_nothing() -> None:
-    """It may have been made before the worker heard our last answer: what it lacks may yet be started."""
+def test_a_direct_heartbeat_after_the_first_one_of_the_view_changes_nothing() -> None:
+    """It may have been made before the agent heard our last answer: what it lacks may yet be started."""
     world = full_world()
     world.define_job("j-2", pieces=12, cores=1.0, guessS=500.0)
     body = json.dumps(world.job_specs["j-2"]).encode()
     world.request("c0", lambda controller: controller.job_api.submit(body, lambda status, *_: None))
-    controller, host = controller_with_a_launch_under_way(world)
+    controller, host = controller_with_a_start_under_way(world)
     assert controller.state.shard is not None
     machine = controller.state.shard.machines[host]
     tenure, tally = machine.last_heartbeat_id
@@ -139,8 +139,8 @@
     assert any(state == (Phase.SENT, DesiredState.RUN) for state in before.values())
 
 
-def test_a_lease_counts_from_the_direct_report_on() -> None:
-    """Until the worker saw the token, a controller of an earlier view may have answered it."""
+def test_a_lease_counts_from_the_direct_heartbeat_on() -> None:
+    """Until the agent saw the token, a controller of an earlier view may have answered it."""
     world = full_world()
     gone = leader_of(world)
     world.nodes[gone].kill()
@@ -158,7 +158,7 @@
         )
 
 
-def test_a_direct_report_that_is_not_taken_does_not_make_the_next_one_look_astray() -> None:
+def test_a_direct_heartbeat_that_is_not_taken_does_not_make_the_next_one_look_astray() -> None:
     """Each response counts in the tally; a gap there tells that a report went to another controller."""
     world = full_world()
     controller, host = next(
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -311,30 +311,30 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_broken_reports_change_nothing(seed: int) -> None:
+def test_broken_heartbeats_change_nothing(seed: int) -> None:
     """A report that is not taken leaves all as it was; one that is well-formed in spite of it all may be taken."""
     world = busy_world(guessS=500.0)
-    worker, task = world.invariants.running_tasks()[0]
-    name = owner_of(world, worker.host)
+    agent, task = world.invariants.running_tasks()[0]
+    name = owner_of(world, agent.host)
     controller = world.nodes[name].controller
     assert controller is not None
     assert controller.state.shard is not None
     rng = random.Random(seed)
     heartbeat = {
-        "host": worker.host, "addr": "h:1", "rig": "m", "yard": worker.zone, "loaners": False,
-        "tenure": worker.agent_epoch, "tally": worker.sequence_number + 1, "baton": worker.fencing_token,
+        "host": agent.host, "addr": "h:1", "rig": "m", "yard": agent.zone, "loaners": False,
+        "tenure": agent.agent_epoch, "tally": agent.sequence_number + 1, "baton": agent.fencing_token,
         "warningS": None,
         "pieces": [{"piece": f"{task.job_id}/{task.index}", "try": task.attempt, "status": "running", "cause": None}],
     }  # fmt: skip
     refused = 0
     for _ in range(1500):
-        body, before = broken(rng, heartbeat, to_json), shown(controller.state.shard, worker.host)
+        body, before = broken(rng, heartbeat, to_json), shown(controller.state.shard, agent.host)
         got: list[int] = []
         controller.heartbeats.receive_heartbeat(body, lambda status, response, got=got: got.append(status))  # type: ignore[misc]
         if got and got[0] != 200:
             refused += 1
             assert got[0] in (400, 421, 503), body
-            assert shown(controller.state.shard, worker.host) == before, body
+            assert shown(controller.state.shard, agent.host) == before, body
         else:
             # Taken, so it is well-formed: a few bytes of a name or a number may have changed.
             decode_task_reports(decode_heartbeat(body).raw_tasks)
@@ -357,24 +357,24 @@
     ],
     ids=lambda changes: str(changes)[:70],
 )  # fmt: skip
-def test_reports_that_no_worker_sends_are_refused(changes: dict[str, Any]) -> None:
+def test_heartbeats_that_no_agent_sends_are_refused(changes: dict[str, Any]) -> None:
     world = busy_world(guessS=500.0)
-    worker, _ = world.invariants.running_tasks()[0]
-    controller = world.nodes[owner_of(world, worker.host)].controller
+    agent, _ = world.invariants.running_tasks()[0]
+    controller = world.nodes[owner_of(world, agent.host)].controller
     assert controller is not None
     assert controller.state.shard is not None
-    before = shown(controller.state.shard, worker.host)
-    heartbeat = {"host": worker.host, "rig": "m", "yard": worker.zone, "loaners": False, "tenure": worker.agent_epoch,
-            "tally": worker.sequence_number + 1, "baton": worker.fencing_token, "pieces": []}  # fmt: skip
+    before = shown(controller.state.shard, agent.host)
+    heartbeat = {"host": agent.host, "rig": "m", "yard": agent.zone, "loaners": False, "tenure": agent.agent_epoch,
+            "tally": agent.sequence_number + 1, "baton": agent.fencing_token, "pieces": []}  # fmt: skip
     got: list[int] = []
     body = to_json(heartbeat | changes)
     controller.heartbeats.receive_heartbeat(body, lambda status, response: got.append(status))
     assert got == [400]
-    assert shown(controller.state.shard, worker.host) == before
+    assert shown(controller.state.shard, agent.host) == before
     deep = to_json(heartbeat).replace(b'"pieces": []', b'"pieces": ' + DEEP)
     controller.heartbeats.receive_heartbeat(deep, lambda status, response: got.append(status))
     assert got == [400, 400]
-    assert shown(controller.state.shard, worker.host) == before
+    assert shown(controller.state.shard, agent.host) == before
 
 
 def test_a_machine_with_a_strange_name_stops_no_leader() -> None:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -251,7 +251,7 @@
     return decode_heartbeat(json.dumps(message).encode())
 
 
-def test_late_copies_of_reports_change_nothing() -> None:
+def test_late_copies_of_heartbeats_change_nothing() -> None:
     """Within a tenure, over tenures, from before the view, and after the lease has certainly run out."""
     part, plain = a_part(), dict[tuple[int, int], Heartbeat]()
     machine = part.machines["vm-1"]
@@ -283,7 +283,7 @@
     assert part.heartbeats.take(new_heartbeat(5, 100, 5), now + 11 * S)
 
 
-def test_without_the_later_tenure_a_late_report_revives_what_is_gone() -> None:
+def test_without_the_later_epoch_a_late_heartbeat_revives_what_is_gone() -> None:
     part = a_part()
     machine = part.machines["vm-1"]
     assert part.heartbeats.take(new_heartbeat(1, 1, 5, 1), 0 * S)
@@ -294,7 +294,7 @@
     assert any(entry.phase is Phase.RUNNING for entry in machine.entries.values())
 
 
-def test_a_late_report_of_a_returned_machine_brings_nothing_back() -> None:
+def test_a_late_heartbeat_of_a_returned_machine_brings_nothing_back() -> None:
     part = a_part()
     assert part.heartbeats.take(new_heartbeat(1, 1, 5), 0 * S)
     part.remove_machine("vm-1")
@@ -365,7 +365,7 @@
     arrays = [{"pieces": pieces, "cores": 1.0, "guessS": 8.0} for pieces in [100] * 29 + [700]]
     world = large_world(7, 300, (4.0, 12.0), 150, arrays)
     world.run(20)
-    assert len(world.workers) > 150, "the fleet grows in time"
+    assert len(world.agents) > 150, "the fleet grows in time"
     world.run(25)
     world.call_counts.clear()
     world.sent_bytes.clear()
@@ -385,7 +385,7 @@
     """Nine hundred machines for some thousand tasks; then four of five controllers are gone for good."""
     world = large_world(11, 1000, (2.0, 6.0), 100, [{"pieces": 150, "cores": 2.0, "guessS": 12.0}] * 22)
     world.run(14)
-    up = sum(worker.alive for worker in world.workers.values())
+    up = sum(agent.alive for agent in world.agents.values())
     assert up > 700, "the fleet grows in time"
     values = [len(json.dumps(value)) for value, _, _ in world.store.entries.values()]
     assert max(values) < 4096, "every record fits a value"
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -82,13 +82,13 @@
     for job_id in warm:
         world.define_job(job_id, pieces=4, cores=4.0, guessS=6.0)
         assert world.submit_until_accepted(job_id, "c0")
-    assert world.run_until(lambda: len({worker.host for worker, _ in world.invariants.running_tasks()}) >= 6, 30)
+    assert world.run_until(lambda: len({agent.host for agent, _ in world.invariants.running_tasks()}) >= 6, 30)
     bad = submit_bad(world, 4, after, pieces=3)
     world.run(5)
-    sick = {host for host, worker in world.workers.items() if worker.alive and worker.fencing_token}
+    sick = {host for host, agent in world.agents.items() if agent.alive and agent.fencing_token}
     sick = set(world.rng.sample(sorted(sick), 2))
     for host in sick:
-        world.workers[host].is_faulty = True
+        world.agents[host].is_faulty = True
     good = submit_good(world, 24, pieces=4, guessS=4.0)
     world.run(90)
     assert all(world.is_done(job_id) for job_id in good + warm)
@@ -99,13 +99,13 @@
         assert (answer[0], answer[1]["done"]) == (200, 0)
         assert world.cancel_job(job_id, world.rng.choice(world.controller_names))
     world.run(20)
-    assert not {t.job_id for w in world.workers.values() for t in w.tasks.values()} & set(bad)
+    assert not {t.job_id for w in world.agents.values() for t in w.tasks.values()} & set(bad)
     return world, found, sick, bad
 
 
 @pytest.mark.parametrize("after", [0.3, 4.0])
 @pytest.mark.parametrize("seed", range(3))
-def test_good_jobs_get_done_and_only_sick_machines_are_drained(seed: int, after: float) -> None:
+def test_good_jobs_get_done_and_only_faulty_machines_are_drained(seed: int, after: float) -> None:
     world, found, sick, bad = mixed(seed, after)
     assert found
     assert found <= sick
@@ -170,7 +170,7 @@
     assert probed_elsewhere(5.0)
 
 
-def test_a_sick_machine_is_drained_and_its_jobs_run_elsewhere() -> None:
+def test_a_faulty_machine_is_drained_and_its_jobs_run_elsewhere() -> None:
     world = started_world(2, members=1)
     for number in range(3):
         world.define_job(f"j-{number}", pieces=2, cores=1.0, guessS=60.0)
@@ -187,39 +187,39 @@
     assert world.invariants.violations == []
 
 
-def test_a_good_job_whose_home_has_only_sick_machines_runs_on_others() -> None:
+def test_a_good_job_whose_scheduler_has_only_faulty_machines_runs_on_others() -> None:
     """It failed on both before anything speaks against them; its probes must not stay with them."""
     world = started_world(3, capacity=9)
     world.define_job("j-1", shape="service", pieces=9, cores=5.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 9, 30)
-    parts = Counter(owner_of(world, host) for host in world.workers)
+    parts = Counter(owner_of(world, host) for host in world.agents)
     scheduler = max((name for name in world.controller_names if name != leader_of(world)), key=lambda name: parts[name])
-    for host, worker in world.workers.items():
-        worker.is_faulty = owner_of(world, host) == scheduler
+    for host, agent in world.agents.items():
+        agent.is_faulty = owner_of(world, host) == scheduler
     world.define_job("j-2", pieces=2, cores=1.0)
     record = json.dumps(world.job_specs["j-2"]).encode()
     for controller in controllers(world):
         controller.job_api._choose_scheduler = lambda run: scheduler
     world.request("c0", lambda c: c.job_api.submit(record, lambda status, *rest: None))
-    assert sum(worker.is_faulty for worker in world.workers.values()) >= 2
+    assert sum(agent.is_faulty for agent in world.agents.values()) >= 2
     assert world.run_until(lambda: world.is_done("j-2"), 60)
 
 
-def done_though_the_first_are_sick(count: int, seconds: float) -> bool:
+def done_though_the_first_are_faulty(count: int, seconds: float) -> bool:
     """The first machines that are rented are all sick, so that nothing shows that the jobs are good."""
     world = started_world(2, members=1)
-    create_worker = world.cloud._create_worker
+    create_agent = world.cloud._create_agent
     sick: list[str] = []
 
     def rented(zone: str, spot: bool) -> str:
-        host = create_worker(zone, spot)
+        host = create_agent(zone, spot)
         if len(sick) < count:
             sick.append(host)
-            world.workers[host].is_faulty = True
+            world.agents[host].is_faulty = True
         return host
 
-    world.cloud._create_worker = rented  # type: ignore[method-assign]
+    world.cloud._create_agent = rented  # type: ignore[method-assign]
     job_ids = submit_good(world, 4, pieces=1, cores=1.0, guessS=3.0)
     done = world.run_until(lambda: all(world.is_done(job_id) for job_id in job_ids), seconds)
     assert len(sick) == count
@@ -228,18 +228,18 @@
 
 
 @pytest.mark.parametrize(("count", "seconds"), [(4, 120), (6, 240)])
-def test_jobs_get_done_though_all_machines_are_sick_at_first(count: int, seconds: float) -> None:
-    assert done_though_the_first_are_sick(count, seconds)
+def test_jobs_get_done_though_all_machines_are_faulty_at_first(count: int, seconds: float) -> None:
+    assert done_though_the_first_are_faulty(count, seconds)
 
 
-def test_when_sick_machines_stay_in_the_pool_they_do_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_when_faulty_machines_stay_in_the_pool_they_do_not(monkeypatch: pytest.MonkeyPatch) -> None:
     known = FleetObservation.machines
     monkeypatch.setattr(
         FleetObservation,
         "machines",
         lambda self, *found: [replace(one, consecutive_failures=0) for one in known(self, *found)],
     )
-    assert not done_though_the_first_are_sick(6, 400)
+    assert not done_though_the_first_are_faulty(6, 400)
 
 
 def done_off_the_only_machine(world: World) -> bool:
@@ -252,7 +252,7 @@
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: bool(world.invariants.running_tasks()), 30)
     world.run(60)
-    (sick,) = [worker for worker in world.workers.values() if worker.alive]
+    (sick,) = [agent for agent in world.agents.values() if agent.alive]
     sick.is_faulty = True
     world.define_job("j-2", pieces=1, cores=1.0, guessS=3.0)
     assert world.submit_until_accepted("j-2", "c0")
@@ -345,10 +345,10 @@
     world.define_job("j-1", pieces=6, cores=4.0, guessS=60.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30)
-    two = sorted({worker.host for worker, _ in world.invariants.running_tasks()})[:2]
-    for worker, task in world.invariants.running_tasks():
-        if worker.host in two:
-            worker._finish(task, "error")
+    two = sorted({agent.host for agent, _ in world.invariants.running_tasks()})[:2]
+    for agent, task in world.invariants.running_tasks():
+        if agent.host in two:
+            agent._finish(task, "error")
     job_state = work_of(world, "j-1")
     assert world.run_until(lambda: bool(job_state.failing), 10), "two machines are the least that speaks against a job"
     return world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 12)
@@ -367,8 +367,8 @@
     """A job fails on a machine that is already known as sick, and on another."""
     world.define_job("j-1", pieces=4, cores=4.0, guessS=60.0)
     assert world.submit_until_accepted("j-1", "c0")
-    assert world.run_until(lambda: len({worker.host for worker, _ in world.invariants.running_tasks()}) >= 2, 30)
-    tasks = {worker.host: (worker, task) for worker, task in world.invariants.running_tasks()}
+    assert world.run_until(lambda: len({agent.host for agent, _ in world.invariants.running_tasks()}) >= 2, 30)
+    tasks = {agent.host: (agent, task) for agent, task in world.invariants.running_tasks()}
     (one, first), (other, second) = list(tasks.values())[:2]
     one._finish(first, "error")
     job_state = work_of(world, "j-1")
@@ -382,7 +382,7 @@
     return job_state.failing
 
 
-def test_a_job_is_not_blamed_for_a_sick_machine() -> None:
+def test_a_job_is_not_blamed_for_a_faulty_machine() -> None:
     assert not blamed_for_machines(started_world(3))
 
 
@@ -396,9 +396,9 @@
     world = started_world(6, capacity=40)
     submit_bad(world, 2, 0.3, pieces=60, cores=4.0)
     world.run(40)
-    machines, changes = len(world.workers), world.call_counts["POST txn"]
+    machines, changes = len(world.agents), world.call_counts["POST txn"]
     world.run(120)
-    return len(world.workers) - machines, world.call_counts["POST txn"] - changes
+    return len(world.agents) - machines, world.call_counts["POST txn"] - changes
 
 
 def test_bad_jobs_rent_and_write_little() -> None:
@@ -486,7 +486,7 @@
     return world.invariants.starts_by_job[job_id] - before
 
 
-def test_its_next_home_knows_where_a_job_failed() -> None:
+def test_its_next_scheduler_knows_where_a_job_failed() -> None:
     assert handed_over(started_world(4, capacity=6)) <= 3
 
 
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -14,12 +14,12 @@
     old = leader_of(world)
     world.run(10)
     world.nodes[old].kill()
-    lost = [worker for worker in world.workers.values() if worker.alive][:MORE_THAN_A_VIEW_RETURNS_AT_ONCE]
-    for worker in lost:
-        worker.die()
-        del world.cloud.listing[worker.host]
+    lost = [agent for agent in world.agents.values() if agent.alive][:MORE_THAN_A_VIEW_RETURNS_AT_ONCE]
+    for agent in lost:
+        agent.die()
+        del world.cloud.listing[agent.host]
     world.after(30 * S, world.nodes[old].start)
-    return world, {worker.host for worker in lost}
+    return world, {agent.host for agent in lost}
 
 
 def recorded(world: World) -> set[str]:
--- a/tests/test_hang_restart.py
+++ b/tests/test_hang_restart.py
@@ -3,10 +3,10 @@
 import pytest
 
 from virtual import (
+    Agent,
     Fault,
     FaultContext,
     S,
-    Worker,
     World,
     busy_world,
     cancel_job,
@@ -23,11 +23,11 @@
 HANG = 90.0
 
 
-def hang_and_cancel(world: World, machines: int) -> list[Worker]:
+def hang_and_cancel(world: World, machines: int) -> list[Agent]:
     """So many machines with tasks of the job hang; then the job is cancelled."""
-    hung = list({worker.host: worker for worker, _ in world.invariants.running_tasks()}.values())[:machines]
-    for worker in hung:
-        worker.hang(HANG)
+    hung = list({agent.host: agent for agent, _ in world.invariants.running_tasks()}.values())[:machines]
+    for agent in hung:
+        agent.hang(HANG)
     world.run(0.5)
     cancel_job(world, world.rng, "j-1")
     assert world.run_until(lambda: "j-1" in world.cancelled_at, 5)
@@ -51,7 +51,7 @@
     restart_all(world, 0.5)
     run_with_checks(world, 25)
     assert world.invariants.violations == []
-    assert not any(worker.alive for worker in hung)
+    assert not any(agent.alive for agent in hung)
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
@@ -74,7 +74,7 @@
     restart_all(world, 9)
     run_with_checks(world, 25)
     assert world.invariants.violations == []
-    assert not any(worker.alive for worker in hung)
+    assert not any(agent.alive for agent in hung)
 
 
 @pytest.mark.parametrize("away", [0.5, 2.0, 6.0, None], ids=str)
@@ -93,7 +93,7 @@
         world.after(away * S, node.start)
     run_with_checks(world, 25)
     assert world.invariants.violations == []
-    assert not any(worker.alive for worker in hung)
+    assert not any(agent.alive for agent in hung)
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
     trouble(FaultContext(world, world.rng, 9 * S, leader_of(world), []))
     run_with_checks(world, 25)
     assert world.invariants.violations == []
-    assert not any(worker.alive for worker in hung)
+    assert not any(agent.alive for agent in hung)
 
 
 def test_without_the_guards_a_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -205,7 +205,7 @@
 
 
 def test_a_call_to_what_is_no_address_gets_no_answer_and_harms_nothing() -> None:
-    """A worker tells its address itself: a broken one must not end what the call was part of."""
+    """An agent tells its address itself: a broken one must not end what the call was part of."""
     loop = EventLoop()
     answers: list[Message | None] = []
     client = Client(loop, 2)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -14,7 +14,7 @@
 from ramptide.protocol.jobs import decode_job_spec
 from ramptide.scheduling.urgency_order import UrgencyOrder
 from ramptide.state.records import JobRecord, Progress, to_value
-from virtual import Entry, S, Task, Worker, World, leader_of, submit_job
+from virtual import Agent, Entry, S, Task, World, leader_of, submit_job
 
 SMALL, LARGE = 500, 4000
 RENTED_TOGETHER = 50
@@ -57,11 +57,11 @@
 
 
 def add_machine(world: World, host: str, yard: str, tasks: list[Task]) -> None:
-    worker = world.workers[host] = Worker(world, host, yard, False)
-    worker.tasks = {(task.job_id, task.index, task.attempt): task for task in tasks}
+    agent = world.agents[host] = Agent(world, host, yard, False)
+    agent.tasks = {(task.job_id, task.index, task.attempt): task for task in tasks}
     row = {"ref": host, "rig": "m", "yard": yard, "loaners": False, "status": "running"}
     world.cloud.listing[host] = row
-    world.after(world.rng.random() * S, worker.boot)
+    world.after(world.rng.random() * S, agent.boot)
 
 
 def controllers(world: World) -> list[Controller]:
@@ -113,22 +113,20 @@
     assert max(len(json.dumps(value)) for value, _, _ in large.store.entries.values()) < 4096
 
 
-def work_of_a_report(world: World, changed: bool) -> int:
+def calls_of_a_heartbeat(world: World, changed: bool) -> int:
     """What it takes to handle a report and the round after it, on a controller that does not lead."""
     world.run(1.0)
     c = next(c for c in controllers(world) if not c.membership.is_leading)
     assert c.state.shard is not None
     assert c.state.scheduler is not None
-    worker = next(
-        world.workers[host]
-        for host in c.state.shard.machines
-        if world.workers[host].fencing_token == c.state.shard.view
+    agent = next(
+        world.agents[host] for host in c.state.shard.machines if world.agents[host].fencing_token == c.state.shard.view
     )
-    task = next(iter(worker.tasks.values()))
+    task = next(iter(agent.tasks.values()))
     if changed:
         task.status = "flushing"
-    worker.sequence_number += 1
-    body = worker.encode_status()
+    agent.sequence_number += 1
+    body = agent.encode_status()
     scheduler, part, now = c.state.scheduler, c.state.shard, c.runtime.now
     c.decision_loop._run_round(scheduler, part, now, False)
     answers: list[int] = []
@@ -144,8 +142,8 @@
 
 
 @pytest.mark.parametrize("changed", [False, True])
-def test_the_work_of_a_report_does_not_grow_with_the_fleet(large: World, small: World, changed: bool) -> None:
-    assert work_of_a_report(large, changed) < 1.5 * work_of_a_report(small, changed)
+def test_the_work_of_a_heartbeat_does_not_grow_with_the_fleet(large: World, small: World, changed: bool) -> None:
+    assert calls_of_a_heartbeat(large, changed) < 1.5 * calls_of_a_heartbeat(small, changed)
 
 
 def work_of_a_start(world: World, job_id: str) -> int:
@@ -235,9 +233,9 @@
 def test_a_tenth_of_the_fleet_silent_at_once_and_a_leader_that_ends(large: World) -> None:
     """The announcements to the machines that hang do not hold up those to the others."""
     world = large
-    hung = [worker for number, worker in enumerate(world.workers.values()) if number % 10 == 0]
-    for worker in hung:
-        worker.hang(60)
+    hung = [agent for number, agent in enumerate(world.agents.values()) if number % 10 == 0]
+    for agent in hung:
+        agent.hang(60)
     world.run(4)
     world.longest_body = 0
     gone = leader_of(world)
@@ -247,16 +245,16 @@
 
     def told() -> bool:
         number = left[0].state.view.number if left[0].state.view is not None else 0
-        return sum(worker.fencing_token == number for worker in healthy) > 0.99 * len(healthy)
+        return sum(agent.fencing_token == number for agent in healthy) > 0.99 * len(healthy)
 
-    healthy = [worker for worker in world.workers.values() if worker not in hung]
+    healthy = [agent for agent in world.agents.values() if agent not in hung]
     begun = world.now
     assert world.run_until(told, 9)
     assert world.now - begun < 1.5 * S, "a worker whose report the lost controller has waits 4 s before it asks another"
     assert world.run_until(lambda: all(c.state.reconciled for c in left), 14), "the lease is 8 s"
     assert world.longest_body < LONGEST_MESSAGE_BYTES
     assert world.invariants.violations == []
-    alive = sum(worker.alive for worker in healthy)
+    alive = sum(agent.alive for agent in healthy)
     assert alive == len(healthy), "no machine that reports is given up"
 
 
--- a/tests/test_loopback_quota.py
+++ b/tests/test_loopback_quota.py
@@ -1,6 +1,6 @@
 """Team limits on real processes: racing submissions at all controllers, frozen, killed and restarted ones among them.
 
-The workers' own records judge. Nothing is said of speed, so that a busy machine gives the same verdict.
+The agents' own records judge. Nothing is said of speed, so that a busy machine gives the same verdict.
 """
 
 import json
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -24,10 +24,10 @@
 from ramptide.state.watch_cache import WatchCache
 from ramptide.team_limits.share_split import ShareSplit
 from virtual import (
+    Agent,
     Respond,
     S,
     Task,
-    Worker,
     World,
     busy_world,
     cancel_job,
@@ -195,17 +195,17 @@
 # A machine hangs for longer than a cancellation has, and goes on with what it had.
 
 
-def hung_and_cancelled(world: World, *troubles: str, machines: int = 1) -> list[Worker]:
+def hung_and_cancelled(world: World, *troubles: str, machines: int = 1) -> list[Agent]:
     """Machines with tasks of a cancelled job hang, in the troubles named; past its lease nothing there can run."""
-    hung = list({worker.host: worker for worker, _ in world.invariants.running_tasks()}.values())[:machines]
-    for worker in hung:
-        worker.hang(45)
+    hung = list({agent.host: agent for agent, _ in world.invariants.running_tasks()}.values())[:machines]
+    for agent in hung:
+        agent.hang(45)
     assert world.run_until(lambda: world.cancel_job("j-1", others(world)[0]), 10)
     world.run(3)
     if "outage" in troubles:
         world.store.start_outage(40)
     if "owner" in troubles:
-        restart_controller(world, owner_of(world, worker.host))
+        restart_controller(world, owner_of(world, agent.host))
     if "leader" in troubles:
         restart_controller(world, leader_of(world))
     if "elections" in troubles:
@@ -227,7 +227,7 @@
     world = full_world()
     hung = hung_and_cancelled(world, "elections", machines=6)
     assert world.invariants.violations == []
-    assert not any(worker.alive for worker in hung)
+    assert not any(agent.alive for agent in hung)
 
 
 def test_without_that_return_the_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -255,10 +255,10 @@
 
 def test_machines_that_hang_with_nothing_cancelled_are_kept() -> None:
     world = busy_world(guessS=500.0)
-    worker, _ = world.invariants.running_tasks()[0]
-    worker.hang(18)
+    agent, _ = world.invariants.running_tasks()[0]
+    agent.hang(18)
     run_with_checks(world, 30)
-    assert worker.alive
+    assert agent.alive
     assert world.invariants.violations == []
 
 
@@ -384,7 +384,7 @@
     return world
 
 
-def test_a_job_counts_as_taken_over_only_when_its_old_home_has_let_it_go() -> None:
+def test_a_job_counts_as_taken_over_only_when_its_former_scheduler_has_released_it() -> None:
     world = few_world()
     handed_over_at_the_limit(world)
     assert world.invariants.violations == []
@@ -404,7 +404,7 @@
     assert any("quota" in rule for rule in world.invariants.violations)
 
 
-def untold_wishes(world: World) -> list[str]:
+def unsent_desired_tasks(world: World) -> list[str]:
     """Messages that say that the sender's own wishes are processed and do not show what came of them."""
     found: list[str] = []
     for node in world.nodes.values():
@@ -436,10 +436,10 @@
 
 
 def test_what_is_said_to_be_processed_is_shown_with_it() -> None:
-    assert untold_wishes(started_world(5)) == []
+    assert unsent_desired_tasks(started_world(5)) == []
 
 
-def test_without_that_a_new_home_would_miss_a_start(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_that_a_new_scheduler_would_miss_a_start(monkeypatch: pytest.MonkeyPatch) -> None:
     mark = Replication.mark
 
     def late(syncing: Replication, scheduler: JobScheduler, part: Shard, changed: set[str]) -> None:
@@ -450,7 +450,7 @@
             del syncing._status_changes._last_change[host]
 
     monkeypatch.setattr(Replication, "mark", late)
-    assert untold_wishes(started_world(5))
+    assert unsent_desired_tasks(started_world(5))
 
 
 # Changes of leader in the middle of other troubles.
@@ -519,7 +519,7 @@
 def unreachable_then_led_anew(world: World, how: str) -> None:
     """Machines with long tasks are cut off, or hear no answers, when the leader ends. Nothing can be returned."""
     world.cloud.is_down = True
-    hosts = sorted({worker.host for worker, _ in world.invariants.running_tasks()})[:4]
+    hosts = sorted({agent.host for agent, _ in world.invariants.running_tasks()})[:4]
     for host in hosts:
         if how == "deaf":
             world.hosts_without_responses.add(host)
@@ -556,7 +556,7 @@
         assert world.submit_until_accepted(job_id, "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 12, 40)
     world.cloud.is_down = True
-    for host in sorted({worker.host for worker, _ in world.invariants.running_tasks()})[::2]:
+    for host in sorted({agent.host for agent, _ in world.invariants.running_tasks()})[::2]:
         for name in world.controller_names:
             world.cut_link(host, name)
     restart_controller(world, leader_of(world))
@@ -605,13 +605,13 @@
         world.define_job(job_id, pieces=3, cores=2.0, guessS=2.0)
         assert world.submit_until_accepted(job_id, "c1")
     ends = iter([2.0, 14.0, 30.0] * 4)
-    begin = Worker._run
+    begin = Agent._run
 
-    def start(worker: Worker, task: Task, spec: dict[str, object]) -> None:
-        begin(worker, task, spec | {"guessS": next(ends, 5.0)})
+    def start(agent: Agent, task: Task, spec: dict[str, object]) -> None:
+        begin(agent, task, spec | {"guessS": next(ends, 5.0)})
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Worker, "_run", start)
+        patch.setattr(Agent, "_run", start)
         for _ in range(2):
             run_with_checks(world, 10)
             restart_controller(world, leader_of(world))
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -61,16 +61,16 @@
         assert world.run_until(lambda number=number: world.cancel_job(f"j-{number}", "c0"), 20)  # type: ignore[misc]
     assert world.run_until(lambda: not any(key.startswith("live/job/") for key in world.store.entries), 120)
     world.run(90)
-    assert sum(worker.alive for worker in world.workers.values()) <= 2
+    assert sum(agent.alive for agent in world.agents.values()) <= 2
 
 
 def test_tables_return_to_what_they_were() -> None:
     world = started_world(4, capacity=14)
     busy_time(world, 0)
     before = [kept(node.controller) for node in world.nodes.values() if node.controller is not None]
-    machines = len(world.workers)
+    machines = len(world.agents)
     busy_time(world, 1000)
-    assert len(world.workers) > machines, "machines came and went"
+    assert len(world.agents) > machines, "machines came and went"
     after = [kept(node.controller) for node in world.nodes.values() if node.controller is not None]
     grown = [
         (path, was.get(path, 0), now[path]) for was, now in zip(before, after, strict=True) for path in now
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -112,7 +112,7 @@
         assert sum(max(held[m], using[m]) for m in MEMBERS) <= LIMIT
 
 
-def raised_while_the_old_grant_may_be_in_use(leader: ShareAllocator) -> tuple[int, int]:
+def raised_while_the_old_share_may_be_in_use(leader: ShareAllocator) -> tuple[int, int]:
     """A may still act on the whole limit while b asks; what b gets before and after a says that it knows better."""
     free, hungry = {m: {"t": Amounts(0, 0)} for m in MEMBERS}, {"t": Amounts(50 * UNITS, 0)}
     asks = {member: ProportionalSplit({member: hungry}) for member in MEMBERS}
@@ -123,9 +123,9 @@
     return before, leader.divide(3, free, asks["b"], "a")["b"]["t"][0]
 
 
-def test_a_grant_is_raised_only_once_the_other_is_lowered_for_sure() -> None:
+def test_a_share_is_raised_only_once_the_other_is_lowered_for_sure() -> None:
     leader = ShareAllocator(LIMITS, MEMBERS)
-    assert raised_while_the_old_grant_may_be_in_use(leader) == (0, LIMIT)
+    assert raised_while_the_old_share_may_be_in_use(leader) == (0, LIMIT)
 
 
 def test_without_that_guard_the_limit_is_given_twice(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -138,7 +138,7 @@
         return divide(seq, *rest)
 
     monkeypatch.setattr(leader, "divide", forgetful)
-    assert raised_while_the_old_grant_may_be_in_use(leader)[0] == LIMIT
+    assert raised_while_the_old_share_may_be_in_use(leader)[0] == LIMIT
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -85,8 +85,8 @@
     world.store.refused_callers.add(name)
 
 
-def cut_from_workers(world: World, name: str) -> None:
-    for host in world.workers:
+def cut_from_agents(world: World, name: str) -> None:
+    for host in world.agents:
         world.cut_link(name, host)
 
 
@@ -96,15 +96,15 @@
             world.cut_link(name, other)
 
 
-def left_with_workers(world: World, name: str) -> None:
-    world.isolate(name, CLOUD, *world.workers)
+def left_with_agents(world: World, name: str) -> None:
+    world.isolate(name, CLOUD, *world.agents)
 
 
 def stands_still(world: World, name: str) -> None:
     world.nodes[name].freeze(70)
 
 
-SILENCES = [cut_from_all, cut_from_state, refused_by_state, cut_from_workers, left_with_workers, stands_still]
+SILENCES = [cut_from_all, cut_from_state, refused_by_state, cut_from_agents, left_with_agents, stands_still]
 
 
 @pytest.mark.parametrize("lead", [True, False])
@@ -124,7 +124,7 @@
         world.run(1)
         world.invariants.check()
         if second == 3:
-            assert world.cancel_job("j-1", rest[0]) or silence is not cut_from_workers
+            assert world.cancel_job("j-1", rest[0]) or silence is not cut_from_agents
         if second == 10 and "j-1" not in world.cancelled_at:
             assert world.cancel_job("j-1", rest[0])
         if second == 12:
@@ -142,17 +142,17 @@
     )
 
 
-def cut_from_workers_for_a_minute(seed: int) -> int:
+def cut_from_agents_for_a_minute(seed: int) -> int:
     """How many of 24 tasks on twelve machines run on as they were."""
     world = started_world(seed, capacity=15)
     world.define_job("j-1", pieces=24, cores=4.0, guessS=500.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 24, 40)
     world.run(3)
-    busy = [owner_of(world, worker.host) for worker, _ in world.invariants.running_tasks()]
+    busy = [owner_of(world, agent.host) for agent, _ in world.invariants.running_tasks()]
     name = max(world.controller_names, key=busy.count)
     before = {(task.job_id, task.index, task.attempt) for _, task in world.invariants.running_tasks()}
-    cut_from_workers(world, name)
+    cut_from_agents(world, name)
     for _ in range(700):
         world.run(0.1)
         world.invariants.check()
@@ -167,19 +167,19 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_controller_cut_off_from_its_workers_leaves_them_to_others(seed: int) -> None:
-    assert cut_from_workers_for_a_minute(seed) == 24
+def test_a_controller_cut_off_from_its_agents_leaves_them_to_others(seed: int) -> None:
+    assert cut_from_agents_for_a_minute(seed) == 24
 
 
 def test_when_it_keeps_its_place_their_tasks_are_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Membership, "step_down", lambda membership: None)
-    assert cut_from_workers_for_a_minute(1) < 20
+    assert cut_from_agents_for_a_minute(1) < 20
 
 
-def test_when_nobody_hears_any_worker_all_keep_their_places() -> None:
+def test_when_nobody_hears_any_agent_all_keep_their_places() -> None:
     world = busy_world(guessS=500.0)
     for name in world.controller_names:
-        cut_from_workers(world, name)
+        cut_from_agents(world, name)
     world.run(20)
     assert all(of(world, name).membership.is_serving for name in world.controller_names)
 
@@ -195,7 +195,7 @@
 SEEN = [
     (cut_from_state, ["state service", "place in the view"], []),
     (refused_by_state, ["state service", "place in the view"], []),
-    (cut_from_workers, ["place in the view"], []),
+    (cut_from_agents, ["place in the view"], []),
     (cut_from_peers, ["controller c0", "controller c1"], ["controller c2"]),
     (cut_from_all, ["state service", "controller c0", "controller c1"], ["controller c2"]),
 ]
@@ -233,8 +233,8 @@
     world.define_job("j-9", pieces=8, cores=1.0)
     assert world.submit_until_accepted("j-9", "c0")
     world.cloud.is_down = True
-    worker = world.invariants.running_tasks()[0][0]
-    worker.hang(30)
+    agent = world.invariants.running_tasks()[0][0]
+    agent.hang(30)
     world.run(8)
     found = status(world, leader_of(world))
     failing, machines = found["failing_jobs"], found["machines"]
@@ -242,7 +242,7 @@
     assert list(failing) == ["j-9"]
     assert failing["j-9"] > 1
     assert isinstance(machines, dict)
-    assert machines[worker.host]["out_of_use"] == "silent"
+    assert machines[agent.host]["out_of_use"] == "silent"
     assert sum(row["out_of_use"] is not None for row in machines.values()) == 1
 
 
@@ -400,11 +400,11 @@
     world.run(2)
     world.cloud.is_down = True
     name = leader_of(world)
-    mine = [worker for worker, _ in world.invariants.running_tasks() if owner_of(world, worker.host) == name]
-    hanging = list(dict.fromkeys(worker.host for worker in mine))[:machines]
+    mine = [agent for agent, _ in world.invariants.running_tasks() if owner_of(world, agent.host) == name]
+    hanging = list(dict.fromkeys(agent.host for agent in mine))[:machines]
     assert len(hanging) == machines
     for host in hanging:
-        world.workers[host].hang(60)
+        world.agents[host].hang(60)
     assert of(world, name).state.reconciled
     world.run(5)
     assert sorted(status(world, name)["silent_machines"]) == sorted(hanging)
@@ -439,11 +439,11 @@
 
 
 def test_what_a_controller_that_was_left_out_gives_up_is_not_lost() -> None:
-    """Its workers go on under others, though it hears none of them past their leases."""
+    """Its agents go on under others, though it hears none of them past their leases."""
     world = busy_world(guessS=500.0)
     name = max(
         world.controller_names,
-        key=[owner_of(world, worker.host) for worker, _ in world.invariants.running_tasks()].count,
+        key=[owner_of(world, agent.host) for agent, _ in world.invariants.running_tasks()].count,
     )
     before = {(task.job_id, task.index, task.attempt) for _, task in world.invariants.running_tasks()}
     world.isolate(name)
@@ -475,9 +475,9 @@
 def test_a_decision_about_machines_is_logged_once_and_after_its_write(caplog: pytest.LogCaptureFixture) -> None:
     world = busy_world(guessS=500.0)
     world.cloud.is_down = True
-    hosts = sorted({worker.host for worker, _ in world.invariants.running_tasks()})[:3]
+    hosts = sorted({agent.host for agent, _ in world.invariants.running_tasks()})[:3]
     for host in hosts:
-        world.workers[host].hang(200)
+        world.agents[host].hang(200)
     end = refuse_rentals(world)
     caplog.set_level(logging.INFO)
     world.run(35)
@@ -500,7 +500,7 @@
     world = busy_world(guessS=500.0)
     world.cloud.is_down = True
     host = world.invariants.running_tasks()[0][0].host
-    world.workers[host].hang(200)
+    world.agents[host].hang(200)
     inner = world.store._transact
     lost: list[float] = []
 
@@ -518,7 +518,7 @@
     world.run(45)
     told = [record.getMessage() for record in caplog.records if record.getMessage().endswith("outcome='silent'")]
     assert len(lost) == 1, "what was carried out is not written again"
-    zone = world.workers[host].zone
+    zone = world.agents[host].zone
     assert told == [f"machines decided: hosts='{host}' machine_type=m zone={zone} outcome='silent'"]
 
 
@@ -587,9 +587,9 @@
     if not lead and name == leader_of(world):
         name = next(one for one in world.controller_names if one != name)
     world.cloud.is_down = True
-    for worker in world.workers.values():
-        if owner_of(world, worker.host) == name:
-            worker.hang(60)
+    for agent in world.agents.values():
+        if owner_of(world, agent.host) == name:
+            agent.hang(60)
             break
     world.run(22)
     with controller_log(world) as log:
@@ -632,7 +632,7 @@
 
 TROUBLES: list[tuple[Callable[[World, str], None], str, str]] = [
     (cut_from_state, "state_service_lacking", "key-value store unavailable"),
-    (cut_from_workers, "lacks", "stepping down: cause=no_heartbeats"),
+    (cut_from_agents, "lacks", "stepping down: cause=no_heartbeats"),
     (stands_still, "standstills_total", "controller stalled"),
 ]
 
@@ -702,7 +702,7 @@
     assert last.state.shard is not None
     assert len(last.state.shard.machines) > 2
     for host in last.state.shard.machines:
-        world.workers[host].hang(25)
+        world.agents[host].hang(25)
     for name in world.controller_names:
         if name != last.state.member:
             world.nodes[name].kill()
@@ -710,7 +710,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_the_last_controller_keeps_its_place_though_none_of_its_workers_is_heard(seed: int) -> None:
+def test_the_last_controller_keeps_its_place_though_none_of_its_agents_is_heard(seed: int) -> None:
     """It gave it up for three minutes, by what the others had told before they ended."""
     world, last = world_with_a_lone_survivor(seed)
     assert world.run_until(lambda: last.membership.is_leading, 12)
@@ -727,7 +727,7 @@
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 24, 40)
     name = leader_of(world)
-    cut_from_workers(world, name)
+    cut_from_agents(world, name)
     assert world.run_until(lambda: of(world, name).membership.has_stepped_down, 15)
     for other in world.controller_names:
         if other != name:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -123,7 +123,7 @@
     assert can_ever_run(run_of(spread=True, oneZone=True, pieces=1), [flavor()])
 
 
-def test_services_take_a_waiting_worker_with_the_image_and_arrays_keep_off() -> None:
+def test_services_take_a_waiting_agent_with_the_image_and_arrays_keep_off() -> None:
     def room(host: str, **fields: object) -> Room:
         return Room(host, "m", "a", False, 8.0, 0.0, 32.0, **fields)  # type: ignore[arg-type]
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -20,7 +20,7 @@
 from ramptide.quota.share_exchange import QuotaExchange
 from ramptide.quota.share_waits import ShareWaits
 from ramptide.state.amounts import UNITS, Amounts, add_amounts
-from virtual import S, Task, Worker, World, leader_of, running_attempts, started_world
+from virtual import Agent, S, Task, World, leader_of, running_attempts, started_world
 
 ON = Features(QuotaFeature(True))
 LIMIT = 12.0
@@ -154,8 +154,8 @@
 
 
 def machine_hangs(world: World, _name: str) -> None:
-    for worker in list(world.workers.values())[:2]:
-        worker.hang(12.0)
+    for agent in list(world.agents.values())[:2]:
+        agent.hang(12.0)
 
 
 TROUBLES: dict[str, Trouble] = {
@@ -387,7 +387,7 @@
     assert body["wire"] == 5
 
 
-def test_off_the_part_is_not_imported_and_nothing_of_it_is_told() -> None:
+def test_off_the_feature_is_not_imported_and_nothing_of_it_is_sent() -> None:
     program = (
         "import sys, ramptide.service, ramptide.api.metrics, ramptide.api.administration;"
         "print([name for name in sys.modules if 'quota' in name or 'hdrh' in name or 'highspy' in name])"
@@ -441,14 +441,14 @@
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 12, 30)
     stopped: list[str] = []
-    end = Worker._end
+    end = Agent._end
 
     def ending(task: Task, cause: str) -> None:
         if cause == "halted":
             stopped.append(task.job_id)
         end(task, cause)
 
-    monkeypatch.setattr(Worker, "_end", staticmethod(ending))
+    monkeypatch.setattr(Agent, "_end", staticmethod(ending))
     world.define_job("j-2", owner="poor", pieces=4, cores=2.0, guessS=500.0)
     assert world.submit_until_accepted("j-2", "c1")
     if leader_ends_too:
--- a/tests/test_quota_ledger.py
+++ b/tests/test_quota_ledger.py
@@ -80,7 +80,7 @@
         for name in MEMBERS:
             self.grants[name].append((self.seq, grants[name][TEAM]))
 
-    def deliver_grant(self, member: Member) -> None:
+    def deliver_share(self, member: Member) -> None:
         """Only a newer one is taken, as the numbers of messages see to."""
         if self.grants[member.name]:
             seq, grant = self.rng.choice(self.grants[member.name])
@@ -157,7 +157,7 @@
 def play(seed: int, events: list[tuple[str, str]]) -> Cluster:
     cluster = Cluster(seed)
     actions: dict[str, Any] = {
-        "start": Member.start, "end": Member.end, "grant": cluster.deliver_grant, "report": cluster.report,
+        "start": Member.start, "end": Member.end, "grant": cluster.deliver_share, "report": cluster.report,
         "give": cluster.give, "send": cluster.send, "deliver": cluster.deliver, "confirm": cluster.confirm,
     }  # fmt: skip
     for name, event in events:
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -144,10 +144,10 @@
     """For so long nothing starts above the limit."""
     begun = world.invariants.on_task_started
 
-    def starting(worker: Any, task: Any) -> None:
+    def starting(agent: Any, task: Any) -> None:
         if in_use(world) > most + 1e-6:
             world.invariants.violations.append(f"started above the new limit: {in_use(world)}")
-        begun(worker, task)
+        begun(agent, task)
 
     world.invariants.on_task_started = starting  # type: ignore[method-assign]
     world.run(seconds)
--- a/tests/test_slow_controllers.py
+++ b/tests/test_slow_controllers.py
@@ -82,12 +82,12 @@
     world = slow_world(seed)
     before, machines = (
         views(world),
-        {worker.host: worker.agent_epoch for worker in world.workers.values() if worker.alive},
+        {agent.host: agent.agent_epoch for agent in world.agents.values() if agent.alive},
     )
     answered = flood(world)
     assert len(answered) == 800
     assert views(world) == before
-    assert all(world.workers[host].agent_epoch == tenure for host, tenure in machines.items()), "no lease ran out"
+    assert all(world.agents[host].agent_epoch == tenure for host, tenure in machines.items()), "no lease ran out"
     goes_on(world, "j-100")
 
 
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_a_leader_that_is_cut_off(seed: int) -> None:
     world = slow_world(seed)
-    world.isolate(leader_of(world), *list(world.workers)[:3])
+    world.isolate(leader_of(world), *list(world.agents)[:3])
     watch(world, 20)
     world.heal()
     watch(world, 10)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -16,9 +16,9 @@
 from ramptide.controller.reconciliation import Reconciliation
 from ramptide.state.task_state import FINISHED_PHASE_NAMES
 from virtual import (
+    Agent,
     Respond,
     S,
-    Worker,
     World,
     busy_world,
     cancel_job,
@@ -59,11 +59,11 @@
     assert world.invariants.start_count > 0
 
 
-def cut_worker_and_crash(world: World) -> None:
+def cut_agent_and_crash(world: World) -> None:
     """A machine with a running task is cut off; then the owner of the machine crashes and comes back."""
-    worker, _ = world.invariants.running_tasks()[0]
+    agent, _ = world.invariants.running_tasks()[0]
     for name in world.controller_names:
-        world.cut_link(worker.host, name)
+        world.cut_link(agent.host, name)
     for name in world.controller_names:
         world.nodes[name].kill()
     for name in world.controller_names:
@@ -73,26 +73,26 @@
 
 def test_settled_guard_holds() -> None:
     world = busy_world()
-    cut_worker_and_crash(world)
+    cut_agent_and_crash(world)
     assert world.invariants.violations == []
 
 
 def test_without_the_settled_guard_a_task_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Reconciliation, "unreconciled_machines", lambda self: {})
     world = busy_world()
-    cut_worker_and_crash(world)
+    cut_agent_and_crash(world)
     assert any("ran_twice" in rule for rule in world.invariants.violations)
 
 
 def cancel_behind_a_cut(world: World) -> None:
-    """The owner of a machine loses all but its workers, and the job is cancelled elsewhere meanwhile.
+    """The owner of a machine loses all but its agents, and the job is cancelled elsewhere meanwhile.
 
     The cloud is down, so that the silent machines cannot be given back.
     """
     world.cloud.is_down = True
-    worker, _ = world.invariants.running_tasks()[0]
-    alone = owner_of(world, worker.host)
-    world.isolate(alone, *world.workers)
+    agent, _ = world.invariants.running_tasks()[0]
+    alone = owner_of(world, agent.host)
+    world.isolate(alone, *world.agents)
     world.run(6)
     other = next(name for name in world.controller_names if name != alone)
     assert world.run_until(lambda: world.cancel_job("j-1", other), 10)
@@ -108,7 +108,7 @@
 
 
 def test_without_the_authority_guard_a_cancelled_task_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Workers that are told the new token directly don't hear the cut-off owner any more, so that is taken out too."""
+    """Agents that are told the new token directly don't hear the cut-off owner any more, so that is taken out too."""
     monkeypatch.setattr(TokenAnnouncer, "announce", lambda announcer, token, addresses: None)
     monkeypatch.setattr(Authority, "may_reply", lambda self: self._membership.is_serving)
     world = busy_world(guessS=500.0)
@@ -141,8 +141,8 @@
 
 def test_a_lost_machine_is_replaced_and_its_tasks_run_again() -> None:
     world = busy_world(guessS=10.0)
-    worker, _ = world.invariants.running_tasks()[0]
-    worker.die()
+    agent, _ = world.invariants.running_tasks()[0]
+    agent.die()
     assert world.run_until(lambda: world.is_done("j-1"), 60)
     assert world.invariants.violations == []
 
@@ -150,7 +150,7 @@
 def test_a_cut_off_leader_is_replaced_and_gives_way() -> None:
     world = busy_world(guessS=15.0)
     old = leader_of(world)
-    world.isolate(old, *world.workers)
+    world.isolate(old, *world.agents)
     world.run(25)
     assert leader_of_others(world, old) != old
     world.heal()
@@ -171,10 +171,10 @@
     assert world.submit_until_accepted("j-1", "c1")
     world.run(1)
     for _ in range(300):
-        for worker in world.workers.values():
-            worker.is_faulty = True
+        for agent in world.agents.values():
+            agent.is_faulty = True
         world.run(0.1)
-    assert len(world.workers) < 8
+    assert len(world.agents) < 8
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None
     nodes = [node.controller for node in world.nodes.values() if node.controller is not None]
@@ -189,7 +189,7 @@
     world.run(80)
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None
-    assert sum(worker.alive for worker in world.workers.values()) == controller.state.tuning.pool_size
+    assert sum(agent.alive for agent in world.agents.values()) == controller.state.tuning.pool_size
 
 
 def test_services_of_a_machine_that_runs_few_move_together() -> None:
@@ -200,15 +200,15 @@
         assert world.submit_until_accepted(f"j-{number}", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 8, 20)
     used: dict[str, list[str]] = {}
-    for worker, task in world.invariants.running_tasks():
-        used.setdefault(worker.host, []).append(task.job_id)
+    for agent, task in world.invariants.running_tasks():
+        used.setdefault(agent.host, []).append(task.job_id)
     assert len(used) == 2
     for job_ids in used.values():
         assert world.cancel_job(job_ids[0], "c0")
         assert world.cancel_job(job_ids[1], "c0")
-    assert world.run_until(lambda: len({worker.host for worker, _ in world.invariants.running_tasks()}) == 1, 90)
+    assert world.run_until(lambda: len({agent.host for agent, _ in world.invariants.running_tasks()}) == 1, 90)
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 4, 5)
-    assert world.run_until(lambda: sum(worker.alive for worker in world.workers.values()) == 2, 30), "one for the pool"
+    assert world.run_until(lambda: sum(agent.alive for agent in world.agents.values()) == 2, 30), "one for the pool"
     assert world.invariants.violations == []
 
 
@@ -285,10 +285,10 @@
     """Old machines have not reported in the new view yet; that is no reason to give them back."""
     world = busy_world(guessS=200.0)
     world.run(40)
-    before = {worker.host for worker, _ in world.invariants.running_tasks()}
+    before = {agent.host for agent, _ in world.invariants.running_tasks()}
     world.nodes[leader_of(world)].kill()
     world.run(30)
-    assert {worker.host for worker, _ in world.invariants.running_tasks()} == before
+    assert {agent.host for agent, _ in world.invariants.running_tasks()} == before
 
 
 def test_a_service_of_higher_rank_takes_the_room_of_an_array() -> None:
@@ -338,10 +338,10 @@
 
 def test_machines_that_boot_do_not_hold_up_a_new_view(monkeypatch: pytest.MonkeyPatch) -> None:
     world = busy_world(guessS=200.0)
-    monkeypatch.setattr(Worker, "boot", lambda self: None)
+    monkeypatch.setattr(Agent, "boot", lambda self: None)
     world.define_job("j-2", pieces=12, cores=4.0)
     assert world.submit_until_accepted("j-2", "c0")
-    assert world.run_until(lambda: sum(not worker.fencing_token for worker in world.workers.values()) >= 3, 20)
+    assert world.run_until(lambda: sum(not agent.fencing_token for agent in world.agents.values()) >= 3, 20)
     old = leader_of(world)
     world.nodes[old].kill()
     rest = [world.nodes[name] for name in world.controller_names if name != old]
@@ -359,7 +359,7 @@
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None
     assert world.run_until(lambda: controller.state.counters["returns"] > 0, 60)
-    gone = next(host for host, worker in world.workers.items() if not worker.alive)
+    gone = next(host for host, agent in world.agents.items() if not agent.alive)
     row = {"ref": gone, "rig": "m", "yard": "a", "loaners": False, "status": "running"}
     world.cloud.listing[gone] = row  # the list lags
     world.run(5)
@@ -368,49 +368,49 @@
     assert gone not in controller.state.machines
 
 
-def deafen(world: World) -> Worker:
+def make_unreachable(world: World) -> Agent:
     """The answers to one machine get lost while its reports arrive, and the cloud takes no returns."""
-    worker, _ = world.invariants.running_tasks()[0]
-    world.hosts_without_responses.add(worker.host)
+    agent, _ = world.invariants.running_tasks()[0]
+    world.hosts_without_responses.add(agent.host)
     world.cloud.is_down = True
-    return worker
+    return agent
 
 
-def launches_while_deaf(world: World) -> int:
+def starts_while_unreachable(world: World) -> int:
     """How many launches went to a machine whose lease had run out because it hears nothing."""
-    worker = deafen(world)
+    agent = make_unreachable(world)
     world.run(10)
-    assert worker.agent_epoch > 1
-    assert not worker.tasks
+    assert agent.agent_epoch > 1
+    assert not agent.tasks
     world.define_job("j-2", pieces=24, cores=2.0, guessS=30.0)
     assert world.submit_until_accepted("j-2", "c0")
     controller = world.nodes["c0"].controller
     assert controller is not None
     assert controller.state.shard is not None
-    machine, most = controller.state.shard.machines[worker.host], 0
+    machine, most = controller.state.shard.machines[agent.host], 0
     for _ in range(200):
         world.run(0.1)
         most = max(most, sum(entry.phase.value == "sent" for entry in machine.entries.values()))
     return most
 
 
-def test_nothing_is_started_on_a_machine_that_does_not_hear() -> None:
+def test_nothing_is_started_on_an_unreachable_machine() -> None:
     world = busy_world(members=1, guessS=60.0)
-    assert launches_while_deaf(world) == 0
+    assert starts_while_unreachable(world) == 0
     world.heal()
     world.cloud.is_down = False
     assert world.run_until(lambda: world.is_done("j-1") and world.is_done("j-2"), 200)
     assert world.invariants.violations == []
 
 
-def test_without_that_guard_launches_go_where_nobody_hears(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_that_guard_tasks_are_started_on_unreachable_machines(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(HeartbeatIntake, "_mark_unreachable", lambda self, machine, now: None)
-    assert launches_while_deaf(busy_world(members=1, guessS=60.0)) > 0
+    assert starts_while_unreachable(busy_world(members=1, guessS=60.0)) > 0
 
 
 def test_a_cancellation_ends_in_time_on_a_machine_that_does_not_hear() -> None:
     world = busy_world(guessS=500.0)
-    deafen(world)
+    make_unreachable(world)
     assert world.run_until(lambda: world.cancel_job("j-1", "c1"), 10)
     for _ in range(250):
         world.run(0.1)
@@ -422,17 +422,17 @@
 def test_a_member_that_is_unheard_for_long_loses_no_machines() -> None:
     """The controllers refuse each other's connections: that a machine's owner is not heard says nothing of it."""
     world = busy_world(guessS=200.0)
-    before = {worker.host for worker, _ in world.invariants.running_tasks()}
+    before = {agent.host for agent, _ in world.invariants.running_tasks()}
     for one in world.controller_names:
         for other in world.controller_names:
             world.cut_link(one, other)
     world.run(40)
-    assert {worker.host for worker, _ in world.invariants.running_tasks()} == before
+    assert {agent.host for agent, _ in world.invariants.running_tasks()} == before
 
 
 def test_a_user_at_a_controller_that_lost_the_state_service_is_told_at_once() -> None:
     world = busy_world(guessS=60.0)
-    world.isolate("c1", *world.workers)
+    world.isolate("c1", *world.agents)
     world.run(4)
     got: list[tuple[int, dict[str, str]]] = []
     body = json.dumps(job_spec("j-5")).encode()
@@ -487,7 +487,7 @@
     """It is returned, and the answer proves it gone; a machine that is only slow to find its owner is not."""
     world = busy_world(guessS=200.0)
     lost, _ = world.invariants.running_tasks()[0]
-    before = {worker.host for worker, _ in world.invariants.running_tasks()}
+    before = {agent.host for agent, _ in world.invariants.running_tasks()}
     lost.die()
     gone = next(name for name in world.controller_names if name != leader_of(world))
     world.nodes[gone].kill()
@@ -497,7 +497,7 @@
         "the lease is 8 s, and silence shows after 3 s"
     )
     world.run(20)
-    assert before - {lost.host} <= {worker.host for worker, _ in world.invariants.running_tasks()}
+    assert before - {lost.host} <= {agent.host for agent, _ in world.invariants.running_tasks()}
     assert world.invariants.violations == []
 
 
@@ -530,7 +530,7 @@
     assert seconds_to_settle_over_views(busy_world(guessS=200.0)) > 13
 
 
-def test_a_controller_left_with_its_workers_alone_lets_them_go_soon() -> None:
+def test_a_controller_left_with_its_agents_alone_lets_them_go_soon() -> None:
     """It may renew their leases, but the others, which may start nothing meanwhile, wait for its end."""
     world = World(3)
     world.cancel_s = 60.0
@@ -542,7 +542,7 @@
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30)
     before = {(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()}
     cut_off = next(name for name in world.controller_names if name != leader_of(world))
-    world.isolate(cut_off, *world.workers)
+    world.isolate(cut_off, *world.agents)
     rest = [node.controller for name, node in world.nodes.items() if name != cut_off and node.controller is not None]
     assert world.run_until(
         lambda: all(c.state.view is not None and cut_off not in c.state.view.members for c in rest), 10
@@ -552,7 +552,7 @@
     assert world.invariants.violations == []
 
 
-def test_a_member_whose_grant_ran_out_is_another_one_from_then_on() -> None:
+def test_a_member_whose_lease_expired_is_another_one_from_then_on() -> None:
     """The others count its authority from `LIFE` before they left it out, so it must not act on under a new grant."""
     world = busy_world(guessS=200.0)
     name = next(name for name in world.controller_names if name != leader_of(world))
@@ -572,9 +572,9 @@
 
 def busy_part(world: World) -> tuple[str, list[str]]:
     """A controller with tasks on its machines, and all these machines."""
-    busy = {worker.host for worker, _ in world.invariants.running_tasks()}
+    busy = {agent.host for agent, _ in world.invariants.running_tasks()}
     name = next(name for name in world.controller_names if any(owner_of(world, host) == name for host in busy))
-    return name, [host for host, worker in world.workers.items() if worker.alive and owner_of(world, host) == name]
+    return name, [host for host, agent in world.agents.items() if agent.alive and owner_of(world, host) == name]
 
 
 def cut_off_a_zone(world: World) -> None:
@@ -590,11 +590,11 @@
 
 def test_tasks_of_a_zone_that_is_cut_off_run_again_only_when_they_are_gone() -> None:
     world = busy_world(guessS=500.0)
-    before = sum(worker.alive for worker in world.workers.values())
+    before = sum(agent.alive for agent in world.agents.values())
     cut_off_a_zone(world)
     assert world.invariants.violations == []
     assert len(world.invariants.running_tasks()) == 6, "all run again"
-    assert sum(worker.alive for worker in world.workers.values()) >= before, "its machines are of use again"
+    assert sum(agent.alive for agent in world.agents.values()) >= before, "its machines are of use again"
 
 
 def test_when_the_controller_in_there_renews_without_proof_they_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -604,14 +604,14 @@
     assert any("ran_twice" in rule for rule in world.invariants.violations)
 
 
-def hang_half(world: World, seconds: float) -> list[Worker]:
-    hung = sorted({worker.host for worker, _ in world.invariants.running_tasks()})[::2]
+def hang_half(world: World, seconds: float) -> list[Agent]:
+    hung = sorted({agent.host for agent, _ in world.invariants.running_tasks()})[::2]
     for host in hung:
-        world.workers[host].hang(seconds)
+        world.agents[host].hang(seconds)
     for _ in range(int(seconds * 10) + 100):
         world.run(0.1)
         world.invariants.check()
-    return [world.workers[host] for host in hung]
+    return [world.agents[host] for host in hung]
 
 
 def test_machines_that_hang_past_their_lease_come_back_empty_and_are_used_again() -> None:
@@ -619,10 +619,10 @@
     hung = hang_half(world, 12)
     assert world.invariants.violations == []
     assert len(world.invariants.running_tasks()) == 6
-    assert all(worker.alive and worker.agent_epoch == 2 for worker in hung)
+    assert all(agent.alive and agent.agent_epoch == 2 for agent in hung)
     world.define_job("j-2", pieces=40, cores=1.0, guessS=30.0)
     assert world.submit_until_accepted("j-2", "c0")
-    assert world.run_until(lambda: any(worker.tasks for worker in hung), 20)
+    assert world.run_until(lambda: any(agent.tasks for agent in hung), 20)
     assert world.invariants.violations == []
 
 
@@ -662,7 +662,7 @@
 def refuse_all_then_serve_two(world: World) -> None:
     """Each controller is refused by itself, so grants run out although all agree that they lack the state service.
 
-    Two are served again and leave out the third, which is cut off with its workers by then.
+    Two are served again and leave out the third, which is cut off with its agents by then.
     """
     world.cloud.is_down = True
     third, machines = busy_part(world)
@@ -676,14 +676,14 @@
         world.invariants.check()
 
 
-def test_no_authority_outlives_a_grant_that_ran_out_while_all_were_refused() -> None:
+def test_no_authority_outlives_a_lease_that_expired_while_all_were_refused() -> None:
     world = busy_world(guessS=500.0)
     refuse_all_then_serve_two(world)
     assert world.invariants.violations == []
     assert len(world.invariants.running_tasks()) == 6, "all run, those of the third elsewhere"
 
 
-def test_when_agreement_counts_like_a_living_grant_tasks_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_when_agreement_counts_like_a_living_lease_tasks_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     agreement = Peers.unavailable_agreed_since
     later = lambda peers: at + LEASE_TIMEOUT if (at := agreement(peers)) is not None else None  # noqa: E731
     monkeypatch.setattr(Peers, "unavailable_agreed_since", later)
--- a/tests/virtual/__init__.py
+++ b/tests/virtual/__init__.py
@@ -1,10 +1,11 @@
 """The tests' virtual world: whole controllers on a virtual clock among stand-ins that speak the protocol.
 
-Read `world` first, then `node` (a controller's process) and the stand-ins `key_value_store`, `cloud` and `worker`.
+Read `world` first, then `node` (a controller's process) and the stand-ins `key_value_store`, `cloud` and `agent`.
 `invariants` judges what happens; `users`, `faults` and `histories` make it happen. `loopback`, which is imported by
 itself, runs real controller processes against the same stand-ins.
 """
 
+from virtual.agent import MACHINE_CPUS, MACHINE_RAM_GB, Agent, AttemptKey, Task
 from virtual.clock import EPOCH, MS, S, VirtualClock
 from virtual.cloud import Cloud
 from virtual.faults import (
@@ -31,7 +32,6 @@
 from virtual.scenarios import busy_world, end_faults, full_world, restart_controller, run_with_checks, running_attempts
 from virtual.settings import SETTINGS_FILE, cluster_settings
 from virtual.users import Users, cancel_job, submit_job
-from virtual.worker import MACHINE_CPUS, MACHINE_RAM_GB, AttemptKey, Task, Worker
 from virtual.world import World, leader_of, owner_of, started_world
 
 __all__ = [
@@ -47,6 +47,7 @@
     "SINGLE_FAULTS",
     "SLOW_LINK_FAULTS",
     "STORE",
+    "Agent",
     "AttemptKey",
     "Cloud",
     "Entry",
@@ -66,7 +67,6 @@
     "VirtualNetwork",
     "VirtualRuntime",
     "VirtualTimerHandle",
-    "Worker",
     "World",
     "busy_world",
     "cancel_job",
--- a/tests/virtual/worker.py
+++ b/tests/virtual/agent.py
@@ -58,7 +58,7 @@
 
 
 @dataclass
-class Worker:
+class Agent:
     """A machine as the protocol describes it."""
 
     world: "World"
--- a/tests/virtual/cloud.py
+++ b/tests/virtual/cloud.py
@@ -6,9 +6,9 @@
 from urllib.parse import urlsplit
 
 from ramptide.protocol.cloud import MACHINE_TYPES_PATH, RETURN_PATH
+from virtual.agent import MACHINE_CPUS, MACHINE_RAM_GB, MACHINE_TYPE, Agent
 from virtual.clock import S
 from virtual.network import Respond
-from virtual.worker import MACHINE_CPUS, MACHINE_RAM_GB, MACHINE_TYPE, Worker
 
 if TYPE_CHECKING:
     from virtual.world import World
@@ -18,7 +18,7 @@
 
 
 class Cloud:
-    """Rents workers of one machine type in two zones."""
+    """Rents agents of one machine type in two zones."""
 
     def __init__(self, world: "World", capacity: int) -> None:
         self.world = world
@@ -57,9 +57,9 @@
 
     def _return(self, hosts: list[str], respond: Respond) -> None:
         for host in hosts:
-            worker = self.world.workers.get(host)
-            if worker is not None:
-                worker.die()
+            agent = self.world.agents.get(host)
+            if agent is not None:
+                agent.die()
             self.listing.pop(host, None)
         respond(200, {})
 
@@ -73,29 +73,29 @@
         if free <= 0:
             respond(503, {"error": "no capacity"})
             return
-        hosts = [self._create_worker(zone, spot) for _ in range(min(request["howMany"], free))]
+        hosts = [self._create_agent(zone, spot) for _ in range(min(request["howMany"], free))]
         self.hosts_by_request[request_id] = hosts
         respond(200, {"hosts": hosts})
 
     def _free_capacity(self, zone: str, spot: bool) -> int:
         """Return how many more machines of the zone and purchase option can be rented."""
-        rented = [(worker.zone, worker.spot) for worker in self.world.workers.values() if worker.alive]
+        rented = [(agent.zone, agent.spot) for agent in self.world.agents.values() if agent.alive]
         free = self.capacity - len(rented)
         if self.pool_capacity is not None:
             free = min(free, self.pool_capacity - rented.count((zone, spot)))
         return free
 
-    def _create_worker(self, zone: str, spot: bool) -> str:
+    def _create_agent(self, zone: str, spot: bool) -> str:
         host = f"vm-{next(self._host_numbers):06d}"
-        worker = Worker(self.world, host, zone, spot)
-        self.world.workers[host] = worker
-        self.world.after(self.world.rng.uniform(*self.boot_seconds) * S, worker.boot)
-        self.world.after(LIST_LAG, lambda: self._list_worker(worker))
+        agent = Agent(self.world, host, zone, spot)
+        self.world.agents[host] = agent
+        self.world.after(self.world.rng.uniform(*self.boot_seconds) * S, agent.boot)
+        self.world.after(LIST_LAG, lambda: self._list_agent(agent))
         return host
 
-    def _list_worker(self, worker: Worker) -> None:
+    def _list_agent(self, agent: Agent) -> None:
         row = {
-            "ref": worker.host, "rig": MACHINE_TYPE, "yard": worker.zone, "loaners": worker.spot, "status": "running",
+            "ref": agent.host, "rig": MACHINE_TYPE, "yard": agent.zone, "loaners": agent.spot, "status": "running",
         }  # fmt: skip
-        if worker.alive:
-            self.listing.setdefault(worker.host, row)
+        if agent.alive:
+            self.listing.setdefault(agent.host, row)
--- a/tests/virtual/faults.py
+++ b/tests/virtual/faults.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
+from virtual.agent import Agent
 from virtual.clock import S
 from virtual.network import CLOUD, STORE
 from virtual.scenarios import restart_controller
 from virtual.users import cancel_job
-from virtual.worker import Worker
 from virtual.world import World
 
 
@@ -22,7 +22,7 @@
     duration: timedelta
     #: The controller that the fault is about, when it is about one.
     controller_name: str
-    machines: list[Worker]
+    machines: list[Agent]
 
     def random_job_id(self) -> str:
         """Draw a job."""
@@ -139,7 +139,7 @@
 
 def isolate_controller(context: FaultContext) -> None:
     """Leave a controller with half of the machines."""
-    kept = context.rng.sample([worker.host for worker in context.machines], len(context.machines) // 2)
+    kept = context.rng.sample([agent.host for agent in context.machines], len(context.machines) // 2)
     context.world.isolate(context.controller_name, *kept)
     context.at_end(context.world.heal)
 
@@ -151,7 +151,7 @@
 
 
 def lose_store_and_peers(context: FaultContext) -> None:
-    """Cut a controller off from the key-value store and its peers, not its workers or users, and cancel a job."""
+    """Cut a controller off from the key-value store and its peers, not its agents or users, and cancel a job."""
     world = context.world
     peers = [name for name in world.controller_names if name != context.controller_name]
     for other in (STORE, *peers):
@@ -160,9 +160,9 @@
     context.at_end(world.heal)
 
 
-def lose_all_but_workers(context: FaultContext) -> None:
-    """Leave a controller with its workers alone."""
-    context.world.isolate(context.controller_name, *context.world.workers)
+def lose_all_but_agents(context: FaultContext) -> None:
+    """Leave a controller with its agents alone."""
+    context.world.isolate(context.controller_name, *context.world.agents)
     context.at_end(context.world.heal)
 
 
@@ -176,12 +176,12 @@
 
 def isolate_zone(context: FaultContext) -> None:
     """Cut a zone with its machines and a controller off from all others; inside, it goes on working."""
-    hosts = [worker.host for worker in context.machines if worker.zone == "a"]
+    hosts = [agent.host for agent in context.machines if agent.zone == "a"]
     context.world.isolate_with(context.controller_name, hosts)
     context.schedule(5, 25, context.world.heal)
 
 
-def cut_worker_from_controllers(context: FaultContext) -> None:
+def cut_agent_from_controllers(context: FaultContext) -> None:
     """Cut a machine off from all controllers."""
     if context.machines:
         host = context.rng.choice(context.machines).host
@@ -190,14 +190,14 @@
         context.at_end(context.world.heal)
 
 
-def cut_worker_from_controller(context: FaultContext) -> None:
+def cut_agent_from_controller(context: FaultContext) -> None:
     """Cut a machine off from one controller."""
     if context.machines:
         context.world.cut_link(context.rng.choice(context.machines).host, context.controller_name)
         context.at_end(context.world.heal)
 
 
-def lose_responses_to_worker(context: FaultContext) -> None:
+def lose_responses_to_agent(context: FaultContext) -> None:
     """Let the heartbeats of a machine arrive, and the responses be lost."""
     if context.machines:
         host = context.rng.choice(context.machines).host
@@ -218,10 +218,10 @@
     context.at_end(lambda: setattr(context.world, "late_heartbeat_rate", 0.0), factor=2)
 
 
-def slow_worker_links(context: FaultContext) -> None:
+def slow_agent_links(context: FaultContext) -> None:
     """Delay messages between a controller and all machines that there are."""
-    workers = sorted(context.world.workers)
-    context.world.slow_down_links(context.controller_name, workers, context.draw_in_order())
+    agents = sorted(context.world.agents)
+    context.world.slow_down_links(context.controller_name, agents, context.draw_in_order())
     context.at_end(context.world.restore_link_speed)
 
 
@@ -240,11 +240,11 @@
     context.at_end(context.world.restore_link_speed)
 
 
-def slow_links_of_worker(context: FaultContext) -> None:
+def slow_links_of_agent(context: FaultContext) -> None:
     """Delay messages between one machine and all controllers."""
     in_order = context.draw_in_order()
-    if context.world.workers:
-        host = context.rng.choice(sorted(context.world.workers))
+    if context.world.agents:
+        host = context.rng.choice(sorted(context.world.agents))
         context.world.slow_down_links(host, context.world.controller_names, in_order)
     context.at_end(context.world.restore_link_speed)
 
@@ -266,16 +266,16 @@
 
 def hang_machines(context: FaultContext) -> None:
     """Let half of the machines hang."""
-    for worker in context.rng.sample(context.machines, len(context.machines) // 2):
-        worker.hang(context.rng.uniform(4, 20))
+    for agent in context.rng.sample(context.machines, len(context.machines) // 2):
+        agent.hang(context.rng.uniform(4, 20))
 
 
 def hang_machines_of_cancelled_job(context: FaultContext) -> None:
     """Let all machines with tasks of a job hang, and cancel it."""
     job_id = context.random_job_id()
-    for worker in context.machines:
-        if any(task.job_id == job_id for task in worker.tasks.values()):
-            worker.hang(context.rng.uniform(4, 40))
+    for agent in context.machines:
+        if any(task.job_id == job_id for task in agent.tasks.values()):
+            agent.hang(context.rng.uniform(4, 40))
     cancel_job(context.world, context.rng, job_id)
 
 
@@ -313,18 +313,18 @@
     store_refuses_controller,
     isolate_controller,
     cut_store_link,
-    cut_worker_from_controllers,
-    cut_worker_from_controller,
+    cut_agent_from_controllers,
+    cut_agent_from_controller,
     end_machine,
     cloud_outage,
     break_machine,
     cancel_any_job,
     message_loss,
     quick_restart,
-    lose_responses_to_worker,
+    lose_responses_to_agent,
     late_heartbeats,
     restart_all_in_election,
-    lose_all_but_workers,
+    lose_all_but_agents,
     freeze_controller,
     hang_machines,
     isolate_zone,
@@ -336,7 +336,7 @@
     hang_machines_of_cancelled_job,
     slow_store,
 )
-SLOW_LINK_FAULTS = by_name(slow_worker_links, slow_peer_links, slow_service_links, slow_links_of_worker)
+SLOW_LINK_FAULTS = by_name(slow_agent_links, slow_peer_links, slow_service_links, slow_links_of_agent)
 #: What histories are made of in which faults overlap.
 OVERLAPPING_FAULTS = SINGLE_FAULTS | SLOW_LINK_FAULTS
 
@@ -345,5 +345,5 @@
     """Inject the fault of that name."""
     duration = rng.uniform(2, 20) * S
     controller_name = rng.choice(world.controller_names)
-    machines = [worker for worker in world.workers.values() if worker.alive]
+    machines = [agent for agent in world.agents.values() if agent.alive]
     OVERLAPPING_FAULTS[name](FaultContext(world, rng, duration, controller_name, machines))
--- a/tests/virtual/histories.py
+++ b/tests/virtual/histories.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 from ramptide.config.features import Features, QuotaFeature
+from virtual.agent import ENDED, MACHINE_CPUS, Agent, Task
 from virtual.clock import S
 from virtual.faults import OVERLAPPING_FAULTS, SINGLE_FAULTS, inject_fault
 from virtual.observer import Observer
 from virtual.users import Users, submit_job
-from virtual.worker import ENDED, MACHINE_CPUS, Task, Worker
 from virtual.world import World, started_world
 
 #: How long a history is, unless told.
@@ -115,41 +115,39 @@
 
     These have a task that waits although a machine that it may use has room and its team is under its limit.
     """
-    present = [(worker, task) for worker in world.workers.values() if worker.alive for task in worker.tasks.values()]
+    present = [(agent, task) for agent in world.agents.values() if agent.alive for task in agent.tasks.values()]
     job_ids = [key.removeprefix(JOB_PREFIX) for key in world.store.entries if key.startswith(JOB_PREFIX)]
     return {job_id for job_id in job_ids if _is_starved(world, job_id, present)}
 
 
-def _is_starved(world: World, job_id: str, present: list[tuple[Worker, Task]]) -> bool:
+def _is_starved(world: World, job_id: str, present: list[tuple[Agent, Task]]) -> bool:
     spec = world.job_specs[job_id]
-    held = [(worker, task) for worker, task in present if task.status != ENDED]
-    worker_by_index = {task.index: worker for worker, task in present if task.job_id == job_id}
+    held = [(agent, task) for agent, task in present if task.status != ENDED]
+    agent_by_index = {task.index: agent for agent, task in present if task.job_id == job_id}
     finished = {index for finished_job_id, index in world.invariants.finished_tasks if finished_job_id == job_id}
-    waiting_count = spec["pieces"] - len(worker_by_index.keys() | finished)
+    waiting_count = spec["pieces"] - len(agent_by_index.keys() | finished)
     if not waiting_count or not _is_under_team_limit(world, spec, held):
         return False
-    zones = [worker.zone for index, worker in worker_by_index.items() if index not in finished]
-    return any(_fits(world, spec, worker, zones, held) for worker in world.workers.values() if worker.booted)
+    zones = [agent.zone for index, agent in agent_by_index.items() if index not in finished]
+    return any(_fits(world, spec, agent, zones, held) for agent in world.agents.values() if agent.booted)
 
 
-def _is_under_team_limit(world: World, spec: dict[str, Any], held: list[tuple[Worker, Task]]) -> bool:
+def _is_under_team_limit(world: World, spec: dict[str, Any], held: list[tuple[Agent, Task]]) -> bool:
     limit = world.teams[spec["owner"]]
     specs = [world.job_specs[task.job_id] for _, task in held]
     used = sum(other["cores"] for other in specs if other["owner"] == spec["owner"])
     return not limit or used + spec["cores"] <= limit
 
 
-def _fits(
-    world: World, spec: dict[str, Any], worker: Worker, zones: list[str], held: list[tuple[Worker, Task]]
-) -> bool:
+def _fits(world: World, spec: dict[str, Any], agent: Agent, zones: list[str], held: list[tuple[Agent, Task]]) -> bool:
     """Tell whether one more task of a job that has tasks in these zones may start on the machine."""
-    free = MACHINE_CPUS - sum(world.job_specs[task.job_id]["cores"] for holder, task in held if holder is worker)
-    is_allowed = spec.get("yard") in (None, worker.zone) and (spec["loaners"] or not worker.spot)
+    free = MACHINE_CPUS - sum(world.job_specs[task.job_id]["cores"] for holder, task in held if holder is agent)
+    is_allowed = spec.get("yard") in (None, agent.zone) and (spec["loaners"] or not agent.spot)
     if spec["oneZone"]:
-        is_allowed = is_allowed and set(zones) <= {worker.zone}
+        is_allowed = is_allowed and set(zones) <= {agent.zone}
     if spec["spread"]:
-        is_allowed = is_allowed and zones.count(worker.zone) < (spec["pieces"] + 1) // 2
-    return worker.alive and not worker.is_faulty and is_allowed and free >= spec["cores"]
+        is_allowed = is_allowed and zones.count(agent.zone) < (spec["pieces"] + 1) // 2
+    return agent.alive and not agent.is_faulty and is_allowed and free >= spec["cores"]
 
 
 def longest_starvation(world: World, seconds: int) -> tuple[timedelta, str]:
--- a/tests/virtual/indexes.py
+++ b/tests/virtual/indexes.py
@@ -8,7 +8,7 @@
 from ramptide.controller.controller import Controller
 from ramptide.scheduling.attempts import sum_amounts
 from ramptide.scheduling.job_scheduler import JobScheduler
-from virtual.worker import DONE, RUNNING
+from virtual.agent import DONE, RUNNING
 from virtual.world import World
 
 
--- a/tests/virtual/invariants.py
+++ b/tests/virtual/invariants.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
+from virtual.agent import CAPACITY_TOLERANCE, RUNNING, Agent, Task
 from virtual.clock import S
-from virtual.worker import CAPACITY_TOLERANCE, RUNNING, Task, Worker
 
 if TYPE_CHECKING:
     from virtual.world import World
@@ -24,13 +24,13 @@
         #: Called at the moment in which the last task of a job ends well.
         self.on_job_done: Callable[[str], None] = lambda job_id: None
 
-    def running_tasks(self) -> list[tuple[Worker, Task]]:
+    def running_tasks(self) -> list[tuple[Agent, Task]]:
         """Return all tasks that run, with their machines."""
         return [
-            (worker, task)
-            for worker in self.world.workers.values()
-            if worker.may_run_tasks
-            for task in worker.tasks.values()
+            (agent, task)
+            for agent in self.world.agents.values()
+            if agent.may_run_tasks
+            for task in agent.tasks.values()
             if task.status == RUNNING
         ]
 
@@ -44,22 +44,22 @@
         task_count = self.world.job_specs[job_id]["pieces"]
         return all((job_id, index) in self.finished_tasks for index in range(task_count))
 
-    def on_task_started(self, worker: Worker, task: Task) -> None:
+    def on_task_started(self, agent: Agent, task: Task) -> None:
         """Check all invariants at the start of a task."""
         self.start_count += 1
         self.starts_by_job[task.job_id] += 1
         running = self.running_tasks()
-        self._check_runs_once(worker, task, running)
+        self._check_runs_once(agent, task, running)
         self._check_team_limit(task, running)
-        self._check_placement(worker, task, running)
+        self._check_placement(agent, task, running)
         self.check()
 
-    def _check_runs_once(self, worker: Worker, task: Task, running: list[tuple[Worker, Task]]) -> None:
-        for other_worker, other in running:
+    def _check_runs_once(self, agent: Agent, task: Task, running: list[tuple[Agent, Task]]) -> None:
+        for other_agent, other in running:
             if other is not task and other.task_id == task.task_id:
-                self.violations.append(f"ran_twice {task.job_id}/{task.index} on {other_worker.host} and {worker.host}")
+                self.violations.append(f"ran_twice {task.job_id}/{task.index} on {other_agent.host} and {agent.host}")
 
-    def _check_team_limit(self, task: Task, running: list[tuple[Worker, Task]]) -> None:
+    def _check_team_limit(self, task: Task, running: list[tuple[Agent, Task]]) -> None:
         team = self.world.job_specs[task.job_id]["owner"]
         limit = self.world.teams[team]
         specs = [self.world.job_specs[other.job_id] for _, other in running]
@@ -67,14 +67,14 @@
         if limit and used > limit + CAPACITY_TOLERANCE:
             self.violations.append(f"quota {team} {used}")
 
-    def _check_placement(self, worker: Worker, task: Task, running: list[tuple[Worker, Task]]) -> None:
+    def _check_placement(self, agent: Agent, task: Task, running: list[tuple[Agent, Task]]) -> None:
         spec: dict[str, Any] = self.world.job_specs[task.job_id]
-        if (worker.spot and not spec["loaners"]) or spec.get("yard") not in (None, worker.zone):
-            self.violations.append(f"wrong_place {task.job_id} on {worker.host}")
-        zones = [other_worker.zone for other_worker, other in running if other.job_id == task.job_id]
+        if (agent.spot and not spec["loaners"]) or spec.get("yard") not in (None, agent.zone):
+            self.violations.append(f"wrong_place {task.job_id} on {agent.host}")
+        zones = [other_agent.zone for other_agent, other in running if other.job_id == task.job_id]
         if spec["oneZone"] and len(set(zones)) > 1:
             self.violations.append(f"wrong_place {task.job_id}: {zones}")
-        if spec["spread"] and zones.count(worker.zone) > (spec["pieces"] + 1) // 2:
+        if spec["spread"] and zones.count(agent.zone) > (spec["pieces"] + 1) // 2:
             self.violations.append(f"wrong_place {task.job_id}: {zones}")
 
     def check(self) -> None:
@@ -84,13 +84,13 @@
 
     def _check_cancelled_jobs(self) -> None:
         cancel_timeout = self.world.cancel_s * S
-        for worker in self.world.workers.values():
+        for agent in self.world.agents.values():
             # Also on a machine that hangs past its lease: a cancelled task must not go on there afterwards.
-            for task in worker.tasks.values() if worker.alive else ():
+            for task in agent.tasks.values() if agent.alive else ():
                 cancelled_at = self.world.cancelled_at.get(task.job_id)
                 is_late = cancelled_at is not None and self.world.now - cancelled_at > cancel_timeout
                 if is_late and task.status == RUNNING:
-                    self.violations.append(f"ran_cancelled {task.job_id} on {worker.host}")
+                    self.violations.append(f"ran_cancelled {task.job_id} on {agent.host}")
 
     def _check_done_jobs(self) -> None:
         for key, entry in self.world.store.entries.items():
--- a/tests/virtual/loopback.py
+++ b/tests/virtual/loopback.py
@@ -22,10 +22,10 @@
 from ramptide.transport.http.messages import Message
 from ramptide.transport.http.server import Exchange, Server
 from ramptide.transport.runtime import Request, Response
+from virtual.agent import HEARTBEAT_TIMEOUT
 from virtual.network import CLOUD, STORE, Respond, encode_body
 from virtual.node import Node
 from virtual.settings import cluster_settings
-from virtual.worker import HEARTBEAT_TIMEOUT
 from virtual.world import World
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -48,7 +48,7 @@
 
 
 class RemoteNode(Node):
-    """A controller in a process of its own, to which workers send their heartbeats over a socket."""
+    """A controller in a process of its own, to which agents send their heartbeats over a socket."""
 
     def __init__(self, world: "LoopWorld", name: str) -> None:
         super().__init__(world, name)
@@ -85,7 +85,7 @@
         self.outside = {STORE: free_address(), CLOUD: free_address()}
         self._serve(self.outside[STORE], self._handle_store_request)
         self._serve(self.outside[CLOUD], self._handle_cloud_request)
-        self.worker_addresses: dict[str, str] = {}
+        self.agent_addresses: dict[str, str] = {}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         for name in self.controller_names:
             self.nodes[name] = RemoteNode(self, name)
@@ -128,25 +128,25 @@
         self.cloud.handle(request.method, request.target, request.body, respond)
 
     def command_address(self, host: str) -> str:
-        """Return where a worker takes direct commands: each listens on a port of its own."""
-        if host not in self.worker_addresses:
-            self.worker_addresses[host] = address = free_address()
-            self._serve(address, self._worker_handler(host))
-        return self.worker_addresses[host]
+        """Return where an agent takes direct commands: each listens on a port of its own."""
+        if host not in self.agent_addresses:
+            self.agent_addresses[host] = address = free_address()
+            self._serve(address, self._agent_handler(host))
+        return self.agent_addresses[host]
 
-    def _worker_handler(self, host: str) -> Callable[[Message, Respond], None]:
+    def _agent_handler(self, host: str) -> Callable[[Message, Respond], None]:
         def handle(request: Message, respond: Respond) -> None:
             if request.target == COMMANDS_PATH:
-                self.workers[host].handle_commands(json.loads(request.body), respond)
+                self.agents[host].handle_commands(json.loads(request.body), respond)
             else:
-                self.workers[host].inspect(respond)
+                self.agents[host].inspect(respond)
 
         return handle
 
     # The processes.
 
     def users_address(self, name: str) -> str:
-        """Return where a controller takes requests of users and workers."""
+        """Return where a controller takes requests of users and agents."""
         return f"127.0.0.1:{self.ports[name][0]}"
 
     def peer_address(self, name: str) -> str:
--- a/tests/virtual/network.py
+++ b/tests/virtual/network.py
@@ -10,8 +10,8 @@
 from virtual.clock import MS, S, VirtualClock
 
 if TYPE_CHECKING:
+    from virtual.agent import Agent
     from virtual.node import Node
-    from virtual.worker import Worker
 
 #: The addresses of the key-value store and of the cloud.
 STORE, CLOUD = "state", "cloud"
@@ -60,7 +60,7 @@
 
     controller_names: list[str]
     nodes: dict[str, "Node"]
-    workers: dict[str, "Worker"]
+    agents: dict[str, "Agent"]
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__()
@@ -88,7 +88,7 @@
 
     def isolate(self, name: str, *kept: str) -> None:
         """Cut a host off from all others but those that are kept."""
-        for other in [STORE, CLOUD, *self.controller_names, *self.workers]:
+        for other in [STORE, CLOUD, *self.controller_names, *self.agents]:
             if other != name and other not in kept:
                 self.cut_link(name, other)
 
@@ -165,7 +165,7 @@
 
     def _schedule_duplicates(self, source: str, request: Callable[[Respond], None]) -> None:
         """Deliver copies of the request later, for whose responses nobody waits."""
-        if source in self.workers and self.rng.random() < self.late_heartbeat_rate:
+        if source in self.agents and self.rng.random() < self.late_heartbeat_rate:
             # From seconds to well over a lease late.
             self.after(self.rng.uniform(1, 40) * S, lambda: request(ignore_response))
         if self.rng.random() < self.duplication_rate:
--- a/tests/virtual/node.py
+++ b/tests/virtual/node.py
@@ -113,13 +113,13 @@
             world.after_store_delay(lambda: world.store.handle(self.node.name, method, target, body, respond))
         elif address == CLOUD:
             world.cloud.handle(method, target, body, respond)
-        elif address in world.workers:
-            worker = world.workers[address]
+        elif address in world.agents:
+            agent = world.agents[address]
             if target == COMMANDS_PATH:
-                worker.handle_commands(json.loads(body), respond)
+                agent.handle_commands(json.loads(body), respond)
             else:
                 assert (method, target) == ("GET", INSPECT_PATH)
-                worker.inspect(respond)
+                agent.inspect(respond)
         else:
             world.nodes[address].deliver_peer_message(body, respond)
 
@@ -187,7 +187,7 @@
             self.dispatch(runtime, lambda: call(controller), deferrable)
 
     def deliver_heartbeat(self, body: bytes, respond: Respond) -> None:
-        """Let a worker's heartbeat reach the process."""
+        """Let an agent's heartbeat reach the process."""
         observed_respond = self.world.observed(self.name, respond)
 
         def handle(controller: Controller) -> None:
--- a/tests/virtual/observer.py
+++ b/tests/virtual/observer.py
@@ -21,4 +21,4 @@
         """Take a call to another host; `kind` is the content type of its body."""
 
     def answered(self, now: timedelta, sender: str, status: int, body: bytes, headers: dict[str, str]) -> None:
-        """Take a response to a user, a worker or a peer."""
+        """Take a response to a user, an agent or a peer."""
--- a/tests/virtual/scenarios.py
+++ b/tests/virtual/scenarios.py
@@ -1,7 +1,7 @@
 """Worlds in a known state, and steps that several tests take in them."""
 
+from virtual.agent import AttemptKey
 from virtual.clock import S
-from virtual.worker import AttemptKey
 from virtual.world import World, started_world
 
 
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -12,6 +12,7 @@
 
 from ramptide.config.features import Features
 from ramptide.controller.controller import Controller
+from virtual.agent import Agent
 from virtual.cloud import Cloud
 from virtual.invariants import InvariantChecker
 from virtual.jobs import job_spec
@@ -19,7 +20,6 @@
 from virtual.network import VirtualNetwork
 from virtual.node import Node
 from virtual.observer import Observer
-from virtual.worker import Worker
 
 
 class World(VirtualNetwork):
@@ -53,7 +53,7 @@
         self.invariants = InvariantChecker(self)
         self.controller_names = [f"c{n}" for n in range(members)]
         self.nodes: dict[str, Node] = {name: Node(self, name) for name in self.controller_names}
-        self.workers: dict[str, Worker] = {}
+        self.agents: dict[str, Agent] = {}
         # What users know.
         self.job_specs: dict[str, dict[str, Any]] = {}
         self.accepted_jobs: set[str] = set()
@@ -64,7 +64,7 @@
         self.failure_delays: dict[str, float] = {}
 
     def command_address(self, host: str) -> str:
-        """Return where a worker takes direct commands."""
+        """Return where an agent takes direct commands."""
         return host
 
     def observed(self, controller_name: str, respond: Callable[..., None]) -> Callable[..., None]:
--- a/tools/behavior_digest.py
+++ b/tools/behavior_digest.py
@@ -51,7 +51,7 @@
         self._add("call", now, sender, address, method, target, kind, body, timeout)
 
     def answered(self, now: timedelta, sender: str, status: int, body: bytes, headers: dict[str, str]) -> None:
-        """Add an answer to a user, a worker or a peer."""
+        """Add an answer to a user, an agent or a peer."""
         self._add("answer", now, sender, status, body, len(headers))
         for name, value in headers.items():
             self._add(name, value)
--- a/tools/measure_quota.py
+++ b/tools/measure_quota.py
@@ -20,7 +20,7 @@
 from ramptide.state.amounts import NO_LIMIT, NOTHING, UNITS, Amounts
 from ramptide.team_limits.split_policy import ProportionalSplit, SplitPolicy
 from test_quota import send
-from virtual import S, Task, Worker, World, started_world
+from virtual import Agent, S, Task, World, started_world
 
 SECONDS = 60
 SAMPLE_S = 0.05
@@ -76,9 +76,9 @@
     first_start: dict[str, timedelta] = {}
     begun = world.invariants.on_task_started
 
-    def starting(worker: Worker, task: Task) -> None:
+    def starting(agent: Agent, task: Task) -> None:
         first_start.setdefault(task.job_id, world.now)
-        begun(worker, task)
+        begun(agent, task)
 
     world.invariants.on_task_started = starting  # type: ignore[method-assign]
     before = Counter(world.call_counts)
