--- a/src/ramptide/scheduling/attempts_in_transfer.py
+++ b/src/ramptide/scheduling/attempts_in_transfer.py
@@ -33,6 +33,9 @@
 
         `confirmed_tasks` returns its list for a machine, None while that proves nothing.
         """
+        if not self._by_job:
+            # By far the most calls: this runs for each message of each owner.
+            return
 
         def may_be_there(attempt: Attempt) -> bool:
             tasks = confirmed_tasks(attempt.host)
