--- a/src/ramptide/controller/__init__.py
+++ b/src/ramptide/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller: it wires the parts together, routes events to them and runs the decision loop."""
+"""One controller: connects its parts, routes events to them and runs the decision loop."""
--- a/src/ramptide/controller/administration.py
+++ b/src/ramptide/controller/administration.py
@@ -10,7 +10,10 @@
 
 
 def build_admin_api(controller: Controller, process: ProcessStatistics | None = None) -> AdminApi:
-    """Return the API of a controller; `process`: the statistics of its process, where some are kept."""
+    """Return the administration API of a controller.
+
+    `process`: the statistics of its process; None where none are kept.
+    """
     runtime, state = controller.runtime, controller.state
     team_usage = TeamUsageReport(runtime, state, controller.cluster_usage)
     autoscaler = controller.fleet_manager.autoscaler
@@ -36,7 +39,7 @@
     )
 
     def metrics() -> tuple[bytes, str]:
-        # Imported on the first call: the Prometheus client would double the time that a start takes.
+        # Imported on the first call, as importing the Prometheus client doubles the start time of a controller.
         from ramptide.api.metrics import MetricsCollector
 
         collector = MetricsCollector(
--- a/src/ramptide/controller/assignments.py
+++ b/src/ramptide/controller/assignments.py
@@ -1,4 +1,4 @@
-"""Which jobs this controller schedules and which machines it owns, kept up to date with records and peer messages."""
+"""Keeps the jobs of this controller's scheduler and the machines of its shard up to date with records and messages."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -16,7 +16,7 @@
 
 
 class Assignments:
-    """Hands jobs to our scheduler and machines to our shard, and takes them back."""
+    """Adds jobs to the local scheduler and machines to the local shard, updates and removes them."""
 
     def __init__(
         self, runtime: Runtime, state: ControllerState, machine_index: MachineIndex, result_writer: ResultWriter
@@ -25,17 +25,15 @@
         self._state = state
         self._machine_index = machine_index
         self._result_writer = result_writer
-        #: Jobs that are over by the word of other controllers, and that our watch cache still shows.
+        #: Jobs that other controllers reported as finished and that the local watch cache still shows.
         self._finished_elsewhere: set[str] = set()
 
-    # Jobs.
-
     def is_finished_elsewhere(self, job_id: str) -> bool:
-        """Tell whether another controller knows that the job is over while our watch cache still shows it."""
+        """Return whether another controller reported the job as finished while the local watch cache still shows it."""
         return job_id in self._finished_elsewhere
 
     def assign(self, job: Job) -> None:
-        """Take a job that we schedule, or its changed record; let go of one that another member schedules."""
+        """Add or update a job that this controller schedules; release one that another member schedules."""
         scheduler = self._state.scheduler
         if scheduler is None:
             return
@@ -47,18 +45,18 @@
         if is_known:
             scheduler.results_recorded(job.job_id)
             return
-        # The lists of the other members that we have may be from before we became its scheduler, yet satisfy all that a
-        # handover waits for: what they show of the job is taken over before anything is started.
+        # The machines' statuses from other members may date from before this controller became the job's scheduler and
+        # yet satisfy all that a handover waits for, so the tasks that they show are applied before any task is started.
         for host in self._machine_index.hosts_of_job(job.job_id):
             self._apply_status(scheduler, host)
 
-    def job_deleted(self, job_id: str) -> None:
-        """Drop a job whose record is gone."""
+    def on_job_deleted(self, job_id: str) -> None:
+        """Drop a job whose record was deleted."""
         self._finished_elsewhere.discard(job_id)
         self._drop_job(job_id)
 
     def drop_finished(self, job_ids: list[str]) -> None:
-        """Drop jobs that another controller knows to be over and that our watch cache still shows.
+        """Drop jobs that another controller reports as finished and that the local watch cache still shows.
 
         Their users may have been told so already.
         """
@@ -78,15 +76,13 @@
         if self._state.shard is not None:
             self._state.shard.job_finished(job_id)
 
-    # Machines.
-
-    def own(
+    def add_owned_machine(
         self, host: str, record: MachineRecord, last_possible_replies: Mapping[str, timedelta] | None = None
     ) -> None:
-        """Add a machine to our shard, or take its changed record, if we own it.
+        """Add a machine to the local shard, or apply its changed record, if this controller owns it.
 
-        `last_possible_replies`: when anybody can have replied to it at the latest, by machine, as far as we know from
-        the view before.
+        `last_possible_replies`: by machine, the latest time at which any controller can have replied to its agent, as
+        far as it is known from the previous view.
         """
         state = self._state
         if state.shard is None or state.view is None or state.owner_of(host) != state.member:
@@ -94,11 +90,11 @@
         observed = self._machine_index.machines.get(host)
         images = observed.images if observed is not None else []
         machine_type = state.machine_types.get(record.machine_type)
-        until = (last_possible_replies or {}).get(host)
-        state.shard.add_machine(host, record, machine_type, self._runtime.now, images, until)
+        last_possible_reply = (last_possible_replies or {}).get(host)
+        state.shard.add_machine(host, record, machine_type, self._runtime.now, images, last_possible_reply)
 
-    def update_machine(self, host: str, status: MachineStatus | None) -> None:
-        """Take a machine's status from its owner's message; None when the owner has no such machine."""
+    def apply_machine_status(self, host: str, status: MachineStatus | None) -> None:
+        """Apply a machine's status from its owner's message; None when the owner has no such machine."""
         self._machine_index.update(host, status, self._runtime.now)
         if status is None:
             return
--- a/src/ramptide/controller/authority.py
+++ b/src/ramptide/controller/authority.py
@@ -1,4 +1,4 @@
-"""Proof of membership: whether this controller may renew leases, reply to agents and start tasks."""
+"""Decides by proofs of membership whether this controller may renew leases, reply to agents and start tasks."""
 
 from datetime import timedelta
 from typing import Protocol
@@ -12,16 +12,16 @@
 
 __all__ = ["Authority"]
 
-#: How old the proof of our view may be when a task is started.
+#: The maximum age of the proof that the view is the current one, when a task is started.
 MAX_START_PROOF_AGE = timedelta(seconds=2.5)
-#: How old the agreement that nobody reaches the key-value store may be for a controller to count as healthy.
+#: The maximum age of the agreement that no controller reaches the key-value store, for this one to count as healthy.
 MAX_HEALTHY_AGREEMENT_AGE = timedelta(seconds=3)
-#: For how long an outage of the key-value store that others do not see is no fault yet.
-HEALTHY_WITHOUT_STORE = timedelta(seconds=4)
+#: How long the key-value store may be unreachable for this controller alone before it counts as unhealthy.
+MAX_HEALTHY_STORE_OUTAGE = timedelta(seconds=4)
 
 
 class ViewSource(Protocol):
-    """The view that this controller acts in."""
+    """Provides the view that this controller acts in."""
 
     @property
     def view(self) -> View | None:
@@ -29,12 +29,12 @@
 
 
 class Authority:
-    """Answers what this controller may do now.
+    """Decides what this controller may do now.
 
     Parameters
     ----------
     max_renewal_proof_age
-        For how long after the last proof of membership leases may be renewed.
+        How long after the last proof of membership the leases of agents may be renewed.
     """
 
     def __init__(
@@ -54,31 +54,31 @@
         self._max_renewal_proof_age = max_renewal_proof_age
 
     def common_conditions(self) -> dict[str, int]:
-        """Return the conditions that every transaction of this controller has, as modification revisions by key."""
+        """Return the conditions of every transaction of this controller, as modification revisions by key."""
         return {VIEW_KEY: self._membership.view_revision}
 
     def may_renew(self) -> bool:
-        """Tell whether leases of agents may still be renewed.
+        """Return whether the leases of agents may still be renewed.
 
-        Others rely on this ending `max_renewal_proof_age` after our lease in the key-value store was last found alive
-        (`Fencing.others_fenced_at`).
+        Other controllers rely on renewals ending `max_renewal_proof_age` after this controller's lease in the key-value
+        store was last found alive (`Fencing.others_fenced_at`).
         """
         return self._is_proven_within(self._max_renewal_proof_age, self._lease_proof())
 
     def may_reply(self) -> bool:
-        """Tell whether we may reply to agents: we serve in the newest view known, and may renew leases."""
+        """Return whether agents may be replied to: this controller serves in the newest known view, and may renew."""
         if not self._membership.is_serving or not self.may_renew():
             return False
-        # Another controller acts in a newer view. Its agents must find their new owners, not us.
+        # When another controller acts in a newer view, agents must find their new owners there instead of this one.
         view = self._state.view
         return view is not None and self._peers.newest_view <= view.number
 
     def may_start(self) -> bool:
-        """Tell whether tasks may be started: we may reply to agents, and our view was proven recently."""
+        """Return whether tasks may be started: agents may be replied to, and the view was proven current recently."""
         return self.may_reply() and self._is_proven_within(MAX_START_PROOF_AGE, self._view_proof())
 
     def is_healthy(self) -> bool:
-        """Tell whether requests can be accepted.
+        """Return whether requests can be accepted.
 
         An unreachable key-value store counts as a fault only when other controllers reach it.
         """
@@ -88,32 +88,32 @@
         if not self._watch_cache.is_unavailable:
             return True
         now, agreed_since = self._runtime.now, self._peers.unavailable_agreed_since()
-        is_alone = agreed_since is None or now - agreed_since > MAX_HEALTHY_AGREEMENT_AGE
-        return not is_alone or now - current_as_of < HEALTHY_WITHOUT_STORE
+        is_outage_local = agreed_since is None or now - agreed_since > MAX_HEALTHY_AGREEMENT_AGE
+        return not is_outage_local or now - current_as_of < MAX_HEALTHY_STORE_OUTAGE
 
-    def _is_proven_within(self, age: timedelta, proof: timedelta | None) -> bool:
-        return proof is not None and self._runtime.now - proof < age
+    def _is_proven_within(self, max_age: timedelta, proof: timedelta | None) -> bool:
+        return proof is not None and self._runtime.now - proof < max_age
 
     def _view_proof(self) -> timedelta | None:
-        """Return the time of the last proof that our view is the current one, or None without any.
+        """Return the time of the last proof that the local view is the current one, or None without any.
 
-        The proof is an answer of the key-value store, or the replies of all other members that they cannot reach it
-        either, so that nobody can have written a newer view.
+        The proof is an answer of the key-value store, or the replies of all other controllers that they cannot reach it
+        either, so that none of them can have written a newer view.
         """
-        agreed = self._peers.unavailable_agreed_since() if self._watch_cache.is_unavailable else None
-        return _latest(self._watch_cache.current_as_of, agreed)
+        agreed_since = self._peers.unavailable_agreed_since() if self._watch_cache.is_unavailable else None
+        return _latest(self._watch_cache.current_as_of, agreed_since)
 
     def _lease_proof(self) -> timedelta | None:
-        """Return the last time such that, until `LEASE_TIMEOUT` later, nobody can have removed us from the view.
+        """Return the latest time from which, for `LEASE_TIMEOUT`, no leader can have removed this member from the view.
 
-        Our lease in the key-value store was alive then. While nobody reaches the store it is not known whether the
-        lease is alive, only that we have not been removed yet.
+        This controller's lease in the key-value store was alive at that time. While no controller reaches the store, it
+        is not known whether the lease is alive, only that this controller has not been removed yet.
         """
-        agreed = self._peers.unavailable_agreed_since()
-        current, kept = self._watch_cache.current_as_of, self._membership.lease_kept_at
-        proof = min(current, kept) if current is not None and kept is not None else None
-        return _latest(proof, agreed - LEASE_TIMEOUT if agreed is not None else None)
+        agreed_since = self._peers.unavailable_agreed_since()
+        current, lease_proof = self._watch_cache.current_as_of, self._membership.lease_kept_at
+        proof = min(current, lease_proof) if current is not None and lease_proof is not None else None
+        return _latest(proof, agreed_since - LEASE_TIMEOUT if agreed_since is not None else None)
 
 
-def _latest(*moments: timedelta | None) -> timedelta | None:
-    return max((moment for moment in moments if moment is not None), default=None)
+def _latest(*times: timedelta | None) -> timedelta | None:
+    return max((time for time in times if time is not None), default=None)
--- a/src/ramptide/controller/availability.py
+++ b/src/ramptide/controller/availability.py
@@ -1,4 +1,4 @@
-"""What this controller cannot reach at the moment, for the status, the health check and the log."""
+"""Finds what this controller cannot reach at present, for the status, the health check and the log."""
 
 import logging
 from datetime import timedelta
@@ -19,12 +19,12 @@
 log = logging.getLogger(__name__)
 
 LOG_INTERVAL = timedelta(seconds=1)
-#: A controller that has not answered for so long counts as unavailable.
+#: A controller that has not replied for this long counts as unavailable.
 PEER_TIMEOUT = timedelta(seconds=5)
 
 
 class ShardSource(Protocol):
-    """The view that this controller acts in, and the machines that it owns there."""
+    """Provides the view that this controller acts in, and the machines that it owns there."""
 
     @property
     def view(self) -> View | None:
@@ -32,11 +32,11 @@
 
     @property
     def shard(self) -> Shard | None:
-        """The machines that we own; None without a place in the view."""
+        """The machines that this controller owns; None without a place in the view."""
 
 
 class PeerFreshness:
-    """Tells which members were heard recently."""
+    """Determines which members were heard recently."""
 
     def __init__(self, runtime: Runtime, member: str, peers: Peers, heartbeat_interval: timedelta) -> None:
         self._runtime = runtime
@@ -57,7 +57,7 @@
 
 
 class Availability:
-    """Names the dependencies that this controller does without, and logs each change of them."""
+    """Lists the dependencies that are unavailable to this controller, and logs each change of that list."""
 
     def __init__(
         self,
@@ -76,28 +76,28 @@
         self._watch_cache = watch_cache
         self._peers = peers
         self._stall_detector = stall_detector
-        self._logged: list[str] = []
+        self._logged_dependencies: list[str] = []
 
     def start(self) -> None:
-        """Begin to log changes; repeats until the process ends."""
+        """Start to log changes, until the process ends."""
         self._runtime.after(LOG_INTERVAL, self._log_changes)
 
     def unavailable_dependencies(self) -> list[str]:
-        """Return what this controller cannot reach or does not have now, in words for the operators."""
-        found = []
+        """Return what this controller cannot reach or does not have at present, as text for operators."""
+        unavailable = []
         if self._watch_cache.is_unavailable:
-            found.append("state service")
+            unavailable.append("state service")
         if not self._has_place_in_view():
-            found.append("place in the view")
-        found += [f"controller {name}" for name in self._unavailable_peers()]
+            unavailable.append("place in the view")
+        unavailable += [f"controller {name}" for name in self._unavailable_peers()]
         if self._has_lost_all_machines():
-            found.append("all its machines")
-        return found
+            unavailable.append("all its machines")
+        return unavailable
 
     def _has_place_in_view(self) -> bool:
         view = self._state.view
-        is_left_out = view is not None and self._peers.newest_view > view.number
-        return self._membership.is_serving and not is_left_out
+        has_newer_view = view is not None and self._peers.newest_view > view.number
+        return self._membership.is_serving and not has_newer_view
 
     def _unavailable_peers(self) -> list[str]:
         now = self._runtime.now
@@ -109,15 +109,19 @@
 
     def _has_lost_all_machines(self) -> bool:
         shard = self._state.shard
-        up = [machine for machine in shard.machines.values() if machine.is_up] if shard is not None else []
-        return bool(up) and self._authority.may_reply() and all(machine.missed_heartbeats for machine in up)
+        machines_up = [machine for machine in shard.machines.values() if machine.is_up] if shard is not None else []
+        return (
+            bool(machines_up)
+            and self._authority.may_reply()
+            and all(machine.missed_heartbeats for machine in machines_up)
+        )
 
     def _log_changes(self) -> None:
         self._runtime.after(LOG_INTERVAL, self._log_changes)
         if self._stall_detector.has_stalled(self._runtime.now, LOG_INTERVAL):
-            # What the others said meanwhile is still to be read.
+            # The messages that other controllers sent during the stall are still to be read.
             return
         unavailable = self.unavailable_dependencies()
-        if unavailable != self._logged:
-            self._logged = unavailable
+        if unavailable != self._logged_dependencies:
+            self._logged_dependencies = unavailable
             log.info("dependencies changed: unavailable=%r", ", ".join(unavailable) or "none")
--- a/src/ramptide/controller/controller.py
+++ b/src/ramptide/controller/controller.py
@@ -1,7 +1,7 @@
-"""One controller: its parts, and what connects them.
+"""One controller: builds its parts and connects them.
 
-Nothing is decided here. Read `state` for what a controller knows, `store_events` and `view_change` for how that
-changes, `decision_loop` for what follows from it, and `authority` for what it may do.
+This module decides nothing. See `state` for what a controller knows, `store_events` and `view_change` for how that
+changes, `decision_loop` for the decisions that follow from it, and `authority` for what the controller may do.
 """
 
 import logging
@@ -74,13 +74,13 @@
     Parameters
     ----------
     runtime
-        Clock, timers and HTTP calls.
+        The clock, the timers and the HTTP calls.
     settings
         The settings file.
     incarnation
-        The name of this process, which no other process ever has.
+        The unique name of this process, which is never used again.
     features
-        The features that are on; without them all are off.
+        The features that are switched on; None when all are off.
     """
 
     def __init__(
@@ -92,11 +92,16 @@
         self.state = ControllerState.of_cluster(settings.member, cluster)
         self.telemetry = Telemetry()
         self._build_shared_state(settings, incarnation)
-        self._build_proofs()
+        self._build_authority()
         self.quota = self._build_quota_exchange() if features is not None and features.quota.enabled else None
         self._build_scheduling()
         self.share_split = ShareSplit(
-            self.state, self.membership, self.peers, self.reconciliation.may_start_job, self.shares.take, self.quota
+            self.state,
+            self.membership,
+            self.peers,
+            self.reconciliation.may_start_job,
+            self.shares.apply_grant,
+            self.quota,
         )
         self.limit_table = self._build_limit_table(self.quota) if self.quota is not None else None
         self.job_api = JobApi(
@@ -118,10 +123,10 @@
         self._build_autoscaling(timedelta(seconds=cluster.cloud.list_lag_s))
         self._build_control_loops()
 
-    # The parts, from what they rest on to what rests on them.
+    # The methods below build the parts in the order of their dependencies.
 
     def _build_shared_state(self, settings: Settings, incarnation: str) -> None:
-        """Build the clients and the copies of what others know: watch cache, membership, peers, observed machines."""
+        """Build the clients and the parts that hold shared state: watch cache, membership, peers, observed machines."""
         runtime, state, cluster = self.runtime, self.state, settings.cluster
         controllers = cluster.controllers
         self.machine_index = MachineIndex(state.machines, state.machine_types, state.jobs, self._own_attempts)
@@ -138,8 +143,8 @@
         self.cluster_usage = ClusterUsage(state, self.peers)
         self.shares = QuotaShares(state)
 
-    def _build_proofs(self) -> None:
-        """Build what tells whether this controller may act, and on what."""
+    def _build_authority(self) -> None:
+        """Build the parts that decide whether this controller may act, and on which machines and jobs."""
         runtime, state, timings = self.runtime, self.state, self.timings
         self.authority = Authority(
             runtime, state, self.membership, self.watch_cache, self.peers, timings.max_renewal_proof_age
@@ -161,7 +166,7 @@
         self.commit_batcher = CommitBatcher(self.store, self.authority.common_conditions)
 
     def _build_quota_exchange(self) -> "QuotaExchange":
-        """Build the exchange of shares; where the feature is off it is not even imported."""
+        """Build the exchange of quota shares, which is imported only where the feature is on."""
         from ramptide.quota.share_exchange import QuotaExchange
 
         exchange = QuotaExchange(self.state, self.membership, self.peers, self.cluster_usage, self.shares.refresh)
@@ -344,7 +349,7 @@
         )
 
     def start(self) -> None:
-        """Start to follow the key-value store, apply for membership and begin the rounds."""
+        """Start to follow the key-value store, to apply for membership and to run the decision loop."""
         log.info("starting: member=%s incarnation=%s", self.state.member, self.membership.incarnation)
         self.watch_cache.start()
         self.membership.start()
@@ -356,7 +361,7 @@
         """Return whether requests can be accepted, and what this controller cannot reach."""
         return HealthReply(self.authority.is_healthy(), self.availability.unavailable_dependencies())
 
-    # Events whose receivers are built later than their sources.
+    # The callbacks below pass events on to parts that are built later than the sources of the events.
 
     def _own_attempts(self, host: str) -> Collection[Attempt]:
         scheduler = self.state.scheduler
--- a/src/ramptide/controller/decision_loop.py
+++ b/src/ramptide/controller/decision_loop.py
@@ -1,4 +1,4 @@
-"""The decision loop: rounds in which everything is decided from all that came in."""
+"""The decision loop: rounds that decide on starts, preemptions and handovers from all that was received before."""
 
 from datetime import timedelta
 from typing import Protocol
@@ -11,7 +11,7 @@
 from ramptide.controller.assignments import Assignments
 from ramptide.controller.authority import Authority
 from ramptide.controller.fencing import Fencing
-from ramptide.controller.peer_messages import acknowledge_desired
+from ramptide.controller.peer_messages import apply_acknowledgement
 from ramptide.controller.reconciliation import Reconciliation
 from ramptide.controller.replication import Replication
 from ramptide.controller.state import ControllerState
@@ -25,10 +25,11 @@
 
 __all__ = ["DecisionLoop"]
 
-#: The pause between two rounds while something changes, and while nothing does.
+#: The pause between two rounds while there are changes to process.
 ROUND_INTERVAL = timedelta(milliseconds=50)
+#: The pause between two rounds while there are none.
 IDLE_ROUND_INTERVAL = timedelta(milliseconds=100)
-#: What changes only with time is processed this often.
+#: How often a round also processes what changes only with time, such as leases that run out.
 SLOW_ROUND_INTERVAL = timedelta(milliseconds=300)
 
 
@@ -36,18 +37,18 @@
     """The operators' changes of team limits, where the quota feature is on."""
 
     def review(self) -> None:
-        """As leader, bring pending changes into force."""
+        """As leader, bring pending changes of limits into force."""
 
 
 class QuotaReview(Protocol):
-    """The quota feature, which passes on shares in each round."""
+    """The quota feature, which transfers shares in each round."""
 
     def review(self, scheduler: JobScheduler, now: timedelta) -> None:
-        """Pass on what others are short of, and ask for what we are short of."""
+        """Transfer spare share to members that are short of it, and request what this controller is short of."""
 
 
 class DecisionLoop:
-    """Runs a round after the other; with no place in the view it only tells the other controllers that it is there."""
+    """Runs one round after another; without a place in the view, it only shows others that it is alive."""
 
     def __init__(
         self,
@@ -89,38 +90,38 @@
         self._last_slow_round = timedelta(0)
 
     def start(self) -> None:
-        """Run a round now and plan the next one; repeats until the process ends."""
+        """Run a round now and schedule the next one, until the process ends."""
         now = self._runtime.now
         self._telemetry.stall_detector.begin(now)
         scheduler, shard = self._state.scheduler, self._state.shard
         if scheduler is None or shard is None or self._state.view is None:
-            self._plan_next(IDLE_ROUND_INTERVAL)
-            self._replication.send_outside()
+            self._schedule_next(IDLE_ROUND_INTERVAL)
+            self._replication.send_without_place()
             return
-        is_slow = now - self._last_slow_round >= SLOW_ROUND_INTERVAL
+        is_slow_round = now - self._last_slow_round >= SLOW_ROUND_INTERVAL
         has_changes = scheduler.needs_round or bool(shard.changed_hosts)
-        self._plan_next(ROUND_INTERVAL if has_changes else IDLE_ROUND_INTERVAL)
+        self._schedule_next(ROUND_INTERVAL if has_changes else IDLE_ROUND_INTERVAL)
         self._heartbeats.reply_to_held(now)
-        if is_slow or has_changes:
-            self._run_round(scheduler, shard, now, is_slow)
+        if is_slow_round or has_changes:
+            self._run_round(scheduler, shard, now, is_slow_round)
         self._replication.send(scheduler, shard, now)
 
-    def _plan_next(self, delay: timedelta) -> None:
+    def _schedule_next(self, delay: timedelta) -> None:
         self._telemetry.stall_detector.plan(self._runtime.now + delay)
         self._runtime.after(delay, self.start)
 
-    def _run_round(self, scheduler: JobScheduler, shard: Shard, now: timedelta, is_slow: bool) -> None:
-        """Process what changed; what changes only with time is processed in slow rounds."""
+    def _run_round(self, scheduler: JobScheduler, shard: Shard, now: timedelta, is_slow_round: bool) -> None:
+        """Process what changed; what changes only with time is processed only in slow rounds."""
         scheduler.needs_round = False
-        if is_slow:
+        if is_slow_round:
             self._last_slow_round = now
             self._process_passed_time(scheduler, shard, now)
-        changed = shard.take_changed()
-        for host in changed:
-            self._assignments.update_machine(host, shard.status(host, now))
+        changed_machines = shard.take_changed()
+        for host in changed_machines:
+            self._assignments.apply_machine_status(host, shard.status(host, now))
         own_acknowledged = shard.desired_states.acknowledged.get(self._state.member, 0)
-        acknowledge_desired(self._state, self._machine_index, scheduler, self._state.member, own_acknowledged)
-        self._reconciliation.check()
+        apply_acknowledgement(self._state, self._machine_index, scheduler, self._state.member, own_acknowledged)
+        self._reconciliation.update_reconciled()
         if self._authority.may_start():
             self._placement_round.run(scheduler, now)
             self._preemptor.run(scheduler, now)
@@ -129,12 +130,12 @@
             self._limit_table.review()
         if self._quota is not None:
             self._quota.review(scheduler, now)
-        self._replication.mark(scheduler, shard, changed)
+        self._replication.mark(scheduler, shard, changed_machines)
         self._heartbeats.reply_to_held(now)
         self._result_writer.flush(scheduler, now)
 
     def _process_passed_time(self, scheduler: JobScheduler, shard: Shard, now: timedelta) -> None:
         expired = shard.leases.expire(now, self._fencing.others_fenced_at())
         self._telemetry.take_expired_leases(expired, confirmed=self._authority.may_reply())
-        self._agent_connectivity.check(shard)
+        self._agent_connectivity.step_down_if_cut_off(shard)
         stop_on_draining_machines(scheduler, self._state.machines, self._machine_index.machines)
--- a/src/ramptide/controller/errors.py
+++ b/src/ramptide/controller/errors.py
@@ -4,11 +4,11 @@
 
 
 class ControllerError(RuntimeError):
-    """A call that the controller's state does not allow; a fault of the caller, not of what came in."""
+    """A call that the controller's state does not allow: an error of the caller, not of received data."""
 
 
 class NoViewError(ControllerError):
-    """No membership view is known yet, so nobody owns anything. Ask again after the first view change."""
+    """No membership view is known yet, so no machine has an owner. The call is possible after the first view change."""
 
 
 class NoPlaceInViewError(ControllerError):
--- a/src/ramptide/controller/fencing.py
+++ b/src/ramptide/controller/fencing.py
@@ -1,4 +1,4 @@
-"""When members of earlier views can no longer have replied to an agent, and which processes remember cancellations."""
+"""Tracks until when members of earlier views can have replied to agents, and which processes know of cancellations."""
 
 from datetime import timedelta
 from typing import Protocol
@@ -17,7 +17,7 @@
 
 
 class FencingState(Protocol):
-    """The view that this controller acts in."""
+    """Provides the view that this controller acts in."""
 
     @property
     def member(self) -> str:
@@ -25,60 +25,66 @@
 
     @property
     def view_since(self) -> timedelta:
-        """When this controller took the view."""
+        """When this controller adopted the view."""
 
     def require_view(self) -> View:
         """Return the current view; raises when there is none."""
 
 
 class Fencing:
-    """Tracks when each other member has surely stopped to act in an earlier view."""
+    """Tracks when each other member has certainly stopped to act in an earlier view."""
 
     def __init__(self, runtime: Runtime, state: FencingState, peers: Peers, max_renewal_proof_age: timedelta) -> None:
         self._runtime = runtime
         self._state = state
         self._peers = peers
-        # Counted from the moment at which the member was left out: its lease had run out by then, so it was last found
-        # alive `LEASE_TIMEOUT` before.
-        self._authority_left = max_renewal_proof_age - LEASE_TIMEOUT / CLOCK_DRIFT
-        self._heard_in_view: dict[str, timedelta] = {}
+        # How long a member that was left out of the view may still renew leases, counted from when it was left out. Its
+        # lease had run out by then, so it was last found alive `LEASE_TIMEOUT` before.
+        self._max_remaining_authority = max_renewal_proof_age - LEASE_TIMEOUT / CLOCK_DRIFT
+        self._first_message_at: dict[str, timedelta] = {}
         self._unfenced_since: dict[tuple[str, str], timedelta] = {}
 
-    def new_view(self, view: View, follows: bool) -> None:
-        """Start anew in a new view; what is known of the view just before still holds, if it `follows` that."""
-        known = self._unfenced_since if follows else {}
+    def on_new_view(self, view: View, is_direct_successor: bool) -> None:
+        """Start to track the members of a new view.
+
+        `is_direct_successor`: whether it directly follows the view known before, so that what is known of that still
+        holds.
+        """
+        known = self._unfenced_since if is_direct_successor else {}
         now = self._runtime.now
         self._unfenced_since = {process: known.get(process, now) for process in view.unfenced.items()}
-        self._heard_in_view.clear()
+        self._first_message_at.clear()
 
-    def note_heard(self, member: str) -> None:
-        """Note the first message of a member in this view: it acts in no earlier one any more."""
-        self._heard_in_view.setdefault(member, self._runtime.now)
+    def record_first_message(self, member: str) -> None:
+        """Record the time of a member's first message in this view, after which it acts in no earlier one."""
+        self._first_message_at.setdefault(member, self._runtime.now)
 
     def others_fenced_at(self) -> timedelta | None:
         """Return the time after which no member of an earlier view can have replied to a heartbeat.
 
-        None while some member of this view has not been heard.
+        None while some member of this view has not sent a message in it.
         """
         view = self._state.require_view()
-        ends = [self._state.view_since]
+        fenced_at = [self._state.view_since]
         for member, incarnation in view.unfenced.items():
-            proof = self._peers.no_replies_after(member, incarnation, view.number)
-            ends.append(proof if proof is not None else self._authority_end(member, incarnation))
+            last_possible_reply = self._peers.no_replies_after(member, incarnation, view.number)
+            fenced_at.append(
+                last_possible_reply if last_possible_reply is not None else self._end_of_authority(member, incarnation)
+            )
         for member in view.members:
             if member == self._state.member:
                 continue
-            if member not in self._heard_in_view:
+            if member not in self._first_message_at:
                 return None
-            ends.append(self._heard_in_view[member])
-        return max(ends)
+            fenced_at.append(self._first_message_at[member])
+        return max(fenced_at)
 
-    def _authority_end(self, member: str, incarnation: str) -> timedelta:
-        return self._unfenced_since[(member, incarnation)] + self._authority_left
+    def _end_of_authority(self, member: str, incarnation: str) -> timedelta:
+        return self._unfenced_since[(member, incarnation)] + self._max_remaining_authority
 
 
 class SurvivingPeers:
-    """Keeps count of the processes left that know what was cancelled before this one started.
+    """Tracks which other processes are left that know what was cancelled before this process started.
 
     When none is left, a silent machine may still run a task whose cancellation is due at any moment, so it is returned
     as soon as it is known to be silent.
@@ -94,7 +100,7 @@
         self._survivors: dict[str, str] | None = None
 
     def new_view(self, view: View) -> None:
-        """Leave out the processes that are no longer in the view."""
+        """Drop the processes that are no longer in the view."""
         known = view.members if self._survivors is None else self._survivors
         self._survivors = {
             name: incarnation
@@ -109,10 +115,10 @@
     def unconfirmed_since(self) -> timedelta:
         """Return since when a task of a finished job may be on a machine that was in use before this process started.
 
-        What was cancelled before may be due soon, so a silent machine is given the time of one lease, and none when no
-        process is left that knows what was cancelled.
+        The deadline of a task that was cancelled before may be close, so a silent machine is given the time of one
+        lease before it is returned, and none when no process is left that knows what was cancelled.
         """
-        nobody_left = self._survivors is not None and not self._survivors
+        has_no_survivors = self._survivors is not None and not self._survivors
         one_lease = self._timings.lease_duration * CLOCK_DRIFT
-        before = self._timings.confirm_timeout - (NO_TIME if nobody_left else one_lease)
-        return self._runtime.now - max(before, NO_TIME)
+        assumed_duration = self._timings.confirm_timeout - (NO_TIME if has_no_survivors else one_lease)
+        return self._runtime.now - max(assumed_duration, NO_TIME)
--- a/src/ramptide/controller/machine_types.py
+++ b/src/ramptide/controller/machine_types.py
@@ -1,4 +1,4 @@
-"""Regular reads of the cloud's machine types."""
+"""Reads the cloud's machine types at regular intervals."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -17,9 +17,9 @@
 
 
 class MachineTypeReader:
-    """Reads the machine types; the leader stores them for controllers that start without the cloud.
+    """Reads the machine types and passes them to `on_read` in their stored form.
 
-    `on_read` gets them in their stored form.
+    The leader stores them for controllers that start while the cloud is unavailable.
     """
 
     def __init__(self, runtime: Runtime, cloud: CloudClient, on_read: Callable[[Any], None]) -> None:
@@ -28,7 +28,7 @@
         self._on_read = on_read
 
     def start(self) -> None:
-        """Read the machine types now and then; repeats until the process ends."""
+        """Read the machine types now and after each interval, until the process ends."""
 
         def on_reply(machine_types: list[MachineType] | None) -> None:
             self._runtime.after(READ_INTERVAL if machine_types else RETRY_DELAY, self.start)
--- a/src/ramptide/controller/peer_messages.py
+++ b/src/ramptide/controller/peer_messages.py
@@ -1,4 +1,4 @@
-"""What other controllers tell: their messages are taken, applied and answered."""
+"""Receives, applies and answers the messages of other controllers."""
 
 import logging
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 from ramptide.team_limits.share_split import ShareSplit
 from ramptide.transport.runtime import Runtime
 
-__all__ = ["DesiredStateGate", "PeerMessageHandler", "acknowledge_desired"]
+__all__ = ["DesiredStateGate", "PeerMessageHandler", "apply_acknowledgement"]
 
 log = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
 
 
 class MessageState(Protocol):
-    """The view that this controller acts in, and what it owns there."""
+    """Provides the view that this controller acts in, with its machines and jobs there."""
 
     @property
     def member(self) -> str:
@@ -46,52 +46,55 @@
 
     @property
     def shard(self) -> Shard | None:
-        """The machines that we own; None without a place in the view."""
+        """The machines that this controller owns; None without a place in the view."""
 
     @property
     def scheduler(self) -> JobScheduler | None:
-        """The jobs that we schedule; None without a place in the view."""
+        """The jobs that this controller schedules; None without a place in the view."""
 
     def owner_of(self, host: str) -> str:
         """Return the member that owns a machine."""
 
 
 class AssignmentUpdates(Protocol):
-    """Takes what messages show of jobs and machines."""
+    """Applies what messages report of jobs and machines."""
 
     def drop_finished(self, job_ids: list[str]) -> None:
-        """Drop jobs that another controller knows to be over."""
+        """Drop jobs that another controller reports as finished."""
 
-    def update_machine(self, host: str, status: MachineStatus | None) -> None:
-        """Take a machine's status from its owner's message."""
+    def apply_machine_status(self, host: str, status: MachineStatus | None) -> None:
+        """Apply a machine's status from its owner's message."""
 
 
 class QuotaMessages(Protocol):
-    """The quota feature, which has a part of its own in the messages."""
+    """The quota feature, which has its own field in the messages."""
 
     def take(self, message: PeerMessage, scheduler: JobScheduler) -> None:
-        """Take what another member tells about team limits."""
+        """Apply what another member reports about team limits."""
 
 
 class DesiredStateGate:
-    """Decides whether tasks may be started on a machine of ours now."""
+    """Decides whether tasks may be started now on a machine that this controller owns."""
 
     def __init__(self, may_start: Callable[[], bool]) -> None:
         self._may_start = may_start
 
-    def takes_tasks(self, machine: OwnedMachine) -> bool:
-        """Tell whether the machine is reconciled, stays, and we may start tasks."""
+    def may_start_tasks(self, machine: OwnedMachine) -> bool:
+        """Return whether the machine is reconciled, is not about to leave, and this controller may start tasks."""
         record = machine.record
-        stays = record.registered and record.drain_reason is None and machine.preempted_at is None
-        return machine.is_reconciled and stays and self._may_start()
+        is_staying = record.registered and record.drain_reason is None and machine.preempted_at is None
+        return machine.is_reconciled and is_staying and self._may_start()
 
 
-def acknowledge_desired(
+def apply_acknowledgement(
     state: MessageState, machine_index: MachineIndex, scheduler: JobScheduler, owner: str, acknowledged: int
 ) -> None:
-    """Note that an owner has processed our messages up to a number, and that its machines' statuses are as of then."""
+    """Record that an owner of machines has processed this controller's messages up to a sequence number.
 
-    def shown_tasks(host: str) -> list[TaskRow] | None:
+    The known statuses of the owner's machines include the effects of these messages.
+    """
+
+    def reported_tasks(host: str) -> list[TaskRow] | None:
         if state.owner_of(host) != owner:
             return None
         observed = machine_index.machines.get(host)
@@ -99,11 +102,11 @@
             return []
         return observed.tasks if observed.is_reconciled else None
 
-    scheduler.acknowledged(acknowledged, shown_tasks)
+    scheduler.acknowledged(acknowledged, reported_tasks)
 
 
 class PeerMessageHandler:
-    """Applies the messages of the members of our view, and answers those of all controllers."""
+    """Applies the messages of the members of the current view, and answers those of all controllers."""
 
     def __init__(
         self,
@@ -138,7 +141,7 @@
         self._quota = quota
 
     def receive(self, body: bytes) -> bytes | None:
-        """Take another controller's message and return the encoded reply, or None when it is broken."""
+        """Apply another controller's message and return the encoded reply, or None when the message is refused."""
         view, has_place = self._state.view, self._state.shard is not None
         number = view.number if view is not None and has_place else 0
         try:
@@ -157,10 +160,10 @@
         return encode_reply(reply)
 
     def _finished_since(self, revision: int) -> list[str] | None:
-        """Return every job that a user may have been told is cancelled and that a copy as of `revision` still has.
+        """Return the jobs that users may have been told are cancelled and that a copy as of `revision` still contains.
 
-        A reply to a user rests on our own change or on a read, and our watch cache shows both. None when this can't be
-        told.
+        A reply to a user is based on a transaction of this controller or on a read, and the local watch cache shows
+        both. None when not all deletions since `revision` are known here.
         """
         deleted = self._watch_cache.deleted_since(revision)
         if deleted is None:
@@ -169,46 +172,47 @@
         return sorted(finished.union(self._cancellations.job_ids()))
 
     def is_from_member(self, message: PeerMessage) -> bool:
-        """Tell whether the sender is the process that is a member of our view."""
+        """Return whether the sender is the process that is a member of the current view."""
         view = self._state.view
         if view is None or self._state.scheduler is None:
             return False
         return message.incarnation == view.members.get(message.member)
 
     def on_message(self, message: PeerMessage, peer: Peer) -> None:
-        """Apply a message of a member of our view."""
+        """Apply a message of a member of the current view."""
         scheduler, shard, view = self._state.scheduler, self._state.shard, self._state.view
         if scheduler is None or shard is None or view is None:
             return
-        self._fencing.note_heard(message.member)
+        self._fencing.record_first_message(message.member)
         self._assignments.drop_finished(message.cancelled_jobs)
-        takes_tasks = self._gate.takes_tasks
-        shard.desired_states.apply(message.member, message.sequence_number, message.desired_tasks, takes_tasks)
+        may_start_tasks = self._gate.may_start_tasks
+        shard.desired_states.apply(message.member, message.sequence_number, message.desired_tasks, may_start_tasks)
         if message.desired_tasks:
             self._peers.send_within(peer, AT_ONCE)
         if message.member == view.leader and not message.more:
-            self._follow_leader(message, scheduler)
+            self._apply_leader_message(message, scheduler)
         for host, status in message.machine_status.items():
             if self._state.owner_of(host) == message.member:
-                self._assignments.update_machine(host, status)
+                self._assignments.apply_machine_status(host, status)
         scheduler.needs_round = True
         if not message.more:
-            self._take_rest(message, scheduler)
+            self._apply_complete_message(message, scheduler)
 
-    def _take_rest(self, message: PeerMessage, scheduler: JobScheduler) -> None:
-        """Take what a message tells that holds all changes of its sender."""
+    def _apply_complete_message(self, message: PeerMessage, scheduler: JobScheduler) -> None:
+        """Apply the parts of a message that hold only when it includes all changes of its sender."""
         acknowledged = message.acknowledged.get(self._state.member, 0)
-        acknowledge_desired(self._state, self._machine_index, scheduler, message.member, acknowledged)
+        apply_acknowledgement(self._state, self._machine_index, scheduler, message.member, acknowledged)
         self._share_split.acknowledged(message.member, message.quota_shares_acknowledged)
         self._machine_index.take_unconfirmed(message.unconfirmed_terminations, self._runtime.now)
         if self._quota is not None:
             self._quota.take(message, scheduler)
 
-    def _follow_leader(self, message: PeerMessage, scheduler: JobScheduler) -> None:
+    def _apply_leader_message(self, message: PeerMessage, scheduler: JobScheduler) -> None:
         self._machine_index.set_idle_pool(message.idle_pool)
         if message.quota_shares is not None:
-            # Both at once: the new shares leave out what the leader took over.
-            self._shares.take_message(shares_from_wire(message.quota_shares), message.sequence_number)
+            # The transfers are confirmed together with the new shares, which no longer cover the jobs that the leader
+            # took over.
+            self._shares.receive_grant(shares_from_wire(message.quota_shares), message.sequence_number)
             for job_id in message.handovers_taken:
                 scheduler.transfer_confirmed(job_id)
         for job_id, task_index, number, grace_s in message.preemptions:
--- a/src/ramptide/controller/reconciliation.py
+++ b/src/ramptide/controller/reconciliation.py
@@ -1,4 +1,4 @@
-"""What earlier views left on the machines, and which jobs may be started before all of it is known."""
+"""Finds machines that may still run tasks of earlier views, and decides which jobs may be started meanwhile."""
 
 import logging
 from datetime import timedelta
@@ -16,13 +16,13 @@
 log = logging.getLogger(__name__)
 
 LOG_INTERVAL = timedelta(seconds=4)
-#: Machines that a log line names.
+#: The number of machines that a log line names.
 MAX_LOGGED_MACHINES = 3
 UNKNOWN_JOB = "runs a task of a job that was over"
 
 
 class Reconciliation:
-    """Compares what owners report of their machines with the fleet record, until nothing is left unknown."""
+    """Compares the owners' reports of their machines with the fleet record, until every machine is reconciled."""
 
     def __init__(
         self,
@@ -42,16 +42,17 @@
     def unreconciled_machines(self) -> dict[str, str]:
         """Return the machines whose state in this view is not known yet, each with the reason.
 
-        An earlier view may have started tasks there, and their owners have not shown them clear yet.
+        A member of an earlier view may have started tasks there, and the machine's owner has not yet shown that every
+        task on it is known.
         """
         view = self._state.require_view()
-        found = {}
+        reasons = {}
         for host, record in self._state.machines.items():
             if not record.is_unused_before(view.number):
                 reason = self._unreconciled_reason(host)
                 if reason is not None:
-                    found[host] = reason
-        return found
+                    reasons[host] = reason
+        return reasons
 
     def _unreconciled_reason(self, host: str) -> str | None:
         observed = self._machine_index.machines.get(host)
@@ -61,34 +62,34 @@
             return MISSED_HEARTBEATS if observed.missed_heartbeats else TOKEN_NOT_SEEN
         return None if self._machine_index.check_all_tasks_known(observed) else UNKNOWN_JOB
 
-    def check(self) -> None:
-        """Note when nothing is left unknown; until then log now and then what the view waits for."""
+    def update_reconciled(self) -> None:
+        """Set `reconciled` once no machine is unreconciled; until then, log at intervals what the view waits for."""
         if self._state.reconciled:
             return
         now, view = self._runtime.now, self._state.require_view()
         unreconciled = self.unreconciled_machines()
-        spent = now - self._state.view_since
+        elapsed = now - self._state.view_since
         if not unreconciled:
             self._state.reconciled = True
-            self._telemetry.reconciled(spent)
-            log.info("view reconciled: view=%d spent_s=%.1f", view.number, spent.total_seconds())
+            self._telemetry.reconciled(elapsed)
+            log.info("view reconciled: view=%d spent_s=%.1f", view.number, elapsed.total_seconds())
             self._peers.send_all_soon()
         elif now - max(self._state.view_since, self._logged_at) > LOG_INTERVAL:
             self._logged_at = now
-            self._log_unreconciled(view.number, spent, unreconciled)
+            self._log_unreconciled(view.number, elapsed, unreconciled)
 
-    def _log_unreconciled(self, view: int, spent: timedelta, unreconciled: dict[str, str]) -> None:
+    def _log_unreconciled(self, view: int, elapsed: timedelta, unreconciled: dict[str, str]) -> None:
         examples = [f"{host} ({reason})" for host, reason in unreconciled.items()][:MAX_LOGGED_MACHINES]
         log.info(
             "view not reconciled: view=%d machines=%d spent_s=%.1f examples=%r",
             view,
             len(unreconciled),
-            spent.total_seconds(),
+            elapsed.total_seconds(),
             ", ".join(examples),
         )
 
     def may_start_job(self, job_state: JobState) -> bool:
-        """Tell whether the job's tasks may be started: none can be on a machine without our knowledge."""
+        """Return whether the job's tasks may be started: none can be on a machine unknown to this controller."""
         view = self._state.require_view()
         record = job_state.job.record
         is_new = record.created_in_view == view.number
@@ -97,10 +98,12 @@
         handover = record.handover
         if handover is None or handover.view != view.number or handover.member == self._state.member:
             return True
-        return all(self._processed_by(member, handover) >= handover.sequence_number for member in view.members)
+        return all(
+            self._last_message_processed_by(member, handover) >= handover.sequence_number for member in view.members
+        )
 
-    def _processed_by(self, member: str, handover: Handover) -> int:
-        """Return up to which message of the job's former scheduler a member has processed them."""
+    def _last_message_processed_by(self, member: str, handover: Handover) -> int:
+        """Return the sequence number up to which a member has processed the messages of the job's former scheduler."""
         if member == self._state.member:
             return self._state.require_shard().desired_states.acknowledged.get(handover.member, 0)
         message = self._peers.last_message(member)
--- a/src/ramptide/controller/replication.py
+++ b/src/ramptide/controller/replication.py
@@ -1,7 +1,7 @@
-"""What the other controllers are told: machines' statuses, desired tasks, acknowledgements, usage and quota shares.
+"""Sends machines' statuses, desired tasks, acknowledgements, usage and quota shares to the other controllers.
 
-Messages hold what changed since a number that the receiver has acknowledged, so lost, late and repeated ones do no
-harm. `peer_messages` takes the messages of the others.
+A message holds what changed since a sequence number that the receiver has acknowledged, so lost, late and repeated
+messages do no harm. `peer_messages` applies the messages of the other controllers.
 """
 
 from dataclasses import dataclass
@@ -31,21 +31,24 @@
 
 __all__ = ["Replication"]
 
-#: How soon a peer hears what it waits for, and what the leader counts by.
+#: How soon a message is sent to a peer that waits for its contents.
 AT_ONCE = timedelta(0)
-SOON = timedelta(milliseconds=150)
-#: For those that wait for nothing of ours: they need to know that we are there, and roughly what room there is.
+#: How soon changed statuses are sent to the leader, which decides by them; before the view is reconciled, to all peers.
+MAX_STATUS_DELAY = timedelta(milliseconds=150)
+#: The interval of messages to peers that wait for nothing from this controller: they only need to know that it is
+#: alive, and roughly what room its machines have.
 IDLE_SEND_INTERVAL = timedelta(seconds=2)
-#: Removed machines are forgotten after so many sequence numbers.
-PRUNE_INTERVAL = 200
-#: Machines that one message tells of, and that share one number. The whole table of thousands of machines would take
-#: longer to encode, send and read than a message may take, and would be sent again and again.
+#: How many sequence numbers lie between two removals of acknowledged entries from the change logs.
+PRUNE_INTERVAL_SEQUENCE_NUMBERS = 200
+#: About how many changed machines one message holds. The whole table of thousands of machines would take longer to
+#: encode, send and read than the time limit of a message, and would be sent again and again.
 MACHINES_PER_MESSAGE = 300
+#: How many changed machines share one sequence number, so that a message can end between them.
 MACHINES_PER_NUMBER = 50
 
 
 class ReplicationState(Protocol):
-    """The view that this controller acts in, and what it owns there."""
+    """Provides the view that this controller acts in, and who owns which machine there."""
 
     @property
     def member(self) -> str:
@@ -53,7 +56,7 @@
 
     @property
     def reconciled(self) -> bool:
-        """Whether it is known of all machines what earlier views left on them."""
+        """Whether all tasks that earlier views may have left on machines are known."""
 
     def require_view(self) -> View:
         """Return the current view; raises when there is none."""
@@ -63,14 +66,14 @@
 
 
 class QuotaMessageSource(Protocol):
-    """The quota feature, which has a part of its own in the messages."""
+    """The quota feature, which has its own field in the messages."""
 
     def message_for(self, peer: Peer) -> Any:
-        """Return what to tell another controller about team limits; None for one outside our view."""
+        """Return the quota message for another controller; None for one outside the current view."""
 
 
 class Replication:
-    """Keeps track of what each controller has yet to hear, and sends it."""
+    """Tracks which changes each other controller has not received yet, and sends them."""
 
     def __init__(
         self,
@@ -99,48 +102,51 @@
         self._quota = quota
         self._status_changes: ChangeLog[str] = ChangeLog()
         self._desired_changes: dict[str, ChangeLog[str]] = {}
-        #: The number from which on what was removed is forgotten. Several numbers may be used up at a time.
-        self._prune_at = PRUNE_INTERVAL
+        #: The sequence number from which on the change logs are pruned next. A round may use several sequence numbers.
+        self._prune_at_number = PRUNE_INTERVAL_SEQUENCE_NUMBERS
 
     def new_view(self, _view: View | None) -> None:
-        """Start with empty tables in a new view, also when we have no place in it."""
+        """Start with empty change logs in a new view, also when this controller has no place in it."""
         self._status_changes = ChangeLog()
         self._desired_changes = {name: ChangeLog() for name in self._peers.by_name}
-        self._prune_at = PRUNE_INTERVAL
-
-    # What changed.
+        self._prune_at_number = PRUNE_INTERVAL_SEQUENCE_NUMBERS
 
     def mark(self, scheduler: JobScheduler, shard: Shard, changed: set[str]) -> None:
-        """Enter what changed since the last round into the tables, and plan when each controller is told."""
+        """Record what changed since the last round, and schedule the messages to the controllers that wait for it."""
         if not changed and not scheduler.changed_hosts:
             return
         scheduler.sequence_number += 1
-        own = self._mark_desired(scheduler)
-        shard.desired_states.apply(self._state.member, scheduler.sequence_number, own, self._gate.takes_tasks)
-        # The next message says that we have processed our own desired states, so it has to show what came of them: who
-        # takes over one of our jobs relies on that.
-        for count, host in enumerate([*own, *changed], 1):
+        own_desired = self._record_desired_changes(scheduler)
+        shard.desired_states.apply(
+            self._state.member, scheduler.sequence_number, own_desired, self._gate.may_start_tasks
+        )
+        # The next message acknowledges this controller's own desired states, so it has to show their effects on its
+        # machines: a controller that takes over one of its jobs relies on that.
+        for count, host in enumerate([*own_desired, *changed], 1):
             self._status_changes.mark(host, scheduler.sequence_number)
             if count % MACHINES_PER_NUMBER == 0:
                 scheduler.sequence_number += 1
-        self._plan_messages(shard, changed)
+        self._schedule_messages(shard, changed)
 
-    def _mark_desired(self, scheduler: JobScheduler) -> dict[str, list[DesiredTaskRow] | None]:
-        """Enter what the scheduler asks for; return what it asks of our own machines."""
-        own: dict[str, list[DesiredTaskRow] | None] = {}
+    def _record_desired_changes(self, scheduler: JobScheduler) -> dict[str, list[DesiredTaskRow] | None]:
+        """Record the changes of the scheduler's desired tasks; return those for this controller's own machines."""
+        own_desired: dict[str, list[DesiredTaskRow] | None] = {}
         hosts, scheduler.changed_hosts = scheduler.changed_hosts, set()
         for host in hosts:
             self._machine_index.invalidate(host)
             owner = self._state.owner_of(host)
             if owner == self._state.member:
-                own[host] = scheduler.desired_tasks(host)
+                own_desired[host] = scheduler.desired_tasks(host)
             elif owner in self._desired_changes:
                 self._desired_changes[owner].mark(host, scheduler.sequence_number)
                 self._peers.send_within(self._peers.by_name[owner], AT_ONCE)
-        return own
+        return own_desired
 
-    def _plan_messages(self, shard: Shard, changed: set[str]) -> None:
-        """Plan to tell those that wait for news of these machines at once, and the leader soon."""
+    def _schedule_messages(self, shard: Shard, changed: set[str]) -> None:
+        """Schedule messages: at once to the schedulers that wait for these machines, and soon to the leader.
+
+        Before the view is reconciled, all controllers are sent changes soon.
+        """
         leader = self._state.require_view().leader
         waiting: set[str] = set()
         for host in changed:
@@ -149,12 +155,10 @@
             if peer.name in waiting:
                 self._peers.send_within(peer, AT_ONCE)
             elif changed and (peer.name == leader or not self._state.reconciled):
-                self._peers.send_within(peer, SOON)
-
-    # What is sent.
+                self._peers.send_within(peer, MAX_STATUS_DELAY)
 
     def send(self, scheduler: JobScheduler, shard: Shard, now: timedelta) -> None:
-        """Send messages to the controllers that are due one."""
+        """Send a message to each controller for which one is due."""
         view = self._state.require_view()
         self._share_split.update(scheduler, view, now)
         due = self._peers.due_peers()
@@ -163,19 +167,19 @@
         scheduler.sequence_number += 1
         self._prune(scheduler, shard, view)
         self._cancellations.prune()
-        base = self._base(scheduler, shard, view)
+        common = self._common_message(scheduler, shard, view)
         statuses = _Statuses(shard, now)
         unconfirmed = self._machine_index.all_unconfirmed(now)
         for peer in due:
             split = self._split_after(peer, view)
             changes = self._changes_for(peer, view, scheduler, statuses, split)
             if split is not None:
-                self._peers.send(peer, _part_of(base, split, changes), AT_ONCE)
+                self._peers.send(peer, _partial_message(common, split, changes), AT_ONCE)
                 continue
             is_leader = peer.name == view.leader
             share = self._share_split.share_of(peer.name)
             message = msgspec.structs.replace(
-                base,
+                common,
                 base=changes.base,
                 machine_status=changes.status,
                 desired_tasks=changes.desired_tasks,
@@ -186,11 +190,11 @@
                 unconfirmed_terminations=unconfirmed,
                 quota=self._quota.message_for(peer) if self._quota is not None else None,
             )
-            is_calm = self._state.reconciled and not self._watch_cache.is_unavailable and not is_leader
-            self._peers.send(peer, message, IDLE_SEND_INTERVAL if is_calm else SEND_INTERVAL)
+            is_idle = self._state.reconciled and not self._watch_cache.is_unavailable and not is_leader
+            self._peers.send(peer, message, IDLE_SEND_INTERVAL if is_idle else SEND_INTERVAL)
 
-    def send_outside(self) -> None:
-        """Without a place in a view, tell the others only that this process is there."""
+    def send_without_place(self) -> None:
+        """Send messages without a place in a view, which only show the others that this process is alive."""
         for peer in self._peers.due_peers():
             message = PeerMessage(
                 member=self._state.member,
@@ -204,10 +208,10 @@
             self._peers.send(peer, message)
 
     def _prune(self, scheduler: JobScheduler, shard: Shard, view: View) -> None:
-        """Forget now and then what was removed and every controller has heard of."""
-        if scheduler.sequence_number < self._prune_at:
+        """At intervals, forget the removed entries of the change logs whose removal the receivers have acknowledged."""
+        if scheduler.sequence_number < self._prune_at_number:
             return
-        self._prune_at = scheduler.sequence_number + PRUNE_INTERVAL
+        self._prune_at_number = scheduler.sequence_number + PRUNE_INTERVAL_SEQUENCE_NUMBERS
         peers = self._peers.by_name
         acknowledged = [peer.acknowledged for name, peer in peers.items() if name in view.members]
         self._status_changes.prune(min(acknowledged, default=0), shard.machines)
@@ -215,14 +219,17 @@
             changes.prune(peers[name].acknowledged, scheduler.attempts)
 
     def _split_after(self, peer: Peer, view: View) -> int | None:
-        """Return the number up to which a message can tell of machines; None when it can tell of all."""
+        """Return the sequence number up to which the next message holds the changed machines.
+
+        None when it can hold all of them, and for a controller outside the view.
+        """
         if peer.name not in view.members:
             return None
         return self._status_changes.split_after(peer.acknowledged, MACHINES_PER_MESSAGE)
 
-    def _base(self, scheduler: JobScheduler, shard: Shard, view: View) -> PeerMessage:
-        """Return a message with all that every controller is told."""
-        leads = self._membership.is_leading
+    def _common_message(self, scheduler: JobScheduler, shard: Shard, view: View) -> PeerMessage:
+        """Return a message with the fields that are the same for every controller."""
+        is_local_leader = self._membership.is_leading
         in_transfer = scheduler.amounts_in_transfer()
         pending = self._preemptor.pending
         return PeerMessage(
@@ -239,17 +246,20 @@
             usage_in_transfer={job_id: shares_to_wire(amounts) for job_id, amounts in in_transfer.items()},
             quota_shares_acknowledged=self._shares.acknowledged,
             handovers_taken=self._share_split.handovers_taken,
-            idle_pool=self._machine_index.idle_pool if leads else [],
-            preemptions=[PreemptionRow(*key, one.grace_s) for key, one in pending.items()] if leads else [],
+            idle_pool=self._machine_index.idle_pool if is_local_leader else [],
+            preemptions=[PreemptionRow(*key, preemption.grace_s) for key, preemption in pending.items()]
+            if is_local_leader
+            else [],
             cancelled_jobs=self._cancellations.job_ids(),
         )
 
     def _changes_for(
         self, peer: Peer, view: View, scheduler: JobScheduler, statuses: "_Statuses", split: int | None
     ) -> "_Changes":
-        """Return what has changed for a controller since what it took, up to the number `split` if there is one.
+        """Return what has changed for a controller since its acknowledgement, up to the number `split` if there is one.
 
-        Those outside the view hear of it too, so that they stop to act under an older one, but not of machines.
+        Controllers outside the view get messages too, so that they stop to act in an older one, but no machines'
+        statuses.
         """
         base = peer.acknowledged
         hosts = self._status_changes.since(base, split) if peer.name in view.members else []
@@ -262,7 +272,7 @@
 
 
 class _Statuses:
-    """The statuses of machines as of one moment, each worked out once for all messages."""
+    """The statuses of machines at one time, each computed only once for all messages."""
 
     def __init__(self, shard: Shard, now: timedelta) -> None:
         self._shard = shard
@@ -270,7 +280,7 @@
         self._known: dict[str, MachineStatus | None] = {}
 
     def of(self, host: str) -> MachineStatus | None:
-        """Return a machine's status; None when we have no such machine."""
+        """Return a machine's status; None when this controller owns no such machine."""
         if host not in self._known:
             self._known[host] = self._shard.status(host, self._now)
         return self._known[host]
@@ -278,29 +288,30 @@
 
 @dataclass(frozen=True, slots=True)
 class _Changes:
-    """What has changed since the number `base`: machines' statuses, and what we desire of the receiver's machines."""
+    """Changes since the sequence number `base`: statuses of machines, and desired tasks for the receiver's machines."""
 
     base: int
     status: dict[str, MachineStatus | None]
     desired_tasks: dict[str, list[DesiredTaskRow] | None]
 
 
-def _part_of(whole: PeerMessage, up_to: int, changes: _Changes) -> PeerMessage:
-    """Return a message with the changes up to a number, after which more follow.
+def _partial_message(common: PeerMessage, up_to: int, changes: _Changes) -> PeerMessage:
+    """Return a message with the changes up to a sequence number, after which more messages follow.
 
-    It has nothing that says how far we are in all else: what it lacks of our machines is still to be told.
+    It leaves out all fields that hold only together with all changes, such as acknowledgements and usage: some changes
+    of this controller's machines are not in it.
     """
     return PeerMessage(
-        member=whole.member,
-        incarnation=whole.incarnation,
-        view=whole.view,
+        member=common.member,
+        incarnation=common.incarnation,
+        view=common.view,
         sequence_number=up_to,
-        store_unavailable=whole.store_unavailable,
-        revision=whole.revision,
-        version=whole.version,
+        store_unavailable=common.store_unavailable,
+        revision=common.revision,
+        version=common.version,
         base=changes.base,
         more=True,
         machine_status=changes.status,
         desired_tasks=changes.desired_tasks,
-        cancelled_jobs=whole.cancelled_jobs,
+        cancelled_jobs=common.cancelled_jobs,
     )
--- a/src/ramptide/controller/state.py
+++ b/src/ramptide/controller/state.py
@@ -1,8 +1,9 @@
-"""What one controller knows and owns at the moment: the state that its parts share.
+"""The state that the parts of one controller share: what it knows and owns at present.
 
-The parts read it through small protocols of their own, so that a signature shows what each of them depends on. Only
-the modules of this package write it: `store_events` the records, `view_change` all that belongs to a view,
-`reconciliation` the flag `reconciled`, `shares` the quota shares.
+The parts read it through small protocols of their own, so that a signature shows what each of them depends on. In this
+package, `store_events` and `assignments` write the records and the agents' addresses, `view_change` all that belongs to
+a view, `reconciliation` the flag `reconciled`, and `shares` the quota shares. Other packages write only the counters
+and, where the quota feature is on, the teams with their limits and guarantees.
 """
 
 from collections import Counter
@@ -26,14 +27,14 @@
 __all__ = ["ControllerState"]
 
 NO_TIME = timedelta(0)
-#: Cached owners of machines; the cache is emptied when it is full.
+#: The number of machines whose owners are cached; a full cache is emptied.
 MAX_CACHED_OWNERS = 20_000
-#: The kind of objective on how soon tasks start, as the platform names it.
+#: The kind of the objectives on how soon tasks start, as the platform's settings name it.
 START_OBJECTIVE = "wait"
 
 
 def _prompt_classes(objectives: Iterable[Objective]) -> frozenset[str]:
-    """Return the classes whose starts people wait for, as the platform's objectives say."""
+    """Return the job classes that the platform's settings set start objectives for: people wait for their starts."""
     return frozenset(
         objective.job_class
         for objective in objectives
@@ -54,15 +55,15 @@
     jobs, machines, rentals, machine_types
         The records of the key-value store, by name. Changed in place.
     agent_addresses
-        Where agents that reported to us can be called, by machine.
+        The addresses of the agents, by machine, as far as the machines' owners report them.
     view
-        The newest view that the watch cache has shown, since `view_since`; None before the first one.
+        The newest view that the watch cache has shown, adopted at `view_since`; None before the first one.
     reconciled
-        Whether it is known of all machines what earlier views left on them.
+        Whether all tasks that earlier views may have left on machines are known.
     shard, scheduler
-        The machines that we own, and the jobs that we schedule; None without a place in the view.
+        The machines that this controller owns, and the jobs that it schedules; None without a place in the view.
     granted_shares, quota_shares
-        What the leader granted us of each team limit, and what we may use after transfers between members.
+        What the leader granted of each team limit, and what this controller may use after transfers between members.
     """
 
     member: str
@@ -88,7 +89,7 @@
 
     @classmethod
     def of_cluster(cls, member: str, cluster: Cluster) -> "ControllerState":
-        """Return the state with which a controller of the cluster starts."""
+        """Return the initial state of a controller of the cluster."""
         return cls(
             member=member,
             teams={team.name: team for team in cluster.teams},
@@ -110,24 +111,24 @@
         return self.view
 
     def require_shard(self) -> Shard:
-        """Return the machines that we own.
+        """Return the machines that this controller owns.
 
         Raises
         ------
         NoPlaceInViewError
-            If we have no place in the view.
+            If this controller has no place in the view.
         """
         if self.shard is None:
             raise NoPlaceInViewError(f"{self.member} owns no machines")
         return self.shard
 
     def require_scheduler(self) -> JobScheduler:
-        """Return the jobs that we schedule.
+        """Return the jobs that this controller schedules.
 
         Raises
         ------
         NoPlaceInViewError
-            If we have no place in the view.
+            If this controller has no place in the view.
         """
         if self.scheduler is None:
             raise NoPlaceInViewError(f"{self.member} schedules no jobs")
@@ -150,11 +151,14 @@
         return owner
 
     def forget_owners(self) -> None:
-        """Forget the cached owners, as the members have changed."""
+        """Empty the cache of owners, as the members have changed."""
         self._owners.clear()
 
     def scheduler_of(self, job: Job) -> str | None:
-        """Return the member that schedules a job: the recorded one, or the leader in its place. None without a view."""
+        """Return the member that schedules a job; None without a view.
+
+        It is the recorded one, or the leader when that is no member of the view.
+        """
         if self.view is None:
             return None
         return job.record.scheduler if job.record.scheduler in self.view.members else self.view.leader
@@ -165,6 +169,6 @@
         return job.spec if job is not None else None
 
     def is_quarantined(self, host: str) -> bool:
-        """Tell whether a machine drains because jobs fail there that run elsewhere."""
+        """Return whether a machine drains because jobs fail there that run elsewhere."""
         record = self.machines.get(host)
         return record is not None and record.drain_reason == QUARANTINED
--- a/src/ramptide/controller/store_events.py
+++ b/src/ramptide/controller/store_events.py
@@ -1,4 +1,4 @@
-"""Dispatch of the key-value store's changes: jobs, rentals, machine types, settings and membership."""
+"""Applies the key-value store's changes of jobs, rentals, machine types, settings and membership."""
 
 import logging
 from typing import Any, Protocol
@@ -35,11 +35,11 @@
     """The operators' records of team limits, where the quota feature is on."""
 
     def on_change(self, key: str, value: Any) -> None:
-        """Take a record; None when it was deleted."""
+        """Apply a changed record; None when it was deleted."""
 
 
 class StoreEvents:
-    """Brings the controller's state in line with each change that the watch cache shows."""
+    """Updates the controller's state with each change that the watch cache shows."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         self._limit_records = limit_records
 
     def on_change(self, key: str, value: Any, mod_revision: int) -> None:
-        """Take a change of one key; `value` is None for a deletion."""
+        """Apply a change of one key; `value` is None for a deletion."""
         if key.startswith(JOB_PREFIX):
             self._on_job(key.removeprefix(JOB_PREFIX), value, mod_revision)
         elif key.startswith(RENTAL_PREFIX):
@@ -78,7 +78,7 @@
             self._membership.on_change(key, value, mod_revision)
 
     def on_loaded(self) -> None:
-        """Log what the first read of all keys has shown."""
+        """Log how many records the first read of all keys has shown."""
         log.info("records loaded: jobs=%d machines=%d", len(self._state.jobs), len(self._state.machines))
 
     def _on_settings(self, value: Any) -> None:
@@ -86,14 +86,12 @@
         self._machine_index.invalidate_all()
         log.info("settings changed")
 
-    # Jobs.
-
     def _on_job(self, job_id: str, value: Any, mod_revision: int) -> None:
         if value is None:
-            self._assignments.job_deleted(job_id)
+            self._assignments.on_job_deleted(job_id)
             return
         if self._assignments.is_finished_elsewhere(job_id):
-            # An answer from before its end comes late: it must not come back for a moment.
+            # The store's reply is late and dates from before the job's end: the finished job must not be added again.
             return
         known = self._state.jobs.get(job_id)
         try:
@@ -110,31 +108,29 @@
             self._machine_index.job_succeeded(job_id)
         self._assignments.assign(job)
 
-    # Machines.
-
     def _on_rental(self, rental_id: str, value: Any) -> None:
         try:
             record = None if value is None else msgspec.convert(value, RentalRecord)
         except msgspec.ValidationError as error:
             log.error("broken rental record: rental_id=%s error=%r", rental_id, str(error))
             return
-        before = self._state.rentals.pop(rental_id, None)
+        previous = self._state.rentals.pop(rental_id, None)
         if record is not None:
             self._state.rentals[rental_id] = record
-        old = before.machine_records(rental_id) if before is not None else {}
-        new = record.machine_records(rental_id) if record is not None else {}
-        for host in old.keys() - new.keys():
+        old_machines = previous.machine_records(rental_id) if previous is not None else {}
+        new_machines = record.machine_records(rental_id) if record is not None else {}
+        for host in old_machines.keys() - new_machines.keys():
             self._remove_machine(host)
-        for host, machine in new.items():
-            if machine != old.get(host):
-                self._take_machine(host, machine)
+        for host, machine in new_machines.items():
+            if machine != old_machines.get(host):
+                self._apply_machine_record(host, machine)
 
-    def _take_machine(self, host: str, record: MachineRecord) -> None:
+    def _apply_machine_record(self, host: str, record: MachineRecord) -> None:
         self._state.machines[host] = record
         self._fleet_manager.note_recorded(host)
         unconfirmed_since = self._surviving_peers.unconfirmed_since() if record.registered else None
         self._machine_index.add(host, unconfirmed_since)
-        self._assignments.own(host, record)
+        self._assignments.add_owned_machine(host, record)
         if self._state.scheduler is not None and self._state.is_quarantined(host):
             self._state.scheduler.machine_faulty(host)
 
@@ -150,7 +146,7 @@
         self._heartbeats.forget(host)
 
     def take_machine_types(self, value: Any) -> None:
-        """Take the machine types that the leader stored, or that we read from the cloud, in their stored form."""
+        """Apply machine types that the leader stored or this controller read from the cloud, in their stored form."""
         try:
             machine_types = msgspec.convert(value, list[MachineType])
         except msgspec.ValidationError as error:
@@ -160,4 +156,4 @@
         self._state.machine_types.update({machine_type.name: machine_type for machine_type in machine_types})
         self._machine_index.invalidate_all()
         for host, record in self._state.machines.items():
-            self._assignments.own(host, record)
+            self._assignments.add_owned_machine(host, record)
--- a/src/ramptide/controller/timings.py
+++ b/src/ramptide/controller/timings.py
@@ -1,4 +1,4 @@
-"""How long a controller may act on what it knows, derived from the times that agents keep."""
+"""Durations for which a controller may act on what it knows, derived from the timings of the agents."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -8,30 +8,31 @@
 
 __all__ = ["ControllerTimings"]
 
-#: Left of the cancellation timeout for the replies that are on their way when renewals end.
+#: The part of the cancellation timeout that is left for the replies that are in flight when renewals end.
 RENEWAL_MARGIN = timedelta(seconds=2)
-#: Long enough for a restart of a controller that has to agree, short enough for a new view, which waits for it.
+#: Long enough to span the restart of a controller that has to agree that the key-value store is unavailable; short, as
+#: a new view waits until it has passed.
 MAX_RENEWAL_PROOF_AGE = timedelta(seconds=6)
-#: Share of the cancellation timeout after which a machine that can't be proven free of a cancelled task is returned.
-#: What is left has to suffice for a leader that starts anew just before: its election, three missed heartbeats, and the
-#: return.
+#: The part of the cancellation timeout after which a machine that cannot be proven free of a cancelled task is
+#: returned. The rest has to suffice when a new leader takes over just before: for its election, three missed
+#: heartbeats, and the return.
 CONFIRM_TIMEOUT_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerTimings:
-    """Durations of one cluster.
+    """The durations that apply in one cluster.
 
     Attributes
     ----------
     heartbeat_interval, lease_duration
-        How often agents send heartbeats, and how long an agent goes on after its last answered one.
+        How often agents send heartbeats, and how long an agent runs its tasks on after its last answered heartbeat.
     cancel_timeout
-        The longest that a task of a cancelled job may run after the confirmation.
+        The longest time that a task of a cancelled job may run after the confirmation.
     confirm_timeout
-        How long a cancelled task may be on a silent machine before the machine is returned.
+        How long a cancelled task may possibly be on a silent machine before the machine is returned.
     max_renewal_proof_age
-        For how long after the last proof of membership leases may be renewed.
+        How long after the last proof of membership the leases of agents may be renewed.
     """
 
     heartbeat_interval: timedelta
@@ -45,13 +46,14 @@
         """Derive the durations from the settings."""
         lease_duration = timedelta(seconds=agents.lease_s)
         cancel_timeout = timedelta(seconds=agents.cancel_timeout_s)
-        # A member without proof of its view may renew leases only so long that they end in time for any
-        # cancellation that others may have promised since; and not for long, since others wait for its end.
-        ends_in_time = cancel_timeout - lease_duration * CLOCK_DRIFT - RENEWAL_MARGIN
+        # A member without proof of membership may renew leases only while they still run out in time for any
+        # cancellation that other controllers may have confirmed since, and only briefly, as other controllers wait for
+        # the renewals to end.
+        max_age_before_cancellation = cancel_timeout - lease_duration * CLOCK_DRIFT - RENEWAL_MARGIN
         return cls(
             heartbeat_interval=timedelta(seconds=agents.heartbeat_interval_s),
             lease_duration=lease_duration,
             cancel_timeout=cancel_timeout,
             confirm_timeout=cancel_timeout * CONFIRM_TIMEOUT_SHARE,
-            max_renewal_proof_age=min(ends_in_time, MAX_RENEWAL_PROOF_AGE),
+            max_renewal_proof_age=min(max_age_before_cancellation, MAX_RENEWAL_PROOF_AGE),
         )
--- a/src/ramptide/controller/view_change.py
+++ b/src/ramptide/controller/view_change.py
@@ -1,4 +1,4 @@
-"""A change of the membership view: what runs where is rebuilt from the heartbeats of the agents."""
+"""Applies changes of the membership view, after which the running tasks are learned anew from agents' heartbeats."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -21,37 +21,37 @@
 
 __all__ = ["ViewChange"]
 
-#: Attempts are numbered so that no two controllers and no two views ever use the same number: the view and the place
-#: of the member in it stand above the bits that a scheduler counts up.
+#: An attempt's number holds the number of the view and the place of the member in it above the bits that a scheduler
+#: counts up, so no two controllers and no two views ever use the same number.
 MAX_MEMBERS = 64
 ATTEMPT_BITS = 24
 
 
 class ViewListener(Protocol):
-    """A part whose state is of one view only."""
+    """A part whose state belongs to a single view."""
 
     def new_view(self) -> None:
-        """Start anew in a new view."""
+        """Handle the change to a new view."""
 
 
 class MemberListener(Protocol):
     """A part that acts only as a member of the view."""
 
     def new_view(self, view: View | None) -> None:
-        """Start anew in a new view; None when we have no place in it."""
+        """Handle the change to a new view; `view` is None when this controller has no place in it."""
 
 
 class ViewChange:
-    """Takes each new view: forgets what was of the one before, and takes our jobs and machines.
+    """Applies each new view: resets the state of the previous one, and assigns this controller its jobs and machines.
 
     Parameters
     ----------
     view_listeners
-        Told first, in this order.
+        Called first, in this order.
     member_listeners
-        Told next, with the view only if we are a member of it.
+        Called next, with the view only if this controller is a member of it.
     heartbeats
-        Told last, when our machines are known: agents that wait for a reply learn their owners at once.
+        Called last, when the owned machines are known: agents that wait for a reply learn their owners at once.
     """
 
     def __init__(
@@ -87,43 +87,43 @@
         self._telemetry = telemetry
 
     def on_view(self) -> None:
-        """Take the membership's new view.
+        """Apply the membership's new view.
 
         Raises
         ------
         NoViewError
-            If the membership knows none.
+            If the membership knows no view.
         """
         view = self._membership.view
         if view is None:
             raise NoViewError("the membership reports a change, but no view")
-        present = self._state.view
-        if present is None or view.number != present.number:
+        current = self._state.view
+        if current is None or view.number != current.number:
             self._telemetry.view_changed(view.number)
-        # What we know of the view just before still holds; of one further back it need not.
-        follows = present is not None and view.number == present.number + 1
-        last_possible_replies = self._last_possible_replies() if follows else {}
-        self._fencing.new_view(view, follows)
+        # What is known of the directly preceding view still holds; what is known of an older one may not.
+        is_direct_successor = current is not None and view.number == current.number + 1
+        last_possible_replies = self._last_possible_replies() if is_direct_successor else {}
+        self._fencing.on_new_view(view, is_direct_successor)
         self._replace_view(view)
         for listener in self._view_listeners:
             listener.new_view()
-        silent = set(self._machine_index.silent_hosts())
+        silent_before = set(self._machine_index.silent_hosts())
         self._machine_index.new_view()
         is_member = view.members.get(self._state.member) == self._membership.incarnation
         for member_listener in self._member_listeners:
             member_listener.new_view(view if is_member else None)
         self._surviving_peers.new_view(view)
         if is_member:
-            shard = self._take_place(view, last_possible_replies)
+            shard = self._enter_view(view, last_possible_replies)
             self._heartbeats.new_view()
-            self._announce_token(shard, silent)
+            self._announce_token(shard, silent_before)
         else:
             self._state.shard = self._state.scheduler = None
             self._token_announcer.stop()
             self._heartbeats.new_view()
 
     def _last_possible_replies(self) -> dict[str, timedelta]:
-        """Return when anybody can have replied to our machines at the latest, as known at the end of a view."""
+        """Return, by owned machine, the latest time at which any controller can have replied to it, as known now."""
         shard = self._state.shard
         return shard.last_possible_replies(self._fencing.others_fenced_at()) if shard is not None else {}
 
@@ -132,29 +132,31 @@
         self._state.view_since = self._runtime.now
         self._state.reconciled = False
         self._state.forget_owners()
-        self._shares.new_view()
+        self._shares.on_new_view()
 
-    def _take_place(self, view: View, last_possible_replies: dict[str, timedelta]) -> Shard:
-        """Take the machines that we own in the view, and the jobs that we schedule."""
+    def _enter_view(self, view: View, last_possible_replies: dict[str, timedelta]) -> Shard:
+        """Build the shard and the scheduler, with the machines and jobs that belong to this controller in the view."""
         state, timings = self._state, self._timings
         shard = Shard(view.number, timings.lease_duration, timings.heartbeat_interval, state.find_spec)
-        place = sorted(view.members).index(state.member)
-        first_attempt = (view.number * MAX_MEMBERS + place) << ATTEMPT_BITS
+        place_in_view = sorted(view.members).index(state.member)
+        first_attempt = (view.number * MAX_MEMBERS + place_in_view) << ATTEMPT_BITS
         state.shard = shard
         state.scheduler = JobScheduler(state.member, first_attempt, state.is_quarantined)
         for host, record in state.machines.items():
-            self._assignments.own(host, record, last_possible_replies)
+            self._assignments.add_owned_machine(host, record, last_possible_replies)
         for job in state.jobs.values():
             self._assignments.assign(job)
         return shard
 
-    def _announce_token(self, shard: Shard, silent: set[str]) -> None:
-        """Tell the agents of our machines the fencing token of the view, as far as we know where they are.
+    def _announce_token(self, shard: Shard, silent_before: set[str]) -> None:
+        """Announce the view's fencing token to the agents of the owned machines whose addresses are known.
 
-        Those that were silent before come last: each may take the whole time limit, and with hundreds of them the
-        others would wait for as many seconds.
+        Machines that were silent before come last: each may take the whole time limit of a call, so with hundreds of
+        them the others would wait for as many seconds.
         """
         unreconciled = [host for host, machine in shard.machines.items() if not machine.is_reconciled]
-        unreconciled.sort(key=lambda host: host in silent)
-        known = self._state.agent_addresses
-        self._token_announcer.announce(shard.view, {host: known[host] for host in unreconciled if host in known})
+        unreconciled.sort(key=lambda host: host in silent_before)
+        known_addresses = self._state.agent_addresses
+        self._token_announcer.announce(
+            shard.view, {host: known_addresses[host] for host in unreconciled if host in known_addresses}
+        )
