--- a/src/ramptide/controller/peer_messages.py
+++ b/src/ramptide/controller/peer_messages.py
@@ -202,7 +202,7 @@
         """Apply the parts of a message that hold only when it includes all changes of its sender."""
         acknowledged = message.acknowledged.get(self._state.member, 0)
         apply_acknowledgement(self._state, self._machine_index, scheduler, message.member, acknowledged)
-        self._share_split.acknowledged(message.member, message.quota_shares_acknowledged)
+        self._share_split.record_acknowledgement(message.member, message.quota_shares_acknowledged)
         self._machine_index.take_unconfirmed(message.unconfirmed_terminations, self._runtime.now)
         if self._quota is not None:
             self._quota.take(message, scheduler)
--- a/src/ramptide/team_limits/__init__.py
+++ b/src/ramptide/team_limits/__init__.py
@@ -1,1 +1,1 @@
-"""Team limits: how they are used, and the leader's split of them among the controllers."""
+"""Team limits: their usage, and the leader's split of them into quota shares of the controllers."""
--- a/src/ramptide/team_limits/cluster_usage.py
+++ b/src/ramptide/team_limits/cluster_usage.py
@@ -1,4 +1,4 @@
-"""What teams use over all controllers: by our scheduler and by the last messages of the other members."""
+"""Sums the teams' usage over all controllers, from the local scheduler and the last messages of the other members."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -11,21 +11,21 @@
 
 
 class SchedulerSource(Protocol):
-    """The jobs that we schedule."""
+    """Provides the jobs that this controller schedules."""
 
     def require_scheduler(self) -> JobScheduler:
-        """Return the jobs that we schedule; raises without a place in the view."""
+        """Return the jobs that this controller schedules; raises without a place in the view."""
 
 
 class ClusterUsage:
-    """Adds up what the attempts of all schedulers hold."""
+    """Sums the amounts that the attempts of all schedulers hold."""
 
     def __init__(self, state: SchedulerSource, peers: Peers) -> None:
         self._state = state
         self._peers = peers
 
     def team_usage(self) -> TeamAmounts:
-        """Return what the attempts of all schedulers hold, by team."""
+        """Return the amounts that the attempts of all schedulers hold, by team."""
         usage = self._state.require_scheduler().usage()
         for message in self._peers.last_messages():
             for team, amounts in usage_from_wire(message.usage).items():
@@ -33,12 +33,12 @@
         return usage
 
     def usage_of(self, teams: Iterable[str]) -> TeamAmounts:
-        """Return what the attempts of all schedulers hold, for some teams only."""
-        own = self._state.require_scheduler().index.usage
+        """Return the amounts that the attempts of all schedulers hold, for the given teams only."""
+        own_usage = self._state.require_scheduler().index.usage
         messages = self._peers.last_messages()
         usage: TeamAmounts = {}
         for team in teams:
-            usage[team] = own.get(team, NOTHING)
+            usage[team] = own_usage.get(team, NOTHING)
             for message in messages:
                 if team in message.usage:
                     add_amounts(usage, team, usage_from_wire({team: message.usage[team]})[team])
--- a/src/ramptide/team_limits/usage.py
+++ b/src/ramptide/team_limits/usage.py
@@ -1,4 +1,4 @@
-"""How the team limits are used and split, as this controller knows it, for the status and the metrics."""
+"""Reports the usage and the shares of the team limits, as known to this controller, for the status and the metrics."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -16,27 +16,28 @@
 
 
 class ResourceUsage(msgspec.Struct, frozen=True):
-    """One resource of a team. `limit` and `share` are None where there is no limit."""
+    """The usage of one resource by a team. `limit` and `share` are None where there is no limit."""
 
     limit: float | None
-    #: By all controllers, as far as they are heard.
+    #: The usage over all controllers, as far as their messages are known.
     used: float
-    #: What this controller may use of the limit, and what it uses of that.
+    #: What this controller may use of the limit.
     share: float | None
+    #: What this controller counts against its share.
     share_used: float
-    #: What the tasks here need that wait because the share lets none of their job run.
+    #: The demand of this controller's waiting tasks of jobs of which the share lets no task run.
     waiting_for_limit: float
 
 
 class TeamUsage(msgspec.Struct, frozen=True, rename={"cpus": "cores"}):
-    """Both resources that a team's limits are on; an entry of the status."""
+    """The usage of both resources that team limits apply to; an entry of the status."""
 
     cpus: ResourceUsage
     gpus: ResourceUsage
 
 
 class UsageState(Protocol):
-    """What the report reads of the controller's state."""
+    """The fields of the controller's state that the report reads."""
 
     @property
     def teams(self) -> dict[str, Team]:
@@ -48,16 +49,16 @@
 
     @property
     def quota_shares(self) -> TeamAmounts:
-        """What we may use of each limit."""
+        """What this controller may use of each limit."""
 
     @property
     def scheduler(self) -> JobScheduler | None:
-        """The jobs that we schedule; None without a place in the view."""
+        """The jobs that this controller schedules; None without a place in the view."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Totals:
-    """Amounts by team."""
+    """The amounts of all teams that a report is built from."""
 
     used: TeamAmounts
     share_used: TeamAmounts
@@ -65,7 +66,7 @@
 
 
 class TeamUsageReport:
-    """Reports the use of the team limits, by the teams of the settings."""
+    """Reports the usage of the team limits, for the teams whose jobs are accepted."""
 
     def __init__(self, runtime: Runtime, state: UsageState, cluster_usage: ClusterUsage) -> None:
         self._runtime = runtime
@@ -73,9 +74,9 @@
         self._cluster_usage = cluster_usage
 
     def by_team(self) -> dict[str, TeamUsage]:
-        """Return the use of each team's limits.
+        """Return the usage of each team's limits.
 
-        Empty on a controller without a place in the view, which decides no starts.
+        Empty on a controller without a place in the view, which starts no tasks.
         """
         scheduler = self._state.scheduler
         if scheduler is None:
@@ -88,20 +89,20 @@
         limit = limits_of(self._state.teams[team])
         share = self._state.quota_shares.get(team, NOTHING)
 
-        def resource(side: int) -> ResourceUsage:
-            is_limited = limit[side] != NO_LIMIT
+        def resource_usage(resource: int) -> ResourceUsage:
+            is_limited = limit[resource] != NO_LIMIT
             return ResourceUsage(
-                limit=to_number(limit[side]) if is_limited else None,
-                used=to_number(totals.used.get(team, NOTHING)[side]),
-                share=to_number(share[side]) if is_limited else None,
-                share_used=to_number(totals.share_used.get(team, NOTHING)[side]),
-                waiting_for_limit=to_number(totals.waiting.get(team, NOTHING)[side]),
+                limit=to_number(limit[resource]) if is_limited else None,
+                used=to_number(totals.used.get(team, NOTHING)[resource]),
+                share=to_number(share[resource]) if is_limited else None,
+                share_used=to_number(totals.share_used.get(team, NOTHING)[resource]),
+                waiting_for_limit=to_number(totals.waiting.get(team, NOTHING)[resource]),
             )
 
-        return TeamUsage(cpus=resource(0), gpus=resource(1))
+        return TeamUsage(cpus=resource_usage(0), gpus=resource_usage(1))
 
     def waiting_for_limits(self, scheduler: JobScheduler) -> TeamAmounts:
-        """Return what waiting tasks need, by team, of jobs of which the team's share lets no task run."""
+        """Return, by team, the demand of the waiting tasks of jobs of which the team's share lets no task run."""
         now, share_used = self._runtime.now, scheduler.usage_with_transfers()
         waiting: TeamAmounts = {}
         for job_state in scheduler.with_pending_tasks.values():
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -398,7 +398,7 @@
             if w.job.record.handover is not None and split._may_start_job(w)
         ]
 
-    monkeypatch.setattr(ShareSplit, "_taken_over", taken)
+    monkeypatch.setattr(ShareSplit, "_find_counted_handovers", taken)
     world = few_world()
     handed_over_at_the_limit(world)
     assert any("quota" in rule for rule in world.invariants.violations)
