--- a/src/ramptide/config/features.py
+++ b/src/ramptide/config/features.py
@@ -1,4 +1,4 @@
-"""The file that switches parts of the service on, read once when the process starts."""
+"""The features file, which switches parts of the service on; it is read once when the process starts."""
 
 from pathlib import Path
 
@@ -8,26 +8,26 @@
 
 
 class QuotaFeature(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Team limits across controllers (`ramptide.quota`)."""
+    """The quota feature: transfers of shares of team limits between controllers (`ramptide.quota`)."""
 
     enabled: bool
 
 
 class Features(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All parts that can be switched on; without a file all of them are off."""
+    """The features that can be switched on; without a features file all of them are off."""
 
     quota: QuotaFeature
 
 
 def load_features(path: Path) -> Features:
-    """Read and check the file.
+    """Read and check the features file.
 
     Raises
     ------
     SettingsError
-        If it cannot be read, or a field is unknown, missing or wrong; the message is one line that names it.
+        If the file cannot be read, or a field is unknown, missing or wrong; the message is one line that names it.
     """
-    # Imported here, as most processes start without such a file.
+    # Imported here, as most processes start without a features file.
     import tomllib
 
     try:
--- a/src/ramptide/config/settings.py
+++ b/src/ramptide/config/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of the platform: reads and checks it."""
+"""Reads and checks the settings file of the platform."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 
 
 class SettingsError(ValueError):
-    """A wrong setting; the message is one line for the operator that names the field."""
+    """A wrong setting; the message is one line for operators that names the field."""
 
 
 def load(path: Path) -> Settings:
@@ -19,7 +19,7 @@
     Raises
     ------
     SettingsError
-        If the file cannot be read or a field of it is wrong.
+        If the file cannot be read, or a field of it is wrong.
     """
     try:
         body = path.read_bytes()
--- a/src/ramptide/config/tuning.py
+++ b/src/ramptide/config/tuning.py
@@ -1,4 +1,4 @@
-"""The operators' own settings, with their bounds and defaults."""
+"""The settings that operators change at run time, with their bounds and defaults."""
 
 import math
 from dataclasses import dataclass, fields
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """The lowest and the highest value of a setting, and what it does."""
+    """The lowest and the highest value of a setting, and its description."""
 
     low: float
     high: float
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """The operators' own settings, kept in the state service and changed through the administration API."""
+    """The operators' settings, stored in the key-value store and changed through the administration API."""
 
     step: timedelta = timedelta(seconds=0.5)
     step_most: int = 50
@@ -101,7 +101,7 @@
 
     @classmethod
     def from_value(cls, value: Any) -> "Tuning":
-        """Return the settings that are stored; what this version does not know or accept keeps its default."""
+        """Return the stored settings; those that this version does not know or accept keep their defaults."""
         tuning = cls()
         for name, number in (value if isinstance(value, dict) else {}).items():
             try:
@@ -118,17 +118,23 @@
     return value.total_seconds() if isinstance(value, timedelta) else value
 
 
-def _checked_value(name: str, value: Any, present: Any) -> Any:
-    """Return a new value in the type of the present one."""
-    infinite = isinstance(value, float) and not math.isfinite(value)
-    if isinstance(value, bool) or not isinstance(value, int | float) or infinite:
+def _checked_value(name: str, value: Any, current: Any) -> Any:
+    """Return a new value in the type of the current one.
+
+    Raises
+    ------
+    SettingsError
+        If it is not a number, not within its bounds, or not a whole number where one is needed.
+    """
+    is_infinite = isinstance(value, float) and not math.isfinite(value)
+    if isinstance(value, bool) or not isinstance(value, int | float) or is_infinite:
         raise SettingsError(f"{name}: not a number")
     bound = BOUNDS[name]
     if not bound.low <= value <= bound.high:
         raise SettingsError(f"{name}: not between {bound.low:g} and {bound.high:g}")
-    if isinstance(present, timedelta):
+    if isinstance(current, timedelta):
         return timedelta(seconds=value)
-    if not isinstance(present, int):
+    if not isinstance(current, int):
         return float(value)
     if value != int(value):
         raise SettingsError(f"{name}: not a whole number")
