--- a/src/ramptide/scheduling/__init__.py
+++ b/src/ramptide/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Which waiting task starts where: queues, placement rounds, preemption, handover and results."""
+"""Scheduling of tasks on machines: job state, placement rounds, preemption, handover of jobs and results."""
--- a/src/ramptide/scheduling/attempts.py
+++ b/src/ramptide/scheduling/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of a scheduler's jobs: every start that may be on a machine, and what it counts against its team."""
+"""The attempts of a scheduler's jobs: every start that may be on a machine, and what it uses of its team's limit."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,9 +11,9 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One start that we decided on, or found and took over; held until it is proven gone.
+    """One start of a task that this scheduler decided on or adopted; kept until it is proven gone.
 
-    `sequence_number`: the number of the message to the owner that first tells of its present desired state.
+    `sequence_number` is that of the first message to the machine's owner that carries the present desired state.
     """
 
     spec: JobSpec
@@ -23,65 +23,65 @@
     zone: str
     desired: DesiredState
     sequence_number: int
-    since: timedelta
+    created_at: timedelta
     phase: Phase = Phase.QUEUED
     grace: timedelta = NO_TIME
-    counted: bool = False
+    is_counted: bool = False
     running_since: timedelta | None = None
 
     @property
     def key(self) -> TaskKey:
-        """The job, the task and the number of the attempt."""
+        """The job id, the task index and the number of the attempt."""
         return (self.spec.job_id, self.task_index, self.number)
 
 
 class AttemptIndex:
-    """Attempts by machine and by job, those that their owners do not show, and what the teams use.
+    """Attempts by machine and by job, those that the machines' owners do not report, and what the teams use.
 
-    One function adds an attempt, one removes it, one counts it.
+    The indexes change only in `add` and `remove`, and `usage` changes only in `update_usage`.
     """
 
     def __init__(self) -> None:
         self.by_host: dict[str, dict[TaskKey, Attempt]] = {}
         self.by_job: dict[str, dict[TaskKey, Attempt]] = {}
-        #: Attempts that their owners do not show; each is either on its way there or gone.
+        #: Attempts that the machine's owner does not report: each either has not reached the owner yet or is gone.
         self.unshown: dict[TaskKey, Attempt] = {}
-        #: What each team's attempts hold.
+        #: The CPUs and GPUs that each team's attempts hold.
         self.usage: TeamAmounts = {}
 
     def of_job(self, job_id: str) -> list[Attempt]:
-        """Return the attempts of a job, as a list that stays while they are added and removed."""
+        """Return the attempts of a job as a new list, which does not change while attempts are added or removed."""
         return list(self.by_job.get(job_id, {}).values())
 
     def add(self, attempt: Attempt) -> None:
-        """Add an attempt, which its machine's owner is taken not to show yet."""
+        """Add an attempt, as one that the machine's owner does not report yet."""
         key = attempt.key
         self.by_host.setdefault(attempt.host, {})[key] = attempt
         self.by_job.setdefault(attempt.spec.job_id, {})[key] = attempt
         self.unshown[key] = attempt
-        self.count(attempt)
+        self.update_usage(attempt)
 
     def remove(self, attempt: Attempt) -> None:
-        """Remove an attempt."""
+        """Remove an attempt from the indexes and from its team's usage."""
         key = attempt.key
         for index, name in ((self.by_host, attempt.host), (self.by_job, attempt.spec.job_id)):
             entries = index.get(name)
             if entries is not None and entries.pop(key, None) is not None and not entries:
                 del index[name]
         self.unshown.pop(key, None)
-        self.count(attempt, gone=True)
-
-    def count(self, attempt: Attempt, gone: bool = False) -> None:
-        """Count an attempt against its team while it may possibly be on a machine, and no longer."""
-        counts = not gone and attempt.phase not in FINISHED_PHASES
-        if counts is not attempt.counted:
-            attempt.counted = counts
-            sign = 1 if counts else -1
+        self.update_usage(attempt, is_gone=True)
+
+    def update_usage(self, attempt: Attempt, is_gone: bool = False) -> None:
+        """Count an attempt against its team while it may be on a machine, and no longer."""
+        should_count = not is_gone and attempt.phase not in FINISHED_PHASES
+        if should_count is not attempt.is_counted:
+            attempt.is_counted = should_count
+            sign = 1 if should_count else -1
             add_amounts(self.usage, attempt.spec.team, amounts_of(attempt.spec).times(sign))
 
 
 def sum_amounts(attempts: Iterable[Attempt]) -> dict[str, Amounts]:
-    """Return what the attempts that may be on a machine hold, by team."""
+    """Return the CPUs and GPUs of the attempts that may be on a machine, by team."""
     total: dict[str, Amounts] = {}
     for attempt in attempts:
         if attempt.phase not in FINISHED_PHASES:
--- a/src/ramptide/scheduling/attempts_in_transfer.py
+++ b/src/ramptide/scheduling/attempts_in_transfer.py
@@ -1,4 +1,4 @@
-"""Attempts of jobs that were handed over, which count here until the new scheduler says that it counts them."""
+"""Attempts of jobs that were handed over: they count here until the new scheduler confirms that it counts them."""
 
 from collections.abc import Callable
 
@@ -10,40 +10,45 @@
 
 
 class AttemptsInTransfer:
-    """The attempts of each job in transfer."""
+    """The attempts of each job that was handed over and whose new scheduler does not count them yet."""
 
     def __init__(self) -> None:
         self._by_job: dict[str, list[Attempt]] = {}
 
     def add(self, attempt: Attempt) -> None:
-        """Count an attempt of a job that has another scheduler now."""
+        """Add an attempt of a job that has another scheduler now, so that it still counts here."""
         self._by_job.setdefault(attempt.spec.job_id, []).append(attempt)
 
-    def confirm(self, job_id: str) -> None:
-        """Stop counting the attempts of a job, as its new scheduler counts them."""
+    def remove_job(self, job_id: str) -> None:
+        """Remove the attempts of a job, which its new scheduler counts from now on."""
         self._by_job.pop(job_id, None)
 
     def remove_machine(self, host: str) -> None:
-        """Drop the attempts on a machine that was returned."""
+        """Remove the attempts on a machine that was returned."""
         for attempts in self._by_job.values():
             attempts[:] = [attempt for attempt in attempts if attempt.host != host]
 
-    def prune(self, ack: int, confirmed_tasks: Callable[[str], list[TaskRow] | None]) -> None:
-        """Drop the attempts that an owner's list lacks although it has processed our messages up to `ack`.
+    def prune(self, acknowledged_number: int, confirmed_tasks: Callable[[str], list[TaskRow] | None]) -> None:
+        """Remove the attempts that an owner does not list although it has processed the desired states for them.
 
-        `confirmed_tasks` returns its list for a machine, None while that proves nothing.
+        The owner has processed the messages of this controller up to `acknowledged_number`. `confirmed_tasks` returns
+        the owner's list of the tasks on a machine, or None while that list proves nothing.
         """
         if not self._by_job:
-            # By far the most calls: this runs for each message of each owner.
+            # This is the usual case, and the method is called for each message of each owner.
             return
 
-        def may_be_there(attempt: Attempt) -> bool:
+        def is_possibly_on_machine(attempt: Attempt) -> bool:
             tasks = confirmed_tasks(attempt.host)
-            return tasks is None or ack < attempt.sequence_number or any(row[:3] == attempt.key for row in tasks)
+            return (
+                tasks is None
+                or acknowledged_number < attempt.sequence_number
+                or any(row[:3] == attempt.key for row in tasks)
+            )
 
-        left = {job_id: [*filter(may_be_there, attempts)] for job_id, attempts in self._by_job.items()}
-        self._by_job = {job_id: attempts for job_id, attempts in left.items() if attempts}
+        remaining = {job_id: [*filter(is_possibly_on_machine, attempts)] for job_id, attempts in self._by_job.items()}
+        self._by_job = {job_id: attempts for job_id, attempts in remaining.items() if attempts}
 
     def amounts_by_job(self) -> dict[str, dict[str, Amounts]]:
-        """Return what the attempts of each job hold, by team."""
+        """Return the CPUs and GPUs of the attempts of each job, by team."""
         return {job_id: sum_amounts(attempts) for job_id, attempts in self._by_job.items()}
--- a/src/ramptide/scheduling/draining.py
+++ b/src/ramptide/scheduling/draining.py
@@ -1,4 +1,4 @@
-"""Graceful eviction: our tasks on machines that drain or are about to be preempted are stopped."""
+"""Graceful eviction of tasks from machines that are draining or have a preemption notice from the cloud."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -11,22 +11,24 @@
 __all__ = ["stop_on_draining_machines"]
 
 NO_TIME = timedelta(0)
-#: The drain reason of a machine that only waits to be returned: a task that came there meanwhile may stay.
-IDLE = "idle"
+#: The drain reason of a machine that is to be returned because it is idle; a task started there meanwhile may stay.
+IDLE_DRAIN_REASON = "idle"
 
 
 def stop_on_draining_machines(
     scheduler: JobScheduler, records: Mapping[str, MachineRecord], observed: Mapping[str, ObservedMachine]
 ) -> None:
-    """Stop the scheduler's tasks on machines that drain or have a preemption notice."""
+    """Stop the scheduler's tasks on machines that are draining or have a preemption notice."""
     for host in list(scheduler.attempts):
         record, machine = records.get(host), observed.get(host)
-        is_draining = record is not None and record.drain_reason not in (None, IDLE)
+        is_draining = record is not None and record.drain_reason not in (None, IDLE_DRAIN_REASON)
         has_notice = machine is not None and machine.preempted_at is not None
         if not is_draining and not has_notice:
             continue
         for attempt in list(scheduler.attempts[host].values()):
-            saves = attempt.spec.checkpoint_interval_s > 0
-            # A task that cannot save may still finish before the machine goes.
-            if is_draining or saves or attempt.spec.kind == SERVICE:
-                scheduler.stop(attempt, timedelta(seconds=attempt.spec.checkpoint_cost_s) if saves else NO_TIME)
+            has_checkpoints = attempt.spec.checkpoint_interval_s > 0
+            # After a preemption notice, a batch task without checkpoints is not stopped, as it may finish in time.
+            if is_draining or has_checkpoints or attempt.spec.kind == SERVICE:
+                scheduler.stop(
+                    attempt, timedelta(seconds=attempt.spec.checkpoint_cost_s) if has_checkpoints else NO_TIME
+                )
--- a/src/ramptide/scheduling/failing_jobs.py
+++ b/src/ramptide/scheduling/failing_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs of a scheduler that fail wherever they run, and when their next start may be tried."""
+"""The jobs of a scheduler that fail wherever they run, and the back-off of their starts."""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -11,17 +11,17 @@
 
 log = logging.getLogger(__name__)
 
-#: A job stays away so long from a machine on which a task of it failed.
+#: How long a job is not started on a machine after one of its tasks failed there.
 EXCLUDED_AFTER_FAILURE = timedelta(seconds=60)
 
 
 class FailingJobs:
-    """Tells failures of jobs from failures of machines.
+    """Records failures of tasks, tells those of jobs from those of machines, and backs off the starts of failing jobs.
 
     Parameters
     ----------
     is_faulty
-        Tells whether a machine is known as faulty: what fails there is not held against the job.
+        Returns whether a machine is known to be faulty; failures there do not count against the job.
     """
 
     def __init__(self, is_faulty: Callable[[str], bool]) -> None:
@@ -29,11 +29,11 @@
         self.by_id: dict[str, JobState] = {}
 
     def discard(self, job_id: str) -> None:
-        """Drop a job that is not ours any more."""
+        """Remove a job that this controller no longer schedules."""
         self.by_id.pop(job_id, None)
 
-    def task_failed(self, job_state: JobState, attempt: Attempt, now: timedelta) -> None:
-        """Hold a failure against the job, unless the machine is known as faulty."""
+    def record_failure(self, job_state: JobState, attempt: Attempt, now: timedelta) -> None:
+        """Count a failure against the job, unless the machine is known to be faulty."""
         log.info("task failed: task_id=%s/%d host=%s", attempt.spec.job_id, attempt.task_index, attempt.host)
         job_state.excluded_until[attempt.host] = now + EXCLUDED_AFTER_FAILURE
         if self._is_faulty(attempt.host):
@@ -44,35 +44,35 @@
         self.back_off(job_state, now)
 
     def back_off(self, job_state: JobState, now: timedelta) -> None:
-        """Put off the next start of a job if it fails wherever it runs."""
+        """Delay the next start of a job if it fails wherever it runs."""
         if job_state.failing:
             self.by_id[job_state.job.job_id] = job_state
             job_state.back_off(now)
 
-    def clear(self, job_state: JobState) -> bool:
-        """Forget a job's failures; return whether it was held back by them."""
-        job_state.forget_failures()
+    def clear_failures(self, job_state: JobState) -> bool:
+        """Clear a job's failures; return whether its starts were backed off because of them."""
+        job_state.clear_failures()
         return self.by_id.pop(job_state.job.job_id, None) is not None
 
     def clear_recovered(self, now: timedelta) -> bool:
-        """Forget the failures of jobs of which a task has run for well over what others took to fail.
+        """Clear the failures of jobs of which a task has run for well over the time that others took to fail.
 
-        Returns whether there were any.
+        Returns whether there were such jobs.
         """
         recovered = [job_state for job_state in self.by_id.values() if job_state.has_recovered(now)]
         for job_state in recovered:
-            self.clear(job_state)
+            self.clear_failures(job_state)
         return bool(recovered)
 
-    def machine_faulty(self, host: str, jobs: Mapping[str, JobState]) -> bool:
-        """Take back what failed on a machine: it was the machine's fault, not the jobs'.
+    def discard_failures_on(self, host: str, jobs: Mapping[str, JobState]) -> bool:
+        """Discard the jobs' failures on a machine that has turned out to be faulty.
 
-        Returns whether a job is no longer held back.
+        Returns whether the starts of some job are no longer backed off.
         """
         cleared = False
         for job_state in jobs.values():
             if host in job_state.failed_on:
                 job_state.failed_on.discard(host)
                 if not job_state.failing and job_state.job.job_id in self.by_id:
-                    cleared = self.clear(job_state) or cleared
+                    cleared = self.clear_failures(job_state) or cleared
         return cleared
--- a/src/ramptide/scheduling/handover.py
+++ b/src/ramptide/scheduling/handover.py
@@ -1,4 +1,4 @@
-"""Handover of jobs that find no room on our own machines to the leader, who may use all machines."""
+"""Handover of jobs that find no room on this controller's own machines to the leader, which may use all machines."""
 
 import logging
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 
 class HandoverState(Protocol):
-    """What a handover reads of the controller's state."""
+    """The parts of the controller's state that handovers read."""
 
     @property
     def member(self) -> str:
@@ -42,29 +42,29 @@
         """The newest view; None before the first one."""
 
     def require_view(self) -> View:
-        """Return the current view; raises when there is none."""
+        """Return the current view; raise an error when there is none."""
 
 
 class LimitWaits(Protocol):
-    """The quota feature, which brings shares to where jobs wait."""
+    """The quota feature, which transfers quota shares to the controllers where jobs wait for them."""
 
     def waits_for_limit(self, job_state: JobState, usage: TeamAmounts) -> bool:
-        """Tell whether it is the share of its team's limit, and not room, that keeps a job from starting."""
+        """Return whether a job is kept from starting by its team's quota share at this controller, and not by room."""
 
 
 class JobHandover:
-    """Writes the handovers of jobs, a few at a time.
+    """Hands jobs over to the leader, with a bounded number of writes in flight.
 
     Parameters
     ----------
     max_in_flight
-        Handovers that are written at the same time.
+        The highest number of handovers that are written at the same time.
     fresh_members
-        Returns the members that were heard recently.
+        Returns the members from which messages arrived recently.
     may_start_job
-        Tells whether a job's tasks may be started here.
+        Returns whether a job's tasks may be started here.
     quota
-        None where the quota feature is off.
+        The quota feature, or None where it is off.
     """
 
     def __init__(
@@ -91,11 +91,11 @@
         self._in_flight = 0
 
     def new_view(self) -> None:
-        """Forget the handovers under way in the previous view."""
+        """Reset the count of the handovers in flight, as those of the previous view no longer count."""
         self._in_flight = 0
 
     def run(self, scheduler: JobScheduler, now: timedelta) -> None:
-        """Hand jobs that find no room on our own machines over to the leader."""
+        """Hand over to the leader the jobs that find no room on this controller's own machines."""
         view = self._state.require_view()
         if self._leadership.is_leading or view.leader not in self._fresh_members():
             return
@@ -103,18 +103,18 @@
         for job_state in list(scheduler.with_pending_tasks.values()):
             if self._in_flight >= self._max_in_flight:
                 return
-            if not self._finds_no_room(job_state, now):
+            if not self._is_due_for_handover(job_state, now):
                 continue
-            # Share comes to where a job waits, so one that waits for share only need not move.
+            # The quota feature transfers shares to where a job waits, so a job that lacks only a share stays here.
             if self._quota is None or not self._quota.waits_for_limit(job_state, share_used):
-                self._hand_over(job_state, view, scheduler)
+                self._hand_over_job(job_state, view, scheduler)
 
-    def _finds_no_room(self, job_state: JobState, now: timedelta) -> bool:
+    def _is_due_for_handover(self, job_state: JobState, now: timedelta) -> bool:
         if job_state.waiting_since is None or now - job_state.waiting_since <= self._state.tuning.hand_over:
             return False
         return not job_state.frozen and job_state.retry_at <= now and self._may_start_job(job_state)
 
-    def _hand_over(self, job_state: JobState, view: View, scheduler: JobScheduler) -> None:
+    def _hand_over_job(self, job_state: JobState, view: View, scheduler: JobScheduler) -> None:
         job_state.frozen = True
         self._in_flight += 1
         handover = Handover(view.number, self._state.member, scheduler.sequence_number + 1)
@@ -124,10 +124,10 @@
         self._commit(job_state, view, transaction, may_be_applied=False)
 
     def _commit(self, job_state: JobState, view: View, transaction: Transaction, may_be_applied: bool) -> None:
-        """Write the handover of a job.
+        """Write the handover of a job, and repeat the write until its result is known.
 
-        `may_be_applied`: a copy without an answer may have been applied, or may be yet. The new scheduler relies on
-        nothing being started here after it, so the write is repeated until its result is known.
+        The new scheduler relies on no task of the job being started here after the handover. `may_be_applied`: an
+        earlier write of this transaction had no answer, and may have been applied or may still be.
         """
 
         def on_result(result: TransactionResult) -> None:
@@ -142,7 +142,8 @@
             elif not result.is_conflict:
                 self._runtime.after(RETRY_DELAY, retry)
             else:
-                # The record moved on, perhaps by the copy: our watch cache must show it before anything is started.
+                # The record has changed, perhaps by an earlier write of this transaction. The watch cache must show the
+                # change before a task of the job is started here.
                 self._watch_cache.catch_up(lambda is_fresh: self._unfreeze(job_state, view) if is_fresh else retry())
 
         def retry() -> None:
--- a/src/ramptide/scheduling/headroom.py
+++ b/src/ramptide/scheduling/headroom.py
@@ -1,4 +1,4 @@
-"""How many more tasks of a job its team may run."""
+"""The number of further tasks of a job that its team's limit allows."""
 
 from collections.abc import Mapping
 
@@ -7,14 +7,15 @@
 
 __all__ = ["UNLIMITED", "task_headroom"]
 
-#: Stands for the absence of a limit; far more tasks than a job can have.
+#: The number of tasks where no limit applies; far more than a job can have.
 UNLIMITED = 10**9
 
 
 def task_headroom(spec: JobSpec, used: Amounts, allowed: Amounts, limits: Mapping[str, Amounts]) -> int:
-    """Return how many more tasks of the job fit what its team may use, given what it uses.
+    """Return how many more tasks of the job its team may run, given what it uses and what it is allowed to use.
 
-    `UNLIMITED` for a team that is not in `limits`, or whose limit is on none of the resources that the job needs.
+    This is `UNLIMITED` for a team that is not in `limits`, or whose limit is on none of the resources that the job
+    needs.
     """
     if spec.team not in limits:
         return UNLIMITED
--- a/src/ramptide/scheduling/job_scheduler.py
+++ b/src/ramptide/scheduling/job_scheduler.py
@@ -1,4 +1,4 @@
-"""The jobs whose starts this controller alone decides, and the attempts of their tasks."""
+"""The jobs for which this controller alone decides about starts, and the attempts of their tasks."""
 
 import heapq
 from collections.abc import Callable, Collection
@@ -25,49 +25,51 @@
 
 __all__ = ["JobScheduler"]
 
-#: A job stays away so long from a machine that refused a task of it, as the refusal may pass at once.
+#: How long a job is not started on a machine that refused a task of it; the reason of a refusal may be gone soon.
 EXCLUDED_AFTER_REFUSAL = timedelta(milliseconds=300)
 
 
 class JobScheduler:
-    """The jobs whose starts we decide in one view, and every attempt of theirs that may be on a machine.
+    """The jobs that this controller schedules in one view, and every attempt of theirs that may be on a machine.
 
     Parameters
     ----------
     member
         The name of this controller.
-    first_attempt
-        Attempts are numbered from the one after this.
+    attempt_number_base
+        The first attempt gets the number after this one.
     is_faulty
-        Tells whether a machine is known as faulty.
+        Returns whether a machine is known to be faulty.
     """
 
-    def __init__(self, member: str, first_attempt: int, is_faulty: Callable[[str], bool] = lambda _host: False) -> None:
+    def __init__(
+        self, member: str, attempt_number_base: int, is_faulty: Callable[[str], bool] = lambda _host: False
+    ) -> None:
         self.member = member
         self.jobs: dict[str, JobState] = {}
         self._in_transfer = AttemptsInTransfer()
-        #: The number of our last message to the other controllers.
+        #: The sequence number of this controller's last message to the other controllers.
         self.sequence_number = 0
-        #: Something changed that the next round of decisions has to see.
+        #: Whether something changed that the next decision round has to take into account.
         self.needs_round = True
-        #: Machines of which we desire something else than before.
+        #: Machines whose desired tasks changed since they were last collected for messages to their owners.
         self.changed_hosts: set[str] = set()
-        #: Jobs with results that are not written to the key-value store.
-        self.with_new_results: set[str] = set()
-        #: Jobs of which some task is neither done nor placed.
+        #: Jobs with results that are not in the key-value store yet.
+        self.jobs_with_new_results: set[str] = set()
+        #: Jobs with tasks that are neither done nor placed.
         self.with_pending_tasks: dict[str, JobState] = {}
         self.failing_jobs = FailingJobs(is_faulty)
-        self._next_attempt = first_attempt
+        self._last_attempt_number = attempt_number_base
         self.index = AttemptIndex()
-        #: The index's own view of the attempts on each machine.
+        #: The attempts on each machine: the same mapping as in the index.
         self.attempts = self.index.by_host
 
-    def _add(self, attempt: Attempt) -> None:
+    def _add_attempt(self, attempt: Attempt) -> None:
         self.index.add(attempt)
         self.changed_hosts.add(attempt.host)
         self.needs_round = True
 
-    def _remove(self, attempt: Attempt) -> None:
+    def _remove_attempt(self, attempt: Attempt) -> None:
         self.index.remove(attempt)
         self.changed_hosts.add(attempt.host)
         self.needs_round = True
@@ -78,12 +80,12 @@
         else:
             self.with_pending_tasks.pop(job_state.job.job_id, None)
 
-    # Which jobs are ours.
+    # Assignment of jobs.
 
     def take_job(self, job: Job, now: timedelta, failed_on: Collection[str] = ()) -> JobState:
-        """Take a job, or its changed record.
+        """Add a job to those that this controller schedules, or apply the changed record of one of them.
 
-        `failed_on`: where it failed under its former scheduler, should there be one.
+        `failed_on`: the machines on which it failed under its previous scheduler, if it had one.
         """
         job_state = self.jobs.get(job.job_id)
         if job_state is None:
@@ -97,62 +99,65 @@
         return job_state
 
     def release_job(self, job_id: str) -> None:
-        """Let go of a job that has another scheduler now, which decides about the attempts from then on."""
+        """Remove a job that has another scheduler now, which decides about the job's attempts from now on."""
         job_state = self.jobs.pop(job_id, None)
         if job_state is None:
             return
         self._update_pending(job_state)
         self.failing_jobs.discard(job_id)
         for attempt in self.index.of_job(job_id):
-            # Counted as ours until the new scheduler says that it counts them, and lowers our quota share for it.
-            self._remove(attempt)
+            # These attempts count here until the new scheduler confirms that it counts them, in the message that also
+            # lowers this controller's quota share accordingly.
+            self._remove_attempt(attempt)
             self._in_transfer.add(attempt)
         self.needs_round = True
 
     def transfer_confirmed(self, job_id: str) -> None:
-        """Stop counting the attempts of a job that was handed over, as its new scheduler counts them."""
-        self._in_transfer.confirm(job_id)
+        """Stop counting the attempts of a job that was handed over, as its new scheduler counts them now."""
+        self._in_transfer.remove_job(job_id)
 
     def job_finished(self, job_id: str) -> None:
-        """Start no task of the job any more; what may be on a machine still counts until it is gone."""
+        """Remove a job that is over, and stop its attempts, which count until they are gone from their machines."""
         job_state = self.jobs.pop(job_id, None)
         if job_state is None:
             return
         self._update_pending(job_state)
         self.failing_jobs.discard(job_id)
-        self.with_new_results.discard(job_id)
+        self.jobs_with_new_results.discard(job_id)
         for attempt in self.index.of_job(job_id):
             self._set_desired(attempt, DesiredState.REAP if attempt.phase in FINISHED_PHASES else DesiredState.STOP)
         self.needs_round = True
 
     def results_recorded(self, job_id: str) -> None:
-        """Let agents forget the results of the job that the key-value store has now."""
+        """Have agents reap the job's attempts whose results the key-value store has now."""
         job_state = self.jobs.get(job_id)
         for attempt in self.index.of_job(job_id):
             if attempt.phase is Phase.ENDED and job_state is not None and attempt.task_index in job_state.job.progress:
                 self._set_desired(attempt, DesiredState.REAP)
 
-    # Starting and stopping.
+    # Starting and stopping of tasks.
 
     def start(self, job_state: JobState, task: int, host: str, zone: str, now: timedelta) -> Attempt:
         """Start a task on a machine."""
-        self._next_attempt += 1
-        job_state.started_at = now
+        self._last_attempt_number += 1
+        job_state.last_started_at = now
         if job_state.failing:
             job_state.probe = task
         spec = job_state.job.spec
-        attempt = Attempt(spec, task, self._next_attempt, host, zone, DesiredState.RUN, self.sequence_number + 1, now)
-        self._place(job_state, attempt)
+        attempt = Attempt(
+            spec, task, self._last_attempt_number, host, zone, DesiredState.RUN, self.sequence_number + 1, now
+        )
+        self._place_attempt(job_state, attempt)
         return attempt
 
-    def _place(self, job_state: JobState, attempt: Attempt) -> None:
-        self._add(attempt)
+    def _place_attempt(self, job_state: JobState, attempt: Attempt) -> None:
+        self._add_attempt(attempt)
         job_state.placed[attempt.task_index] = attempt
         job_state.zones[attempt.zone] += 1
         self._update_pending(job_state)
 
     def stop(self, attempt: Attempt, grace: timedelta) -> None:
-        """Have an attempt stopped; it may save its work for as long as the grace."""
+        """Request that an attempt be stopped, with a grace period in which it may save its work."""
         if attempt.desired is DesiredState.RUN:
             self._set_desired(attempt, DesiredState.STOP, grace)
 
@@ -162,8 +167,8 @@
             self.changed_hosts.add(attempt.host)
             self.needs_round = True
 
-    def _free_task(self, attempt: Attempt) -> None:
-        """Let the task of an attempt that is proven gone be started again."""
+    def _requeue_task(self, attempt: Attempt) -> None:
+        """Make the task of an attempt that has ended or is proven gone startable again, unless the task is done."""
         job_state = self.jobs.get(attempt.spec.job_id)
         if job_state is None or job_state.placed.get(attempt.task_index) is not attempt:
             return
@@ -174,57 +179,59 @@
         self._update_pending(job_state)
         self.needs_round = True
 
-    def _discard(self, attempt: Attempt) -> None:
-        self._remove(attempt)
-        self._free_task(attempt)
+    def _discard_attempt(self, attempt: Attempt) -> None:
+        self._remove_attempt(attempt)
+        self._requeue_task(attempt)
 
     def remove_machine(self, host: str) -> None:
-        """Drop a machine whose return was answered: all on it is gone."""
+        """Remove a machine whose return the cloud has answered, with all attempts on it, which are gone."""
         for attempt in list(self.attempts.get(host, {}).values()):
             attempt.phase = Phase.GONE
-            self._discard(attempt)
+            self._discard_attempt(attempt)
         self._in_transfer.remove_machine(host)
 
-    # What owners show.
+    # Status from the owners of machines.
 
     def apply_status(self, host: str, zone: str, tasks: list[TaskRow], now: timedelta) -> None:
-        """Take the owner's list of the tasks on a machine."""
-        shown: set[TaskKey] = set()
+        """Apply the owner's list of the tasks on a machine."""
+        reported: set[TaskKey] = set()
         entries = self.attempts.get(host, {})
         for job_id, task, number, name, cause in tasks:
             key = (job_id, task, number)
             attempt = entries.get(key)
             if attempt is None and (job_id not in self.jobs or task >= self.jobs[job_id].job.spec.task_count):
                 continue
-            shown.add(key)
+            reported.add(key)
             phase = PHASE_BY_NAME[name]
             if attempt is None:
-                attempt = self._adopt(host, zone, key, phase, now)
+                attempt = self._adopt_attempt(host, zone, key, phase, now)
             self.index.unshown.pop(key, None)
             if attempt.phase is not phase or phase in FINISHED_PHASES:
                 self._change_phase(attempt, phase, cause, now)
         for key, attempt in self.attempts.get(host, {}).items():
-            if key not in shown:
+            if key not in reported:
                 self.index.unshown[key] = attempt
 
-    def acknowledged(self, ack: int, confirmed_tasks: Callable[[str], list[TaskRow] | None]) -> None:
-        """Note that an owner has processed our messages up to `ack`: what it does not show is not there.
+    def acknowledged(self, acknowledged_number: int, confirmed_tasks: Callable[[str], list[TaskRow] | None]) -> None:
+        """Apply an owner's acknowledgement of the messages of this controller up to `acknowledged_number`.
 
-        `confirmed_tasks` returns its list for a machine, None while that proves nothing.
+        An attempt that the owner does not report, although it has processed the desired state, is not on the machine.
+        `confirmed_tasks` returns the owner's list of the tasks on a machine, or None while that list proves nothing.
         """
         for attempt in list(self.index.unshown.values()):
-            if ack < attempt.sequence_number or confirmed_tasks(attempt.host) is None:
+            if acknowledged_number < attempt.sequence_number or confirmed_tasks(attempt.host) is None:
                 continue
             if attempt.desired is DesiredState.RUN:
-                # The owner did not know the machine when our desired state came. A later message of ours may still
-                # carry it, so it is taken back first; only its answer proves the attempt gone.
+                # The owner did not know the machine when the desired state arrived. A later message of this controller
+                # may still carry that state, so it is withdrawn first. Only the owner's acknowledgement of the
+                # withdrawal proves that the attempt is gone.
                 self._set_desired(attempt, DesiredState.REAP)
             else:
-                self._discard(attempt)
-        self._in_transfer.prune(ack, confirmed_tasks)
+                self._discard_attempt(attempt)
+        self._in_transfer.prune(acknowledged_number, confirmed_tasks)
 
-    def _adopt(self, host: str, zone: str, key: TaskKey, phase: Phase, now: timedelta) -> Attempt:
-        """Take over an attempt of a job of ours that an earlier scheduler started."""
+    def _adopt_attempt(self, host: str, zone: str, key: TaskKey, phase: Phase, now: timedelta) -> Attempt:
+        """Add an attempt that an earlier scheduler started of a job that this controller schedules now."""
         job_id, task, number = key
         job_state = self.jobs[job_id]
         attempt = Attempt(
@@ -232,26 +239,27 @@
         )
         attempt.running_since = now if phase is Phase.RUNNING else None
         if phase not in FINISHED_PHASES and (task in job_state.done or task in job_state.placed):
-            self._add(attempt)
+            self._add_attempt(attempt)
             self._set_desired(attempt, DesiredState.STOP)
         elif phase not in FINISHED_PHASES:
-            self._place(job_state, attempt)
+            self._place_attempt(job_state, attempt)
         else:
-            self._add(attempt)
+            self._add_attempt(attempt)
             attempt.phase = Phase.QUEUED
         return attempt
 
     def _change_phase(self, attempt: Attempt, phase: Phase, cause: str | None, now: timedelta) -> None:
         before, attempt.phase = attempt.phase, phase
-        self.index.count(attempt)
+        self.index.update_usage(attempt)
         if phase is Phase.RUNNING:
             attempt.running_since = now
         if phase not in FINISHED_PHASES:
             return
         job_state = self.jobs.get(attempt.spec.job_id)
         if before not in FINISHED_PHASES and job_state is not None:
-            self._take_outcome(job_state, attempt, cause, now)
-        # Reaped only once its result is in the key-value store: until then the agent keeps it for us.
+            self._apply_outcome(job_state, attempt, cause, now)
+        # A successful attempt is reaped only once its result is in the key-value store. Until then the agent keeps the
+        # result.
         if (
             phase is not Phase.ENDED
             or cause != TaskOutcome.SUCCEEDED
@@ -259,44 +267,44 @@
             or attempt.task_index in job_state.job.progress
         ):
             self._set_desired(attempt, DesiredState.REAP)
-        self._free_task(attempt)
+        self._requeue_task(attempt)
 
-    # How tasks end.
+    # Outcomes of attempts.
 
-    def _take_outcome(self, job_state: JobState, attempt: Attempt, cause: str | None, now: timedelta) -> None:
+    def _apply_outcome(self, job_state: JobState, attempt: Attempt, cause: str | None, now: timedelta) -> None:
         if attempt.phase is Phase.ENDED and cause == TaskOutcome.SUCCEEDED:
-            self._task_done(job_state, attempt)
+            self._record_success(job_state, attempt)
         elif attempt.phase is Phase.ENDED and cause == TaskOutcome.FAILED:
-            self.failing_jobs.task_failed(job_state, attempt, now)
+            self.failing_jobs.record_failure(job_state, attempt, now)
         elif attempt.phase is Phase.REFUSED or (attempt.phase is Phase.ENDED and cause in REFUSAL_CAUSES):
             job_state.excluded_until[attempt.host] = now + EXCLUDED_AFTER_REFUSAL
 
-    def _task_done(self, job_state: JobState, attempt: Attempt) -> None:
+    def _record_success(self, job_state: JobState, attempt: Attempt) -> None:
         job_state.longest_failed_run = NO_TIME
         self._clear_failures(job_state)
         if job_state.job.spec.kind == BATCH and job_state.done.add(attempt.task_index):
-            self.with_new_results.add(attempt.spec.job_id)
+            self.jobs_with_new_results.add(attempt.spec.job_id)
             self._update_pending(job_state)
             self.needs_round = True
 
     def _clear_failures(self, job_state: JobState) -> None:
-        if self.failing_jobs.clear(job_state):
+        if self.failing_jobs.clear_failures(job_state):
             self.needs_round = True
 
     def clear_recovered(self, now: timedelta) -> None:
-        """Forget the failures of jobs of which a task has run for well over what others took to fail."""
+        """Clear the failures of jobs of which a task has run for well over the time that others took to fail."""
         if self.failing_jobs.clear_recovered(now):
             self.needs_round = True
 
     def machine_faulty(self, host: str) -> None:
-        """Take back what failed on a machine: it was the machine's fault, not the jobs'."""
-        if self.failing_jobs.machine_faulty(host, self.jobs):
+        """Discard the jobs' failures on a machine that has turned out to be faulty."""
+        if self.failing_jobs.discard_failures_on(host, self.jobs):
             self.needs_round = True
 
-    # What the others need to know.
+    # Reports to the other controllers.
 
     def desired_tasks(self, host: str) -> list[DesiredTaskRow] | None:
-        """Return all that we desire of a machine; None when that is nothing."""
+        """Return the desired states of all attempts on a machine; None when there are none."""
         entries = self.attempts.get(host)
         if entries is None:
             return None
@@ -312,15 +320,15 @@
         ]
 
     def usage(self) -> dict[str, Amounts]:
-        """Return what each team's attempts hold: whatever may possibly be on a machine counts."""
+        """Return the amounts that each team's attempts hold; every attempt that may be on a machine counts."""
         return dict(self.index.usage)
 
     def amounts_in_transfer(self) -> dict[str, dict[str, Amounts]]:
-        """Return the same for each job that was handed over and that its new scheduler does not count yet."""
+        """Return the amounts by team of each job that was handed over and that its new scheduler does not count yet."""
         return self._in_transfer.amounts_by_job()
 
     def usage_with_transfers(self) -> dict[str, Amounts]:
-        """Return both together: what our quota share has to cover."""
+        """Return the usage together with the amounts in transfer, which this controller's quota share has to cover."""
         total = self.usage()
         for held in self.amounts_in_transfer().values():
             for team, amounts in held.items():
--- a/src/ramptide/scheduling/job_state.py
+++ b/src/ramptide/scheduling/job_state.py
@@ -1,4 +1,4 @@
-"""What a scheduler keeps of one job: its tasks that wait or are placed, and how it has failed."""
+"""The state of one job at its scheduler: its waiting and placed tasks, and its failures."""
 
 import heapq
 from collections import Counter
@@ -14,96 +14,107 @@
 
 BACKOFF_FIRST = timedelta(seconds=2)
 BACKOFF_MAX = timedelta(seconds=60)
-#: A task that runs for longer than others took to fail has recovered: twice as long, but at least so long.
+#: A job has recovered when a task has run for longer than this, and for more than twice as long as others took to fail.
 RECOVERED_AFTER = timedelta(seconds=5)
-#: Running so long is enough for a service, which never shows success otherwise.
+#: A service has recovered when a replica has run for longer than this, as no replica ever ends in success.
 SERVICE_RECOVERED_AFTER = timedelta(seconds=60)
 
 
 @dataclass(slots=True)
 class JobState:
-    """What the scheduler keeps of a job in this view."""
+    """The state that the scheduler keeps of a job in the current view."""
 
     job: Job
     done: Progress
-    since: timedelta
-    #: The attempts of its tasks that may be on a machine, and how many there are in each zone.
+    scheduled_since: timedelta
+    #: The attempts that may be on a machine, by task index.
     placed: dict[int, Attempt] = field(default_factory=dict)
+    #: The number of these attempts in each zone.
     zones: Counter[str] = field(default_factory=Counter)
-    #: A heap of the tasks to be started again; all from `next_new_task` on were never started in this view.
+    #: A heap of the tasks to be started again. Tasks from `next_new_task` on were never started in this view.
     retry_tasks: list[int] = field(default_factory=list)
     next_new_task: int = 0
-    #: Nothing is started while its handover to another controller is being written.
+    #: Whether a handover of the job to another controller is being written; no task is started meanwhile.
     frozen: bool = False
-    #: Machines on which nothing of it is started until the moment given.
+    #: Machines on which no task of the job is started, each with the time at which that ends.
     excluded_until: dict[str, timedelta] = field(default_factory=dict)
-    #: Machines on which it failed since a task of it did well, and the longest that a task ran before it failed.
+    #: Machines on which the job failed since its failures were last cleared.
     failed_on: set[str] = field(default_factory=set)
+    #: The longest time that a task ran before it failed, since a task last succeeded.
     longest_failed_run: timedelta = NO_TIME
     backoff: timedelta = NO_TIME
     retry_at: timedelta = NO_TIME
-    #: The task that was started last to see whether the job still fails.
+    #: The task that was last started to find out whether the job still fails.
     probe: int | None = None
     waiting_since: timedelta | None = None
-    #: Since when some of its tasks have found no room, though its team's limit lets them run.
+    #: Since when some of its tasks have found no room although its team's limit lets them run.
     without_room_since: timedelta | None = None
-    started_at: timedelta | None = None
+    last_started_at: timedelta | None = None
 
     @property
     def waiting(self) -> int:
-        """How many tasks are neither done nor placed."""
+        """The number of tasks that are neither done nor placed."""
         return self.job.spec.task_count - self.done.count - len(self.placed)
 
     @property
     def failing(self) -> bool:
-        """Whether it fails wherever it runs.
+        """Whether the job has failed on several machines.
 
-        Mostly it was submitted with a mistake, and does so until it is cancelled.
+        Such a job was most likely submitted with a mistake, and fails until it is cancelled.
         """
         return len(self.failed_on) > 1
 
     @property
     def startable(self) -> int:
-        """How many tasks may be started and counted as waiting: while it fails, one as a probe."""
+        """The number of tasks that may be started and count as waiting: while the job fails at most one, as a probe."""
         if not self.failing:
             return self.waiting
         return 0 if self.probe in self.placed else min(self.waiting, 1)
 
     @property
     def avoids(self) -> set[str]:
-        """Machines whose room is none for it, so that another is rented: while they may all be faulty."""
+        """The machines whose room does not count for the job, so that another machine is rented.
+
+        These are the machines on which it failed, while they are so few that they may all be faulty.
+        """
         return self.failed_on if len(self.failed_on) < MAX_FAULTY_MACHINES else set()
 
     @property
     def claims_room(self) -> bool:
-        """Whether others may be stopped for it: not for what is going to fail."""
+        """Whether other tasks may be stopped to make room for the job: not while it fails, as it would fail again."""
         return not self.failing
 
     @property
     def has_unrecorded_results(self) -> bool:
-        """Whether the state service lacks some of its results."""
+        """Whether the key-value store lacks some of its results."""
         return self.done.count != self.job.progress.count
 
     @property
     def complete(self) -> bool:
-        """Whether all its tasks are done."""
+        """Whether all tasks of a batch job are done; never true of a service."""
         return self.job.spec.kind == BATCH and self.done.count == self.job.spec.task_count
 
     def idle_for(self, now: timedelta, wall: datetime) -> timedelta:
-        """Return how long nothing of it was started. While it fails it is idle by our own choice."""
+        """Return for how long no task of the job was started.
+
+        While the job fails this is zero, as its starts are then held back on purpose.
+        """
         if self.failing:
             return NO_TIME
-        if self.started_at is None and not self.placed and not self.done.count:
+        if self.last_started_at is None and not self.placed and not self.done.count:
             return wall - self.job.submitted_at
-        return now - (self.started_at or self.since)
+        return now - (self.last_started_at or self.scheduled_since)
+
+    def update_waiting(self, now: timedelta, is_waiting: bool, is_without_room: bool) -> None:
+        """Set since when tasks of the job wait, and since when some find no room although the team limit lets them run.
 
-    def note_wait(self, now: timedelta, waits: bool, without_room: bool) -> None:
-        """Note since when it waits, and since when tasks of it find no room though its team's limit lets them run."""
-        self.waiting_since = (self.waiting_since or now) if waits else None
-        self.without_room_since = (self.without_room_since or now) if without_room else None
+        Each of the two times is kept while its condition stays true, and cleared when it is false.
+        """
+        self.waiting_since = (self.waiting_since or now) if is_waiting else None
+        self.without_room_since = (self.without_room_since or now) if is_without_room else None
 
     def next_task(self) -> int | None:
-        """Return the next task that waits; it stays next until it is placed."""
+        """Return the next waiting task, or None when no task may be started; the same one until it is placed."""
         while self.retry_tasks:
             if self._is_done_or_placed(self.retry_tasks[0]):
                 heapq.heappop(self.retry_tasks)
@@ -120,23 +131,25 @@
         return task_index in self.done or task_index in self.placed
 
     def back_off(self, now: timedelta) -> None:
-        """Put off the next start: what fails together counts once, the next probe that fails doubles the pause."""
+        """Delay the next start. Failures during a delay count once; a probe that fails after it doubles the delay."""
         self.waiting_since = None
         if self.retry_at <= now:
             self.backoff = min(max(self.backoff * 2, BACKOFF_FIRST), BACKOFF_MAX)
             self.retry_at = now + self.backoff
 
-    def forget_failures(self) -> None:
-        """Start its tasks without a pause again."""
+    def clear_failures(self) -> None:
+        """Clear the machines on which the job failed, and start its tasks without delay again."""
         self.failed_on.clear()
         self.backoff = self.retry_at = NO_TIME
 
     def has_recovered(self, now: timedelta) -> bool:
-        """Tell whether a task has run for well over what others took to fail."""
-        least = max(self.longest_failed_run * 2, RECOVERED_AFTER)
+        """Return whether a task has run for well over the time that others took to fail."""
+        min_run_time = max(self.longest_failed_run * 2, RECOVERED_AFTER)
         if self.job.spec.kind == SERVICE:
-            least = min(least, SERVICE_RECOVERED_AFTER)
+            min_run_time = min(min_run_time, SERVICE_RECOVERED_AFTER)
         return any(
-            attempt.phase is Phase.RUNNING and attempt.running_since is not None and now - attempt.running_since > least
+            attempt.phase is Phase.RUNNING
+            and attempt.running_since is not None
+            and now - attempt.running_since > min_run_time
             for attempt in self.placed.values()
         )
--- a/src/ramptide/scheduling/own_demand.py
+++ b/src/ramptide/scheduling/own_demand.py
@@ -1,4 +1,4 @@
-"""What the jobs of one scheduler wait for, as it is told to the leader."""
+"""The demand of one scheduler's waiting jobs, which the controller reports to the leader."""
 
 from datetime import timedelta
 
@@ -24,7 +24,7 @@
 
 
 def own_demand(scheduler: JobScheduler, now: timedelta) -> TeamAmounts:
-    """Return what the scheduler's waiting tasks would use of each team's limit."""
+    """Return the amounts that the scheduler's waiting tasks would use of each team's limit."""
     demand: TeamAmounts = {}
     for job_state in scheduler.with_pending_tasks.values():
         if job_state.retry_at <= now:
--- a/src/ramptide/scheduling/placement_round.py
+++ b/src/ramptide/scheduling/placement_round.py
@@ -1,4 +1,4 @@
-"""The placement round: which of the waiting tasks of our jobs start where."""
+"""The placement round, which decides which waiting tasks of this controller's jobs start on which machines."""
 
 import math
 from collections import Counter
@@ -23,12 +23,12 @@
 __all__ = ["PlacementRound"]
 
 NO_TIME = timedelta(0)
-#: The share of its tasks with which a job that waited out its patience gets ahead of the others.
-STARVED_SHARE = 0.1
+#: The part of an array's tasks that may start in one round when the array has waited so long that it may use all room.
+STARVED_TASKS_RATIO = 0.1
 
 
 class PlacementState(Protocol):
-    """What a placement round reads of the controller's state, and the counters that it adds to."""
+    """The parts of the controller's state that a placement round reads, and the counters that it adds to."""
 
     @property
     def tuning(self) -> Tuning:
@@ -40,7 +40,7 @@
 
     @property
     def quota_shares(self) -> TeamAmounts:
-        """What we may use of each limit."""
+        """The part of each limit that this controller may use."""
 
     @property
     def counters(self) -> Counter[str]:
@@ -48,41 +48,41 @@
 
 
 class LeadershipInfo(Protocol):
-    """Whether this controller leads the view."""
+    """The part of the membership that tells whether this controller leads the view."""
 
     @property
     def is_leading(self) -> bool:
-        """Whether we lead the current view."""
+        """Whether this controller leads the current view."""
 
 
 class RoomClaims(GuaranteeUsage, Protocol):
-    """The quota feature, which knows what other controllers claim for work within a guarantee."""
+    """The quota feature, which knows what room other controllers claim for jobs within a guarantee."""
 
     def unclaimed(self, spec: JobSpec, rooms: list[Room]) -> list[Room]:
-        """Return the rooms that the job may take although its team is beyond its guarantee."""
+        """Return the rooms that the job may use although its team is beyond its guarantee."""
 
 
 @dataclass(slots=True)
 class _Round:
-    """What one round works with."""
+    """The inputs and the running state of one round."""
 
     scheduler: JobScheduler
     rooms: list[Room]
-    #: What the teams use of our shares, with what this round starts.
+    #: What each team uses of this controller's quota shares, including the tasks that this round starts.
     used: dict[str, Amounts]
     now: timedelta
     wall: datetime
 
 
 class PlacementRound:
-    """Starts waiting tasks of our jobs where they find room.
+    """Starts waiting tasks of this controller's jobs where they find room.
 
     Parameters
     ----------
     may_start_job
-        Tells whether a job's tasks may be started: none can be on a machine without our knowledge.
+        Returns whether a job's tasks may be started, as none can be on a machine without this controller's knowledge.
     quota
-        None where the quota feature is off.
+        The quota feature, or None where it is off.
     """
 
     def __init__(
@@ -106,33 +106,33 @@
         self._quota = quota
 
     def run(self, scheduler: JobScheduler, now: timedelta) -> None:
-        """Start what finds room, the most urgent jobs first.
+        """Start the tasks that find room, those of the most urgent jobs first.
 
-        Where one job of some needs found no room, no other of the same needs is tried in this round.
+        When a job finds no room, no other job with the same needs is tried in this round.
         """
         scheduler.clear_recovered(now)
-        job_states = self._startable(scheduler, now)
+        job_states = self._startable_jobs(scheduler, now)
         if not job_states:
             return
         own_only = not self._leadership.is_leading
         self._room_finder.refresh(own_only)
-        least_cpus = min(job_state.job.spec.cpus for job_state in job_states)
-        rooms = [room for room in self._room_finder.rooms(own_only) if room.cpus + ROUNDING >= least_cpus]
+        min_cpus = min(job_state.job.spec.cpus for job_state in job_states)
+        rooms = [room for room in self._room_finder.rooms(own_only) if room.cpus + ROUNDING >= min_cpus]
         wall = self._runtime.wall()
         placement = _Round(scheduler, rooms, scheduler.usage_with_transfers(), now, wall)
         job_states = self._filter_by_size(job_states, placement)
         urgency_of = self._urgency_order.urgency_of
         job_states.sort(key=lambda job_state: urgency_of(job_state.job, job_state.idle_for(now, wall), wall))
-        hopeless: set[tuple[object, ...]] = set()
+        unplaceable: set[tuple[object, ...]] = set()
         for job_state in job_states:
             access = self._reserve_access(job_state, now, wall)
             key = (needs(job_state.job.spec), access)
-            is_short = key in hopeless or self._place_job(job_state, access, placement)
-            if is_short and _is_typical(job_state):
-                hopeless.add(key)
-            job_state.note_wait(now, job_state.startable > 0, is_short)
+            is_short = key in unplaceable or self._place_job(job_state, access, placement)
+            if is_short and _is_representative(job_state):
+                unplaceable.add(key)
+            job_state.update_waiting(now, job_state.startable > 0, is_short)
 
-    def _startable(self, scheduler: JobScheduler, now: timedelta) -> list[JobState]:
+    def _startable_jobs(self, scheduler: JobScheduler, now: timedelta) -> list[JobState]:
         return [
             job_state
             for job_state in scheduler.with_pending_tasks.values()
@@ -143,42 +143,43 @@
         ]
 
     def _filter_by_size(self, job_states: list[JobState], placement: _Round) -> list[JobState]:
-        """Return the jobs of which a task is no larger than all rooms, and note of the others that they wait.
+        """Return the jobs of which a task may fit into the largest room, and record that the others wait.
 
-        On a full fleet that spares the order, and the walk of the rooms, for all but a few jobs.
+        On a full fleet this saves the sorting, and the search through the rooms, for all but a few jobs.
         """
         rooms = placement.rooms
         max_cpus = max((room.cpus for room in rooms), default=0.0) + ROUNDING
         max_ram_gb = max((room.ram_gb for room in rooms), default=0.0) + ROUNDING
-        found = []
-        # Whether the limit lets a task run, by what decides that: many jobs are alike.
-        allowed: dict[tuple[str, float, float], bool] = {}
+        fitting = []
+        # Whether the team limit lets a task run, cached by the values that decide it, as many jobs are alike.
+        is_allowed: dict[tuple[str, float, float], bool] = {}
         for job_state in job_states:
             spec = job_state.job.spec
             if rooms and spec.cpus <= max_cpus and spec.ram_gb <= max_ram_gb:
-                found.append(job_state)
+                fitting.append(job_state)
                 continue
             key = (spec.team, spec.cpus, spec.gpus)
-            if key not in allowed:
-                allowed[key] = self._headroom(spec, placement.used) > 0
-            job_state.note_wait(placement.now, True, allowed[key])
-        return found
+            if key not in is_allowed:
+                is_allowed[key] = self._headroom(spec, placement.used) > 0
+            job_state.update_waiting(placement.now, True, is_allowed[key])
+        return fitting
 
     def _headroom(self, spec: JobSpec, used: dict[str, Amounts]) -> int:
         share = self._state.quota_shares.get(spec.team, NOTHING)
         return task_headroom(spec, used.get(spec.team, NOTHING), share, self._state.limits)
 
     def _reserve_access(self, job_state: JobState, now: timedelta, wall: datetime) -> ReserveAccess:
-        """Return which of the room kept for services the job may use.
+        """Return how much of the room that is reserved for services the job may use.
 
-        With no capacity to be rented an idle pool helps nobody. The room on the services' own machines is given up
-        last, but no job is left waiting for long beside room that nobody uses.
+        After a long wait the job may use the idle machines of the pool: with no capacity to be rented, an idle pool
+        helps nobody. The reserve on machines that run services is used last, but no job waits for long beside room that
+        nobody uses.
         """
         tuning = self._state.tuning
         idle = job_state.idle_for(now, wall)
-        short = now - job_state.without_room_since if job_state.without_room_since is not None else NO_TIME
+        time_without_room = now - job_state.without_room_since if job_state.without_room_since is not None else NO_TIME
         is_starved = deadline_outlook(job_state.job, idle, wall, tuning.patience) is DeadlineOutlook.STARVED
-        if is_starved or min(idle, short) > tuning.share_wait:
+        if is_starved or min(idle, time_without_room) > tuning.share_wait:
             return ReserveAccess.ALL
         waited = now - job_state.waiting_since if job_state.waiting_since is not None else NO_TIME
         if job_state.failing or waited > tuning.long_wait or self._may_claim(job_state, waited):
@@ -186,13 +187,13 @@
         return ReserveAccess.NONE
 
     def _may_claim(self, job_state: JobState, waited: timedelta) -> bool:
-        """Tell whether room within a guarantee is about to be taken from running tasks: an idle machine costs less."""
+        """Return whether tasks are about to be preempted for the job, as an idle machine of the pool costs less."""
         if self._quota is None or waited < self._state.tuning.preempt_after:
             return False
         return self._quota.within_guarantee(job_state.job.spec)
 
     def _place_job(self, job_state: JobState, access: ReserveAccess, placement: _Round) -> bool:
-        """Start tasks of one job; return True when fewer than it may start found room."""
+        """Start tasks of one job; return whether fewer tasks found room than may be started."""
         spec = job_state.job.spec
         max_starts = self._max_starts(job_state, access, job_state.idle_for(placement.now, placement.wall))
         rooms = self._allowed_rooms(job_state, access, placement)
@@ -214,7 +215,7 @@
     def _start_replicas(
         self, job_state: JobState, rooms: list[Room], access: ReserveAccess, allowed: int, placement: _Round
     ) -> bool:
-        """Start replicas of a service, a choice of machine for each; return True when one found no room."""
+        """Start replicas of a service, choosing the machine for each; return whether one found no room."""
         while allowed > 0 and job_state.next_task() is not None:
             room = choose(job_state.job.spec, rooms, job_state.zones, access)
             if room is None:
@@ -226,7 +227,7 @@
     def _start_array(
         self, job_state: JobState, rooms: list[Room], access: ReserveAccess, allowed: int, placement: _Round
     ) -> None:
-        """Start tasks of a job array: one walk of the rooms for all of them."""
+        """Start tasks of a job array, in one pass over the rooms for all of them."""
         if allowed <= 0:
             return
         for room, count in choose_many(job_state.job.spec, rooms, job_state.zones, allowed, access):
@@ -248,35 +249,39 @@
         self._machine_index.invalidate(room.host)
 
     def _max_starts(self, job_state: JobState, access: ReserveAccess, idle: timedelta) -> int:
-        """Return how many tasks may go ahead of others, for a job that has waited out its patience or is to begin."""
+        """Return how many tasks of the job may be started in this round.
+
+        The number is bounded for jobs that go ahead of others because no task of them was started for long: one task
+        after `begin_within`, and `STARVED_TASKS_RATIO` of an array with access to all reserved room.
+        """
         if idle > self._state.tuning.begin_within:
             return 1
         if access is ReserveAccess.ALL and job_state.job.spec.kind != SERVICE:
-            return math.ceil(job_state.job.spec.task_count * STARVED_SHARE)
+            return math.ceil(job_state.job.spec.task_count * STARVED_TASKS_RATIO)
         return UNLIMITED
 
     def _allowed_rooms(self, job_state: JobState, access: ReserveAccess, placement: _Round) -> list[Room]:
-        """Return the rooms without those that the job avoids.
+        """Return the rooms that the job may use, without those on machines that are excluded for it.
 
-        A job that fails goes where it has not failed yet, in the whole fleet: it must not be confined to one owner's
-        machines that are at fault. When it failed on many, and no such room is left, any will do, so that none is
-        rented for it.
+        A failing job starts only on machines on which it has not failed yet, in the whole fleet: it must not be
+        confined to the machines of one owner, which may be faulty. When it has failed on many machines and no other
+        room is left, the leader allows any room, so that no machine is rented for the job.
         """
         rooms, now = placement.rooms, placement.now
         if job_state.excluded_until:
             job_state.excluded_until = {host: until for host, until in job_state.excluded_until.items() if until > now}
         excluded = job_state.excluded_until
-        others = [room for room in rooms if room.host not in excluded] if excluded else rooms
+        not_excluded = [room for room in rooms if room.host not in excluded] if excluded else rooms
         if not job_state.failing:
-            return others
-        without_failure = [room for room in others if room.host not in job_state.failed_on]
+            return not_excluded
+        without_failure = [room for room in not_excluded if room.host not in job_state.failed_on]
         must_avoid = job_state.avoids or not self._leadership.is_leading
         if must_avoid or usable(job_state.job.spec, without_failure, job_state.zones, access):
             return without_failure
         return rooms
 
 
-def _is_typical(job_state: JobState) -> bool:
-    """Tell whether another job of the same needs would find room where this one does, and none where it does not."""
+def _is_representative(job_state: JobState) -> bool:
+    """Return whether every job of the same needs finds room exactly when this one does."""
     spec = job_state.job.spec
     return not job_state.excluded_until and not spec.single_zone and not spec.spread_zones
--- a/src/ramptide/scheduling/preemption.py
+++ b/src/ramptide/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: the leader decides which running tasks give way to more urgent jobs; their schedulers stop them."""
+"""Preemption: the leader decides which running tasks are stopped for more urgent jobs; their schedulers stop them."""
 
 import heapq
 import logging
@@ -31,15 +31,15 @@
 log = logging.getLogger(__name__)
 
 PREEMPTION_INTERVAL = timedelta(milliseconds=500)
-#: A preemption counts as under way for so long, and the preempted job looks for room elsewhere as long.
+#: How long a preemption counts as pending, and how long the preempted job is not started on that machine again.
 PREEMPTION_TIMEOUT = timedelta(seconds=5)
-#: Preemptions under way: so many at the most, or one for so many machines on a large fleet.
+#: At most so many preemptions are pending at a time; on a large fleet, one for each so many machines.
 MAX_PENDING_PREEMPTIONS, MACHINES_PER_PREEMPTION = 40, 50
 PREEMPTIBLE_STATUSES = (TaskStatus.FETCHING, TaskStatus.RUNNING)
 
 
 class PreemptionState(Protocol):
-    """What preemption reads of the controller's state, and the counters that it adds to."""
+    """The parts of the controller's state that preemption reads, and the counters that it adds to."""
 
     @property
     def tuning(self) -> Tuning:
@@ -63,46 +63,46 @@
 
     @property
     def quota_shares(self) -> TeamAmounts:
-        """What we may use of each limit."""
+        """The part of each limit that this controller may use."""
 
     @property
     def reconciled(self) -> bool:
-        """Whether it is known of all machines what earlier views left on them."""
+        """Whether it is known what earlier views left on each machine."""
 
     @property
     def counters(self) -> Counter[str]:
         """Counts for the metrics."""
 
     def require_scheduler(self) -> JobScheduler:
-        """Return the jobs that we schedule; raises without a place in the view."""
+        """Return the scheduler of this controller's jobs; raise an error when it is no member of the view."""
 
 
 @dataclass(slots=True)
 class PendingPreemption:
-    """A task that was told to give way to a job, with the seconds that it gets to save a checkpoint."""
+    """A preempted task: the job that it is stopped for, when that was decided, and its grace period in seconds."""
 
     claimant: str
-    at: timedelta
+    decided_at: timedelta
     grace_s: float
 
 
 @dataclass(slots=True)
 class _Claims:
-    """What one pass over the claiming jobs works with: copies, changed as tasks are told to give way."""
+    """The working state of one pass over the claiming jobs: copies, which change as tasks are preempted."""
 
     rooms: dict[str, Room]
-    #: What teams use over all controllers.
+    #: What each team uses over all controllers.
     used: TeamAmounts
     now: timedelta
-    #: Tasks that may be stopped, by machine, as far as they were looked up.
+    #: The preemptible tasks of each machine that was looked up so far.
     tasks: dict[str, list[RunningTask]] = field(default_factory=dict)
 
 
 class Preemptor:
-    """As leader, decides which tasks give way; as their scheduler, stops them.
+    """Decides as the leader which tasks are preempted, and stops preempted tasks as their scheduler.
 
-    `pending`: the preemptions under way, which the leader repeats to the schedulers of the tasks. `team_usage` returns
-    what teams use over all controllers.
+    `pending` holds the pending preemptions, which the leader repeats to the schedulers of the tasks. `team_usage`
+    returns what each team uses over all controllers.
     """
 
     def __init__(
@@ -128,17 +128,21 @@
         self._last_run = timedelta(0)
 
     def new_view(self) -> None:
-        """Forget the preemptions under way in the previous view."""
+        """Discard the pending preemptions of the previous view."""
         self.pending.clear()
 
     def run(self, scheduler: JobScheduler, now: timedelta) -> None:
-        """As leader, make room for jobs that may claim it: by priority, or within their team's guarantee.
+        """Make room for jobs that may claim it, by priority or within their team's guarantee. Only the leader does so.
 
-        Only jobs that found no room for `preempt_after` claim any, most urgent first; the schedulers of the tasks to be
-        stopped are told to stop them.
+        Room is made only for jobs that have waited for `preempt_after`, the most urgent first. The schedulers of the
+        preempted tasks are told to stop them.
         """
         if self.pending:
-            self.pending = {key: one for key, one in self.pending.items() if now - one.at < PREEMPTION_TIMEOUT}
+            self.pending = {
+                key: preemption
+                for key, preemption in self.pending.items()
+                if now - preemption.decided_at < PREEMPTION_TIMEOUT
+            }
         if not self._is_due(now):
             return
         self._last_run = now
@@ -151,24 +155,26 @@
         claims = _Claims(rooms, self._team_usage(), now)
         share_used = scheduler.usage_with_transfers()
         urgency_of = self._urgency_order.urgency_of
-        hopeless: set[tuple[object, ...]] = set()
-        for job_state in sorted(claimants, key=lambda one: urgency_of(one.job, one.idle_for(now, wall), wall)):
+        unmet_claims: set[tuple[object, ...]] = set()
+        for job_state in sorted(
+            claimants, key=lambda claimant: urgency_of(claimant.job, claimant.idle_for(now, wall), wall)
+        ):
             spec = job_state.job.spec
             key = (needs(spec), spec.priority, spec.team)
-            if key in hopeless or not self._may_preempt():
+            if key in unmet_claims or not self._may_preempt():
                 continue
             wanted = self._wanted_tasks(job_state, share_used)
             if wanted > 0 and not self._make_room(job_state, wanted, claims):
-                hopeless.add(key)
+                unmet_claims.add(key)
 
     def _is_due(self, now: timedelta) -> bool:
         may_decide = self._leadership.is_leading and self._state.reconciled
         return may_decide and now - self._last_run >= PREEMPTION_INTERVAL and self._may_preempt()
 
     def _may_preempt(self) -> bool:
-        """Tell whether another task may be told to give way now."""
-        large_fleet = len(self._state.machines) // MACHINES_PER_PREEMPTION
-        return len(self.pending) < max(MAX_PENDING_PREEMPTIONS, large_fleet)
+        """Return whether another task may be preempted now."""
+        limit_by_fleet_size = len(self._state.machines) // MACHINES_PER_PREEMPTION
+        return len(self.pending) < max(MAX_PENDING_PREEMPTIONS, limit_by_fleet_size)
 
     def _claimants(self, scheduler: JobScheduler, now: timedelta) -> list[JobState]:
         preempt_after = self._state.tuning.preempt_after
@@ -182,50 +188,51 @@
         ]
 
     def _wanted_tasks(self, job_state: JobState, share_used: TeamAmounts) -> int:
-        """Return for how many tasks of the job room is to be made, beside what others were told to give way for."""
+        """Return for how many tasks of the job room is still to be made, beyond the pending preemptions for it."""
         spec = job_state.job.spec
-        promised = sum(one.claimant == spec.job_id for one in self.pending.values())
+        promised = sum(preemption.claimant == spec.job_id for preemption in self.pending.values())
         used = share_used.get(spec.team, NOTHING)
         share = self._state.quota_shares.get(spec.team, NOTHING)
         return min(job_state.waiting - promised, task_headroom(spec, used, share, self._state.limits))
 
     def _make_room(self, job_state: JobState, wanted: int, claims: _Claims) -> bool:
-        """Make room for tasks of a job, where the least is lost first; return False when some found none."""
+        """Make room for tasks of a job, where it costs least first; return whether there is room for all of them."""
         spec = job_state.job.spec
-        # Whether a task may be stopped depends on little of it, and on what the teams use until one is.
-        known: dict[tuple[object, ...], bool] = {}
+        # Whether a task may be stopped, cached by the values that decide it. A preemption changes what the teams use,
+        # and so clears the cache.
+        claimable_by_key: dict[tuple[object, ...], bool] = {}
 
         def is_claimable(victim: JobSpec) -> bool:
             key = (victim.team, victim.priority, victim.cpus, victim.gpus)
-            if key not in known:
-                known[key] = may_claim(spec, victim, claims.used, self._state.guarantees)
-            return known[key]
+            if key not in claimable_by_key:
+                claimable_by_key[key] = may_claim(spec, victim, claims.used, self._state.guarantees)
+            return claimable_by_key[key]
 
         def cheapest_victims(host: str) -> tuple[float, list[RunningTask]] | None:
             return victims(spec, claims.rooms[host], claims.tasks[host], is_claimable, job_state.zones)
 
         heap = []
         for host in self._admitting_hosts(spec, claims):
-            found = cheapest_victims(host)
-            if found is not None:
-                heap.append((found[0], host))
+            choice = cheapest_victims(host)
+            if choice is not None:
+                heap.append((choice[0], host))
         heapq.heapify(heap)
         while wanted > 0 and heap and self._may_preempt():
             _, host = heapq.heappop(heap)
-            # What went before may have changed who may be stopped, so it is looked at again.
-            found = cheapest_victims(host)
-            if found is None:
+            # Earlier preemptions of this pass may have changed which tasks may be stopped, so the choice is made again.
+            choice = cheapest_victims(host)
+            if choice is None:
                 continue
-            self._preempt(spec, host, found[1], claims)
-            known.clear()
+            self._preempt(spec, host, choice[1], claims)
+            claimable_by_key.clear()
             wanted -= 1
-            found = cheapest_victims(host)
-            if found is not None:
-                heapq.heappush(heap, (found[0], host))
+            choice = cheapest_victims(host)
+            if choice is not None:
+                heapq.heappush(heap, (choice[0], host))
         return wanted <= 0
 
     def _admitting_hosts(self, spec: JobSpec, claims: _Claims) -> Iterator[str]:
-        """Yield the machines that the job may use, and look up what runs there."""
+        """Yield the machines that the job may use, after their preemptible tasks were looked up."""
         for host, room in claims.rooms.items():
             if admits(spec, room):
                 if host not in claims.tasks:
@@ -233,7 +240,7 @@
                 yield host
 
     def _preempt(self, claimant: JobSpec, host: str, preempted: list[RunningTask], claims: _Claims) -> None:
-        """Tell tasks on a machine to give way to a task of the claimant."""
+        """Preempt tasks on a machine for one task of the claimant."""
         room, tasks = claims.rooms[host], claims.tasks[host]
         for victim in preempted:
             spec = victim.spec
@@ -250,28 +257,28 @@
         self._state.counters["preemptions"] += len(preempted)
 
     def stop_task(self, key: TaskKey, grace: timedelta) -> None:
-        """Stop an attempt of ours to make room, on the leader's request; one that is not ours is ignored.
+        """Stop an attempt to make room, on the leader's request; ignore one that this controller does not schedule.
 
         Raises
         ------
         NoPlaceInViewError
-            If we schedule no jobs.
+            If this controller is no member of the view, and so schedules no jobs.
         """
         scheduler = self._state.require_scheduler()
         job_id, task_index, number = key
         job_state = scheduler.jobs.get(job_id)
         attempt = job_state.placed.get(task_index) if job_state is not None else None
         if job_state is not None and attempt is not None and attempt.number == number:
-            # The room is for another job: this one looks elsewhere for a while.
+            # The room is for another job, so this job is not started on the machine for a while.
             job_state.excluded_until[attempt.host] = self._runtime.now + PREEMPTION_TIMEOUT
             scheduler.stop(attempt, grace)
 
     def _preemptible_tasks(self, host: str) -> list[RunningTask]:
-        """Return the tasks that hold room on a machine and were not told to give way yet."""
-        found = []
+        """Return the tasks that run on a machine or fetch their image there, and have no pending preemption."""
+        preemptible = []
         for job_id, task_index, number, phase, _cause in self._machine_index.machines[host].tasks:
             job = self._state.jobs.get(job_id)
             is_pending = (job_id, task_index, number) in self.pending
             if job is not None and phase in PREEMPTIBLE_STATUSES and not is_pending:
-                found.append(RunningTask(job.spec, task_index, number))
-        return found
+                preemptible.append(RunningTask(job.spec, task_index, number))
+        return preemptible
--- a/src/ramptide/scheduling/results.py
+++ b/src/ramptide/scheduling/results.py
@@ -1,4 +1,4 @@
-"""Writing of results to the key-value store: completed jobs at once, the progress of others at intervals."""
+"""Writes results to the key-value store: completed jobs at once, the progress of other jobs at intervals."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -19,21 +19,22 @@
 
 PROGRESS_INTERVAL = timedelta(seconds=4)
 RETRY_DELAY = timedelta(milliseconds=500)
-#: Small transactions, so that those on which users wait find tokens left.
+#: The number of operations in one transaction of progress: small, so that rate-limit tokens are left for the
+#: transactions on which users wait.
 MAX_PROGRESS_OPERATIONS = 3
 
 
 class ResultWriter:
-    """Records ended tasks; they stay on their machines until the key-value store has their results.
+    """Records the results of tasks that succeeded, which agents keep until the key-value store has them.
 
     Parameters
     ----------
     commit_batcher
-        Takes the completions, on which users wait.
+        Commits the completions of jobs, on which users wait.
     common_conditions
-        Returns the conditions that every transaction of this controller has.
+        Returns the conditions that are part of every transaction of this controller.
     on_finished
-        Told of each job whose completion was written.
+        Called with each job whose completion was committed, and its final record.
     """
 
     def __init__(
@@ -52,17 +53,17 @@
         self._in_flight: set[str] = set()
 
     def forget(self, job_id: str) -> None:
-        """Drop what is kept of a job that is over."""
+        """Discard the state that is kept of a job that is over."""
         self._next_write.pop(job_id, None)
 
     def flush(self, scheduler: JobScheduler, now: timedelta) -> None:
-        """Write the results of the scheduler's jobs that are due."""
+        """Write the results of those of the scheduler's jobs whose write is due."""
         if self._watch_cache.is_unavailable:
             return
-        for job_id in list(scheduler.with_new_results):
+        for job_id in list(scheduler.jobs_with_new_results):
             job_state = scheduler.jobs.get(job_id)
             if job_state is None or not job_state.has_unrecorded_results:
-                scheduler.with_new_results.discard(job_id)
+                scheduler.jobs_with_new_results.discard(job_id)
             elif not job_state.frozen and job_id not in self._in_flight:
                 if job_state.complete and now >= self._next_write.get(job_id, now):
                     self._write_completion(job_state, now)
@@ -80,11 +81,11 @@
         )
 
         def on_result(result: TransactionResult) -> None:
-            self._write_finished(job.job_id, result, transaction)
+            self._record_write_result(job.job_id, result, transaction)
             if result.is_applied:
                 self._on_finished(job.job_id, finished)
 
-        self._write_started(job.job_id, now + RETRY_DELAY)
+        self._record_write_started(job.job_id, now + RETRY_DELAY)
         self._completions.add(transaction, on_result)
 
     def _write_progress(self, job_state: JobState, now: timedelta) -> None:
@@ -92,14 +93,14 @@
         key = JOB_PREFIX + job.job_id
         record = msgspec.structs.replace(job.record, progress=job_state.done.encode())
         transaction = Transaction(conditions={key: job.mod_revision}, puts=[Put(key, to_value(record))])
-        self._write_started(job.job_id, now + PROGRESS_INTERVAL)
-        self._progress.add(transaction, lambda result: self._write_finished(job.job_id, result, transaction))
+        self._record_write_started(job.job_id, now + PROGRESS_INTERVAL)
+        self._progress.add(transaction, lambda result: self._record_write_result(job.job_id, result, transaction))
 
-    def _write_started(self, job_id: str, next_write: timedelta) -> None:
+    def _record_write_started(self, job_id: str, next_write: timedelta) -> None:
         self._in_flight.add(job_id)
         self._next_write[job_id] = next_write
 
-    def _write_finished(self, job_id: str, result: TransactionResult, transaction: Transaction) -> None:
+    def _record_write_result(self, job_id: str, result: TransactionResult, transaction: Transaction) -> None:
         self._in_flight.discard(job_id)
         if result.is_applied:
             self._watch_cache.apply_commit(transaction, result.commit_revision)
--- a/src/ramptide/scheduling/rooms.py
+++ b/src/ramptide/scheduling/rooms.py
@@ -1,4 +1,4 @@
-"""The free room on machines that take tasks now, and the member whose machines have most room for a job."""
+"""Finds the free room on machines that take tasks now, and the member whose machines have most room for a job."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class OwnershipState(Protocol):
-    """Who owns which machines in the current view."""
+    """The parts of the controller's state that tell who owns which machines in the current view."""
 
     @property
     def view(self) -> View | None:
@@ -22,10 +22,10 @@
 
     @property
     def shard(self) -> Shard | None:
-        """The machines that we own; None without a place in the view."""
+        """The machines that this controller owns; None while it is no member of the view."""
 
     def require_view(self) -> View:
-        """Return the current view; raises when there is none."""
+        """Return the current view; raise an error when there is none."""
 
     def owner_of(self, host: str) -> str:
         """Return the member that owns a machine."""
@@ -34,7 +34,8 @@
 class RoomFinder:
     """Finds free room in the index of observed machines.
 
-    `fresh_members`: the members that were heard recently; what is known of the other members' machines is too old.
+    `fresh_members` returns the members from which messages arrived recently; what is known of the machines of other
+    members is too old.
     """
 
     def __init__(
@@ -45,12 +46,16 @@
         self._fresh_members = fresh_members
 
     def refresh(self, own_only: bool = False) -> None:
-        """Compute again the room of the machines that have changed, of ours or of all."""
+        """Recompute the room of the changed machines, with `own_only` just of those that this controller owns."""
         shard = self._state.shard
         self._machine_index.refresh(shard.machines if own_only and shard is not None else None)
 
     def rooms(self, own_only: bool = False) -> list[Room]:
-        """Return what was free at the last refresh on machines whose owners were heard recently, or on ours only."""
+        """Return the free rooms as of the last refresh.
+
+        With `own_only` these are the rooms on the machines that this controller owns, otherwise those on the machines
+        of all members from which messages arrived recently.
+        """
         if own_only:
             shard = self._state.shard
             return list(self._machine_index.free_rooms(shard.machines)) if shard is not None else []
@@ -60,7 +65,11 @@
         return [room for room in self._machine_index.free_rooms() if self._state.owner_of(room.host) in fresh]
 
     def choose_scheduler(self, spec: JobSpec) -> str:
-        """Return the member whose machines have most room for the job, or the leader when it fits on none alone."""
+        """Return the member that is to schedule a new job.
+
+        This is the member with the most free CPUs among those whose own machines have room for the whole job, or the
+        leader when there is none.
+        """
         leader = self._state.require_view().leader
         self.refresh()
         by_owner: dict[str, list[Room]] = {}
--- a/src/ramptide/scheduling/urgency.py
+++ b/src/ramptide/scheduling/urgency.py
@@ -1,4 +1,4 @@
-"""Which of the jobs that wait comes first. Pure."""
+"""The urgency of waiting jobs, which decides their order. The functions are pure."""
 
 from collections.abc import Container
 from datetime import UTC, datetime, timedelta
@@ -10,24 +10,30 @@
 
 #: Sorts jobs without a deadline after all others.
 NO_DEADLINE = datetime.max.replace(tzinfo=UTC)
-#: Guesses are often too long by half; a job is given up as late only when even a run this much shorter would be.
-SHORTEST_RUN_SHARE = 0.7
+#: Estimated run times are often too long by half. A job counts as late only when it would be late even with a run time
+#: of this part of the estimate.
+SHORTEST_RUN_RATIO = 0.7
 
 
 class DeadlineOutlook(IntEnum):
-    """What a job that waits can still make, going by its owner's guess of a task's run time."""
+    """Whether a waiting job can still meet its deadline, by its owner's estimate of a task's run time."""
 
+    #: No task was started for longer than `patience`.
     STARVED = 0
+    #: The job can end by its deadline, has none, or is a service.
     IN_TIME = 1
+    #: The job can end after its deadline by at most half of the time from its submission to the deadline.
     LATE = 2
+    #: The job can only end later than that.
     TOO_LATE = 3
 
 
 def deadline_outlook(job: Job, idle: timedelta, now: datetime, patience: timedelta) -> DeadlineOutlook:
-    """Return what a job can still make.
+    """Return the outlook of a job that has been idle for the given time.
 
-    Room goes first to what can still be in time: under pressure, what is lost already must not take others along.
-    A job of which nothing was started for long goes before all with a few tasks, so that none waits for ever.
+    Room goes first to jobs that can still be in time, so that under load a job that is already late does not make
+    others late. A job of which no task was started for longer than `patience` goes before all others with a few tasks,
+    so that no job waits for ever.
     """
     if job.spec.kind == SERVICE:
         return DeadlineOutlook.IN_TIME
@@ -35,7 +41,7 @@
         return DeadlineOutlook.STARVED
     if job.deadline is None:
         return DeadlineOutlook.IN_TIME
-    end = now + timedelta(seconds=job.spec.estimated_runtime_s * SHORTEST_RUN_SHARE)
+    end = now + timedelta(seconds=job.spec.estimated_runtime_s * SHORTEST_RUN_RATIO)
     if end <= job.deadline:
         return DeadlineOutlook.IN_TIME
     return (
@@ -49,24 +55,24 @@
     job: Job,
     idle: timedelta,
     now: datetime,
-    prompt: Container[str],
+    prompt_classes: Container[str],
     patience: timedelta,
     begin_within: timedelta,
-    within_guarantee: bool = False,
+    is_within_guarantee: bool = False,
 ) -> tuple[Any, ...]:
     """Return the sort key of a job, the most urgent lowest.
 
-    Jobs of which nothing was started for `begin_within` come first, whatever their priority, with one task each: a
-    steady flow of more urgent work would keep them waiting for good. Then priority goes first, then what a team may run
-    within its guarantee where that is told, then the classes that are to start promptly, then what can still be made,
-    each by its deadline, then the order of submission.
+    Jobs of which no task was started for `begin_within` come first, whatever their priority, with one task each: a
+    steady flow of more urgent work would otherwise keep them waiting for ever. The other criteria follow in this order:
+    the priority, whether the team is within its guarantee where that is told, the classes that are to start promptly,
+    services before arrays, the deadline outlook, the deadline, and the time of submission.
     """
     spec = job.spec
     return (
         idle <= begin_within,
         -PRIORITIES.index(spec.priority),
-        not within_guarantee,
-        spec.job_class not in prompt,
+        not is_within_guarantee,
+        spec.job_class not in prompt_classes,
         spec.kind != SERVICE,
         deadline_outlook(job, idle, now, patience),
         job.deadline or NO_DEADLINE,
--- a/src/ramptide/scheduling/urgency_order.py
+++ b/src/ramptide/scheduling/urgency_order.py
@@ -1,4 +1,4 @@
-"""The order of waiting jobs at this moment, by the operators' settings and what teams use of their guarantees."""
+"""The current order of waiting jobs, by the operators' settings and the teams' use of their guarantees."""
 
 from datetime import datetime, timedelta
 from typing import Any, Protocol
@@ -12,7 +12,7 @@
 
 
 class OrderState(Protocol):
-    """The settings that decide the order."""
+    """The settings on which the order depends."""
 
     @property
     def tuning(self) -> Tuning:
@@ -20,14 +20,14 @@
 
     @property
     def prompt_classes(self) -> frozenset[str]:
-        """Classes whose starts people wait for."""
+        """The job classes that are to start promptly, as people wait for them."""
 
 
 class GuaranteeUsage(Protocol):
-    """The quota feature, which knows what teams use over all controllers."""
+    """The quota feature, which knows what each team uses over all controllers."""
 
     def within_guarantee(self, spec: JobSpec) -> bool:
-        """Tell whether one more task of the job lies within its team's guarantee."""
+        """Return whether one more task of the job keeps its team within its guarantee."""
 
 
 class UrgencyOrder:
@@ -38,7 +38,7 @@
         self._quota = quota
 
     def urgency_of(self, job: Job, idle: timedelta, wall: datetime) -> tuple[Any, ...]:
-        """Return the sort key of a job that has been idle for so long, the most urgent lowest."""
+        """Return the sort key of a job that has been idle for the given time, the most urgent lowest."""
         tuning = self._state.tuning
         guarantees_first = self._quota is not None and bool(tuning.guarantees_first)
         guaranteed = guarantees_first and self._quota is not None and self._quota.within_guarantee(job.spec)
--- a/src/ramptide/scheduling/victims.py
+++ b/src/ramptide/scheduling/victims.py
@@ -1,4 +1,4 @@
-"""Which tasks give way when a job that may claim room finds none. Pure."""
+"""The choice of the tasks that are stopped to make room for another job. The functions are pure."""
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
@@ -8,15 +8,16 @@
 from ramptide.state.amounts import NOTHING, Amounts, amounts_of
 from ramptide.state.task_state import TaskKey
 
-#: Far above what other tasks cost: a replica is stopped last, as people wait for its answers.
-SERVICE_LOSS = 1e6
-#: Above what most tasks of a priority cost, so that a lower priority goes first on the same machine.
-PRIORITY_LOSS = 1e3
+#: Far above the cost of other tasks: a replica of a service is stopped last, as people wait for its answers.
+SERVICE_STOP_COST = 1e6
+#: The cost of each step of priority: above the other costs of most tasks, so that on one machine tasks of a lower
+#: priority are stopped first.
+PRIORITY_STOP_COST = 1e3
 
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """A task that holds room."""
+    """A task that holds room on a machine."""
 
     spec: JobSpec
     task_index: int
@@ -24,7 +25,7 @@
 
     @property
     def key(self) -> TaskKey:
-        """The job, the task and the number of the attempt."""
+        """The job id, the task index and the number of the attempt."""
         return (self.spec.job_id, self.task_index, self.attempt)
 
 
@@ -34,10 +35,10 @@
     usage: Mapping[str, Amounts],
     guarantees: Mapping[str, Amounts],
 ) -> bool:
-    """Tell whether a task of `victim` may be stopped for one of `spec`.
+    """Return whether a task of `victim` may be stopped for one of `spec`.
 
-    Lower priorities give way to higher ones. Work of any priority that another team runs beyond its own
-    guarantee gives way to what a team may run within its guarantee. Nothing else does.
+    A task may be stopped for one of a higher priority. A task of any priority that its team runs beyond its guarantee
+    may be stopped for one that another team may run within its guarantee. No other task may be stopped.
     """
     if PRIORITIES.index(victim.priority) < PRIORITIES.index(spec.priority):
         return True
@@ -45,13 +46,13 @@
         return False
     if not within_guarantee(spec, usage, guarantees):
         return False
-    used, going = usage.get(victim.team, NOTHING), amounts_of(victim)
-    kept = guarantees.get(victim.team, NOTHING)
-    return used[0] - going[0] >= kept[0] and used[1] - going[1] >= kept[1]
+    used, released = usage.get(victim.team, NOTHING), amounts_of(victim)
+    guaranteed = guarantees.get(victim.team, NOTHING)
+    return used[0] - released[0] >= guaranteed[0] and used[1] - released[1] >= guaranteed[1]
 
 
 def within_guarantee(spec: JobSpec, usage: Mapping[str, Amounts], guarantees: Mapping[str, Amounts]) -> bool:
-    """Tell whether one more task of the job keeps its team within its guarantee."""
+    """Return whether one more task of the job keeps its team within its guarantee."""
     guaranteed = guarantees.get(spec.team)
     if guaranteed is None:
         return False
@@ -63,35 +64,40 @@
     spec: JobSpec,
     room: Room,
     tasks: Iterable[RunningTask],
-    claimable: Callable[[JobSpec], bool],
-    placed: Mapping[str, int],
+    is_claimable: Callable[[JobSpec], bool],
+    placed_by_zone: Mapping[str, int],
 ) -> tuple[float, list[RunningTask]] | None:
-    """Return what is lost when tasks on this machine make room for one of the job, and which tasks these are.
+    """Return the cost of making room on a machine for one task of the job, and the tasks to be stopped for it.
 
-    None when that can't be done, or need not.
+    The result is None when no room can be made, or when a task fits without stopping any.
     """
-    if not admits(spec, room) or not zone_room(spec, room.zone, placed):
+    if not admits(spec, room) or not zone_room(spec, room.zone, placed_by_zone):
         return None
-    trial, lost, going = room.copy(), 0.0, []
-    for task in sorted((task for task in tasks if claimable(task.spec)), key=_loss):
+    trial, cost, chosen = room.copy(), 0.0, []
+    for task in sorted((task for task in tasks if is_claimable(task.spec)), key=_stop_cost):
         if trial.fits(spec):
             break
         trial.take(task.spec, -1)
-        going.append(task)
-        lost += _loss(task)[0]
-    return (lost, going) if going and trial.fits(spec) else None
+        chosen.append(task)
+        cost += _stop_cost(task)[0]
+    return (cost, chosen) if chosen and trial.fits(spec) else None
 
 
-def _loss(task: RunningTask) -> tuple[float, str, int]:
-    """Return what stopping a task costs: little if it saves, more the longer it runs, most for a replica.
+def _stop_cost(task: RunningTask) -> tuple[float, str, int]:
+    """Return the sort key of a task: the cost of stopping it, then the job id and the task index to break ties.
 
-    The job and the task make the order of equal ones a fixed one.
+    The cost is low for a task that saves checkpoints, grows with the estimated run time for other batch tasks, and is
+    highest for a replica of a service.
     """
     spec = task.spec
     if spec.kind == SERVICE:
-        lost = SERVICE_LOSS
+        cost = SERVICE_STOP_COST
     elif spec.checkpoint_interval_s > 0:
-        lost = spec.checkpoint_cost_s
+        cost = spec.checkpoint_cost_s
     else:
-        lost = spec.estimated_runtime_s
-    return (lost * max(spec.cpus, 1.0) + PRIORITY_LOSS * PRIORITIES.index(spec.priority), spec.job_id, task.task_index)
+        cost = spec.estimated_runtime_s
+    return (
+        cost * max(spec.cpus, 1.0) + PRIORITY_STOP_COST * PRIORITIES.index(spec.priority),
+        spec.job_id,
+        task.task_index,
+    )
