--- a/src/ramptide/placement/__init__.py
+++ b/src/ramptide/placement/__init__.py
@@ -1,1 +1,1 @@
-"""What may run where, and which machine a task takes (pure)."""
+"""The rules of what may run where, and the choice of machines for tasks. The functions are pure."""
--- a/src/ramptide/placement/bin_packing.py
+++ b/src/ramptide/placement/bin_packing.py
@@ -1,4 +1,7 @@
-"""What may run where, and which machine a task takes. Pure: rooms and jobs in, a choice out."""
+"""The rules of what may run where, and the choice of machines for tasks.
+
+The functions are pure: they work on the rooms and jobs that they are given.
+"""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator, Mapping
@@ -9,27 +12,33 @@
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import SERVICE, JobSpec
 
-#: Amounts are sums and differences of fractions, so what fits exactly may seem to miss by a rounding error.
+#: The tolerance when amounts are compared. They are sums and differences of fractions, so an exact fit may miss by a
+#: rounding error.
 ROUNDING = 1e-6
-#: A service opens another machine rather one on which so many of its replicas fit, as more are likely to follow.
-REPLICAS_TO_OPEN_FOR = 4
+#: When a service needs a machine that runs no services yet, one that fits at least this number of its replicas is
+#: preferred, as more are likely to follow.
+MIN_REPLICAS_TO_OPEN = 4
 
 
 class ReserveAccess(IntEnum):
-    """Which of the room that is kept for services an array may use, by how long it has waited."""
+    """How much of the room that is reserved for services an array may use; more after a long wait."""
 
+    #: None of it.
     NONE = 0
+    #: The idle machines of the pool.
     POOL = 1
+    #: The whole pool, and the reserve on machines that run services.
     ALL = 2
 
 
 @dataclass(slots=True)
 class Room:
-    """What is free on a machine, and what matters for choosing it.
+    """The free room on a machine, and the properties by which the machine is chosen.
 
-    `heartbeat_held`: its agent waits for our reply, so a start leaves at once. `in_pool`: for services only.
-    `service_cpus`: the CPUs that services hold; where there are some, arrays leave `service_reserve` (CPUs, memory)
-    free for more of them.
+    `idle`: no task holds room on the machine. `heartbeat_held`: the agent waits for the reply to a heartbeat, so the
+    command to start a task is sent at once. `in_pool`: the machine is in the idle pool, which is reserved for services.
+    `service_cpus`: the CPUs that services hold. While services hold some, arrays leave `service_reserve` (CPUs and
+    memory in GB) free for more of them.
     """
 
     host: str
@@ -46,10 +55,10 @@
     service_cpus: float = 0.0
     service_reserve: tuple[float, float] = (0.0, 0.0)
 
-    def fits(self, spec: JobSpec, reach: ReserveAccess = ReserveAccess.NONE) -> int:
-        """Return how many tasks of the job this room takes."""
+    def fits(self, spec: JobSpec, access: ReserveAccess = ReserveAccess.NONE) -> int:
+        """Return how many tasks of the job fit into the room."""
         cpus, ram = self.cpus, self.ram_gb
-        if self.service_cpus and spec.kind != SERVICE and reach is not ReserveAccess.ALL:
+        if self.service_cpus and spec.kind != SERVICE and access is not ReserveAccess.ALL:
             reserved_cpus, reserved_ram = self.service_reserve
             cpus, ram = cpus - reserved_cpus, ram - reserved_ram
         counts = [
@@ -60,9 +69,10 @@
         return max(0, min(counts)) if counts else spec.task_count
 
     def copy(self) -> "Room":
-        """Copy the room for trials.
+        """Return a copy of the room, for trials.
 
-        Written out, as `dataclasses.replace` takes ten times as long and hundreds are made a step.
+        The fields are written out because `dataclasses.replace` takes ten times as long, and each step makes hundreds
+        of copies.
         """
         return Room(
             self.host, self.machine_type, self.zone, self.spot, self.cpus, self.gpus, self.ram_gb, self.images,
@@ -70,17 +80,17 @@
         )  # fmt: skip
 
     def take(self, spec: JobSpec, tasks: int = 1) -> None:
-        """Take the room of some tasks of the job; a negative number gives it back."""
+        """Allocate the room of `tasks` tasks of the job; a negative number releases it."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
         self.ram_gb -= spec.ram_gb * tasks
 
 
-# The rules: what may run where.
+# Rules of what may run where.
 
 
 def may_use(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
-    """Tell whether the job allows this type, zone and kind of machine."""
+    """Return whether the job allows this machine type, this zone, and spot or on-demand machines."""
     return (
         (spec.machine_types is None or machine_type in spec.machine_types)
         and (spec.zone is None or spec.zone == zone)
@@ -88,21 +98,21 @@
     )
 
 
-def admits(spec: JobSpec, room: Room, reach: ReserveAccess = ReserveAccess.NONE) -> bool:
-    """Tell whether the job may use this machine, whatever room is left there."""
+def admits(spec: JobSpec, room: Room, access: ReserveAccess = ReserveAccess.NONE) -> bool:
+    """Return whether the job may use the machine, without regard to how much room is left there."""
     closed = room.in_pool and spec.kind != SERVICE
     return may_use(spec, room.machine_type, room.zone, room.spot) and (
-        not closed or reach is ReserveAccess.ALL or (room.idle and reach is ReserveAccess.POOL)
+        not closed or access is ReserveAccess.ALL or (room.idle and access is ReserveAccess.POOL)
     )
 
 
 def empty_room(machine_type: MachineType, zone: str, spot: bool, host: str = "") -> Room:
-    """Return what a machine of the type has before anything runs there."""
+    """Return the room of a machine of the type on which nothing runs."""
     return Room(host, machine_type.name, zone, spot, machine_type.cpus, machine_type.gpus, machine_type.ram_gb)
 
 
-def holds(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Tell whether an empty machine of the type takes a task of the job."""
+def fits_empty_machine(spec: JobSpec, machine_type: MachineType) -> bool:
+    """Return whether a task of the job fits on an empty machine of the type."""
     return (
         spec.cpus <= machine_type.cpus + ROUNDING
         and spec.gpus <= machine_type.gpus + ROUNDING
@@ -111,54 +121,54 @@
 
 
 def can_ever_run(spec: JobSpec, machine_types: Iterable[MachineType]) -> bool:
-    """Tell whether some allowed type and zone takes a task, and the zone rules can be met."""
+    """Return whether a task fits on some allowed machine type and zone, and the zone rules can be met."""
     zones: set[str] = set()
     for machine_type in machine_types:
-        if holds(spec, machine_type):
+        if fits_empty_machine(spec, machine_type):
             zones.update(zone for zone in machine_type.zones if may_use(spec, machine_type.name, zone, False))
     if spec.spread_zones and spec.task_count > 1:
         return len(zones) > 1 and not spec.single_zone
     return bool(zones)
 
 
-def zone_room(spec: JobSpec, zone: str, placed: Mapping[str, int]) -> int:
-    """Return how many more tasks the zone rules allow in a zone, given how many of the job are in each zone now."""
-    if spec.single_zone and any(count for other, count in placed.items() if other != zone):
+def zone_room(spec: JobSpec, zone: str, placed_by_zone: Mapping[str, int]) -> int:
+    """Return how many more tasks of the job its zone rules allow in a zone, given those placed in each zone now."""
+    if spec.single_zone and any(count for other, count in placed_by_zone.items() if other != zone):
         return 0
     if spec.spread_zones:
-        return max(0, (spec.task_count + 1) // 2 - placed.get(zone, 0))
+        return max(0, (spec.task_count + 1) // 2 - placed_by_zone.get(zone, 0))
     return spec.task_count
 
 
 def needs(spec: JobSpec) -> tuple[Any, ...]:
-    """Return what decides where a task may run: where one job of these needs finds no room, no other does."""
+    """Return the properties that decide where a task may run: when a job finds no room, no job of equal needs does."""
     machine_types = tuple(spec.machine_types) if spec.machine_types else None
     return (spec.kind, spec.cpus, spec.gpus, spec.ram_gb, spec.spot, spec.zone, machine_types)
 
 
-# The choice of a machine.
+# Choice of machines.
 
 
-def usable(
-    spec: JobSpec, rooms: Iterable[Room], placed: Mapping[str, int], reach: ReserveAccess = ReserveAccess.NONE
+def usable_rooms(
+    spec: JobSpec, rooms: Iterable[Room], placed_by_zone: Mapping[str, int], access: ReserveAccess = ReserveAccess.NONE
 ) -> list[Room]:
-    """Return the rooms that may take a task of the job now."""
-    found = [
+    """Return the rooms into which a task of the job fits now, and which it may use."""
+    usable = [
         room
         for room in rooms
         if room.cpus + ROUNDING >= spec.cpus
         and room.ram_gb + ROUNDING >= spec.ram_gb
-        and admits(spec, room, reach)
-        and room.fits(spec, reach) > 0
-        and zone_room(spec, room.zone, placed)
+        and admits(spec, room, access)
+        and room.fits(spec, access) > 0
+        and zone_room(spec, room.zone, placed_by_zone)
     ]
-    if spec.single_zone and not any(placed.values()):
-        return _in_largest_zone(spec, found)
-    return found
+    if spec.single_zone and not any(placed_by_zone.values()):
+        return _in_largest_zone(spec, usable)
+    return usable
 
 
 def _in_largest_zone(spec: JobSpec, rooms: list[Room]) -> list[Room]:
-    """Return the rooms of the zone where most tasks fit, as the first task decides the zone of all."""
+    """Return the rooms of the zone where most tasks fit, as the first task decides the zone of all tasks of the job."""
     capacity: Counter[str] = Counter()
     for room in rooms:
         capacity[room.zone] += room.fits(spec)
@@ -169,26 +179,28 @@
 
 
 def choose(
-    spec: JobSpec, rooms: Iterable[Room], placed: Mapping[str, int], reach: ReserveAccess = ReserveAccess.NONE
+    spec: JobSpec, rooms: Iterable[Room], placed_by_zone: Mapping[str, int], access: ReserveAccess = ReserveAccess.NONE
 ) -> Room | None:
-    """Return the machine for the next task of a job, or None when none has room."""
-    return min(usable(spec, rooms, placed, reach), key=lambda room: _preference(spec, room), default=None)
+    """Return the room for the next task of a job, or None when the task fits nowhere."""
+    return min(
+        usable_rooms(spec, rooms, placed_by_zone, access), key=lambda room: _preference(spec, room), default=None
+    )
 
 
-def choose_many(
+def choose_rooms(
     spec: JobSpec,
     rooms: Iterable[Room],
-    placed: Mapping[str, int],
+    placed_by_zone: Mapping[str, int],
     tasks: int,
-    reach: ReserveAccess = ReserveAccess.NONE,
+    access: ReserveAccess = ReserveAccess.NONE,
 ) -> Iterator[tuple[Room, int]]:
-    """Yield machines for many tasks of an array, each with the number of tasks that it takes.
+    """Yield rooms for many tasks of an array, each with the number of tasks that are to start there.
 
-    Each is filled before the next: one walk of the rooms for all tasks.
+    Each room is filled before the next, so that one pass over the rooms serves all tasks.
     """
-    by_zone = Counter(placed)
-    for room in sorted(usable(spec, rooms, placed, reach), key=lambda room: _preference(spec, room)):
-        count = min(room.fits(spec, reach), tasks, zone_room(spec, room.zone, by_zone))
+    by_zone = Counter(placed_by_zone)
+    for room in sorted(usable_rooms(spec, rooms, placed_by_zone, access), key=lambda room: _preference(spec, room)):
+        count = min(room.fits(spec, access), tasks, zone_room(spec, room.zone, by_zone))
         if count > 0:
             by_zone[room.zone] += count
             tasks -= count
@@ -198,40 +210,45 @@
 
 
 def _preference(spec: JobSpec, room: Room) -> tuple[bool | float | str, ...]:
-    """Return the sort key of a room, the best lowest. A busy machine goes before an idle one, so that machines empty.
+    """Return the sort key of a room for a task of the job, the best room lowest.
+
+    Busy machines are preferred to idle ones, so that machines become idle and can be returned.
+
+    Services share machines, on which their images are soon all cached, and which become empty one after the other when
+    services end. Among these a machine that has the image is preferred, then one with a held heartbeat, then an
+    on-demand machine, then the one with the most CPUs in use by services, so that the others become empty. When a
+    service needs another machine, one that fits several more replicas is preferred.
 
-    Services go together, on machines where their images are soon all cached and which empty one after the other when
-    services end: there to one that holds the image, then one whose agent waits for our reply (`heartbeat_held`), then
-    the one with most services, so that the others empty. Another machine is opened where several more will fit. Arrays
-    keep off the machines whose agents wait, take spot ones where they may, and fill machines in one fixed order, so
-    that the last ones empty.
+    Arrays prefer spot machines where the job allows them, avoid busy machines with a held heartbeat, and fill machines
+    in a fixed order, so that the last ones become empty.
     """
-    missing = spec.image not in room.images
+    lacks_image = spec.image not in room.images
     if spec.kind == SERVICE:
-        opens = not room.service_cpus
-        small = opens and room.fits(spec) < REPLICAS_TO_OPEN_FOR
+        is_first_service = not room.service_cpus
+        is_small = is_first_service and room.fits(spec) < MIN_REPLICAS_TO_OPEN
         return (
-            opens, small, missing, not room.heartbeat_held, room.spot, room.idle, -room.service_cpus, room.cpus,
-            room.host,
+            is_first_service, is_small, lacks_image, not room.heartbeat_held, room.spot, room.idle, -room.service_cpus,
+            room.cpus, room.host,
         )  # fmt: skip
-    return (spec.spot and not room.spot, room.heartbeat_held and not room.idle, missing, room.idle, room.host)
+    return (spec.spot and not room.spot, room.heartbeat_held and not room.idle, lacks_image, room.idle, room.host)
 
 
-def fill(spec: JobSpec, tasks: int, rooms: Iterable[Room], placed: Counter[str], take: bool = True) -> int:
-    """Return how many of `tasks` find room. For counting, not for starting.
+def fill(spec: JobSpec, tasks: int, rooms: Iterable[Room], placed_by_zone: Counter[str], allocate: bool = True) -> int:
+    """Return how many of `tasks` tasks of the job find room. This is for estimates and starts nothing.
 
-    The rooms are taken from with `take`, and what finds room is added to `placed`, as the zone rules look at it.
+    With `allocate` the room of these tasks is allocated. The tasks are added to `placed_by_zone`, as the zone rules
+    depend on it.
     """
-    found = 0
+    fitting = 0
     for room in rooms:
-        if found >= tasks:
+        if fitting >= tasks:
             break
         if not admits(spec, room):
             continue
-        count = min(room.fits(spec), tasks - found, zone_room(spec, room.zone, placed))
+        count = min(room.fits(spec), tasks - fitting, zone_room(spec, room.zone, placed_by_zone))
         if count:
-            if take:
+            if allocate:
                 room.take(spec, count)
-            placed[room.zone] += count
-            found += count
-    return found
+            placed_by_zone[room.zone] += count
+            fitting += count
+    return fitting
--- a/src/ramptide/scheduling/placement_round.py
+++ b/src/ramptide/scheduling/placement_round.py
@@ -9,7 +9,7 @@
 
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.config.tuning import Tuning
-from ramptide.placement.bin_packing import ROUNDING, ReserveAccess, Room, choose, choose_many, needs, usable
+from ramptide.placement.bin_packing import ROUNDING, ReserveAccess, Room, choose, choose_rooms, needs, usable_rooms
 from ramptide.protocol.jobs import SERVICE, JobSpec
 from ramptide.scheduling.headroom import UNLIMITED, task_headroom
 from ramptide.scheduling.job_scheduler import JobScheduler
@@ -230,7 +230,7 @@
         """Start tasks of a job array, in one pass over the rooms for all of them."""
         if allowed <= 0:
             return
-        for room, count in choose_many(job_state.job.spec, rooms, job_state.zones, allowed, access):
+        for room, count in choose_rooms(job_state.job.spec, rooms, job_state.zones, allowed, access):
             for _ in range(count):
                 if job_state.next_task() is None:
                     break
@@ -276,7 +276,7 @@
             return not_excluded
         without_failure = [room for room in not_excluded if room.host not in job_state.failed_on]
         must_avoid = job_state.avoids or not self._leadership.is_leading
-        if must_avoid or usable(job_state.job.spec, without_failure, job_state.zones, access):
+        if must_avoid or usable_rooms(job_state.job.spec, without_failure, job_state.zones, access):
             return without_failure
         return rooms
 
--- a/src/ramptide/scheduling/rooms.py
+++ b/src/ramptide/scheduling/rooms.py
@@ -78,6 +78,6 @@
                 by_owner.setdefault(self._state.owner_of(room.host), []).append(room)
         free_cpus = {member: sum(room.cpus for room in rooms) for member, rooms in by_owner.items()}
         for member in sorted(free_cpus, key=lambda name: (-free_cpus[name], name)):
-            if fill(spec, spec.task_count, by_owner[member], Counter(), take=False) == spec.task_count:
+            if fill(spec, spec.task_count, by_owner[member], Counter(), allocate=False) == spec.task_count:
                 return member
         return leader
