--- a/src/ramptide/api/__init__.py
+++ b/src/ramptide/api/__init__.py
@@ -1,1 +1,1 @@
-"""What users, operators and monitoring ask of a controller, and what they are answered."""
+"""The interfaces of a controller for users, operators and monitoring."""
--- a/src/ramptide/api/administration.py
+++ b/src/ramptide/api/administration.py
@@ -1,4 +1,4 @@
-"""The administration API on the peer address: routing of its calls, and changes of the operators' settings."""
+"""The administration API on the peer address: the routing of its requests, and changes of the operators' settings."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -18,13 +18,13 @@
 SETTINGS_PATH, STATUS_PATH, METRICS_PATH = "/admin/settings", "/admin/status", "/metrics"
 QUOTA_PATH = "/admin/quota"
 
-#: Sends an answer with this status, body and content type.
+#: Sends a response with this status code, body and content type.
 Answer = Callable[[int, bytes, str], None]
 Handler = Callable[[bytes, Answer], None]
 
 
 class TuningSource(Protocol):
-    """The operators' settings that are in force."""
+    """The part of the controller's state that has the operators' settings in force."""
 
     @property
     def tuning(self) -> Tuning:
@@ -32,26 +32,26 @@
 
 
 class QuotaCalls(Protocol):
-    """The calls about team limits, where the quota feature is on."""
+    """The requests about team limits, which exist where the quota feature is on."""
 
     def show(self, body: bytes, answer: Answer) -> None:
-        """Answer with the limits that count."""
+        """Answer with the limits in force."""
 
     def change(self, body: bytes, answer: Answer) -> None:
-        """Write changes of limits."""
+        """Write changes of limits to the key-value store, and answer."""
 
 
 class AdminApi:
-    """Answers operators about one controller, and applies their changes of the settings.
+    """Answers operators' requests about one controller, and writes their changes of the settings.
 
     Parameters
     ----------
     status
         Returns the status as a JSON value.
     metrics
-        Returns the metrics in the Prometheus text format, with the content type.
+        Returns the metrics in the Prometheus text format, and their content type.
     quota
-        None where the quota feature is off.
+        The requests about team limits, or None where the quota feature is off.
     """
 
     def __init__(
@@ -68,19 +68,19 @@
         self._watch_cache = watch_cache
         self._status = status
         self._metrics = metrics
-        self._calls: dict[str, dict[str, Handler]] = {
+        self._handlers: dict[str, dict[str, Handler]] = {
             SETTINGS_PATH: {"GET": self._show_settings, "PATCH": self._change_settings},
             STATUS_PATH: {"GET": self._show_status},
             METRICS_PATH: {"GET": self._show_metrics},
         }
         if quota is not None:
-            self._calls[QUOTA_PATH] = {"GET": quota.show, "PATCH": quota.change}
+            self._handlers[QUOTA_PATH] = {"GET": quota.show, "PATCH": quota.change}
 
     def handle(self, method: str, path: str, body: bytes, answer: Answer) -> bool:
-        """Answer a call to this API; return False when the path is not part of it."""
-        if path not in self._calls:
+        """Answer a request to this API; return False when the path is not part of the API."""
+        if path not in self._handlers:
             return False
-        handler = self._calls[path].get(method)
+        handler = self._handlers[path].get(method)
         if handler is None:
             answer(HTTPStatus.METHOD_NOT_ALLOWED, encode_error("method not allowed"), JSON)
         else:
--- a/src/ramptide/api/job_lookup.py
+++ b/src/ramptide/api/job_lookup.py
@@ -1,4 +1,4 @@
-"""Finds jobs for users: no answer is older than one that another controller gave."""
+"""Looks up jobs for users. No result is older than what another controller has told a user before the request."""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -16,38 +16,38 @@
 
 log = logging.getLogger(__name__)
 
-#: Final states that are remembered, the latest.
+#: The number of final states that are kept in memory; the oldest are dropped first.
 MAX_FINISHED_KEPT = 5000
 
 
 class LookupFailure(Enum):
     """Why a lookup found no job."""
 
-    #: It was never accepted.
+    #: The job was never accepted.
     NO_SUCH_JOB = auto()
     #: The key-value store could not be read.
     UNAVAILABLE = auto()
 
 
-#: Gets a job that is not over, the record of one that is, or why there is none.
+#: Called with a job that is not over, the final record of one that is, or the reason why none was found.
 LookupCallback = Callable[[Job | FinishedJobRecord | LookupFailure], None]
 
 
 @dataclass(slots=True)
 class _PendingRead:
-    """A read of a final state, with those who wait for it."""
+    """A read of a final state, with the callbacks that wait for its result."""
 
     callbacks: list[LookupCallback]
 
 
 class JobLookup:
-    """Reports jobs from reads of the key-value store that began after the question.
+    """Looks up jobs by reads of the key-value store that begin after the request.
 
-    One read of the changes serves all who ask before it is sent, since the watch cache has the jobs that are not over.
-    A final state never changes, so one that was read or committed here need not be read again.
+    The watch cache has the jobs that are not over, so one read of the changes serves all lookups that come before it is
+    sent. A final state never changes, so one that was read or committed here need not be read again.
 
-    `on_cancelled` is told of each cancelled job that was read: whoever tells a user so tells the other controllers, as
-    the one that wrote it may have ended since.
+    `on_cancelled` is called with each cancelled job that was read. A controller that tells a user of a cancellation
+    also tells the other controllers, as the controller that committed the cancellation may have ended since.
     """
 
     def __init__(
@@ -65,13 +65,13 @@
         self._pending_reads: dict[str, _PendingRead] = {}
 
     def remember_finished(self, job_id: str, record: FinishedJobRecord) -> None:
-        """Remember a final state, so that it need not be read again."""
+        """Keep a final state in memory, so that it need not be read again."""
         self._finished[job_id] = record
         while len(self._finished) > MAX_FINISHED_KEPT:
             del self._finished[next(iter(self._finished))]
 
     def find(self, job_id: str, on_found: LookupCallback) -> None:
-        """Report a job, or its final state."""
+        """Look up a job, and call `on_found` with the job or its final state."""
         if job_id in self._finished:
             on_found(self._finished[job_id])
             return
@@ -82,14 +82,14 @@
             elif job_id in self._jobs:
                 on_found(self._jobs[job_id])
             else:
-                # A job moves from live to finished in one transaction and never back, so one that was ever accepted
-                # and is not live any more is found there.
+                # One transaction moves a job from the live to the finished jobs, and none moves it back. So a job that
+                # was accepted and is not live any more is found among the finished jobs.
                 self._read_finished(job_id, on_found)
 
         self._watch_cache.catch_up(on_caught_up)
 
     def _read_finished(self, job_id: str, on_found: LookupCallback) -> None:
-        """Read a final state; questions asked before the read is sent share it, later ones wait for the next."""
+        """Read a final state. Lookups that come before the read is sent share it; a later one starts another read."""
         pending = self._pending_reads.get(job_id)
         if pending is not None:
             pending.callbacks.append(on_found)
@@ -102,20 +102,20 @@
         def on_result(result: ReadResult) -> None:
             if self._pending_reads.get(job_id) is read:
                 del self._pending_reads[job_id]
-            found = self._take_result(job_id, result)
+            found = self._apply_result(job_id, result)
             for callback in read.callbacks:
                 callback(found)
 
         self._store.get(FINISHED_PREFIX + job_id, on_result, on_send)
 
-    def _take_result(self, job_id: str, result: ReadResult) -> FinishedJobRecord | LookupFailure:
+    def _apply_result(self, job_id: str, result: ReadResult) -> FinishedJobRecord | LookupFailure:
         if not result.is_known:
             return LookupFailure.UNAVAILABLE
         if result.key_value is None:
             return LookupFailure.NO_SUCH_JOB
-        return self._take_record(job_id, result.key_value)
+        return self._apply_record(job_id, result.key_value)
 
-    def _take_record(self, job_id: str, key_value: KeyValue) -> FinishedJobRecord | LookupFailure:
+    def _apply_record(self, job_id: str, key_value: KeyValue) -> FinishedJobRecord | LookupFailure:
         try:
             record = from_value(key_value.value, FinishedJobRecord)
         except RecordError as error:
--- a/src/ramptide/api/jobs.py
+++ b/src/ramptide/api/jobs.py
@@ -1,4 +1,4 @@
-"""The users' job API: submissions, polls and cancellations. Nothing is confirmed before its commit."""
+"""The users' job API: submissions, polls and cancellations. A change is confirmed only after its commit."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -35,13 +35,14 @@
 __all__ = ["JobApi"]
 
 NO_TIME = timedelta(0)
-#: How often a change is tried for one request.
-MAX_ATTEMPTS = 5
-#: A request is refused at once when its commit would wait for longer than this.
+#: The highest number of attempts to commit a change for one request.
+MAX_COMMIT_ATTEMPTS = 5
+#: A request is refused at once when its commit would wait in the queue for longer than this.
 MAX_COMMIT_DELAY = timedelta(seconds=1)
 RETRY_DELAY = timedelta(milliseconds=120)
 MAX_RETRY_AFTER_S = 30
-#: Of the largest value that the store takes, so much is left for what a record holds beside the description, in KiB.
+#: The part of the largest value of the key-value store that is left for what a record holds beside the job's
+#: description, in KiB.
 RECORD_OVERHEAD_KB = 2
 NO_SUCH_JOB = "no such job"
 
@@ -52,13 +53,13 @@
     Parameters
     ----------
     jobs, machine_types, teams
-        What is known at the moment, by id or name; read at each request.
+        The current jobs by id, and the current machine types and teams by name; read at each request.
     choose_scheduler
         Returns the member that is to schedule a new job.
     running_count
-        Returns how many tasks of a job run.
+        Returns how many tasks of a job are running.
     on_cancelled
-        Told of each cancellation that a user is told of.
+        Called with each job of which a user is told that it is cancelled.
     """
 
     def __init__(
@@ -91,14 +92,14 @@
         self._lookup = JobLookup(store, watch_cache, jobs, on_cancelled)
 
     def remember_finished(self, job_id: str, record: FinishedJobRecord) -> None:
-        """Remember a final state that was committed, so that it need not be read again."""
+        """Keep a committed final state in memory, so that it need not be read again."""
         self._lookup.remember_finished(job_id, record)
 
     # Submissions.
 
     def submit(self, body: bytes, answer: Answer) -> None:
-        """Accept a job, or answer with the state of one that has the same id: a repeated request does no harm."""
-        answer = self._telemetry.counting(Route.SUBMIT, answer)
+        """Accept a job, or answer with the state of the job that has the same id, so that requests can be repeated."""
+        answer = self._telemetry.count_answers(Route.SUBMIT, answer)
         try:
             spec = decode_job_spec(body)
         except MessageError as error:
@@ -110,14 +111,14 @@
             self._answer_unavailable(answer, reason)
         elif not self._machine_types:
             self._answer_unavailable(answer, Unavailable.MACHINE_TYPES)
-        elif (problem := self._why_never(spec)) is not None:
-            # A job that was accepted is never refused later, whatever the types or teams are by now.
+        elif (problem := self._rejection_reason(spec)) is not None:
+            # A job that was accepted before is not rejected now, even if the machine types or teams have changed.
             self._answer_existing(spec.job_id, answer, problem)
         else:
-            self._accept(spec, answer, MAX_ATTEMPTS)
+            self._accept(spec, answer, MAX_COMMIT_ATTEMPTS)
 
-    def _why_never(self, spec: JobSpec) -> str | None:
-        """Return why the job can never run, in words for the user; None when it can."""
+    def _rejection_reason(self, spec: JobSpec) -> str | None:
+        """Return the reason why the job can never run, as an error text for the user; None when it can run."""
         team = self._teams.get(spec.team)
         if team is None:
             return f"owner: no team {spec.team!r}"
@@ -150,12 +151,12 @@
             elif live_key in result.conflicting_keys or finished_key in result.conflicting_keys:
                 self._answer_existing(spec.job_id, answer, None)
             elif result.is_conflict and attempts > 1:
-                # Only the view moved on; the watch cache will have the new one in a moment.
+                # Only the view has changed, and the watch cache will have the new view soon.
                 self._runtime.after(RETRY_DELAY, lambda: self._accept(spec, answer, attempts - 1))
             elif result.is_unknown and attempts > 1 and not self._watch_cache.is_unavailable:
                 self._accept(spec, answer, 1)
             else:
-                self._answer_not_written(result, answer)
+                self._answer_not_committed(result, answer)
 
         self._commit_batcher.add(transaction, on_result)
 
@@ -169,7 +170,7 @@
         )
 
     def _answer_existing(self, job_id: str, answer: Answer, problem: str | None) -> None:
-        """Answer with the state of a job that exists; otherwise with `problem`, or 503 where that is None."""
+        """Answer with the state of a job that exists, else with `problem`, or with status 503 when that is None."""
 
         def on_missing() -> None:
             if problem is None:
@@ -182,15 +183,15 @@
     # Polls.
 
     def poll(self, job_id: str, answer: Answer) -> None:
-        """Answer with the present state of a job."""
-        answer = self._telemetry.counting(Route.POLL, answer)
+        """Answer with the current state of a job."""
+        answer = self._telemetry.count_answers(Route.POLL, answer)
         if is_job_id(job_id):
             self._answer_state(job_id, answer, lambda: _answer_no_such_job(answer))
         else:
             _answer_no_such_job(answer)
 
     def _answer_state(self, job_id: str, answer: Answer, on_missing: Callable[[], None]) -> None:
-        """Answer with the job's present state, or call `on_missing` when it was never accepted."""
+        """Answer with the current state of a job, or call `on_missing` when the job was never accepted."""
 
         def on_found(found: Job | FinishedJobRecord | LookupFailure) -> None:
             if found is LookupFailure.UNAVAILABLE:
@@ -214,9 +215,9 @@
 
     def cancel(self, job_id: str, answer: Answer) -> None:
         """Cancel a job; the answer is sent once the cancellation is committed."""
-        answer = self._telemetry.counting(Route.CANCEL, answer)
+        answer = self._telemetry.count_answers(Route.CANCEL, answer)
         if is_job_id(job_id):
-            self._cancel(job_id, answer, MAX_ATTEMPTS)
+            self._cancel(job_id, answer, MAX_COMMIT_ATTEMPTS)
         else:
             _answer_no_such_job(answer)
 
@@ -238,7 +239,7 @@
 
         job = self._jobs.get(job_id)
         if job is not None:
-            # The transaction is conditional on the record's revision, so it is as good as a read.
+            # The transaction is conditional on the revision of the record, so no read is needed before it.
             self._write_cancellation(job, answer, attempts)
         else:
             self._lookup.find(job_id, on_found)
@@ -262,14 +263,15 @@
                 self._on_cancelled(job_id)
                 answer(HTTPStatus.OK, encode_job_status(job_id, JobStatus.CANCELLED), {})
             elif may_retry and (result.is_conflict or result.is_unknown):
-                # The record or the view moved on, or nobody knows: read again and see.
+                # The record or the view has changed, or the result is unknown: try again once the watch cache has read
+                # the changes.
                 self._watch_cache.catch_up(lambda _is_fresh: self._cancel(job_id, answer, attempts - 1))
             else:
-                self._answer_not_written(result, answer)
+                self._answer_not_committed(result, answer)
 
         self._commit_batcher.add(transaction, on_result)
 
-    # Answers of status 503.
+    # Answers with status 503.
 
     def _answer_unavailable(self, answer: Answer, reason: Unavailable, retry_after: timedelta = NO_TIME) -> None:
         self._telemetry.unavailable[reason] += 1
@@ -277,23 +279,23 @@
         answer(HTTPStatus.SERVICE_UNAVAILABLE, encode_error(reason.text), {"Retry-After": str(seconds)})
 
     def _commit_obstacle(self) -> Unavailable | None:
-        """Return why no change can be written now, or None when it can."""
+        """Return the reason why no change can be committed now; None when changes can be committed."""
         if self._watch_cache.is_unavailable:
             return Unavailable.STATE_SERVICE
         return Unavailable.VIEW if self._membership.view is None else None
 
     def _is_overloaded(self, answer: Answer) -> bool:
-        """Refuse the request if the queue of writes is too long; return whether it was refused.
+        """Refuse the request if the queue of commits is too long; return whether it was refused.
 
-        More is asked than the key-value store can take, so the user is told at once when to retry.
+        The key-value store cannot commit as much as is requested, so the user is told at once when to retry.
         """
         delay = self._commit_batcher.delay()
         if delay > MAX_COMMIT_DELAY:
             self._answer_unavailable(answer, Unavailable.OVERLOADED, delay)
         return delay > MAX_COMMIT_DELAY
 
-    def _answer_not_written(self, result: TransactionResult, answer: Answer) -> None:
-        """Answer for a change that was given up on: it waited too long for its turn, or had no answer."""
+    def _answer_not_committed(self, result: TransactionResult, answer: Answer) -> None:
+        """Answer for a change that was not committed: it waited too long in the queue, or its commit had no answer."""
         if result.is_rate_limited:
             self._answer_unavailable(answer, Unavailable.OVERLOADED, self._commit_batcher.delay())
         else:
--- a/src/ramptide/api/metrics.py
+++ b/src/ramptide/api/metrics.py
@@ -1,6 +1,7 @@
-"""The metrics of one controller in the form that Prometheus reads.
+"""The metrics of one controller in the Prometheus text format.
 
-The Prometheus client is imported on the first call: it would double the time that a start takes.
+This module is imported on the first request for metrics, as the import of the Prometheus client would double the time
+that a controller takes to start.
 """
 
 from collections.abc import Callable, Iterator
@@ -45,16 +46,16 @@
 
 
 class MetricsCollector:
-    """Collects the metrics of one controller; a collector of the Prometheus client.
+    """Collects the metrics of one controller, as a collector of the Prometheus client.
 
     Parameters
     ----------
     unavailable_dependencies
-        Returns what the controller cannot reach.
+        Returns what the controller cannot reach, in words for operators.
     quota_metrics
-        Returns the metrics of the quota feature; None where that is off.
+        Returns the metrics of the quota feature, or None where it is off.
     process
-        The statistics of the process; None where none are kept.
+        The statistics of the process, or None where none are kept.
     """
 
     def __init__(
@@ -84,14 +85,14 @@
         self._process = process
 
     def text(self) -> tuple[bytes, str]:
-        """Return the metrics in the Prometheus text format, with the content type."""
+        """Return the metrics in the Prometheus text format, and their content type."""
         registry = CollectorRegistry()
         registry.register(self)
         ProcessCollector(namespace="ramptide", registry=registry)
         return generate_latest(registry), CONTENT_TYPE_LATEST
 
     def collect(self) -> "Iterator[Metric]":
-        """Yield the current metrics; called by the registry."""
+        """Yield the current metrics. The registry calls this method."""
         for name, (value, text) in self._gauges().items():
             yield GaugeMetricFamily(f"ramptide_{name}", text, value=value)
         for name, text in COUNTER_TEXTS.items():
@@ -135,7 +136,7 @@
 
 
 def team_metrics(team_usage: TeamUsageReport) -> "Iterator[Metric]":
-    """Yield the metrics of the team limits; the labels are the teams of the settings."""
+    """Yield the metrics of the team limits, labelled by the teams of the settings file."""
     teams = team_usage.by_team()
     for field, text in TEAM_GAUGES.items():
         family = GaugeMetricFamily(f"ramptide_team_{field}", text, labels=("team", "resource"))
@@ -149,7 +150,7 @@
 
 
 def membership_metrics(telemetry: Telemetry) -> "Iterator[Metric]":
-    """Yield how often the view changed, and how long no work was started for it."""
+    """Yield the number of view changes, and the times until all machines were reconciled."""
     yield CounterMetricFamily("ramptide_view_changes", "changes of the view", value=telemetry.view_changes)
     yield CounterMetricFamily(
         "ramptide_settled_view_changes",
@@ -169,7 +170,7 @@
 
 
 def answer_metrics(telemetry: Telemetry) -> "Iterator[Metric]":
-    """Yield the number of answers to users, and the reasons of those with status 503."""
+    """Yield the number of answers to users by route and status, and of those with status 503 by reason."""
     answers = CounterMetricFamily("ramptide_answers", "answers to users", labels=("route", "status"))
     for (route, status), count in telemetry.answers.items():
         answers.add_metric((route.value, str(status)), count)
@@ -181,7 +182,7 @@
 
 
 def lease_metrics(telemetry: Telemetry) -> "Iterator[Metric]":
-    """Yield what was lost with machines of this controller that became silent."""
+    """Yield the number of expired leases of this controller's machines, and of the tasks lost with them."""
     yield CounterMetricFamily(
         "ramptide_tasks_lost", "tasks given up with their machines' leases", value=telemetry.tasks_lost
     )
@@ -193,17 +194,17 @@
 
 
 def stall_metrics(stall_detector: StallDetector) -> "Iterator[Metric]":
-    """Yield how often and for how long the controller was paused."""
+    """Yield the number and the total time of the controller's stalls."""
     yield CounterMetricFamily(
         "ramptide_standstills", "times that the controller stood still", value=stall_detector.stalls
     )
     yield CounterMetricFamily(
-        "ramptide_standstill_seconds", "how long it stood still", value=stall_detector.total.total_seconds()
+        "ramptide_standstill_seconds", "how long it stood still", value=stall_detector.total_time.total_seconds()
     )
 
 
 def process_metrics(statistics: ProcessStatistics, now: timedelta) -> "Iterator[Metric]":
-    """Yield the processor time by kind of work, and how late timers are."""
+    """Yield the processor time by kind of work, and the delays of timers."""
     spent = CounterMetricFamily("ramptide_processor_seconds", "processor time by kind of work", labels=("work",))
     for kind, time in statistics.by_kind().items():
         spent.add_metric((kind,), time.total_seconds())
--- a/src/ramptide/api/status.py
+++ b/src/ramptide/api/status.py
@@ -1,4 +1,4 @@
-"""The status of one controller, as operators see it."""
+"""The status of one controller, as the administration API shows it to operators."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class ObservedState(Protocol):
-    """What operators see of the controller's state."""
+    """The parts of the controller's state that operators see."""
 
     @property
     def member(self) -> str:
@@ -35,7 +35,7 @@
 
     @property
     def reconciled(self) -> bool:
-        """Whether it is known of all machines what earlier views left on them."""
+        """Whether it is known what earlier views left on each machine."""
 
     @property
     def jobs(self) -> dict[str, Job]:
@@ -51,16 +51,16 @@
 
 
 class StatusReport:
-    """Puts the status together; its field names are part of the administration API.
+    """Builds the status, whose field names are part of the administration API.
 
     Parameters
     ----------
     unavailable_dependencies
-        Returns what the controller cannot reach.
+        Returns what the controller cannot reach, in words for operators.
     quota_status
-        Returns the entry of the quota feature; None where that is off.
+        Returns the status of the quota feature, or None where it is off.
     process
-        The statistics of the process; None where none are kept.
+        The statistics of the process, or None where none are kept.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
             "state": self._membership.state.name.lower(),
             "state_service": self._watch_cache.state.value,
             "lacks": self._unavailable_dependencies(),
-            "view": self._view(),
+            "view": self._view_status(),
             "view_changes": {
                 "count": telemetry.view_changes,
                 "last": msgspec.to_builtins(list(telemetry.last_changes)),
@@ -108,14 +108,14 @@
             "teams": msgspec.to_builtins(self._team_usage.by_team()),
             "quota": self._quota_status() if self._quota_status is not None else None,
             "counts": self._scaling_counts(),
-            "machines": {host: self._machine(host, record) for host, record in state.machines.items()},
+            "machines": {host: self._machine_status(host, record) for host, record in state.machines.items()},
             "silent_machines": self._machine_index.silent_hosts(),
             "failing_jobs": self._machine_index.failing_jobs(),
-            "jobs": {job_id: self._job(job) for job_id, job in state.jobs.items()},
+            "jobs": {job_id: self._job_status(job) for job_id, job in state.jobs.items()},
             "process": self._process_status(),
         }
 
-    def _view(self) -> dict[str, Any] | None:
+    def _view_status(self) -> dict[str, Any] | None:
         view = self._state.view
         if view is None:
             return None
@@ -135,7 +135,7 @@
             "pool": autoscaler.idle_pool,
         }
 
-    def _machine(self, host: str, record: MachineRecord) -> dict[str, Any]:
+    def _machine_status(self, host: str, record: MachineRecord) -> dict[str, Any]:
         observed = self._machine_index.machines.get(host)
         return {
             "flavor": record.machine_type,
@@ -148,7 +148,7 @@
         }
 
     @staticmethod
-    def _job(job: Job) -> dict[str, Any]:
+    def _job_status(job: Job) -> dict[str, Any]:
         return {
             "class": job.spec.job_class,
             "team": job.spec.team,
--- a/src/ramptide/api/telemetry.py
+++ b/src/ramptide/api/telemetry.py
@@ -1,4 +1,4 @@
-"""Counts of what operators look for when something is wrong. Each event costs an addition."""
+"""Counters and recent events that operators look at when something is wrong. Counting an event costs one addition."""
 
 import logging
 from collections import Counter, deque
@@ -12,26 +12,26 @@
 
 log = logging.getLogger(__name__)
 
-VIEW_CHANGES_KEPT = 10
-HOSTS_NAMED = 10
-#: A controller whose round comes so much later than planned has stalled.
+MAX_VIEW_CHANGES_KEPT = 10
+MAX_HOSTS_LOGGED = 10
+#: A controller has stalled when its decision round begins later than planned by more than this.
 STALL_THRESHOLD = timedelta(seconds=2)
 
 Answer = Callable[[int, bytes, dict[str, str]], None]
 
 
 class Route(Enum):
-    """What a user asks for."""
+    """The kind of a user's request."""
 
     SUBMIT = "submit"
     POLL = "poll"
     CANCEL = "cancel"
-    #: A path below that of the jobs that is none, or a method that it does not take.
+    #: An unknown path below that of the jobs, or a method that the path does not allow.
     OTHER = "other"
 
 
 class Unavailable(Enum):
-    """Why a user is answered 503. The value is the label in the metrics."""
+    """The reason of an answer with status 503. The value is the label in the metrics."""
 
     STATE_SERVICE = "state_service"
     OVERLOADED = "overloaded"
@@ -41,7 +41,7 @@
 
     @property
     def text(self) -> str:
-        """The reason in words for the user."""
+        """The error text for the user."""
         return UNAVAILABLE_TEXTS[self]
 
 
@@ -55,10 +55,10 @@
 
 
 class ViewChange(msgspec.Struct):
-    """A change of membership.
+    """A change of the view.
 
-    `settled_s`: how many seconds it took until all machines were reconciled; None when they are not yet, or when the
-    next change came first.
+    `settled_s` is the time in seconds until all machines were reconciled. It is None while they are not, and when the
+    next view change came first.
     """
 
     view: int
@@ -66,49 +66,49 @@
 
 
 class StallDetector:
-    """Detects pauses of the controller, when its process was stopped or had no processor while time went on."""
+    """Detects stalls of the controller, in which its process was stopped or got no processor time."""
 
     def __init__(self) -> None:
         self.stalls = 0
-        self.total = timedelta(0)
-        self.last = timedelta(0)
+        self.total_time = timedelta(0)
+        self.last_time = timedelta(0)
         self._due: timedelta | None = None
-        self._over_at: timedelta | None = None
+        self._stall_ended_at: timedelta | None = None
 
     def plan(self, due: timedelta) -> None:
-        """Note when the next round is due."""
+        """Set when the next round is due."""
         self._due = due
 
     def begin(self, now: timedelta) -> None:
-        """Note that a round begins, and count a pause if it is late."""
-        if not self._late(now):
+        """Record that a round begins, and count a stall if it is late."""
+        if not self._is_late(now):
             return
         assert self._due is not None
-        self._over_at, self.last = now, now - self._due
+        self._stall_ended_at, self.last_time = now, now - self._due
         self.stalls += 1
-        self.total += self.last
-        log.info("controller stalled: stalled_s=%.1f", self.last.total_seconds())
+        self.total_time += self.last_time
+        log.info("controller stalled: stalled_s=%.1f", self.last_time.total_seconds())
 
     def has_stalled(self, now: timedelta, within: timedelta) -> bool:
-        """Tell whether a pause ended less than `within` ago, or ends just now.
+        """Return whether a stall ended less than `within` ago, or ends at this moment.
 
-        What arrived during it has not been read yet.
+        In that case the messages that arrived during the stall may not have been read yet.
         """
-        return self._late(now) or (self._over_at is not None and now - self._over_at < within)
+        return self._is_late(now) or (self._stall_ended_at is not None and now - self._stall_ended_at < within)
 
-    def _late(self, now: timedelta) -> bool:
+    def _is_late(self, now: timedelta) -> bool:
         return self._due is not None and now - self._due > STALL_THRESHOLD
 
 
 class Telemetry:
-    """What this process has counted since it started."""
+    """The counters and recent events of this process since it started."""
 
     def __init__(self) -> None:
         self.view_changes = 0
         self.reconciled_changes = 0
         self.reconciliation_total = timedelta(0)
         self.reconciliation_last = timedelta(0)
-        self.last_changes: deque[ViewChange] = deque(maxlen=VIEW_CHANGES_KEPT)
+        self.last_changes: deque[ViewChange] = deque(maxlen=MAX_VIEW_CHANGES_KEPT)
         self.answers: Counter[tuple[Route, int]] = Counter()
         self.unavailable: Counter[Unavailable] = Counter()
         self.stall_detector = StallDetector()
@@ -123,7 +123,7 @@
         self.last_changes.append(ViewChange(number))
 
     def reconciled(self, spent: timedelta) -> None:
-        """Note that all machines are reconciled in the present view, `spent` after it was heard of."""
+        """Record that all machines are reconciled in the current view, `spent` after it was received."""
         self.reconciled_changes += 1
         self.reconciliation_total += spent
         self.reconciliation_last = spent
@@ -134,27 +134,27 @@
         """Count an answer to a user."""
         self.answers[route, status] += 1
 
-    def counting(self, route: Route, answer: Answer) -> Answer:
-        """Return a function that counts the answer and passes it on."""
+    def count_answers(self, route: Route, answer: Answer) -> Answer:
+        """Return a callback that counts an answer and passes it on to `answer`."""
 
-        def counted(status: int, body: bytes, headers: dict[str, str]) -> None:
+        def count_and_answer(status: int, body: bytes, headers: dict[str, str]) -> None:
             self.answered(route, status)
             answer(status, body, headers)
 
-        return counted
+        return count_and_answer
 
     def answers_by_route(self) -> dict[str, dict[str, int]]:
-        """Return how often users were answered with each status code, by route."""
-        found: dict[str, dict[str, int]] = {}
-        for (route, status), count in sorted(self.answers.items(), key=lambda one: (one[0][0].value, one[0][1])):
-            found.setdefault(route.value, {})[str(status)] = count
-        return found
+        """Return the number of answers to users with each status code, by route."""
+        counts: dict[str, dict[str, int]] = {}
+        for (route, status), count in sorted(self.answers.items(), key=lambda item: (item[0][0].value, item[0][1])):
+            counts.setdefault(route.value, {})[str(status)] = count
+        return counts
 
     def take_expired_leases(self, expired: Sequence[ExpiredLease], confirmed: bool) -> None:
         """Count and log leases that expired.
 
-        Not `confirmed`: we may have been left out of the view, while the machines go on under another controller. So
-        these are kept until a later call confirms them, and dropped when the view changes.
+        Without `confirmed` this controller may have been removed from the view, while the machines go on under another
+        controller. These leases are then kept until a later call confirms them, and dropped when the view changes.
         """
         self._unconfirmed += expired
         if not confirmed or not self._unconfirmed:
@@ -166,15 +166,15 @@
 
 
 def _log_expired_leases(expired: Sequence[ExpiredLease]) -> None:
-    """Log one line for all leases of a round, as many machines may become silent together."""
+    """Log one line for all expired leases of a round, as many machines may become silent together."""
     log.info(
         "leases expired: hosts=%r tasks_lost=%d reconciled=%d",
-        _named([lease.host for lease in expired]),
+        _format_hosts([lease.host for lease in expired]),
         sum(lease.lost_tasks for lease in expired),
         sum(lease.reconciled for lease in expired),
     )
 
 
-def _named(hosts: Sequence[str]) -> str:
-    more = len(hosts) - HOSTS_NAMED
-    return ", ".join(hosts[:HOSTS_NAMED]) + (f" and {more} more" if more > 0 else "")
+def _format_hosts(hosts: Sequence[str]) -> str:
+    more = len(hosts) - MAX_HOSTS_LOGGED
+    return ", ".join(hosts[:MAX_HOSTS_LOGGED]) + (f" and {more} more" if more > 0 else "")
