--- a/src/ramptide/cli.py
+++ b/src/ramptide/cli.py
@@ -1,4 +1,4 @@
-"""The command line: run a controller, or talk to one through its administration API."""
+"""The command line: runs a controller, or sends requests to the administration API of one."""
 
 import argparse
 import json
@@ -20,7 +20,7 @@
 from ramptide.transport.http.client import Client
 from ramptide.transport.runtime import Request, Response
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 ADMIN_TIMEOUT = timedelta(seconds=10)
 EXIT_FAILURE = 1
 EXIT_USAGE_ERROR = 2
@@ -34,16 +34,16 @@
 
 
 class ChangeSyntaxError(ValueError):
-    """A change on the command line that is not NAME=VALUE with a number."""
+    """Arguments that do not form valid changes, such as one that is not NAME=VALUE with a JSON value."""
 
 
-def parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
-    top = argparse.ArgumentParser(prog="ramptide", description="Rents machines and runs users' jobs on them.")
-    top.add_argument("--version", action="version", version=f"ramptide {__version__}")
-    top.add_argument("--config", metavar="PATH", type=Path, help="run a controller with this settings file")
-    top.add_argument("--parts", metavar="PATH", type=Path, help="the file that switches parts of the service on")
-    commands = top.add_subparsers(dest="command", title="commands")
+def build_parser() -> argparse.ArgumentParser:
+    """Return the parser of the command line's arguments."""
+    top_parser = argparse.ArgumentParser(prog="ramptide", description="Rents machines and runs users' jobs on them.")
+    top_parser.add_argument("--version", action="version", version=f"ramptide {__version__}")
+    top_parser.add_argument("--config", metavar="PATH", type=Path, help="run a controller with this settings file")
+    top_parser.add_argument("--parts", metavar="PATH", type=Path, help="the file that switches parts of the service on")
+    commands = top_parser.add_subparsers(dest="command", title="commands")
     commands.add_parser("compile", help="compile the modules of a controller, so that it starts sooner")
     admin = commands.add_parser("admin", help="talk to a running controller's administration API")
     admin.add_argument("--address", required=True, metavar="HOST:PORT", help="the controller's peer address")
@@ -64,7 +64,7 @@
         "plan", help="tell whether limits and guarantees can hold on a fleet"
     )
     plan.add_argument("file", type=Path, help="a TOML file of machines and teams")
-    return top
+    return top_parser
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -75,21 +75,21 @@
     arguments
         The arguments after the program's name; by default those of the process.
     """
-    top = parser()
-    options = top.parse_args(arguments)
+    top_parser = build_parser()
+    options = top_parser.parse_args(arguments)
     if options.command == "admin":
-        return _administer(options)
+        return _run_admin_command(options)
     if options.command == "quota":
-        return _plan(options.file)
+        return _run_quota_plan(options.file)
     if options.command == "compile":
-        return _compile()
+        return _compile_modules()
     if options.config is None:
-        top.error("one of --config and the commands compile, admin and quota is needed")
+        top_parser.error("one of --config and the commands compile, admin and quota is needed")
     return _run_controller(options.config, options.parts)
 
 
-def _compile() -> int:
-    """Import all that a controller uses: the interpreter keeps the bytecode of what it imports."""
+def _compile_modules() -> int:
+    """Import all modules that a controller uses, so that the interpreter writes their bytecode to its cache."""
     import_module("ramptide.service")
     import_module("ramptide.api.metrics")
     import_module("ramptide.quota.operators")
@@ -102,37 +102,37 @@
         loaded = settings.load(path)
         features = load_features(parts_path) if parts_path is not None else None
     except settings.SettingsError as error:
-        return _fail(str(error), EXIT_USAGE_ERROR)
+        return _report_error(str(error), EXIT_USAGE_ERROR)
     level = os.environ.get("LOG_LEVEL", "info")
-    if level not in LEVELS:
-        return _fail(f"LOG_LEVEL: {level!r} is none of {', '.join(LEVELS)}", EXIT_USAGE_ERROR)
+    if level not in LOG_LEVELS:
+        return _report_error(f"LOG_LEVEL: {level!r} is none of {', '.join(LOG_LEVELS)}", EXIT_USAGE_ERROR)
     logging.basicConfig(
-        stream=sys.stderr, level=LEVELS[level], format=f"%(asctime)s {loaded.member} %(levelname)s %(message)s"
+        stream=sys.stderr, level=LOG_LEVELS[level], format=f"%(asctime)s {loaded.member} %(levelname)s %(message)s"
     )
-    # Imported here, since the administration commands need none of the controller.
+    # Imported here because the administration commands need no module of the controller.
     from ramptide.service import Service
 
     try:
         service = Service(loaded, features)
     except OSError as error:
-        return _fail(f"cannot listen: {error}")
+        return _report_error(f"cannot listen: {error}")
     service.run()
     return 0
 
 
-def _administer(options: argparse.Namespace) -> int:
+def _run_admin_command(options: argparse.Namespace) -> int:
     try:
         parse_address(options.address)
     except ValueError as error:
-        return _fail(f"--address: {error}", EXIT_USAGE_ERROR)
+        return _report_error(f"--address: {error}", EXIT_USAGE_ERROR)
     try:
-        changes = _changes_of(options)
+        changes = _requested_changes(options)
     except ChangeSyntaxError as error:
-        return _fail(str(error), EXIT_USAGE_ERROR)
+        return _report_error(str(error), EXIT_USAGE_ERROR)
     method, body = ("GET", b"") if changes is None else ("PATCH", json.dumps(changes).encode())
-    reply = _call(options.address, method, ADMIN_PATHS[options.verb], body)
+    reply = _send_request(options.address, method, ADMIN_PATHS[options.verb], body)
     if reply is None:
-        return _fail(f"{options.address} does not answer")
+        return _report_error(f"{options.address} does not answer")
     succeeded = reply.status in (HTTPStatus.OK, HTTPStatus.ACCEPTED)
     text = reply.body.decode("utf-8", "replace")
     if options.verb != "metrics" and succeeded:
@@ -141,8 +141,8 @@
     return 0 if succeeded else EXIT_FAILURE
 
 
-def _changes_of(options: argparse.Namespace) -> dict[str, Any] | None:
-    """Return the changes that the command asks for; None where it only shows something."""
+def _requested_changes(options: argparse.Namespace) -> dict[str, Any] | None:
+    """Return the changes that the command requests; None when it only shows something."""
     if options.verb == "set":
         return _parse_changes(options.changes)
     if options.verb != "quota" or options.team is None:
@@ -152,21 +152,21 @@
     return {options.team: None if options.reset else _parse_changes(options.changes)}
 
 
-def _plan(path: Path) -> int:
-    """Tell what a plan file comes to; 0 when all limits and guarantees can hold."""
-    # Needed by this command alone; its solver is not installed with the service.
+def _run_quota_plan(path: Path) -> int:
+    """Print the report on a plan file; return exit status 0 when all limits and guarantees can hold."""
+    # Imported here because only this command needs the module, whose solver is not installed with the service.
     from ramptide.quota.planner import PlanError, plan
 
     try:
         report = plan(path)
     except PlanError as error:
-        return _fail(str(error), EXIT_USAGE_ERROR)
+        return _report_error(str(error), EXIT_USAGE_ERROR)
     print("\n".join(report.lines()))
     return 0 if report.holds else EXIT_FAILURE
 
 
 def _parse_changes(arguments: list[str]) -> dict[str, Any]:
-    """Parse NAME=VALUE pairs whose values are JSON."""
+    """Return the changes that NAME=VALUE arguments give, whose values are JSON."""
     changes = {}
     for argument in arguments:
         name, _, value = argument.partition("=")
@@ -177,14 +177,14 @@
     return changes
 
 
-def _fail(text: str, status: int = EXIT_FAILURE) -> int:
-    """Print an error and return the exit status."""
+def _report_error(text: str, status: int = EXIT_FAILURE) -> int:
+    """Print an error and return the exit status of the program."""
     print(f"ramptide: {text}", file=sys.stderr)
     return status
 
 
-def _call(address: str, method: str, target: str, body: bytes) -> Response | None:
-    """Send one request and wait for the response."""
+def _send_request(address: str, method: str, target: str, body: bytes) -> Response | None:
+    """Send one request and return the response; None when there is none."""
     loop = EventLoop()
     replies: list[Response | None] = []
 
