--- a/src/ramptide/cluster/__init__.py
+++ b/src/ramptide/cluster/__init__.py
@@ -1,5 +1,6 @@
-"""What controllers know of each other and of all machines.
+"""Membership of the controllers, the messages between them, and the index of all machines.
 
-Membership in numbered views (`membership`, `view`, `member_lease`), the messages between controllers (`messages`, their
-delivery in `peers`, incremental tables in `change_log`), and the index of observed machines (`machine_index`).
+`membership`, `view` and `member_lease` keep the membership in numbered views. `messages` defines the messages between
+controllers, `peers` delivers them, and `change_log` replicates tables incrementally. `machine_index` holds the observed
+machines.
 """
--- a/src/ramptide/cluster/change_log.py
+++ b/src/ramptide/cluster/change_log.py
@@ -1,4 +1,7 @@
-"""Incremental replication of a table: which keys changed at which sequence number, and how far a receiver has them."""
+"""Incremental replication of a table.
+
+The sender records at which sequence number each key changed, the receiver up to which number it has the changes.
+"""
 
 from collections.abc import Container, Hashable
 from typing import Generic, TypeVar
@@ -11,22 +14,23 @@
 class ChangeLog(Generic[Key]):
     """Records the sequence number of each key's last change.
 
-    Only keys are kept; values are read when a message is made, so a message is never older than its sequence number.
+    Only keys are kept. The sender reads the values when it builds a message, so that the values in a message are never
+    older than its sequence number.
     """
 
     def __init__(self) -> None:
-        #: In the order of the last change.
+        #: The sequence number of each key's last change, in the order of these changes.
         self._last_change: dict[Key, int] = {}
 
     def mark(self, key: Key, sequence_number: int) -> None:
-        """Record that a key was changed or removed at a sequence number, which is not below any recorded one."""
+        """Record that a key was changed or removed at a sequence number, which must not be below any recorded one."""
         self._last_change.pop(key, None)
         self._last_change[key] = sequence_number
 
     def since(self, base: int, up_to: int | None = None) -> list[Key]:
-        """Return the keys that changed after `base`, latest first; with those that were removed and not pruned.
+        """Return the keys that changed after `base`, latest first, including removed keys that are not pruned yet.
 
-        `up_to`: without those whose last change came after this sequence number.
+        Keys whose last change came after the sequence number `up_to` are left out, if it is given.
         """
         changed = []
         for key in reversed(self._last_change):
@@ -40,7 +44,7 @@
     def split_after(self, base: int, limit: int) -> int | None:
         """Return the sequence number up to which about `limit` keys changed after `base`.
 
-        None when no more keys than that changed.
+        Return None when at most `limit` keys changed.
         """
         changed = self.since(base)
         if len(changed) <= limit:
@@ -48,7 +52,7 @@
         return self._last_change[changed[-limit]]
 
     def prune(self, base: int, existing: Container[Key]) -> None:
-        """Forget removed keys whose removal every receiver has acknowledged, `base` being the lowest number."""
+        """Delete the entries of keys that were removed at or before `base`, which every receiver has acknowledged."""
         self._last_change = {
             key: sequence_number
             for key, sequence_number in self._last_change.items()
@@ -57,18 +61,18 @@
 
 
 class ReceivedSequence:
-    """How far one sender's table has been received.
+    """The sequence number up to which the receiver has the table of one sender.
 
-    A message holds all that changed after its `base` up to its sequence number, so it can be taken when nothing up to
-    `base` is missing here. An older message, or a copy, holds nothing new.
+    A message holds all changes after its `base` up to its sequence number. The receiver can therefore apply it when it
+    has all changes up to `base`. An older message, or a copy of one, holds nothing new.
     """
 
     def __init__(self) -> None:
-        #: The sequence number of the last message that was accepted.
+        #: The sequence number of the last accepted message.
         self.sequence_number = 0
 
     def accept(self, base: int, sequence_number: int) -> bool:
-        """Count a message as received if it can be taken; return whether it can."""
+        """Return whether a message can be applied; if so, record its sequence number as received."""
         if sequence_number <= self.sequence_number or base > self.sequence_number:
             return False
         self.sequence_number = sequence_number
--- a/src/ramptide/cluster/errors.py
+++ b/src/ramptide/cluster/errors.py
@@ -1,6 +1,6 @@
-"""What can be wrong with what other controllers send or store.
+"""Errors in the messages, replies and views of other controllers.
 
-The text of each error is the line that goes into the log.
+The text of each error is written to the log.
 """
 
 __all__ = [
@@ -15,23 +15,23 @@
 
 
 class ClusterError(Exception):
-    """The base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class MalformedViewError(ClusterError):
-    """The stored view does not have the form that leaders give it."""
+    """The stored view cannot be decoded as a `View`."""
 
     def __init__(self, reason: str) -> None:
-        super().__init__(f"broken view: {reason}")
+        super().__init__(f"malformed view: {reason}")
 
 
 class PeerMessageError(ClusterError):
-    """A message or a reply of another controller that is refused as a whole.
+    """A message or a reply of another controller is refused as a whole.
 
     Attributes
     ----------
     member
-        The name of the sender, or None when the message can't be read so far.
+        The name of the sender; None when the message cannot be decoded.
     """
 
     def __init__(self, text: str, member: str | None = None) -> None:
@@ -40,28 +40,28 @@
 
 
 class MalformedMessageError(PeerMessageError):
-    """A message that is no CBOR, lacks a field, or has a value that is out of bounds."""
+    """A message is not valid CBOR, lacks a field, or has a value that is out of bounds."""
 
     def __init__(self, reason: str) -> None:
-        super().__init__(f"broken message between controllers: {reason}")
+        super().__init__(f"malformed message: {reason}")
 
 
 class MalformedReplyError(PeerMessageError):
-    """A reply that does not have the form of a `PeerReply`."""
+    """A reply cannot be decoded as a `PeerReply`."""
 
     def __init__(self, member: str, reason: str) -> None:
-        super().__init__(f"broken answer of {member}: {reason}", member)
+        super().__init__(f"malformed reply of {member}: {reason}", member)
 
 
 class UnknownSenderError(PeerMessageError):
-    """A message of a controller that the settings do not name."""
+    """The sender of a message is not among the controllers in the settings."""
 
     def __init__(self, member: str) -> None:
         super().__init__(f"a message of {member}, which the settings do not name", member)
 
 
 class VersionMismatchError(PeerMessageError):
-    """A message in another version than ours, which might be misread.
+    """A message has another version than this controller's, so that its fields might be misread.
 
     Attributes
     ----------
@@ -70,5 +70,5 @@
     """
 
     def __init__(self, member: str, version: int, own_version: int) -> None:
-        super().__init__(f"{member} speaks version {version} between controllers, we speak {own_version}", member)
+        super().__init__(f"{member} sent a message in version {version}, expected {own_version}", member)
         self.version = version
--- a/src/ramptide/cluster/machine_index.py
+++ b/src/ramptide/cluster/machine_index.py
@@ -1,6 +1,6 @@
-"""What is known of all machines, our own and the others', kept up to date by events.
+"""The index of all machines, whichever member owns them, updated by events.
 
-Start here; each thing that is derived from the machines' status has a module of its own: `task_index`,
+`MachineIndex` is the entry point. Everything derived from the status of machines has a module of its own: `task_index`,
 `failure_attribution`, `unconfirmed_terminations` and `free_rooms`.
 """
 
@@ -11,7 +11,7 @@
 from ramptide.cluster.failure_attribution import FailureAttribution
 from ramptide.cluster.free_rooms import AttemptsLookup, FreeRooms
 from ramptide.cluster.machine_status import MachineStatus
-from ramptide.cluster.observed_machine import ObservedMachine, active_jobs
+from ramptide.cluster.observed_machine import ObservedMachine, active_job_ids
 from ramptide.cluster.task_index import TaskIndex
 from ramptide.cluster.unconfirmed_terminations import UnconfirmedTerminations
 from ramptide.config.tuning import Tuning
@@ -24,13 +24,13 @@
 
 __all__ = ["MISSED_HEARTBEATS", "TOKEN_NOT_SEEN", "MachineIndex"]
 
-#: Why a machine is not reconciled, in words for the operators.
+#: Reasons shown to operators why a machine is not reconciled.
 MISSED_HEARTBEATS = "silent"
 TOKEN_NOT_SEEN = "not told our token"
 
 
 class MachineIndex:
-    """The observed machines, and what follows from their status.
+    """The observed machines, and the indexes derived from their status.
 
     Parameters
     ----------
@@ -39,9 +39,9 @@
     machine_types
         The machine types of the cloud.
     jobs
-        The jobs that are not over.
+        The unfinished jobs by id.
     attempts
-        Returns the attempts of our own scheduler on a machine, which its owner may not show yet.
+        Returns the attempts of the local scheduler on a machine, which its owner may not report yet.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
 
     @property
     def tuning(self) -> Tuning:
-        """The operators' settings; after a change all rooms are to be invalidated."""
+        """The operators' settings; the caller invalidates all rooms after a change."""
         return self._free_rooms.tuning
 
     @tuning.setter
@@ -70,33 +70,38 @@
 
     @property
     def rooms(self) -> Mapping[str, Room]:
-        """What is free on each machine that takes tasks, as of the last `refresh`."""
+        """The free room of each machine that takes tasks, as of the last `refresh`."""
         return self._free_rooms.by_host
 
     @property
     def running_tasks(self) -> Counter[str]:
-        """How many tasks of each job run."""
+        """The number of running tasks of each job."""
         return self._tasks.running_tasks
 
     @property
     def idle_pool(self) -> list[str]:
-        """The idle machines that the leader keeps."""
+        """The idle machines that the leader keeps in reserve."""
         return self._free_rooms.idle_pool
 
-    # Events.
+    # Updates
 
     def add(self, name: str, unconfirmed_since: timedelta | None) -> None:
         """Add a machine of the fleet record.
 
-        `unconfirmed_since`: for one that was in use before this process knew it, since when it may have tasks of
-        finished jobs.
+        Parameters
+        ----------
+        unconfirmed_since
+            For a machine that was in use before this process knew it, since when tasks of finished jobs are assumed to
+            be possible there; otherwise None.
         """
         is_assumed = unconfirmed_since is not None
-        self.machines.setdefault(name, ObservedMachine(unconfirmed_since=unconfirmed_since, is_assumed=is_assumed))
+        self.machines.setdefault(
+            name, ObservedMachine(unconfirmed_since=unconfirmed_since, is_unconfirmed_since_assumed=is_assumed)
+        )
         self.invalidate(name)
 
     def remove(self, name: str) -> None:
-        """Drop a machine that has left the fleet record, with everything that was known of it."""
+        """Remove a machine that has left the fleet record, with everything derived from its status."""
         machine = self.machines.get(name)
         if machine is not None:
             self._replace_tasks(name, machine, [])
@@ -106,19 +111,19 @@
         self.invalidate(name)
 
     def new_view(self) -> None:
-        """Forget what runs where, which is rebuilt from heartbeats.
+        """Clear the status of all machines, which is rebuilt from heartbeats in the new view.
 
-        The images stay, and which terminations are unconfirmed.
+        The images and the unconfirmed terminations are kept.
         """
         self._terminations.new_view()
         for name, machine in self.machines.items():
-            self.machines[name] = machine.successor()
+            self.machines[name] = machine.without_status()
         self._tasks.clear()
         self._failures.clear()
         self._free_rooms.new_view()
 
     def update(self, name: str, status: MachineStatus | None, now: timedelta) -> None:
-        """Take a machine's status from its owner; None when the owner has no such machine."""
+        """Apply the status of a machine from its owner; None when the owner has no such machine."""
         machine = self.machines.get(name)
         if machine is None:
             return
@@ -126,60 +131,60 @@
         if status is None:
             self._replace_tasks(name, machine, [])
             self._replace_failures(name, machine, [], 0)
-            self.machines[name] = machine.successor()
+            self.machines[name] = machine.without_status()
             return
-        machine.apply(status, now)
+        machine.apply_status(status, now)
         self._replace_failures(name, machine, status.failed_jobs, status.consecutive_failures)
         self._replace_tasks(name, machine, status.tasks)
-        self._terminations.status_changed(name, machine, now)
+        self._terminations.apply_status(name, machine, now)
         self.check_all_tasks_known(machine)
 
     def _replace_tasks(self, name: str, machine: ObservedMachine, tasks: list[TaskRow]) -> None:
         if tasks == machine.tasks:
             return
-        job_ids = self._tasks.replace(name, machine.tasks, tasks)
+        job_ids = self._tasks.replace_tasks(name, machine.tasks, tasks)
         machine.set_tasks(tasks)
-        self._failures.tasks_changed(job_ids, tasks)
+        self._failures.apply_task_change(job_ids, tasks)
 
     def _replace_failures(
         self, name: str, machine: ObservedMachine, failed_jobs: list[str], consecutive_failures: int
     ) -> None:
         before = machine.failed_jobs
         machine.failed_jobs, machine.consecutive_failures = failed_jobs, consecutive_failures
-        self._failures.replace(name, before, failed_jobs)
+        self._failures.replace_failed_jobs(name, before, failed_jobs)
 
     def job_finished(self, job_id: str, spec: JobSpec, now: timedelta) -> None:
-        """Note that a job has left the live jobs, so that the end of its tasks has to be confirmed."""
-        self._tasks.job_finished(job_id, spec)
-        self._terminations.job_finished(job_id, self._tasks.hosts_of(job_id), now)
+        """Record that a job has left the live jobs, so that the end of its tasks has yet to be confirmed."""
+        self._tasks.record_job_finished(job_id, spec)
+        self._terminations.record_job_finished(job_id, self._tasks.hosts_of(job_id), now)
 
     def job_succeeded(self, job_id: str) -> None:
-        """Note that a task of the job succeeded, so where the job failed the machine may be at fault."""
-        self._failures.job_succeeded(job_id)
+        """Record that a task of the job succeeded, so that the machines on which the job failed may be at fault."""
+        self._failures.record_job_success(job_id)
 
     def set_idle_pool(self, hosts: list[str]) -> None:
-        """Set the idle machines that the leader keeps."""
+        """Set the idle machines that the leader keeps in reserve."""
         self._free_rooms.set_idle_pool(hosts)
 
-    # What the owners show.
+    # Reported status
 
     def hosts_of_job(self, job_id: str) -> list[str]:
-        """Return the machines whose owners show a task of the job."""
+        """Return the machines on which a task of the job is reported, sorted by name."""
         return sorted(self._tasks.hosts_of(job_id))
 
     def check_all_tasks_known(self, machine: ObservedMachine) -> bool:
-        """Tell whether all that runs there is counted by some scheduler.
+        """Return whether every task that runs on a machine is counted by some scheduler; keep a positive result.
 
-        It is once, at some moment since the machine was reconciled, all its tasks were of jobs that we know, since
-        their schedulers have counted them from then on. A task of a job that was over before has no scheduler. What is
-        cancelled later stays counted by its scheduler until it is gone, so it does not matter here.
+        This holds from the moment, after the machine was reconciled, at which all its tasks are of jobs in the live
+        jobs, as the schedulers of these jobs count them from then on. A task of a job that had finished earlier has no
+        scheduler. A job cancelled later does not matter, as its scheduler counts its tasks until they are gone.
         """
         if not machine.all_tasks_known and machine.is_reconciled:
-            machine.all_tasks_known = all(job_id in self._jobs for job_id in active_jobs(machine.tasks))
+            machine.all_tasks_known = all(job_id in self._jobs for job_id in active_job_ids(machine.tasks))
         return machine.all_tasks_known
 
     def silent_hosts(self) -> list[str]:
-        """Return the machines that came up once and whose heartbeats have stopped."""
+        """Return the machines that have come up and whose heartbeats have stopped."""
         return [
             name
             for name, machine in self.machines.items()
@@ -187,9 +192,10 @@
         ]
 
     def out_of_use_reason(self, name: str) -> str | None:
-        """Return why the machine takes no tasks, in words for the operators; None when it does."""
+        """Return why the machine takes no tasks, as a text for operators; None when it takes tasks."""
         record, machine = self._records[name], self.machines.get(name, ObservedMachine())
-        # A machine may be drained as silent or unreachable: then its owner's latest status decides.
+        # A machine that is drained as silent or unreachable has its reason below again, under the same key: whether it
+        # holds then follows from its owner's latest status.
         reasons = {
             record.drain_reason or "": record.drain_reason is not None,
             "booting": not record.registered and not machine.is_up,
@@ -202,55 +208,55 @@
         }
         return next((reason for reason, holds in reasons.items() if holds), None)
 
-    # Failures.
+    # Failures
 
     def hosts_failed_on(self, job_id: str) -> set[str]:
-        """Return the machines on which the job failed; none when a task of it succeeded."""
+        """Return the machines on which the job failed; an empty set when a task of it succeeded."""
         return self._failures.hosts_failed_on(job_id)
 
     def failing_jobs(self) -> dict[str, int]:
-        """Return the jobs that failed on several machines and succeeded on none, with the number of machines."""
+        """Return the jobs that failed on several machines and succeeded on none, each with the number of machines."""
         return self._failures.failing_jobs()
 
     def count_accusing_jobs(self, name: str) -> int:
-        """Return how many different jobs indicate that the machine is faulty, see `FailureAttribution`."""
-        return self._failures.count_accusing_jobs(name)
+        """Return how many different jobs indicate that the machine is faulty; see `FailureAttribution`."""
+        return self._failures.count_jobs_indicating_fault(name)
 
     def _is_quarantined(self, name: str) -> bool:
         return self.count_accusing_jobs(name) >= self.tuning.sick_jobs
 
-    # Unconfirmed terminations.
+    # Unconfirmed terminations
 
     def unconfirmed_for(self, name: str, now: timedelta) -> timedelta:
-        """Return how long a task of a finished job may have been on a silent machine; zero when none can."""
+        """Return for how long a silent machine may have run a task of a finished job; zero when it cannot have."""
         return self._terminations.duration(name, now)
 
     def all_unconfirmed(self, now: timedelta) -> dict[str, float]:
-        """Return, by silent machine, for how many seconds a task of a finished job may have been there."""
-        return self._terminations.by_silent_machine(now)
+        """Return for how many seconds each silent machine may have run a task of a finished job."""
+        return self._terminations.seconds_by_silent_machine(now)
 
     def take_unconfirmed(self, seconds_by_machine: Mapping[str, float], now: timedelta) -> None:
-        """Take from another controller what `all_unconfirmed` returned there, where that is longer."""
+        """Adopt the durations of `unconfirmed_seconds_by_machine` on another controller, where they are longer."""
         self._terminations.merge(seconds_by_machine, now)
 
     def backdate_unconfirmed(self, started: timedelta, since: timedelta) -> None:
-        """Count what may have been on machines since before `started` as there since `since` at the latest."""
+        """Move `unconfirmed_since` back to `since`, if it is later, on each machine where it is not after `started`."""
         self._terminations.backdate(started, since)
 
-    # Room.
+    # Free room
 
     def invalidate(self, name: str) -> None:
-        """Have a machine's room computed again, as something that it depends on has changed."""
+        """Have the room of a machine recomputed, as something on which it depends has changed."""
         self._free_rooms.invalidate(name)
 
     def invalidate_all(self) -> None:
-        """Have the rooms of all machines of the fleet record computed again."""
+        """Have the rooms of all machines in the fleet record recomputed."""
         self._free_rooms.invalidate_all()
 
     def refresh(self, names: Collection[str] | None = None) -> None:
-        """Compute again the room of the machines that have changed, of some or of all."""
+        """Recompute the rooms of machines that have changed, of all or only of `names`."""
         self._free_rooms.refresh(names)
 
     def free_rooms(self, names: Iterable[str] | None = None) -> Iterator[Room]:
-        """Yield the rooms of some machines, or of all."""
+        """Yield the rooms of some machines, or of all when `names` is None."""
         return self._free_rooms.of_hosts(names)
--- a/src/ramptide/cluster/machine_status.py
+++ b/src/ramptide/cluster/machine_status.py
@@ -9,42 +9,43 @@
 
 __all__ = ["FAILED_JOBS_KEPT", "MachineStatus"]
 
-#: Jobs that a machine's status names as failed there: the message stays small however many jobs were submitted with a
-#: mistake.
+#: The maximum number of failed jobs in the status of a machine, so that messages stay small however many faulty jobs
+#: are submitted.
 FAILED_JOBS_KEPT = 8
 
 
 class MachineStatus(msgspec.Struct, array_like=True, frozen=True):
-    """A machine's status at the moment of the message.
+    """The status of a machine at the moment of the message.
 
-    It is encoded as an array in the order of the fields.
+    The status is encoded as an array in the order of the fields.
 
     Attributes
     ----------
     is_reconciled
-        Whether no reply of an earlier view can be carried out there any more.
+        Whether the machine can no longer carry out a reply of an earlier view.
     is_up
-        Whether a heartbeat has come from it in this view.
+        Whether its owner has received a heartbeat of it in this view.
     is_draining
-        Whether it is to be given back when its tasks have ended.
+        Whether it is to be returned to the cloud when its tasks have ended.
     silent_s
-        The seconds since its last heartbeat when heartbeats are missing, else 0.
+        The seconds since its last heartbeat when heartbeats are missing; otherwise 0.
     preemption_notice_s
-        The seconds until the cloud takes it back; None without a notice.
+        The seconds until the cloud preempts it; None without a preemption notice.
     failed_jobs
-        The last different jobs that failed there, the latest last.
+        The last distinct jobs that failed there, the latest one last.
     consecutive_failures
-        How many of the last `failed_jobs` failed with no success there since.
+        How many of the last `failed_jobs` failed since the last success of any task there.
     unreachable_s
-        The seconds since when our replies do not reach it while its heartbeats come; None when they do.
+        For how many seconds the replies of its owner have not reached it while its heartbeats arrive; None while they
+        reach it.
     heartbeat_held
-        Whether a heartbeat of it waits for our reply, so that a command can be sent at once.
+        Whether its owner holds back the reply to a heartbeat, with which a command can be sent at once.
     images
-        The images that its agent has, the most recently used last.
+        The images that its agent has cached, the most recently used one last.
     tasks
-        Its attempts.
+        The attempts on it.
     address
-        Where its agent can be called.
+        The address of its agent; None while it is unknown.
     """
 
     is_reconciled: bool
--- a/src/ramptide/cluster/member_lease.py
+++ b/src/ramptide/cluster/member_lease.py
@@ -1,4 +1,7 @@
-"""The lease that a member's keys in the key-value store hang on: without it the others leave the member out."""
+"""The lease of a member in the key-value store.
+
+The keys of the member are deleted when the lease expires, and the leader then writes a view without the member.
+"""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -9,33 +12,34 @@
 
 LEASE_TIMEOUT = timedelta(seconds=4)
 KEEP_ALIVE_INTERVAL = timedelta(seconds=0.9)
-#: How often the lease and the membership are looked at.
+#: How often the lease and the membership are checked.
 STEP_INTERVAL = timedelta(seconds=0.25)
 
 
 class MemberLease:
-    """Creates the lease, keeps it alive, and notices its end.
+    """Creates the lease, keeps it alive, and detects its end.
 
     Parameters
     ----------
     store
         The client of the key-value store.
     on_lost
-        Called when the store says that the lease does not exist any more.
+        Called when the store reports that the lease no longer exists.
     """
 
     def __init__(self, store: KeyValueStore, on_lost: Callable[[], None]) -> None:
         self._store = store
         self._runtime = store.runtime
         self._on_lost = on_lost
-        #: The lease's number in the store; None without a lease.
+        #: The id of the lease in the store; None without a lease.
         self.lease_id: int | None = None
-        #: When the last request was sent that found the lease alive: until `LEASE_TIMEOUT` after it the keys exist.
+        #: When the last request that found the lease alive was sent; the keys exist until `LEASE_TIMEOUT` after it.
         self.confirmed_at: timedelta | None = None
+        #: When the last keep-alive was sent; moved back to have the next one sent earlier.
         self._kept_alive_at = timedelta(0)
 
-    def create(self, done: Callable[[], None]) -> None:
-        """Request a lease; `done` is called after the reply, whether there is a lease then or not."""
+    def create(self, on_done: Callable[[], None]) -> None:
+        """Request a lease; `on_done` is called after the reply, whether or not it grants one."""
         sent_at = self._runtime.now
 
         def on_created(lease_id: int | None) -> None:
@@ -43,17 +47,17 @@
             if lease_id is not None:
                 self.confirmed_at = sent_at
             self._kept_alive_at = self._runtime.now
-            done()
+            on_done()
 
         self._store.create_lease(LEASE_TIMEOUT, on_created)
 
     def keep_alive_if_due(self) -> None:
-        """Keep the lease alive when the last request for that is long ago."""
+        """Send a keep-alive if there is a lease and the last one is at least `KEEP_ALIVE_INTERVAL` ago."""
         if self.lease_id is not None and self._runtime.now - self._kept_alive_at >= KEEP_ALIVE_INTERVAL:
             self._keep_alive(self.lease_id)
 
     def check_soon(self) -> None:
-        """Have the next `keep_alive_if_due` ask the store, as a failed transaction may mean that the lease ended."""
+        """Make the next `keep_alive_if_due` ask the store, as after a failed transaction the lease may have ended."""
         self._kept_alive_at = min(self._kept_alive_at, self._runtime.now - KEEP_ALIVE_INTERVAL)
 
     def _keep_alive(self, lease_id: int) -> None:
@@ -72,10 +76,10 @@
         self._store.keep_lease_alive(lease_id, on_status)
 
     def _retry_soon(self) -> None:
-        """Nobody knows whether the lease is alive: ask again after one more step."""
+        """Have the next keep-alive sent one step from now, as the state of the lease is unknown."""
         retry_at = self._runtime.now - KEEP_ALIVE_INTERVAL + STEP_INTERVAL
         self._kept_alive_at = min(self._kept_alive_at, retry_at)
 
     def forget(self) -> None:
-        """Continue without a lease."""
+        """Drop the lease id and the time of its last confirmation."""
         self.lease_id = self.confirmed_at = None
--- a/src/ramptide/cluster/messages.py
+++ b/src/ramptide/cluster/messages.py
@@ -1,7 +1,7 @@
-"""The form of the messages between controllers, and their encoding.
+"""The messages between controllers and their encoding.
 
-Both the field names and the version are read by controllers that run another build: the wire names stand in `rename`,
-and whatever another build would misread raises `MESSAGE_VERSION`.
+Controllers of other builds read these messages. `rename` therefore maps each field to its fixed name on the wire, and
+`MESSAGE_VERSION` is increased with any change that another build would misread.
 """
 
 from typing import Annotated, Any, NamedTuple, TypeVar
@@ -30,17 +30,18 @@
     "encode_reply",
 ]
 
-#: Where controllers take each other's messages.
+#: The path at which controllers receive messages of other controllers.
 PEER_MESSAGES_PATH = "/sync"
-#: Raised when messages change so that another version would misread them.
+#: Increased when the messages change in a way that another version would misread.
 MESSAGE_VERSION = 5
 
-#: CPUs and GPUs that a team's tasks hold or wait for; sums of decimal numbers may be off zero by a rounding error.
+#: CPUs and GPUs that a team's tasks hold or wait for. They may be slightly negative, as sums of decimal numbers have
+#: rounding errors.
 UsageRow = tuple[
     Annotated[float, msgspec.Meta(ge=-1e12, le=1e12)],
     Annotated[float, msgspec.Meta(ge=-1e12, le=1e12)],
 ]
-#: CPUs and GPUs of a team's quota share, each infinite where the team has no limit.
+#: CPUs and GPUs of a team's quota share; each is infinite where the team has no limit.
 ShareRow = tuple[
     Annotated[float, msgspec.Meta(ge=-1e12)],
     Annotated[float, msgspec.Meta(ge=-1e12)],
@@ -48,7 +49,7 @@
 
 
 class WaitingJobRow(NamedTuple):
-    """A job with tasks that may be started: how many, for how many seconds, and the machines that it avoids."""
+    """A job with tasks that may be started: their number, its waiting time, and the machines that it avoids."""
 
     job_id: str
     task_count: Count
@@ -57,7 +58,7 @@
 
 
 class UnrecordedMachine(NamedTuple):
-    """A machine that sends heartbeats and is not in the fleet record."""
+    """A machine that sends heartbeats but is not in the fleet record."""
 
     machine_type: str
     zone: str
@@ -65,7 +66,7 @@
 
 
 class PreemptionRow(NamedTuple):
-    """An attempt that the leader preempts, and the seconds that it gets to save its progress."""
+    """An attempt that the leader preempts, and its grace period in seconds to save its progress."""
 
     job_id: str
     task_index: Count
@@ -100,10 +101,10 @@
         "preemptions": "evict",
     },
 ):
-    """One message between controllers.
+    """A message from one controller to another.
 
-    Of machines' status and desired tasks it has what changed since the sequence number `base`, which the receiver has
-    acknowledged (0: everything); of the rest it has everything.
+    The fields `machine_status` and `desired_tasks` hold the changes since the sequence number `base`, which the
+    receiver has acknowledged, or everything when `base` is 0. All other fields are complete.
 
     Attributes
     ----------
@@ -112,54 +113,56 @@
     incarnation
         The incarnation under which the sender is a member.
     view
-        The view in which the sender acts, 0 without one.
+        The number of the view in which the sender acts; 0 without one.
     sequence_number
-        The sender's number of this message, higher than that of the one before.
+        The sequence number that the sender gave to this message, greater than that of its previous message.
     store_unavailable
         Whether the key-value store did not answer the sender's last request.
     revision
-        The sender's copy of the key-value store shows every change up to this revision.
+        The revision of the key-value store up to which the sender's copy contains every change.
     version
-        The sender's `MESSAGE_VERSION`.
+        The `MESSAGE_VERSION` of the sender.
     base
-        The sequence number after which changes are in this message.
+        The sequence number after which this message contains the changes.
     more
-        More machines have changed than one message takes: it has only the changes up to `sequence_number`, and nothing
-        else.
+        Whether more machines have changed than fit into one message. Such a message holds the changes up to
+        `sequence_number` and the cancelled jobs, and leaves out all other tables.
     reconciled
-        Whether the sender knows the state of all machines in this view.
+        Whether the sender knows what earlier views left on all machines.
     acknowledged
-        By sender, the sequence number up to which the desired tasks are applied to our machines.
+        By name of a controller, the sequence number up to which its desired tasks are applied to the machines of the
+        sender.
     desired_tasks
-        By machine of the receiver, the tasks that the sender's scheduler wants there; None for none any more.
+        By machine of the receiver, the tasks that the sender's scheduler wants there; None when it no longer wants any.
     machine_status
-        By machine of the sender, its status; None for a machine that it has no more.
+        By machine of the sender, its status; None for a machine that the sender no longer has.
     usage
-        By team, what the attempts of the sender's jobs hold.
+        By team, the CPUs and GPUs that the attempts of the sender's jobs hold.
     demand
-        By team, what the waiting tasks of the sender's jobs would use. To the leader only.
+        By team, the CPUs and GPUs that the waiting tasks of the sender's jobs need. Sent to the leader only.
     waiting_jobs
-        The sender's jobs with tasks that may be started. To the leader only.
+        The sender's jobs with tasks that may be started. Sent to the leader only.
     usage_in_transfer
-        By job that the sender is handing over, and by team, what its attempts hold.
+        By job that the sender is handing over, and by team, the CPUs and GPUs that its attempts hold.
     quota_shares
-        By team, what the receiver may use; None when that is not decided. From the leader only.
+        By team, the CPUs and GPUs that the receiver may use; None when the leader has not decided. Sent by the leader
+        only.
     quota_shares_acknowledged
-        The sequence number of the leader's message whose quota shares the sender has taken.
+        The sequence number of the leader's message whose quota shares the sender has applied.
     handovers_taken
-        The jobs whose handover the leader has counted in the quota shares.
+        The jobs whose handover the leader has taken into account in the quota shares.
     idle_pool
-        The idle machines that the leader keeps.
+        The idle machines that the leader keeps in reserve. Sent by the leader only.
     cancelled_jobs
-        Jobs whose cancellation the sender has confirmed to users in the last minute.
+        The jobs whose cancellation the sender has confirmed to users in the last minute.
     unrecorded_machines
-        By name, the machines that send heartbeats and that the fleet record lacks. To the leader only.
+        By name, the machines that send heartbeats but are not in the fleet record. Sent to the leader only.
     unconfirmed_terminations
-        By machine, for how many seconds a task of a finished job may have been there with no heartbeats.
+        By silent machine, for how many seconds it may have run a task of a finished job.
     preemptions
-        The attempts that the leader preempts.
+        The attempts that the leader preempts. Sent by the leader only.
     quota
-        A message of the quota feature, which checks it; None where that feature is off.
+        A message of the quota feature, which validates it; None where that feature is switched off.
     """
 
     member: str
@@ -207,17 +210,17 @@
     incarnation
         The incarnation of the replying controller.
     view
-        The view in which it acts, 0 without one.
+        The number of the view in which it acts; 0 without one.
     store_unavailable
-        Whether the key-value store did not answer its last request either.
+        Whether the key-value store did not answer its last request.
     newest_view
-        The newest view that it knows of; it renews no task's lease under an older one any more.
+        The newest view that it knows of; it no longer renews leases of tasks under an older one.
     received
-        The sequence number up to which it has the sender's messages.
+        The sequence number up to which it has accepted the sender's messages.
     finished_jobs
-        To a sender without the key-value store: every job of which a user may have been told since the sender's
-        revision that it is cancelled, and others that finished. None when that is not known, as its process was not
-        there then.
+        For a sender that does not reach the key-value store: every job whose cancellation may have been confirmed to a
+        user since the sender's revision, and other finished jobs. None when this is not known, for instance because the
+        replying process did not run then, or when the sender reaches the store.
     """
 
     incarnation: str
@@ -247,7 +250,7 @@
     Raises
     ------
     MalformedMessageError
-        If the body is no CBOR, or a field is missing or out of its bounds.
+        If the body is not valid CBOR, or a field is missing or out of bounds.
     """
     try:
         return _decode(body, PeerMessage)
@@ -261,7 +264,7 @@
     Raises
     ------
     MalformedReplyError
-        If the body is no CBOR, or a field is missing or has another type.
+        If the body is not valid CBOR, or a field is missing or has another type.
     """
     try:
         return _decode(body, PeerReply)
--- a/src/ramptide/cluster/observed_machine.py
+++ b/src/ramptide/cluster/observed_machine.py
@@ -1,4 +1,4 @@
-"""What a controller knows of one machine, its own or another member's."""
+"""The state of one machine as a controller knows it, whichever member owns the machine."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -7,42 +7,43 @@
 from ramptide.cluster.machine_status import MachineStatus
 from ramptide.state.task_state import FINISHED_PHASE_NAMES, TaskRow
 
-__all__ = ["ObservedMachine", "active_jobs"]
+__all__ = ["ObservedMachine", "active_job_ids"]
 
 ZERO = timedelta(0)
 
 
-def active_jobs(tasks: Iterable[TaskRow]) -> list[str]:
-    """Return the job of each attempt that may run or hold room: one entry an attempt."""
+def active_job_ids(tasks: Iterable[TaskRow]) -> list[str]:
+    """Return the job ids of the attempts that may run or hold room, one entry per attempt."""
     return [job_id for job_id, _, _, phase, _ in tasks if phase not in FINISHED_PHASE_NAMES]
 
 
 @dataclass(slots=True)
 class ObservedMachine:
-    """A machine's status as its owner reported it last; moments are of the monotonic clock.
+    """The status of a machine as its owner last reported it; moments are on the monotonic clock.
 
     Attributes
     ----------
     is_reported
         Whether its owner has reported its status in this view.
     is_reconciled, is_up, is_draining, failed_jobs, consecutive_failures, heartbeat_held, images, tasks
-        As in `MachineStatus`.
+        See `MachineStatus`.
     missed_heartbeats
         Whether heartbeats are missing.
     heard_at
-        When its owner had the last heartbeat; the moment of the status when none is missing.
+        When its owner received the last heartbeat; the time of the status when no heartbeat is missing.
     preempted_at
-        When the cloud takes it back; None without a notice.
+        When the cloud preempts it; None without a preemption notice.
     unreachable_since
-        Since when its owner's replies do not reach it; None when they do.
+        Since when the replies of its owner have not reached it; None while they reach it.
     active_tasks
-        How many of the tasks may run or hold room.
+        The number of attempts that may run or hold room.
     all_tasks_known
-        Whether all that runs there is counted by some scheduler, see `MachineIndex.check_all_tasks_known`.
+        Whether every task that runs there is counted by some scheduler, see `MachineIndex.check_all_tasks_known`.
     unconfirmed_since
-        Since when a task of a finished job may be there with no heartbeat that shows it gone.
-    is_assumed
-        Whether `unconfirmed_since` is the assumption of a process that was not there before, and not what it saw.
+        Since when a task of a finished job may be there, with no heartbeat since that shows it gone; None when none may
+        be there.
+    is_unconfirmed_since_assumed
+        Whether `unconfirmed_since` is an assumption about the time before this process started, rather than observed.
     """
 
     is_reconciled: bool = False
@@ -61,27 +62,34 @@
     is_reported: bool = False
     all_tasks_known: bool = False
     unconfirmed_since: timedelta | None = None
-    is_assumed: bool = False
+    is_unconfirmed_since_assumed: bool = False
 
-    def successor(self) -> "ObservedMachine":
-        """Return what is known in a new view: the images, and which terminations are unconfirmed."""
-        return ObservedMachine(images=self.images, unconfirmed_since=self.unconfirmed_since, is_assumed=self.is_assumed)
+    def without_status(self) -> "ObservedMachine":
+        """Return a copy without the reported status, which keeps the images and the unconfirmed terminations."""
+        return ObservedMachine(
+            images=self.images,
+            unconfirmed_since=self.unconfirmed_since,
+            is_unconfirmed_since_assumed=self.is_unconfirmed_since_assumed,
+        )
 
     @property
     def is_silent(self) -> bool:
-        """Whether its owner reports it and has had no heartbeat from it for long.
+        """Whether its owner has reported that heartbeats of it are missing, or that none has arrived in this view.
 
-        A task that was seen there by this controller need not be waited for anew under each owner.
+        A machine without any heartbeat in this view is not silent while `unconfirmed_since` is only assumed. Where this
+        controller has observed the task, the wait for a heartbeat need not start anew under each owner.
         """
-        return self.is_reported and (self.missed_heartbeats or (not self.is_up and not self.is_assumed))
+        return self.is_reported and (
+            self.missed_heartbeats or (not self.is_up and not self.is_unconfirmed_since_assumed)
+        )
 
     @property
     def recently_failed_jobs(self) -> list[str]:
-        """The jobs that failed there with no success since."""
+        """The jobs that failed there since the last success of any task."""
         return self.failed_jobs[len(self.failed_jobs) - self.consecutive_failures :]
 
-    def apply(self, status: MachineStatus, now: timedelta) -> None:
-        """Take all of a status but the failed jobs and the tasks, which are indexed with them."""
+    def apply_status(self, status: MachineStatus, now: timedelta) -> None:
+        """Apply a status except for its failed jobs and tasks, which the index replaces with its own entries."""
         self.is_reported = True
         self.is_reconciled = status.is_reconciled
         self.is_up = status.is_up
@@ -95,6 +103,6 @@
         self.images = status.images
 
     def set_tasks(self, tasks: list[TaskRow]) -> None:
-        """Take the attempts that its owner shows."""
+        """Replace the attempts that its owner reports."""
         self.tasks = tasks
-        self.active_tasks = len(active_jobs(tasks))
+        self.active_tasks = len(active_job_ids(tasks))
--- a/src/ramptide/cluster/peers.py
+++ b/src/ramptide/cluster/peers.py
@@ -1,7 +1,7 @@
-"""The delivery of messages between controllers.
+"""Delivery of messages between controllers.
 
-A message carries the changes since a sequence number that the receiver has acknowledged, and whole tables on any
-doubt, so that lost, late and repeated messages do no harm.
+A message carries the changes since a sequence number that the receiver has acknowledged, or whole tables when nothing
+is acknowledged. Lost, late and repeated messages therefore do no harm.
 """
 
 import logging
@@ -29,69 +29,74 @@
 
 CALL_TIMEOUT = timedelta(seconds=1)
 SEND_INTERVAL = timedelta(seconds=0.5)
-#: Changes for a peer gather so long: each message costs both sides the same few turns whatever it holds.
+#: The minimum time between two messages to a peer. Changes are collected meanwhile, as the cost of a message to both
+#: sides hardly depends on its content.
 MIN_SEND_INTERVAL = timedelta(milliseconds=100)
 ZERO = timedelta(0)
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another controller, with what was sent to it, received from it and acknowledged by it.
+    """Another controller, and the state of the exchange of messages with it.
+
+    All moments are on the monotonic clock.
 
     Attributes
     ----------
     name, address
-        The member's name, and its `host:port` for messages.
-    in_flight
-        Whether a message is under way to it.
+        The name of the controller, and the `host:port` at which it receives messages.
+    is_message_in_flight
+        Whether a message to it is in flight.
     sent_at
-        When the last message was sent, on the monotonic clock like all moments here.
-    inbox
-        How far its messages of this view have been taken.
+        When the last message to it was sent; None before the first one.
+    received_sequence
+        The sequence number up to which its messages of this view have been accepted.
     acknowledged
-        The sequence number up to which it has taken our messages of this view.
+        The sequence number up to which it has accepted the messages of this controller in this view.
     due_at
-        When the next message is to be sent.
+        When the next message to it is due.
     heard_at
-        When its last message of any view was taken.
+        When its last message of any view was accepted; None before the first one.
     last_message
-        Its last complete message in this view.
-    agreed_unavailable_at
-        When the last message was sent to which it replied that the key-value store does not answer it either.
+        Its last complete message in this view; None before the first one.
+    store_unavailable_agreed_at
+        When the last message was sent to which it replied that the key-value store does not answer it either; None
+        before the first such reply.
     replied_at, incarnation, newest_view
-        When its last reply came, and the incarnation and the newest view that it named.
+        When its last reply arrived, and the incarnation and the newest view named in that reply; `replied_at` is None
+        before the first one.
     """
 
     name: str
     address: str
-    in_flight: bool = False
+    is_message_in_flight: bool = False
     sent_at: timedelta | None = None
     inbox: ReceivedSequence = field(default_factory=ReceivedSequence)
     acknowledged: int = 0
     due_at: timedelta = ZERO
     heard_at: timedelta | None = None
     last_message: PeerMessage | None = None
-    agreed_unavailable_at: timedelta | None = None
+    store_unavailable_agreed_at: timedelta | None = None
     replied_at: timedelta | None = None
     incarnation: str = ""
     newest_view: int = 0
 
 
 class Peers:
-    """Sends messages to the other controllers and keeps the last one of each.
+    """Sends messages to the other controllers, and keeps the last message received from each.
 
     Parameters
     ----------
     runtime
-        The clock and the HTTP calls.
+        The clock and the HTTP client.
     addresses
-        The address of each other controller, by its name.
+        The address of each other controller, by name.
     is_from_member
-        Tells whether the sender of a message is a member of the current view, and not an earlier process of that name.
+        Returns whether the sender of a message is a member of the current view, not an earlier process of that name.
     on_message
-        Called with each message that is taken, and its sender.
+        Called with each accepted message and its sender.
     on_finished_jobs
-        Called with jobs that a reply names as finished.
+        Called with the jobs that a reply reports as finished.
     """
 
     def __init__(
@@ -106,15 +111,15 @@
         self._is_from_member = is_from_member
         self._on_message = on_message
         self._on_finished_jobs = on_finished_jobs
-        #: The newest view that any message named.
+        #: The newest view that any message has named.
         self.newest_view = 0
-        #: Counts the views, so that a reply to a message of an earlier one acknowledges nothing.
-        self._generation = 0
+        #: The number of views so far; a reply to a message sent before the last one acknowledges nothing.
+        self._view_count = 0
         self.by_name = {name: Peer(name, address) for name, address in addresses.items()}
 
     def new_view(self) -> None:
-        """Forget what was received and acknowledged in the previous view, and send everything again."""
-        self._generation += 1
+        """Reset what was received and acknowledged in the previous view, so that everything is sent again."""
+        self._view_count += 1
         for peer in self.by_name.values():
             peer.last_message = None
             peer.inbox = ReceivedSequence()
@@ -122,48 +127,48 @@
             peer.due_at = ZERO
 
     def last_message(self, member: str) -> PeerMessage | None:
-        """Return the last message of a member in this view, or None when there is none."""
+        """Return the last complete message of a member in this view; None when there is none."""
         peer = self.by_name.get(member)
         return peer.last_message if peer is not None else None
 
     def last_messages(self) -> list[PeerMessage]:
-        """Return the last message of each other member of the view that has sent one."""
+        """Return the last complete message of each other member that has sent one in this view."""
         return [peer.last_message for peer in self.by_name.values() if peer.last_message is not None]
 
-    # Sending.
+    # Outgoing messages
 
     def due_peers(self) -> list[Peer]:
-        """Return the controllers that are to be sent a message now."""
+        """Return the controllers to which a message is due now."""
         now = self._runtime.now
         return [
             peer
             for peer in self.by_name.values()
             if peer.due_at <= now
-            and not peer.in_flight
+            and not peer.is_message_in_flight
             and (peer.sent_at is None or now - peer.sent_at >= MIN_SEND_INTERVAL)
         ]
 
     def send_all_soon(self) -> None:
-        """Send every other controller a message as soon as possible."""
+        """Make a message to every other controller due now."""
         for peer in self.by_name.values():
             self.send_within(peer, ZERO)
 
     def send_within(self, peer: Peer, within: timedelta) -> None:
-        """Send a controller its next message within the given time."""
+        """Make the next message to a controller due after the given time at the latest."""
         peer.due_at = min(peer.due_at, self._runtime.now + within)
 
     def send(self, peer: Peer, message: PeerMessage, interval: timedelta = SEND_INTERVAL) -> None:
         """Send a message; the next one is due after `interval`.
 
-        One message at a time is under way to a controller; the next one carries all that is newer.
+        Only one message at a time is in flight to a controller. The next one carries all changes made meanwhile.
         """
-        peer.in_flight = True
-        sent_at, generation = self._runtime.now, self._generation
+        peer.is_message_in_flight = True
+        sent_at, view_count = self._runtime.now, self._view_count
         peer.sent_at = sent_at
         peer.due_at = sent_at + interval
 
         def on_response(response: Response | None) -> None:
-            peer.in_flight = False
+            peer.is_message_in_flight = False
             if response is None or response.status != HTTPStatus.OK:
                 return
             try:
@@ -171,44 +176,57 @@
             except MalformedReplyError as error:
                 log.error("peer reply refused: member=%s error=%r", error.member, str(error))
                 return
-            self._take_reply(peer, message, reply, sent_at, is_current=generation == self._generation)
+            self._apply_reply(peer, message, reply, sent_at, is_current=view_count == self._view_count)
 
         body = encode_message(message)
         request = Request(peer.address, "POST", PEER_MESSAGES_PATH, CALL_TIMEOUT, body, CBOR)
         self._runtime.call(request, on_response)
 
-    def _take_reply(
+    def _apply_reply(
         self, peer: Peer, message: PeerMessage, reply: PeerReply, sent_at: timedelta, is_current: bool
     ) -> None:
-        """Take the reply to a message; `is_current`: no view has come since it was sent."""
+        """Apply the reply to a message.
+
+        Parameters
+        ----------
+        is_current
+            Whether the view has not changed since the message was sent.
+        """
         peer.replied_at = self._runtime.now
         peer.incarnation = reply.incarnation
         peer.newest_view = reply.newest_view
         if is_current:
-            # What it could not take as an earlier message is missing is sent again from where it stands.
+            # A peer that lacks an earlier message cannot accept this one. It names how far it has got, and the changes
+            # after that are sent again.
             same_view = reply.view == message.view
             peer.acknowledged = min(max(reply.received, 0), message.sequence_number) if same_view else 0
         if reply.finished_jobs:
             self._on_finished_jobs(reply.finished_jobs)
-        if _agrees_that_store_is_unavailable(message, reply):
-            peer.agreed_unavailable_at = sent_at
+        if _confirms_store_unavailable(message, reply):
+            peer.store_unavailable_agreed_at = sent_at
 
-    # Receiving.
+    # Incoming messages
 
     def receive(self, body: bytes, view: int) -> tuple[PeerMessage, Peer]:
-        """Take another controller's message; return it with its sender.
+        """Decode and check a message of another controller, and apply it if it is accepted.
 
         Parameters
         ----------
         body
             The encoded message.
         view
-            The view in which we act, 0 without one. Of messages of other views only the view's number is noted.
+            The number of the view in which this controller acts; 0 without one. Of a message of another view, only the
+            number of that view is recorded.
+
+        Returns
+        -------
+        The message and its sender.
 
         Raises
         ------
         PeerMessageError
-            If the message can't be read, or its sender or version is not ours. Nothing of it was taken.
+            If the message cannot be decoded, its sender is unknown, or its version differs from this controller's.
+            Nothing of it has been applied.
         """
         message = decode_message(body)
         peer = self.by_name.get(message.member)
@@ -229,21 +247,23 @@
             self._on_message(message, peer)
         return message, peer
 
-    # What the replies prove.
+    # Evidence from replies
 
     def unavailable_agreed_since(self) -> timedelta | None:
-        """Return the time since which all others agree that the key-value store is unavailable.
+        """Return the time at which every other controller agreed that the key-value store was unavailable.
 
-        None while some have not agreed.
+        It is the earliest of the last times at which each of them agreed, or the current time when there are no other
+        controllers. None while any of them has not agreed yet.
         """
-        moments = [peer.agreed_unavailable_at for peer in self.by_name.values()]
+        moments = [peer.store_unavailable_agreed_at for peer in self.by_name.values()]
         known = [moment for moment in moments if moment is not None]
         return min(known, default=self._runtime.now) if len(known) == len(moments) else None
 
     def no_replies_after(self, member: str, incarnation: str, view: int) -> timedelta | None:
-        """Return the time after which a process surely answered no more heartbeats under a view before `view`.
+        """Return the time after which a process has certainly replied to no heartbeat under a view before `view`.
 
-        It knew of a newer one, or another process had taken its place. None without proof.
+        At that time the process knew `view` or a newer one, or another process ran under its name. None without such
+        proof.
         """
         peer = self.by_name.get(member)
         if peer is None or peer.replied_at is None:
@@ -251,12 +271,12 @@
         return peer.replied_at if peer.incarnation != incarnation or peer.newest_view >= view else None
 
 
-def _agrees_that_store_is_unavailable(message: PeerMessage, reply: PeerReply) -> bool:
-    """Tell whether neither side reaches the key-value store, and nothing is missing here that the other side knows.
+def _confirms_store_unavailable(message: PeerMessage, reply: PeerReply) -> bool:
+    """Return whether neither side reaches the key-value store and this controller lacks nothing that the peer knows.
 
-    The other side acts in our view or (just started) in none: nobody there can have changed the view between our
-    message and its reply. And it names every cancellation that it may have confirmed to its users up to then: one that
-    nobody tells us of must take effect when our tasks' leases expire.
+    The peer acts in the view of the message or, just started, in none, so that it cannot have changed the view between
+    the message and its reply. The reply also names every cancellation that the peer may have confirmed to its users up
+    to then; a cancellation of which this controller is not told must take effect when the leases of its tasks expire.
     """
     return (
         message.store_unavailable
--- a/src/ramptide/cluster/unconfirmed_terminations.py
+++ b/src/ramptide/cluster/unconfirmed_terminations.py
@@ -1,13 +1,13 @@
-"""For how long a task of a job that is over may have been on a machine with no heartbeat that shows it gone.
+"""Tracking of machines on which tasks of finished jobs may still run, and for how long that has been possible.
 
-A machine that hangs may go on with what it had. So what its owner gives up after a lease may run again, and only a
-heartbeat that does not show it confirms that it is gone.
+A machine that hangs may resume its tasks later. A task that its owner gave up when the lease expired may therefore run
+again, and only a heartbeat that no longer shows the task confirms that it has ended.
 """
 
 from collections.abc import Iterable, Mapping
 from datetime import timedelta
 
-from ramptide.cluster.observed_machine import ObservedMachine, active_jobs
+from ramptide.cluster.observed_machine import ObservedMachine, active_job_ids
 from ramptide.state.jobs import Job
 
 __all__ = ["UnconfirmedTerminations"]
@@ -16,59 +16,59 @@
 
 
 class UnconfirmedTerminations:
-    """Keeps `unconfirmed_since` of the observed machines.
+    """Maintains `unconfirmed_since` of the observed machines.
 
     Parameters
     ----------
     machines
-        The observed machines by name, which their index keeps up to date.
+        The observed machines by name, which `MachineIndex` keeps up to date.
     jobs
-        The jobs that are not over.
+        The unfinished jobs by id.
     """
 
     def __init__(self, machines: Mapping[str, ObservedMachine], jobs: Mapping[str, Job]) -> None:
         self._machines = machines
         self._jobs = jobs
-        #: What machines ran in the views before, until a heartbeat in this one shows what they run now.
+        #: The jobs that each machine ran in earlier views, until a heartbeat in this view shows what it runs now.
         self._jobs_before_view: dict[str, set[str]] = {}
 
     def new_view(self) -> None:
-        """Remember what runs where; called before that is forgotten for a new view."""
+        """Record which jobs each machine runs; called before the reported tasks are cleared for a new view."""
         for name, machine in self._machines.items():
-            running = set(active_jobs(machine.tasks))
+            running = set(active_job_ids(machine.tasks))
             if running:
                 self._jobs_before_view.setdefault(name, set()).update(running)
 
     def remove(self, name: str) -> None:
-        """Forget a machine that has left the fleet record."""
+        """Remove a machine that has left the fleet record."""
         self._jobs_before_view.pop(name, None)
 
-    def status_changed(self, name: str, machine: ObservedMachine, now: timedelta) -> None:
-        """Note whether tasks of finished jobs may be on a machine whose owner has reported its status."""
-        if any(job_id not in self._jobs for job_id in active_jobs(machine.tasks)):
+    def apply_status(self, name: str, machine: ObservedMachine, now: timedelta) -> None:
+        """Set or clear `unconfirmed_since` of a machine by the status that its owner has reported."""
+        if any(job_id not in self._jobs for job_id in active_job_ids(machine.tasks)):
             machine.unconfirmed_since = machine.unconfirmed_since or now
         elif machine.is_reconciled and machine.is_up and not machine.missed_heartbeats:
             machine.unconfirmed_since = None
-            machine.is_assumed = False
+            machine.is_unconfirmed_since_assumed = False
             self._jobs_before_view.pop(name, None)
 
-    def job_finished(self, job_id: str, hosts: Iterable[str], now: timedelta) -> None:
-        """Note that a job is over whose tasks are shown on `hosts`, so that it has to be confirmed that they end."""
+    def record_job_finished(self, job_id: str, hosts: Iterable[str], now: timedelta) -> None:
+        """Record that a job with tasks on `hosts` has finished; the end of these tasks is not confirmed yet."""
         hosts_before_view = (name for name, jobs in self._jobs_before_view.items() if job_id in jobs)
         for name in [*hosts, *hosts_before_view]:
             machine = self._machines[name]
             machine.unconfirmed_since = machine.unconfirmed_since or now
 
     def duration(self, name: str, now: timedelta) -> timedelta:
-        """Return how long a task of a finished job may have been on a silent machine; zero when none can."""
+        """Return for how long a silent machine may have run a task of a finished job; zero when it cannot have."""
         machine = self._machines.get(name)
-        # Only its owner knows whether it is silent. While it is not, the owner ends such tasks itself.
+        # Only the owner knows whether the machine is silent. While it is not, the owner ends such tasks itself.
         if machine is None or machine.unconfirmed_since is None or not machine.is_silent:
             return ZERO
         return now - machine.unconfirmed_since
 
-    def by_silent_machine(self, now: timedelta) -> dict[str, float]:
-        """Return, by silent machine, for how many seconds a task of a finished job may have been there."""
+    def seconds_by_silent_machine(self, now: timedelta) -> dict[str, float]:
+        """Return for how many seconds each silent machine may have run a task of a finished job."""
         return {
             name: self.duration(name, now).total_seconds()
             for name, machine in self._machines.items()
@@ -76,9 +76,9 @@
         }
 
     def merge(self, seconds_by_machine: Mapping[str, float], now: timedelta) -> None:
-        """Take from another controller what `by_silent_machine` returned there, where that is longer.
+        """Adopt the durations that `seconds_by_silent_machine` returned on another controller, where they are longer.
 
-        A leader that has just started does not know this itself.
+        A leader that has just started has not observed these durations itself.
         """
         for name, seconds in seconds_by_machine.items():
             since = now - timedelta(seconds=seconds)
@@ -87,7 +87,7 @@
                 machine.unconfirmed_since = since
 
     def backdate(self, started: timedelta, since: timedelta) -> None:
-        """Count what may have been on machines since before `started` as there since `since` at the latest."""
+        """Move `unconfirmed_since` back to `since`, if it is later, on each machine where it is not after `started`."""
         for machine in self._machines.values():
             if machine.unconfirmed_since is not None and machine.unconfirmed_since <= started:
                 machine.unconfirmed_since = min(machine.unconfirmed_since, since)
--- a/src/ramptide/cluster/view.py
+++ b/src/ramptide/cluster/view.py
@@ -1,4 +1,7 @@
-"""The numbered views: who is a member, who leads, and which member owns a machine. Pure."""
+"""Numbered membership views: their members, their leader, and which member owns a machine.
+
+The functions have no side effects.
+"""
 
 import hashlib
 from collections.abc import Iterable, Mapping
@@ -17,14 +20,14 @@
     Attributes
     ----------
     number
-        One more than that of the view before. It is the fencing token of the commands to agents.
+        The number of the view, one more than that of the previous view; the fencing token of commands to agents.
     leader
         The member that wrote the view.
     members
-        The incarnation of each member.
+        The incarnation of each member, by name.
     unfenced
-        The incarnations of members of earlier views of which nobody has proof that they ended: until their authority
-        has run out they may still renew tasks' leases under an older token.
+        The incarnations, by name, of members of earlier views that are not proven to have ended. Until their authority
+        has expired they may still renew tasks' leases under an older token.
     """
 
     number: int
@@ -53,18 +56,18 @@
 
 
 def next_view(previous: View | None, leader: str, registered: Mapping[str, str]) -> View:
-    """Return the view that follows, with the incarnations of all registered members."""
+    """Return the view after `previous`, whose members are all registered members."""
     if previous is None:
         return View(1, leader, dict(registered), {})
     unfenced = dict(previous.unfenced) | previous.members
-    # A member that is registered with a new incarnation has proven the end of its old one.
+    # The registration of a new incarnation proves that the member's old one has ended.
     unfenced = {name: incarnation for name, incarnation in unfenced.items() if name not in registered}
     return View(previous.number + 1, leader, dict(registered), unfenced)
 
 
 def owner_of(host: str, members: Iterable[str]) -> str:
-    """Return the member that owns a machine: the one with the highest hash for it.
+    """Return the member that owns a machine, by rendezvous hashing: the one with the highest hash for the machine.
 
-    When members change, few machines change their owner.
+    Few machines change their owner when members join or leave.
     """
     return max(members, key=lambda member: hashlib.blake2b(f"{member} {host}".encode(), digest_size=8).digest())
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -66,7 +66,7 @@
     view = View(7, "c0", {"c0": "a"}, {"c1": "b"})
     assert decode_view(encode_view(view)) == view
     for broken in (None, [], {"number": 1}, {"number": "1", "leader": "c0", "members": {}}):
-        with pytest.raises(MalformedViewError, match=r"^broken view: "):
+        with pytest.raises(MalformedViewError, match=r"^malformed view: "):
             decode_view(broken)
 
 
@@ -110,6 +110,6 @@
 
 def test_a_refused_reply_says_who_sent_it() -> None:
     for body in (b"", b"\xff", cbor2.dumps({"inc": 1}), b"\x81" * 60_000):
-        with pytest.raises(MalformedReplyError, match=r"^broken answer of c1: ") as caught:
+        with pytest.raises(MalformedReplyError, match=r"^malformed reply of c1: ") as caught:
             decode_reply(body, "c1")
         assert caught.value.member == "c1"
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -325,9 +325,9 @@
     assert take(cbor2.dumps([1])) is None
     old = {"member": "c1", "inc": "c1-1", "view": 1, "seq": 10**6, "lacks": False}
     assert take(cbor2.dumps(old)) is None
-    assert "version 0 between controllers" in caplog.text
+    assert "c1 sent a message in version 0, expected" in caplog.text
     assert take(cbor2.dumps(old | {"wire": MESSAGE_VERSION - 1})) is None
-    assert f"version {MESSAGE_VERSION - 1} between" in caplog.text
+    assert f"c1 sent a message in version {MESSAGE_VERSION - 1}, expected" in caplog.text
     whole = cbor2.dumps(
         old
         | {"wire": MESSAGE_VERSION, "base": 10**6, "view": controller.state.view.number if controller.state.view else 0}
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -135,16 +135,16 @@
 
 
 def test_without_the_index_of_failures_they_do(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(FailureAttribution, "_accuses", lambda self, job_id, name: True)
+    monkeypatch.setattr(FailureAttribution, "_indicates_fault", lambda self, job_id, name: True)
     assert blamed()
 
 
 def test_when_jobs_that_are_over_count_they_do(monkeypatch: pytest.MonkeyPatch) -> None:
-    accuses = FailureAttribution._accuses
+    indicates_fault = FailureAttribution._indicates_fault
     monkeypatch.setattr(
         FailureAttribution,
-        "_accuses",
-        lambda self, job_id, name: job_id not in self._jobs or accuses(self, job_id, name),
+        "_indicates_fault",
+        lambda self, job_id, name: job_id not in self._jobs or indicates_fault(self, job_id, name),
     )
     assert blamed(cancel=True, check=lambda world: None)
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -197,7 +197,7 @@
     assert c.state.shard is not None
     c.machine_index.refresh()
     before = dict(c.machine_index.rooms)
-    worked_out = counted(monkeypatch, FreeRooms, "_room")
+    worked_out = counted(monkeypatch, FreeRooms, "_compute_room")
     c.machine_index.invalidate_all()
     c.machine_index.refresh(c.state.shard.machines)
     assert len(worked_out) == len(c.state.shard.machines) < SMALL / 2
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -156,7 +156,7 @@
     for _ in range(700):
         world.run(0.1)
         world.invariants.check()
-    assert of(world, name).membership._lost_leases <= 1, "it does not stand again before workers answer"
+    assert of(world, name).membership._lost_lease_count <= 1, "it does not stand again before workers answer"
     world.heal()
     world.run(20)
     assert world.invariants.violations == []
@@ -189,7 +189,7 @@
     for name in world.controller_names:
         world.nodes[name].freeze(2.9)
         world.run(8)
-        assert of(world, name).membership._lost_leases == 0
+        assert of(world, name).membership._lost_lease_count == 0
 
 
 SEEN = [
--- a/tests/virtual/indexes.py
+++ b/tests/virtual/indexes.py
@@ -28,7 +28,9 @@
 
 def _check_rooms(machine_index: MachineIndex) -> None:
     expected = {
-        name: room for name in machine_index.machines if (room := machine_index._free_rooms._room(name)) is not None
+        name: room
+        for name in machine_index.machines
+        if (room := machine_index._free_rooms._compute_room(name)) is not None
     }
     assert machine_index.rooms == expected
 
