--- a/src/ramptide/state/__init__.py
+++ b/src/ramptide/state/__init__.py
@@ -1,5 +1,6 @@
-"""What the controllers keep in the key-value store, and how they follow and change it.
+"""The state that controllers keep in the key-value store, and the means to follow and change it.
 
-`records` are the stored forms, `jobs` a job as it is worked with. `watch_cache` follows the store, `commit_batcher`
-changes it. `task_state` and `amounts` are the values that schedulers, owners of machines and messages share.
+`records` defines the stored records, and `jobs` the unfinished job that controllers work with. `watch_cache` follows
+the store, and `commit_batcher` changes it. `task_state` and `amounts` define the values that schedulers, owners of
+machines and messages share.
 """
--- a/src/ramptide/state/amounts.py
+++ b/src/ramptide/state/amounts.py
@@ -1,4 +1,4 @@
-"""Amounts of CPUs and GPUs that count against team limits, in whole units: sums of them are exact."""
+"""Amounts of CPUs and GPUs that count against team limits, in integer units so that sums are exact."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -29,18 +29,19 @@
     "usage_from_wire",
 ]
 
-#: Units in one CPU or GPU. The interfaces carry decimal numbers, which are converted where they come in.
+#: Units in one CPU or GPU. Decimal numbers from the interfaces are converted to units where they are received.
 UNITS = 1_000_000
-#: In units: decimal numbers that are whole units but for the error of their binary form count as whole.
-BINARY_ERROR = 1e-3
-#: Stands for the absence of a limit; larger than any sum of amounts.
+#: A decimal number counts as a whole number of units if it differs from it by no more than this, as by the rounding
+#: error of its binary form.
+ROUNDING_TOLERANCE_UNITS = 1e-3
+#: Represents the absence of a limit, in units; larger than any sum of amounts.
 NO_LIMIT = 2**62
-#: What is left of an absent limit, after any sum of amounts was taken from it, is above this.
+#: What remains of an absent limit after any sum of amounts is subtracted from it is not below this.
 ABSENT_LIMIT_THRESHOLD = NO_LIMIT // 2
 
 
 class Amounts(NamedTuple):
-    """Units of CPUs and of GPUs."""
+    """Amounts of CPUs and of GPUs, in units."""
 
     cpus: int
     gpus: int
@@ -50,21 +51,21 @@
         return Amounts(self.cpus * count, self.gpus * count)
 
 
-#: Limits, shares or usage by team.
+#: Limits, quota shares or usage by team.
 TeamAmounts = dict[str, Amounts]
-#: CPUs and GPUs as decimal numbers, infinite for no limit, as the messages between controllers carry them.
+#: CPUs and GPUs as decimal numbers, as in the messages between controllers; infinite where there is no limit.
 WireAmounts = tuple[float, float]
 NOTHING = Amounts(0, 0)
 
 
 def units_needed(value: float) -> int:
-    """Return the units that cover a decimal number."""
-    return math.ceil(value * UNITS - BINARY_ERROR)
+    """Return a decimal number of CPUs or GPUs in units, rounded up."""
+    return math.ceil(value * UNITS - ROUNDING_TOLERANCE_UNITS)
 
 
 def units_allowed(value: float) -> int:
-    """Return the units that a decimal number covers; `NO_LIMIT` for an infinite one."""
-    return NO_LIMIT if math.isinf(value) else math.floor(value * UNITS + BINARY_ERROR)
+    """Return a decimal number of CPUs or GPUs in units, rounded down; `NO_LIMIT` for an infinite one."""
+    return NO_LIMIT if math.isinf(value) else math.floor(value * UNITS + ROUNDING_TOLERANCE_UNITS)
 
 
 @lru_cache(maxsize=4096)
@@ -73,12 +74,12 @@
 
 
 def amounts_of(spec: JobSpec) -> Amounts:
-    """Return what one task of the job takes of its team's limit."""
+    """Return the amounts that one task of the job uses of its team's limits."""
     return _task_amounts(spec.cpus, spec.gpus)
 
 
 def limits_of(team: Team) -> Amounts:
-    """Return the team's limits, each `NO_LIMIT` where the settings give none."""
+    """Return the team's limits; each is `NO_LIMIT` where the settings have none."""
     return Amounts(
         units_allowed(team.cpus_max) if team.cpus_max else NO_LIMIT,
         units_allowed(team.gpus_max) if team.gpus_max else NO_LIMIT,
@@ -86,43 +87,43 @@
 
 
 def team_limits(teams: Iterable[Team]) -> TeamAmounts:
-    """Return the limits of those teams that have one, on CPUs, GPUs or both."""
+    """Return the limits of the teams that have a limit on CPUs, GPUs or both."""
     return {team.name: limits_of(team) for team in teams if team.cpus_max or team.gpus_max}
 
 
 def guarantee_of(team: Team) -> Amounts:
-    """Return what the team is guaranteed."""
+    """Return the amounts that the team is guaranteed."""
     return Amounts(units_allowed(team.cpus), units_allowed(team.gpus))
 
 
 def add_amounts(total: TeamAmounts, team: str, amounts: Amounts) -> None:
-    """Add amounts to a team's entry in `total`, which is changed in place."""
+    """Add amounts to the entry of a team in `total`, in place."""
     before = total.get(team, NOTHING)
     total[team] = Amounts(before.cpus + amounts.cpus, before.gpus + amounts.gpus)
 
 
 def tasks_within(remaining: Amounts, task: Amounts) -> int | None:
-    """Return how many tasks of a size fit what remains of a limit; None when nothing limits them."""
+    """Return how many tasks of the given size fit into the remainder of a limit; None when no limit applies."""
     pairs = ((remaining.cpus, task.cpus), (remaining.gpus, task.gpus))
     counts = [left // needed for left, needed in pairs if needed > 0 and left < ABSENT_LIMIT_THRESHOLD]
     return max(0, min(counts)) if counts else None
 
 
 def to_number(units: int) -> float:
-    """Return units as the decimal number of CPUs or GPUs that people read; infinite for `NO_LIMIT`."""
+    """Return units as a decimal number of CPUs or GPUs; infinite for `NO_LIMIT`."""
     return math.inf if units == NO_LIMIT else units / UNITS
 
 
 def shares_to_wire(shares: Mapping[str, Amounts]) -> dict[str, WireAmounts]:
-    """Return amounts by team as decimal numbers."""
+    """Return amounts by team as decimal numbers for messages."""
     return {team: (to_number(share.cpus), to_number(share.gpus)) for team, share in shares.items()}
 
 
 def shares_from_wire(shares: Mapping[str, WireAmounts]) -> TeamAmounts:
-    """Return the shares that another controller assigns, never more than the decimal numbers say."""
+    """Return the quota shares from a message in units, rounded down so that none is exceeded."""
     return {team: Amounts(units_allowed(cpus), units_allowed(gpus)) for team, (cpus, gpus) in shares.items()}
 
 
 def usage_from_wire(usage: Mapping[str, WireAmounts]) -> TeamAmounts:
-    """Return what another controller uses, never less than the decimal numbers say."""
+    """Return the usage from a message in units, rounded up so that none is underestimated."""
     return {team: Amounts(units_needed(cpus), units_needed(gpus)) for team, (cpus, gpus) in usage.items()}
--- a/src/ramptide/state/delete_log.py
+++ b/src/ramptide/state/delete_log.py
@@ -1,27 +1,30 @@
-"""The last deletions of keys, for controllers that the key-value store does not answer."""
+"""A log of the latest deletions of keys.
+
+Controllers that do not get an answer from the key-value store learn from it which keys were deleted meanwhile.
+"""
 
 __all__ = ["DeleteLog"]
 
-#: So many deletions are kept; what ends in well over any outage of the store for one controller.
+#: The number of deletions kept, well above those that occur during any outage of the store for a single controller.
 DELETES_KEPT = 5000
 
 
 class DeleteLog:
-    """The last deletions of keys, and the revision since which none is missing."""
+    """The latest deletions of keys, and the revision since which the log is complete."""
 
     def __init__(self) -> None:
-        #: The revision of each key's deletion, in the order in which we heard of them.
+        #: The revision of each key's deletion, in the order in which the deletions were added.
         self._revisions: dict[str, int] = {}
-        #: All deletions after this revision are here; None before the first load.
+        #: The log contains all deletions after this revision; None before the first load.
         self._complete_since: int | None = None
 
     def restart(self, revision: int) -> None:
-        """Forget all deletions; from now on, those after `revision` are added."""
+        """Clear the log, which is complete for deletions after `revision` from now on."""
         self._complete_since = revision
         self._revisions.clear()
 
     def add(self, key: str, mod_revision: int) -> None:
-        """Add a deletion; the oldest ones make room for it."""
+        """Add a deletion, and remove the oldest ones beyond `MAX_DELETIONS`."""
         self._revisions.pop(key, None)
         self._revisions[key] = mod_revision
         while len(self._revisions) > DELETES_KEPT and self._complete_since is not None:
@@ -29,7 +32,7 @@
             self._complete_since = max(self._complete_since, self._revisions.pop(oldest_key))
 
     def since(self, revision: int) -> list[str] | None:
-        """Return the keys that were deleted after a revision, or None when not all of them are known here."""
+        """Return the keys that were deleted after a revision, or None when the log is not complete since then."""
         if self._complete_since is None or revision < self._complete_since:
             return None
         return [key for key, mod_revision in self._revisions.items() if mod_revision > revision]
--- a/src/ramptide/state/jobs.py
+++ b/src/ramptide/state/jobs.py
@@ -1,4 +1,4 @@
-"""A job that is not over, as the key-value store has it."""
+"""Unfinished jobs, as the key-value store holds them."""
 
 from datetime import timedelta
 
@@ -8,34 +8,34 @@
 
 
 class Job:
-    """A job that is not over, as the key-value store has it.
+    """An unfinished job, as the key-value store holds it.
 
     Parameters
     ----------
     job_id
         The id of the job.
     record
-        Its record.
+        The record of the job.
     mod_revision
-        The revision of the record's last change, on which a change of it is conditional.
+        The revision of the record's last change, on which further changes of the record are conditional.
 
     Attributes
     ----------
     job_id, record, mod_revision
-        As given, or updated since.
+        As given to the constructor or to the last `update`.
     spec
         The job's description, which never changes.
     progress
-        The completed tasks that the record shows.
+        The set of completed tasks in the record.
     submitted_at
         The wall-clock time of the submission.
     deadline
-        The wall-clock time by which the job is to be complete, if it has one.
+        The wall-clock time by which the job is to be complete; None without a deadline.
 
     Raises
     ------
     RecordError
-        If the record is broken.
+        If the record is malformed.
     """
 
     __slots__ = ("deadline", "job_id", "mod_revision", "progress", "record", "spec", "submitted_at")
@@ -50,14 +50,14 @@
         self.update(record, mod_revision)
 
     def update(self, record: JobRecord, mod_revision: int) -> None:
-        """Take a newer version of the record.
+        """Replace the record by a newer version.
 
         Raises
         ------
         RecordError
-            If the record is broken; the job stays as it was then.
+            If the record is malformed; the job is then left unchanged.
         """
-        # First what can fail, so that a broken record changes nothing.
+        # The decoding comes first as it can fail, so that a malformed record changes nothing.
         self.progress = Progress.decode(record.progress)
         self.record = record
         self.mod_revision = mod_revision
--- a/src/ramptide/state/records.py
+++ b/src/ramptide/state/records.py
@@ -1,6 +1,6 @@
 """The records of jobs, machines and rentals in the key-value store.
 
-Stored field names are part of the format, which older and newer controllers share; `rename=` maps them to ours.
+Older and newer controllers share the format of the records. `rename=` maps each field to its name in the stored form.
 """
 
 import base64
@@ -42,26 +42,27 @@
 SETTINGS_KEY = "live/settings"
 LIMIT_PREFIX = "live/quota/"
 
-#: How far beyond the lowest task that is not completed a task may start; it bounds the size of a job's record.
+#: Only tasks less than this many beyond the lowest task that is not completed may start, which bounds the size of a
+#: job's record.
 PROGRESS_WINDOW = 8192
 
 
 class RecordError(ValueError):
-    """A stored value that is not a record of the expected kind; the text names the field."""
+    """A stored value is not a record of the expected kind; the text of the error names the field."""
 
 
 class Progress:
-    """The set of a job's completed tasks: all below `low`, and those whose bit is set above it.
+    """The set of a job's completed tasks: all tasks below `low`, and those from `low` on whose bit is set.
 
-    No task at or past `low + PROGRESS_WINDOW` may start, so the encoded set fits into a value of the key-value store
-    however many tasks the job has.
+    No task at or past `low + PROGRESS_WINDOW_TASKS` may start, so that the encoded set fits into a value of the
+    key-value store however many tasks the job has.
 
     Attributes
     ----------
     low
         The lowest task index that is not in the set.
     bits
-        Bit n stands for the task `low + n`.
+        A bit mask in which bit n stands for the task `low + n`.
     count
         The number of tasks in the set.
     """
@@ -74,15 +75,15 @@
         self.count = low + bits.bit_count()
 
     def __contains__(self, task_index: int) -> bool:
-        """Tell whether a task is completed."""
+        """Return whether a task is completed."""
         return task_index < self.low or bool(self.bits >> (task_index - self.low) & 1)
 
     def copy(self) -> "Progress":
-        """Return a set of the same tasks that changes on its own."""
+        """Return an independent copy of the set."""
         return Progress(self.low, self.bits)
 
     def add(self, task_index: int) -> bool:
-        """Add a task; return False if it was in the set already."""
+        """Add a task, and return whether it was not in the set before."""
         if task_index in self:
             return False
         self.bits |= 1 << (task_index - self.low)
@@ -93,18 +94,18 @@
         return True
 
     def encode(self) -> list[Any]:
-        """Return the set as a value of a record."""
+        """Return the set in the form in which records store it."""
         raw = self.bits.to_bytes((self.bits.bit_length() + 7) // 8, "little")
         return [self.low, base64.b64encode(raw).decode("ascii")]
 
     @classmethod
     def decode(cls, value: list[Any]) -> "Progress":
-        """Return the set that `encode` made a value of.
+        """Return the set from the form that `encode` returns.
 
         Raises
         ------
         RecordError
-            If the value cannot have been made by `encode`.
+            If the value is not of the form that `encode` returns.
         """
         try:
             low, bits = msgspec.convert(value, tuple[Count, str])
@@ -117,10 +118,10 @@
 
 
 class Handover(msgspec.Struct, array_like=True, frozen=True):
-    """The last message of a job's former scheduler, when the job got another one within a view.
+    """The last message of a job's former scheduler, after the scheduler of the job has changed within a view.
 
-    The new scheduler waits until every owner of machines has processed this message, and so reports all that the old
-    one had asked for.
+    The new scheduler waits until every owner of machines has processed this message, so that the owners report all
+    tasks for which the former scheduler had asked.
 
     Attributes
     ----------
@@ -129,7 +130,7 @@
     member
         The former scheduler.
     sequence_number
-        The number of its message to the other controllers.
+        The sequence number of that message to the other controllers.
     """
 
     view: int
@@ -148,7 +149,7 @@
         "handover": "hand",
     },
 ):
-    """A job that is not over.
+    """The record of an unfinished job.
 
     Attributes
     ----------
@@ -159,11 +160,11 @@
     created_in_view
         The number of the view in which the job was submitted.
     submitted_timestamp
-        The time of the submission, in seconds since 1970.
+        The time of the submission, in seconds since the Unix epoch.
     progress
         The completed tasks, as `Progress.encode` returns them.
     handover
-        The last message of the former scheduler, if the job had another one in this view.
+        The last message of the former scheduler, if the scheduler has changed within a view; otherwise None.
     """
 
     spec: JobSpec
@@ -180,7 +181,7 @@
 
 
 class FinishedJobRecord(msgspec.Struct, rename={"task_count": "pieces", "done_count": "done"}):
-    """What remains of a job that is over: its final status, and how many of its tasks were completed."""
+    """The record of a finished job: its final status, its number of tasks, and how many of them were completed."""
 
     status: str
     task_count: int
@@ -189,23 +190,23 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineRecord:
-    """A rented machine.
+    """The record of a rented machine.
 
     Attributes
     ----------
     machine_type, zone, spot
         The name of its machine type, its zone, and whether it is a spot instance.
     created_in_view
-        The view that recorded the machine; no older view can have started anything on it.
+        The number of the view that recorded the machine; no earlier view can have started a task on it.
     requested_timestamp
-        When it was requested from the cloud, in seconds since 1970.
+        When it was requested from the cloud, in seconds since the Unix epoch.
     drain_reason
-        Why the machine is draining, to be returned then; None if it is not.
+        Why the machine is being drained before it is returned to the cloud; None if it is not.
     registered
-        Whether the first heartbeat of its agent has been recorded. Nothing is started before, so a change of view need
-        not wait for machines that boot.
+        Whether the first heartbeat of its agent has been recorded. No task is started before that, so that a change of
+        view need not wait for machines that are booting.
     rental_id
-        The name of its rental.
+        The id of its rental.
     """
 
     machine_type: str
@@ -218,12 +219,12 @@
     rental_id: str = ""
 
     def is_unused_before(self, view: int) -> bool:
-        """Tell whether no view before `view` can have started anything on the machine."""
+        """Return whether no view before `view` can have started a task on the machine."""
         return self.created_in_view == view or not self.registered
 
 
 class RentedMachine(msgspec.Struct, array_like=True, frozen=True):
-    """The part of a machine's record that changes while it is rented."""
+    """The part of a machine's record that changes while the machine is rented."""
 
     registered: bool = False
     drain_reason: str | None = None
@@ -240,21 +241,21 @@
         "machines": "hosts",
     },
 ):
-    """A rental, kept under its unique name.
+    """The record of a rental, whose key ends in the unique id of the rental.
 
-    It is written without `machines` before the cloud is called, and with them once the cloud has answered. The machines
-    of one rental share a record, so that hundreds of them need few changes.
+    The record is written without `machines` before the cloud is called, and with them after the cloud has answered. The
+    machines of a rental share one record, so that hundreds of machines need only a few changes.
 
     Attributes
     ----------
     machine_type, zone, spot, count
         What was requested from the cloud.
     requested_timestamp
-        When, in seconds since 1970.
+        When it was requested, in seconds since the Unix epoch.
     created_in_view
-        The view that recorded the machines; 0 before.
+        The number of the view that recorded the machines; 0 before.
     machines
-        The rented machines by host.
+        The rented machines by host; None before the cloud has answered.
     """
 
     machine_type: str
@@ -266,7 +267,7 @@
     machines: dict[str, RentedMachine] | None = None
 
     def machine_records(self, rental_id: str) -> dict[str, MachineRecord]:
-        """Return the records of the rental's machines by host; `rental_id` is the rental's name."""
+        """Return the records of the rental's machines by host; `rental_id` is the id of the rental."""
         return {
             host: MachineRecord(
                 machine_type=self.machine_type,
@@ -283,17 +284,17 @@
 
 
 def to_value(record: msgspec.Struct) -> Any:
-    """Return a record as a value that the key-value store keeps."""
+    """Return the value of the key-value store that stores a record."""
     return msgspec.to_builtins(record)
 
 
 def from_value(value: Any, kind: type[Record]) -> Record:
-    """Return the record that a stored value holds.
+    """Return the record from a value of the key-value store.
 
     Raises
     ------
     RecordError
-        If the value is not such a record.
+        If the value is not a record of that kind.
     """
     try:
         return msgspec.convert(value, kind)
--- a/src/ramptide/state/task_state.py
+++ b/src/ramptide/state/task_state.py
@@ -1,4 +1,4 @@
-"""The phases of a task's attempts, the states that schedulers ask for, and how both stand in messages."""
+"""The phases of attempts of tasks, the states that schedulers request, and the forms of both in messages."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -30,87 +30,89 @@
 
 #: Job id, task index and attempt number.
 TaskKey = tuple[str, int, int]
-# Typed closely, so that a broken message between controllers is refused as a whole before anything of it is taken.
+# The names are literal types, so that a malformed message between controllers is refused as a whole, before any part of
+# it is applied.
 PhaseName = Literal["queued", "sent", "fetching", "running", "flushing", "ended", "refused", "gone"]
 DesiredStateName = Literal["run", "stop", "reap"]
-#: Job id, task index, attempt, phase and the cause of an end, as an owner tells the other controllers.
+#: Job id, task index, attempt number, phase and cause of the end, as an owner reports them to other controllers.
 TaskRow = tuple[str, Count, Count, PhaseName, str | None]
-#: Job id, task index, attempt, desired state and the grace period in seconds, as a scheduler asks an owner for it.
+#: Job id, task index, attempt number, desired state and grace period in seconds, as a scheduler requests from an owner.
 DesiredTaskRow = tuple[str, Count, Count, DesiredStateName, Amount]
 
 
 class Phase(Enum):
-    """Where one attempt of a task is, as its machine's owner knows; `label` is its name in messages."""
+    """The phase of an attempt of a task, as the owner of its machine knows it; `label` is its name in messages."""
 
-    # Members are single objects; Enum's own hash, of the name, shows in profiles, as does its `value`.
+    # Members are singletons, so that the identity hash is correct. The hash of Enum, which hashes the name, and the
+    # access to its `value` are slow enough to show in profiles.
     __hash__ = object.__hash__
 
     def __init__(self, label: PhaseName) -> None:
         self.label: PhaseName = label
 
-    #: The command to start it was not sent yet.
+    #: The owner has not sent the command to start the attempt yet.
     QUEUED = "queued"
-    #: The command to start it was sent.
+    #: The owner has sent the command to start the attempt.
     SENT = "sent"
-    #: The agent reports that it fetches the image.
+    #: The agent reports that it is fetching the image.
     FETCHING = TaskStatus.FETCHING.value
-    #: The agent reports that it runs.
+    #: The agent reports that the attempt is running.
     RUNNING = TaskStatus.RUNNING.value
-    #: The agent reports that it saves its progress before it stops.
+    #: The agent reports that the attempt is saving its progress before it stops.
     CHECKPOINTING = TaskStatus.CHECKPOINTING.value
-    #: The agent reports that it ended, and keeps the result until it may be reaped.
+    #: The agent reports that the attempt has ended, and keeps the result until the attempt may be reaped.
     ENDED = TaskStatus.ENDED.value
-    #: It was never started: refused by the owner, as the job is unknown, or the machine is full or unreachable.
+    #: The attempt was never started: the owner refused it, as the job is unknown or the machine full or unreachable.
     REFUSED = "refused"
-    #: It is certainly not on the machine any more.
+    #: The attempt is certainly no longer on the machine.
     GONE = "gone"
 
 
 RUNNING_PHASE_NAME = Phase.RUNNING.label
 PHASE_BY_NAME: dict[str, Phase] = {phase.label: phase for phase in Phase}
 
-#: The attempt holds no room and is certainly not running on the machine.
+#: Phases in which the attempt holds no room and is certainly not running on the machine.
 FINISHED_PHASES = frozenset({Phase.ENDED, Phase.REFUSED, Phase.GONE})
 FINISHED_PHASE_NAMES = frozenset(phase.label for phase in FINISHED_PHASES)
-#: A heartbeat of the agent has shown the attempt.
+#: Phases that a heartbeat of the agent has reported.
 REPORTED_PHASES = frozenset({Phase.FETCHING, Phase.RUNNING, Phase.CHECKPOINTING, Phase.ENDED})
 
 
 class DesiredState(Enum):
-    """What the job's scheduler asks for; `label` is its name in messages."""
+    """The state that the job's scheduler requests for an attempt; `label` is its name in messages."""
 
     def __init__(self, label: DesiredStateName) -> None:
         self.label: DesiredStateName = label
 
     RUN = "run"
-    #: To end, within its grace period.
+    #: The attempt is to end within its grace period.
     STOP = "stop"
-    #: To end, and to be forgotten by the agent then: its result is recorded, or nobody wants it.
+    #: The attempt is to end, and its agent is then to forget it: its result is recorded, or is not needed.
     REAP = "reap"
 
 
 @dataclass(slots=True)
 class TaskEntry:
-    """One attempt of a task on a machine, as the machine's owner keeps it.
+    """An attempt of a task on a machine, as the owner of the machine keeps it.
 
     Attributes
     ----------
     job_id, task_index, attempt
-        Which attempt it is.
+        The key of the attempt.
     phase
-        Where it is.
+        The phase of the attempt.
     spec
         The job's description; None while the job is not known.
     desired
-        What is asked of it; None before its scheduler has asked.
+        The state that its scheduler requests; None before the first request.
     requested_by
-        The controller whose scheduler asked for the attempt.
+        The controller whose scheduler requested the attempt; None when no request has been received.
     grace
-        The grace period: how long it may go on after it was told to stop.
+        The grace period: how long the attempt may continue after the command to stop it.
     cause
-        Why it ended, as the agent reports it.
+        The cause of its end, as the agent reports it; None before the end.
     stop_sent_at
-        When the command to stop it was first sent; its grace period runs from then.
+        When the command to stop it was first sent, from which the grace period runs; None before that.
     """
 
     job_id: str
--- a/src/ramptide/state/watch_cache.py
+++ b/src/ramptide/state/watch_cache.py
@@ -1,4 +1,4 @@
-"""A copy of the store's keys with a prefix, kept current by one watch, and the moment as of which it is current."""
+"""A local copy of the keys with a prefix, kept current by a watch, and the moment as of which it is current."""
 
 import logging
 from collections.abc import Callable
@@ -15,44 +15,45 @@
 
 log = logging.getLogger(__name__)
 
-#: How long the store holds a watch open when there is no event.
-WATCH_BLOCK = timedelta(milliseconds=700)
-#: The least time from one watch to the next: each counts against the request limit, so events are gathered.
+#: How long the store holds a watch open while there is no event.
+WATCH_BLOCK_TIME = timedelta(milliseconds=700)
+#: The minimum time between the starts of two watches. Events are collected meanwhile, as each watch counts against the
+#: request limit.
 WATCH_INTERVAL = timedelta(milliseconds=100)
 MIN_WATCH_DELAY = timedelta(milliseconds=5)
 RETRY_DELAY = timedelta(milliseconds=300)
-#: Those who ask wait so long for others to share their read; users wait 2 s for an answer.
+#: How long requests for a read are collected before one read serves them all; users wait 2 s for a reply.
 READ_BATCH_DELAY = timedelta(milliseconds=100)
 
-#: Gets the key, its new value or None for a deletion, and the revision of the change.
+#: Receives the key, its new value or None for a deletion, and the revision of the change.
 ChangeCallback = Callable[[str, Any, int], None]
 
 
 class CacheState(Enum):
-    """Whether the copy follows the store; the values stand in the status.
-
-    ============= =========================== =============
-    state         event                       next state
-    ============= =========================== =============
-    `LOADING`     all keys were read          `CURRENT`
-    `CURRENT`     a read or watch failed      `UNAVAILABLE`
-    `UNAVAILABLE` a read or watch succeeded   `CURRENT`
-    ============= =========================== =============
-
-    `WatchCache._become_current` and `WatchCache._become_unavailable` make these changes; any other event leaves the
-    state as it is.
+    """Whether the copy follows the store; the status shows the values.
+
+    ============= =============================== =============
+    state         event                           next state
+    ============= =============================== =============
+    `LOADING`     all keys have been read         `CURRENT`
+    `CURRENT`     a load or watch failed          `UNAVAILABLE`
+    `UNAVAILABLE` a load, watch or read succeeded `CURRENT`
+    ============= =============================== =============
+
+    `WatchCache._become_current` and `WatchCache._become_unavailable` make these transitions. No other event changes the
+    state.
     """
 
-    #: The keys were not read yet.
+    #: The keys have not been read yet.
     LOADING = "loading"
-    #: The store answered the last request.
+    #: The store answered the last load or watch.
     CURRENT = "current"
-    #: The store did not answer the last request; the copy is as it was.
+    #: The store did not answer the last load or watch; the copy keeps its last content.
     UNAVAILABLE = "lacking"
 
 
 class WatchCache:
-    """Reads the keys once, then watches them, and reports each change once, in order of revision for a key.
+    """Reads the keys once, then watches them, and reports each change once, in the order of revisions for each key.
 
     Parameters
     ----------
@@ -61,16 +62,16 @@
     prefix
         The prefix of the keys.
     on_change
-        Called for each change. The values are not kept here.
+        Called for each change. The values are not kept in the cache.
     on_loaded
-        Called each time all keys were read, after their changes were reported.
+        Called each time all keys have been read, after their changes have been reported.
 
     Attributes
     ----------
     state
         Whether the copy follows the store.
     current_as_of
-        When a request was sent whose answer showed all changes up to then: the copy is at least as new as that moment.
+        When the request was sent whose answer last confirmed the copy, which contains all changes up to that moment.
         None before the first load.
     """
 
@@ -85,22 +86,22 @@
         self.current_as_of: timedelta | None = None
         self._revision = 0
         self._mod_revisions: dict[str, int] = {}
-        #: Deletions that were applied ahead of `_revision`: an older event must not bring the key back.
+        #: The revisions of deletions that were applied ahead of `_revision`, so that no older event restores the key.
         self._deleted_ahead: dict[str, int] = {}
         self._delete_log = DeleteLog()
-        #: Those who wait for the next read.
+        #: The callbacks that wait for the next read.
         self._waiting_for_read: list[Callable[[bool], None]] = []
         self._is_reading = False
         self._is_read_scheduled = False
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether the store did not answer the last request."""
+        """Whether the keys have not been read yet, or the store did not answer the last load or watch."""
         return self.state is not CacheState.CURRENT
 
     @property
     def revision(self) -> int:
-        """The revision up to which the copy shows every change."""
+        """The revision up to which the copy contains every change."""
         return self._revision
 
     def start(self) -> None:
@@ -112,21 +113,21 @@
         return self._mod_revisions.get(key, 0)
 
     def deleted_since(self, revision: int) -> list[str] | None:
-        """Return the keys that are known to have been deleted since a revision.
+        """Return the keys that were deleted since a revision.
 
-        None when this process does not know all of them, for instance because it started later: what an earlier process
-        told its users before it ended is not known here.
+        Return None when this process does not know all of them, for instance because it started later: it does not know
+        what an earlier process confirmed to its users.
         """
         return self._delete_log.since(revision)
 
     def apply_commit(self, transaction: Transaction, revision: int) -> None:
-        """Apply a transaction of our own that succeeded at `revision`, ahead of the watch."""
+        """Apply a transaction of this controller that succeeded at `revision`, ahead of the watch."""
         for put in transaction.puts:
             self._apply_change(put.key, put.value, revision)
         for key in transaction.deletes:
             self._apply_change(key, None, revision)
 
-    # Changes of state.
+    # State transitions
 
     def _become_current(self, as_of: timedelta) -> None:
         if self.state is not CacheState.CURRENT:
@@ -139,7 +140,7 @@
             log.info("key-value store unavailable")
             self.state = CacheState.UNAVAILABLE
 
-    # Load and watch.
+    # Loading and watching
 
     def _load(self) -> None:
         sent_at = self._store.runtime.now
@@ -169,9 +170,9 @@
             elapsed = runtime.now - sent_at
             runtime.after(max(WATCH_INTERVAL - elapsed, MIN_WATCH_DELAY), self._watch)
 
-        self._store.watch(self._prefix, self._revision, WATCH_BLOCK, on_result)
+        self._store.watch(self._prefix, self._revision, WATCH_BLOCK_TIME, on_result)
 
-    # Reads on request.
+    # Reads on request
 
     def catch_up(self, on_result: Callable[[bool], None]) -> None:
         """Bring the copy up to date with a read that begins after this call.
@@ -179,8 +180,8 @@
         Parameters
         ----------
         on_result
-            Called with True once the copy shows all changes up to now, with False when the store cannot be read. All
-            who ask before the read is sent share it.
+            Called with True once the copy contains all changes up to this call, and with False when the store cannot be
+            read. All calls before the read is sent share it.
         """
         if self.is_unavailable:
             on_result(False)
@@ -196,29 +197,29 @@
     def _read(self) -> None:
         self._is_read_scheduled = False
         self._is_reading = True
-        served: list[Callable[[bool], None]] = []
+        served_callbacks: list[Callable[[bool], None]] = []
         sent_at = self._store.runtime.now
 
         def on_send() -> None:
             nonlocal sent_at
             sent_at = self._store.runtime.now
-            served.extend(self._waiting_for_read)
+            served_callbacks.extend(self._waiting_for_read)
             self._waiting_for_read.clear()
 
         def on_result(result: WatchResult) -> None:
             self._is_reading = False
-            if not served:
-                # The call was rejected before it left.
+            if not served_callbacks:
+                # The request was rejected before it was sent.
                 on_send()
             if result.batch is not None:
                 self._apply_events(result.batch, sent_at)
-            for report in served:
-                report(result.batch is not None)
+            for callback in served_callbacks:
+                callback(result.batch is not None)
             self._schedule_read()
 
         self._store.watch(self._prefix, self._revision, timedelta(0), on_result, on_send)
 
-    # Changes of the copy.
+    # Changes of the copy
 
     def _apply_snapshot(self, snapshot: Snapshot) -> None:
         self._revision = snapshot.revision
@@ -232,7 +233,8 @@
     def _apply_events(self, batch: EventBatch, sent_at: timedelta) -> None:
         for event in batch.events:
             if event.mod_revision <= self._revision:
-                # Two answers cross: what the newer one has shown, a deletion above all, the older must not undo.
+                # Two answers may arrive out of order: the older one must not undo changes of the newer one, in
+                # particular a deletion.
                 continue
             if event.put_key is not None:
                 self._apply_change(event.put_key, event.value, event.mod_revision)
@@ -246,7 +248,7 @@
         self._become_current(max(sent_at, self.current_as_of or sent_at))
 
     def _apply_change(self, key: str, value: Any, mod_revision: int) -> None:
-        """Apply and report a change unless it is an old one; `value` is None for a deletion."""
+        """Apply and report a change unless it or a newer one has been applied; `value` is None for a deletion."""
         if not key.startswith(self._prefix):
             return
         if mod_revision <= self._mod_revisions.get(key, 0) or mod_revision <= self._deleted_ahead.get(key, 0):
