--- a/src/ramptide/service/__init__.py
+++ b/src/ramptide/service/__init__.py
@@ -1,6 +1,6 @@
-"""A controller's process: its servers with their routes, its client and its event loop.
+"""The process of a controller: its servers with their routes, its HTTP client and its event loop.
 
-`process` puts it together; `client_routes` and `peer_routes` say which request goes where.
+`process` assembles the process; `client_routes` and `peer_routes` route the requests to their handlers.
 """
 
 from ramptide.service.process import Service
--- a/src/ramptide/service/client_routes.py
+++ b/src/ramptide/service/client_routes.py
@@ -23,18 +23,18 @@
 
 class _JsonReply(Protocol):
     def __call__(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
-        """Reply to the request with JSON."""
+        """Respond to the request with a JSON body."""
 
 
 class ClientRoutes:
-    """Hands the requests of users and agents to the parts of the controller that answer them.
+    """Routes the requests of users and agents to the components of the controller that answer them.
 
     Parameters
     ----------
     health
-        Returns whether requests can be accepted, and what the controller cannot reach.
+        Returns whether requests can be accepted, and which dependencies the controller cannot reach.
     counters
-        Counts requests and heartbeats, for the metrics.
+        The counters of requests and heartbeats for the metrics.
     """
 
     def __init__(
@@ -54,12 +54,12 @@
         self._measure = statistics.measure
 
     def handle(self, exchange: Exchange) -> None:
-        """Respond to a request, now or later."""
+        """Respond to a request, immediately or later."""
         path = path_of(exchange.request)
         if path == HEARTBEAT_PATH:
             self._receive_heartbeat(exchange)
         elif path == HEALTH_PATH:
-            self._show_health(exchange)
+            self._respond_with_health(exchange)
         elif path == JOBS_PATH or path.startswith(JOBS_PATH + "/"):
             self._counters["requests"] += 1
             subpath = path[len(JOBS_PATH) + 1 :]
@@ -72,13 +72,13 @@
         if request.method != "POST":
             refuse_method(exchange, "POST")
             return
-        # Leases hang on the agents' heartbeats, so users' requests come after them.
+        # Heartbeats renew the leases of tasks, so they are handled before the requests of users.
         exchange.prefer()
         self._counters["reports"] += 1
         reply = _json_reply(exchange)
         self._measure(WorkKind.HEARTBEATS, lambda: self._heartbeats.receive_heartbeat(request.body, reply))
 
-    def _show_health(self, exchange: Exchange) -> None:
+    def _respond_with_health(self, exchange: Exchange) -> None:
         if exchange.request.method not in ("GET", "HEAD"):
             refuse_method(exchange, "GET, HEAD")
             return
@@ -88,7 +88,7 @@
         exchange.respond(status, encode_json(health), JSON)
 
     def _handle_job_request(self, exchange: Exchange, subpath: str) -> None:
-        """Route a request by the segments of its path after that of all jobs."""
+        """Route a request by the segments of its path after `JOBS_PATH`."""
         job_api, reply = self._job_api, _json_reply(exchange)
         match subpath.split("/") if subpath else []:
             case []:
--- a/src/ramptide/service/peer_routes.py
+++ b/src/ramptide/service/peer_routes.py
@@ -15,7 +15,7 @@
 
 
 class PeerRoutes:
-    """Hands messages of controllers to their handler, and all else to the administration API."""
+    """Routes the messages of controllers to their handler, and all other requests to the administration API."""
 
     def __init__(self, peer_messages: PeerMessageHandler, admin: AdminApi, statistics: ProcessStatistics) -> None:
         self._peer_messages = peer_messages
@@ -23,7 +23,7 @@
         self._measure = statistics.measure
 
     def handle(self, exchange: Exchange) -> None:
-        """Respond to a request, now or later."""
+        """Respond to a request, immediately or later."""
         request = exchange.request
         path = path_of(request)
         if path == PEER_MESSAGES_PATH:
--- a/src/ramptide/service/process.py
+++ b/src/ramptide/service/process.py
@@ -1,4 +1,4 @@
-"""Puts a controller's process together: event loop, client, controller and servers."""
+"""Assembly of a controller's process: event loop, HTTP client, controller and servers."""
 
 import secrets
 from datetime import timedelta
@@ -19,7 +19,7 @@
 
 CLIENT_IDLE_TIMEOUT = timedelta(seconds=60)
 PEER_IDLE_TIMEOUT = timedelta(seconds=60)
-#: The whole state of a shard of several hundred machines is well below this.
+#: The encoded state of a whole shard of several hundred machines is well below this.
 MAX_PEER_BODY_BYTES = 8 * 1024 * 1024
 INCARNATION_BYTES = 6
 
@@ -32,12 +32,12 @@
     settings
         The settings of this controller and of its cluster.
     features
-        The features that are switched on; None for the defaults.
+        The enabled features; None for the defaults.
 
     Raises
     ------
     OSError
-        If one of the addresses cannot be listened on.
+        If the process cannot listen on one of the addresses.
     """
 
     def __init__(self, settings: Settings, features: Features | None = None) -> None:
--- a/src/ramptide/service/replies.py
+++ b/src/ramptide/service/replies.py
@@ -1,4 +1,4 @@
-"""What the routes for clients and for peers have in common."""
+"""Functions that the routes for clients and for peers share."""
 
 from http import HTTPStatus
 
@@ -16,5 +16,5 @@
 
 
 def refuse_method(exchange: Exchange, allowed: str) -> None:
-    """Respond that the path takes only the `allowed` methods."""
+    """Respond that the path supports only the `allowed` methods."""
     exchange.respond(HTTPStatus.METHOD_NOT_ALLOWED, encode_error("method not allowed"), JSON, {"Allow": allowed})
