--- a/src/ramptide/quota/__init__.py
+++ b/src/ramptide/quota/__init__.py
@@ -1,1 +1,1 @@
-"""The quota feature: shares of team limits passed on between controllers. Imported only where it is on."""
+"""The quota feature: controllers pass shares of team limits to each other. Imported only where it is enabled."""
--- a/src/ramptide/quota/fitting.py
+++ b/src/ramptide/quota/fitting.py
@@ -1,4 +1,7 @@
-"""The leader's split of a team's limit in sizes that fit the waiting tasks, both resources together. Pure."""
+"""Splits a team's limit among members in whole waiting tasks, considering CPUs and GPUs together.
+
+This module does no I/O.
+"""
 
 from collections.abc import Hashable, Mapping
 from dataclasses import dataclass
@@ -6,13 +9,13 @@
 from ramptide.quota.messages import Demands, TaskDemand
 from ramptide.state.amounts import NOTHING, Amounts, tasks_within
 
-#: What the count of waiting tasks is taken for where the limit does not bound them.
-MANY = 10**9
+#: Stands for any number of tasks where the limit does not bound the tasks of a size.
+UNLIMITED_TASKS = 10**9
 
 
 @dataclass(slots=True)
 class _Portion:
-    """What one member gets for its waiting tasks of one size."""
+    """The tasks of one size for which a member is granted share."""
 
     member: str
     demand: TaskDemand
@@ -20,20 +23,20 @@
 
 
 class FittingSplit:
-    """Gives each member what it uses, and share for whole tasks of what waits, in proportion and then while any fits.
+    """Grants each member what it uses and share for whole waiting tasks: first in proportion, then while any fits.
 
-    A split in proportion alone leaves each member with a fraction in which no task fits.
+    A split in proportion alone would leave each member with a remainder in which no task fits.
     """
 
     def __init__(self, waiting: Mapping[str, Demands]) -> None:
         self._waiting = waiting
 
     def basis(self, team: str) -> Hashable:
-        """Return what waits of the team, by member."""
+        """Return the team's waiting tasks by member: what the split depends on besides limit and usage."""
         return tuple((member, tuple(demands[team])) for member, demands in self._waiting.items() if team in demands)
 
     def targets(self, team: str, limit: Amounts, usage: Mapping[str, Amounts]) -> dict[str, Amounts]:
-        """Return what each member should have, given what each uses."""
+        """Return the share that each member should have, given what each member uses."""
         left = Amounts(
             max(0, limit.cpus - sum(used.cpus for used in usage.values())),
             max(0, limit.gpus - sum(used.gpus for used in usage.values())),
@@ -44,8 +47,8 @@
             for demand in self._waiting.get(member, {}).get(team, ())
             if demand.count
         ]
-        left = _in_proportion(portions, left)
-        _while_any_fits(portions, left)
+        left = _allocate_in_proportion(portions, left)
+        _allocate_remainder(portions, left)
         targets = dict(usage)
         for portion in portions:
             more, before = portion.demand.size.times(portion.tasks), targets[portion.member]
@@ -53,23 +56,24 @@
         return targets
 
 
-def _take(portion: _Portion, tasks: int, left: Amounts) -> Amounts:
+def _allocate(portion: _Portion, tasks: int, left: Amounts) -> Amounts:
+    """Add tasks to a portion and return the share that is left."""
     portion.tasks += tasks
-    taken = portion.demand.size.times(tasks)
-    return Amounts(left.cpus - taken.cpus, left.gpus - taken.gpus)
+    allocated = portion.demand.size.times(tasks)
+    return Amounts(left.cpus - allocated.cpus, left.gpus - allocated.gpus)
 
 
-def _in_proportion(portions: list[_Portion], left: Amounts) -> Amounts:
-    """Give each demand the same fraction of its tasks, rounded down, and return what is left."""
+def _allocate_in_proportion(portions: list[_Portion], left: Amounts) -> Amounts:
+    """Allocate the same fraction of each demand's tasks, rounded down, and return the share that is left."""
     wanted = NOTHING
     for portion in portions:
         more = portion.demand.size.times(portion.demand.count)
         wanted = Amounts(wanted.cpus + more.cpus, wanted.gpus + more.gpus)
-    # The resource that is shorter decides; a fraction is numerator by denominator, as whole numbers.
+    # The scarcer resource decides. The fraction is kept as two whole numbers, so that the task counts are exact.
     fractions = [(free, need) for free, need in zip(left, wanted, strict=True) if need > free]
     numerator, denominator = min(fractions, key=lambda fraction: fraction[0] / fraction[1], default=(1, 1))
     for portion in portions:
-        left = _take(portion, portion.demand.count * numerator // denominator, left)
+        left = _allocate(portion, portion.demand.count * numerator // denominator, left)
     return left
 
 
@@ -77,10 +81,10 @@
     return (-portion.demand.gpus, -portion.demand.cpus, portion.member)
 
 
-def _while_any_fits(portions: list[_Portion], left: Amounts) -> None:
-    """Give what is left to whole tasks, the largest first, as these fit in the least places."""
+def _allocate_remainder(portions: list[_Portion], left: Amounts) -> None:
+    """Allocate the remaining share to whole tasks, the largest first, as these fit in the fewest places."""
     for portion in sorted(portions, key=_largest_first):
         fits = tasks_within(left, portion.demand.size)
-        tasks = min(MANY if fits is None else fits, portion.demand.count - portion.tasks)
+        tasks = min(UNLIMITED_TASKS if fits is None else fits, portion.demand.count - portion.tasks)
         if tasks > 0:
-            left = _take(portion, tasks, left)
+            left = _allocate(portion, tasks, left)
--- a/src/ramptide/quota/ledger.py
+++ b/src/ramptide/quota/ledger.py
@@ -1,8 +1,9 @@
-"""One member's account of the share of team limits that it passes on to others and takes from them. Pure.
+"""Records the shares of team limits that members pass to each other. This module does no I/O.
 
-The giver deducts a transfer before it is sent, and the receiver adds it when it arrives for the first time: in between
-it counts for nobody. So lost, late and repeated messages, and pauses of either side, never let two members count the
-same share. A ledger lives as long as a view; with the next one all shares are split anew: nothing is left to resolve.
+The sender deducts a transfer before a message carries it, and the receiver adds it when it arrives for the first time:
+in between, no member counts it. So lost, late and repeated messages, and pauses of either side, never let two members
+count the same share. A ledger exists for one view; the next view splits all limits anew, so that no transfer of the
+earlier view has to be resolved.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,23 +15,23 @@
 
 
 class TransferState(Enum):
-    """Where a transfer stands, as its giver knows."""
+    """The state of a transfer, as far as its sender knows."""
 
-    #: Taken off the giver's share; no message has carried it yet.
+    #: The sender's share is reduced; no message has carried the transfer yet.
     DEDUCTED = auto()
-    #: At least one message carried it; whether one arrived is not known.
+    #: At least one message carried the transfer; whether one arrived is not known.
     SENT = auto()
-    #: The receiver has confirmed that it counts it.
+    #: The receiver has confirmed that it counts the transfer.
     TAKEN = auto()
 
 
 class LedgerError(Exception):
-    """A transfer of more than is spare, or of nothing."""
+    """Raised for a transfer of more than the spare share, or of nothing."""
 
 
 @dataclass(slots=True)
 class Transfer:
-    """Share on its way to another member."""
+    """Share that is passed to another member."""
 
     number: int
     receiver: str
@@ -38,29 +39,30 @@
     amounts: Amounts
     state: TransferState = TransferState.DEDUCTED
 
-    def sent(self) -> None:
-        """Note that a message carries it now."""
+    def mark_sent(self) -> None:
+        """Record that a message carries the transfer now."""
         if self.state is TransferState.DEDUCTED:
             self.state = TransferState.SENT
 
-    def taken(self) -> None:
-        """Note the receiver's confirmation."""
+    def mark_confirmed(self) -> None:
+        """Record the receiver's confirmation."""
         self.state = TransferState.TAKEN
 
-    def row(self) -> TransferRow:
-        """Return its form in messages."""
+    def to_row(self) -> TransferRow:
+        """Return the transfer in its message form."""
         return TransferRow(self.number, self.team, self.amounts.cpus, self.amounts.gpus)
 
 
 class _Account:
-    """What has passed between this member and another one, in total; the sums only grow."""
+    """The totals of share passed between this member and another one; they only grow."""
 
     def __init__(self) -> None:
         self.given: TeamAmounts = {}
         self.taken: TeamAmounts = {}
-        #: The numbers of the last transfers that we issued and that we took.
-        self.issued = 0
-        self.last_taken = 0
+        #: The number of the last transfer that this member issued.
+        self.last_issued = 0
+        #: The number of the last transfer that this member received.
+        self.last_received = 0
         self.unconfirmed: dict[int, Transfer] = {}
 
 
@@ -73,22 +75,27 @@
         self._balance: TeamAmounts = {}
 
     def balance(self, team: str) -> Amounts:
-        """Return by how much transfers have moved our share of a team away from the leader's grant."""
+        """Return the difference that transfers make between this member's share of a team and the leader's grant."""
         return self._balance.get(team, NOTHING)
 
-    def moved(self) -> Iterable[str]:
-        """Return the teams of which some share was passed on or taken."""
+    def teams_with_transfers(self) -> Iterable[str]:
+        """Return the teams of which this member has passed on or received share."""
         return self._balance.keys()
 
     def permit(self, team: str, granted: Amounts) -> Amounts:
-        """Return what we may use of a team's limit; below zero when we gave on what the leader took back since."""
-        moved = self._balance.get(team)
-        if moved is None:
+        """Return the share of a team's limit that this member may use, given the leader's grant.
+
+        It is below zero when the leader has since withdrawn share that this member had passed on.
+        """
+        balance = self._balance.get(team)
+        if balance is None:
             return granted
-        return Amounts(*(one if one == NO_LIMIT else one + shift for one, shift in zip(granted, moved, strict=True)))
+        return Amounts(
+            *(amount if amount == NO_LIMIT else amount + shift for amount, shift in zip(granted, balance, strict=True))
+        )
 
     def in_transfer(self, team: str) -> Amounts:
-        """Return what we have deducted and nobody has confirmed."""
+        """Return the share of a team that this member has deducted and no receiver has confirmed."""
         total: TeamAmounts = {}
         for account in self._accounts.values():
             for transfer in account.unconfirmed.values():
@@ -96,100 +103,96 @@
         return total.get(team, NOTHING)
 
     def awaits(self, receiver: str, team: str) -> bool:
-        """Tell whether a transfer of the team to this member is not confirmed yet."""
-        return any(one.team == team for one in self._accounts[receiver].unconfirmed.values())
-
-    # Giving.
+        """Return whether a transfer of the team's share to this receiver is not confirmed yet."""
+        return any(transfer.team == team for transfer in self._accounts[receiver].unconfirmed.values())
 
     def give(self, receiver: str, team: str, amounts: Amounts, spare: Amounts) -> Transfer:
-        """Deduct share for another member.
+        """Deduct share for another member and return the transfer.
 
         Raises
         ------
         LedgerError
-            If that is nothing, or more than is spare.
+            If the amounts are negative, zero, or more than the spare share.
         """
         if min(amounts) < 0 or not any(amounts):
-            raise LedgerError(f"{amounts} of {team} is nothing to give")
+            raise LedgerError(f"a transfer must not have negative or only zero amounts: {amounts} of {team}")
         if amounts[0] > spare[0] or amounts[1] > spare[1]:
-            raise LedgerError(f"{amounts} of {team} is more than the spare {spare}")
+            raise LedgerError(f"{amounts} of {team} is more than the spare share {spare}")
         account = self._accounts[receiver]
-        account.issued += 1
-        transfer = Transfer(account.issued, receiver, team, amounts)
+        account.last_issued += 1
+        transfer = Transfer(account.last_issued, receiver, team, amounts)
         add_amounts(self._balance, team, amounts.times(-1))
         add_amounts(account.given, team, amounts)
         account.unconfirmed[transfer.number] = transfer
         return transfer
 
     def offered(self, receiver: str) -> list[TransferRow]:
-        """Return all unconfirmed transfers to a member for a message that leaves now."""
+        """Return all unconfirmed transfers to a member for a message that leaves now, and mark them as sent."""
         transfers = self._accounts[receiver].unconfirmed.values()
         for transfer in transfers:
-            transfer.sent()
-        return [transfer.row() for transfer in transfers]
+            transfer.mark_sent()
+        return [transfer.to_row() for transfer in transfers]
 
     def confirm(self, receiver: str, number: int) -> list[Transfer]:
-        """Note that a member has taken our transfers up to a number; return those that it had not confirmed before.
+        """Record that a receiver counts all transfers up to a number; return those that it had not confirmed before.
 
         Raises
         ------
         QuotaMessageError
-            If there is no transfer of this number.
+            If no transfer with this number was issued.
         """
         account = self._accounts[receiver]
-        if number > account.issued:
-            raise QuotaMessageError(f"transfer {number} confirmed of {account.issued} issued")
-        found = [transfer for transfer in account.unconfirmed.values() if transfer.number <= number]
-        for transfer in found:
-            transfer.taken()
+        if number > account.last_issued:
+            raise QuotaMessageError(f"transfer {number} is confirmed, but the last one issued is {account.last_issued}")
+        confirmed = [transfer for transfer in account.unconfirmed.values() if transfer.number <= number]
+        for transfer in confirmed:
+            transfer.mark_confirmed()
             del account.unconfirmed[transfer.number]
-        return found
-
-    # Taking.
+        return confirmed
 
-    def take(self, giver: str, rows: Iterable[TransferRow]) -> list[TransferRow]:
-        """Add the transfers that have not arrived before, and return them. All are checked before any is added.
+    def take(self, sender: str, rows: Iterable[TransferRow]) -> list[TransferRow]:
+        """Add the transfers that have not arrived before, and return them; all are checked before any is added.
 
         Raises
         ------
         QuotaMessageError
-            If one of them can't be a transfer of this view; nothing is added then.
+            If one of them cannot be a transfer of this view; no transfer is added then.
         """
-        account = self._accounts[giver]
+        account = self._accounts[sender]
         new: list[TransferRow] = []
         for row in sorted(rows, key=lambda one: one.number):
-            if row.number <= account.last_taken:
+            if row.number <= account.last_received:
                 continue
-            if row.number != account.last_taken + len(new) + 1:
-                raise QuotaMessageError(f"transfer {row.number} comes after {account.last_taken + len(new)}")
-            self._check(row)
+            if row.number != account.last_received + len(new) + 1:
+                raise QuotaMessageError(
+                    f"received transfer {row.number} directly after transfer {account.last_received + len(new)}"
+                )
+            self._check_transfer(row)
             new.append(row)
         for row in new:
-            account.last_taken = row.number
+            account.last_received = row.number
             add_amounts(account.taken, row.team, row.amounts)
             add_amounts(self._balance, row.team, row.amounts)
         return new
 
-    def _check(self, row: TransferRow) -> None:
+    def _check_transfer(self, row: TransferRow) -> None:
         limit = self._limits.get(row.team)
         if limit is None:
-            raise QuotaMessageError(f"transfer {row.number} is of team {row.team!r}, which has no limit")
-        for amount, most in zip(row.amounts, limit, strict=True):
-            if amount > most or (most == NO_LIMIT and amount):
+            raise QuotaMessageError(f"transfer {row.number} names team {row.team!r}, which has no limit")
+        for amount, maximum in zip(row.amounts, limit, strict=True):
+            if amount > maximum or (maximum == NO_LIMIT and amount):
                 raise QuotaMessageError(
                     f"transfer {row.number} of {row.amounts} is more than the limit of {row.team!r}"
                 )
         if not any(row.amounts):
-            raise QuotaMessageError(f"transfer {row.number} of {row.team!r} is empty")
+            raise QuotaMessageError(f"transfer {row.number} of team {row.team!r} is empty")
 
-    def last_taken(self, giver: str) -> int:
-        """Return the number of the last transfer that we took from a member."""
-        return self._accounts[giver].last_taken
-
-    # What the leader needs to know.
+    def last_taken(self, sender: str) -> int:
+        """Return the number of the last transfer that was received from a member."""
+        return self._accounts[sender].last_received
 
     def account_rows(self, teams: Iterable[str]) -> list[AccountRow]:
-        """Return what has passed between us and every other member of these teams' limits."""
+        """Return the totals that this member has passed to and received from each other member, for these teams."""
         return [
             AccountRow(
                 member,
@@ -204,30 +207,33 @@
 
 
 class AccountBook:
-    """The leader's knowledge of all members' accounts. One message may be older than another: the larger sum counts."""
+    """The accounts of all members, as far as the leader knows them.
+
+    A message may be older than one that arrived before it, so the larger of two totals counts.
+    """
 
     def __init__(self) -> None:
-        #: By giver, receiver and team.
-        self._passed: dict[tuple[str, str, str], Amounts] = {}
+        #: The totals passed on, by sender, receiver and team.
+        self._passed_on: dict[tuple[str, str, str], Amounts] = {}
         self._offsets: dict[str, TeamAmounts] = {}
 
     def take(self, member: str, rows: Iterable[AccountRow]) -> None:
-        """Take a member's account."""
+        """Apply the totals that a member reports."""
         for row in rows:
-            self._raise((member, row.member, row.team), row.given)
-            self._raise((row.member, member, row.team), row.taken)
+            self._raise_total((member, row.member, row.team), row.given)
+            self._raise_total((row.member, member, row.team), row.taken)
 
-    def _raise(self, key: tuple[str, str, str], amounts: Amounts) -> None:
-        before = self._passed.get(key, NOTHING)
+    def _raise_total(self, key: tuple[str, str, str], amounts: Amounts) -> None:
+        before = self._passed_on.get(key, NOTHING)
         after = Amounts(max(before[0], amounts[0]), max(before[1], amounts[1]))
         more = Amounts(after[0] - before[0], after[1] - before[1])
         if not any(more):
             return
-        self._passed[key] = after
-        giver, receiver, team = key
-        add_amounts(self._offsets.setdefault(giver, {}), team, more.times(-1))
+        self._passed_on[key] = after
+        sender, receiver, team = key
+        add_amounts(self._offsets.setdefault(sender, {}), team, more.times(-1))
         add_amounts(self._offsets.setdefault(receiver, {}), team, more)
 
     def offsets(self) -> Mapping[str, TeamAmounts]:
-        """Return by how much transfers have moved each member's share; what is on its way counts for its receiver."""
+        """Return how much transfers have changed each member's share; those on the way count for their receivers."""
         return self._offsets
--- a/src/ramptide/quota/limit_table.py
+++ b/src/ramptide/quota/limit_table.py
@@ -1,4 +1,4 @@
-"""The limits that count at one controller: the platform's, changed by the operators' records in the state service."""
+"""The team limits in effect at one controller: the platform's, changed by the operators' records."""
 
 import logging
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class LimitState(Protocol):
-    """The tables that the records change, and whom that concerns."""
+    """The part of the controller's state that depends on the limit records."""
 
     @property
     def teams(self) -> dict[str, Team]:
@@ -38,22 +38,22 @@
 
     @property
     def reconciled(self) -> bool:
-        """Whether it is known of all machines what earlier views left on them."""
+        """Whether the tasks that earlier views left on machines are known for all machines."""
 
     @property
     def scheduler(self) -> JobScheduler | None:
-        """The jobs that we schedule; None without a place in the view."""
+        """The jobs that this controller schedules; None while it is not a member of the view."""
 
 
 class LimitTable:
-    """Keeps a controller's teams, limits and guarantees as the records say; as leader, brings changes into force.
+    """Applies limit records to the teams, limits and guarantees of a controller; as leader, promotes pending changes.
 
     Parameters
     ----------
     is_exchange_ready
-        Tells whether every member of the view takes part in the exchange of shares.
+        Returns whether every member of the view takes part in the exchange of shares.
     common_conditions
-        Returns the conditions that every transaction of this controller has.
+        Returns the conditions that each transaction of this controller includes.
     """
 
     def __init__(
@@ -73,13 +73,13 @@
         self._share_split = share_split
         self._is_exchange_ready = is_exchange_ready
         self._common_conditions = common_conditions
-        self._platform = dict(state.teams)
+        self._platform_teams = dict(state.teams)
         self.records: dict[str, LimitRecord] = {}
-        #: Whether a change is being brought into force.
+        #: Whether a promotion of pending changes is being committed.
         self._committing = False
 
     def on_change(self, key: str, value: Any) -> None:
-        """Take a record, None when it was removed. One that can't be read leaves the limit as it was."""
+        """Apply a changed record, None when it was removed; a broken record leaves the limit unchanged."""
         team = team_of(key)
         if value is None:
             self.records.pop(team, None)
@@ -89,14 +89,15 @@
             except LimitError as error:
                 log.error("broken limit record: team=%r error=%r", team, str(error))
                 return
-        self._apply()
+        self._apply_records()
 
-    def _apply(self) -> None:
-        now = effective(self._platform, self.records)
+    def _apply_records(self) -> None:
+        """Replace the controller's teams, limits and guarantees by those in effect."""
+        in_effect = effective(self._platform_teams, self.records)
         for table, new in (
-            (self._state.teams, now.teams),
-            (self._state.limits, now.limits),
-            (self._state.guarantees, now.guarantees),
+            (self._state.teams, in_effect.teams),
+            (self._state.limits, in_effect.limits),
+            (self._state.guarantees, in_effect.guarantees),
         ):
             table.clear()
             table.update(new)  # type: ignore[arg-type]
@@ -104,15 +105,13 @@
         if self._state.scheduler is not None:
             self._state.scheduler.needs_round = True
 
-    # Changes of operators.
-
-    def request(self, changes: Any, done: Callable[[TransactionResult], None]) -> None:
-        """Write changes of some teams' limits, which are pending then; None stands for the platform's limit.
+    def request(self, changes: Any, on_result: Callable[[TransactionResult], None]) -> None:
+        """Write changes of one or more teams' limits as pending; None stands for the platform's limit.
 
         Raises
         ------
         LimitError
-            If one of them makes no sense; nothing is changed then.
+            If one of the changes is invalid; none of them is written then.
         """
         if not isinstance(changes, dict) or not changes:
             raise LimitError("the changes are not an object of teams")
@@ -120,48 +119,51 @@
             raise LimitError(f"{len(changes)} teams at once, {self._store.limits.max_transaction_operations} at most")
         transaction = Transaction()
         for team, wanted in changes.items():
-            record = change(team, wanted, self.records.get(team), self._platform.get(team))
+            record = change(team, wanted, self.records.get(team), self._platform_teams.get(team))
             self._put(transaction, key_of(team), record)
-        self._commit(transaction, done)
+        self._commit(transaction, on_result)
 
     def _put(self, transaction: Transaction, key: str, record: LimitRecord | None) -> None:
+        """Add the write of a record, or its deletion, provided that the key has not changed meanwhile."""
         transaction.conditions[key] = self._watch_cache.mod_revision(key)
         if record is None:
             transaction.deletes.append(key)
         else:
             transaction.puts.append(Put(key, msgspec.to_builtins(record)))
 
-    def _commit(self, transaction: Transaction, done: Callable[[TransactionResult], None]) -> None:
-        def written(outcome: TransactionResult) -> None:
+    def _commit(self, transaction: Transaction, on_result: Callable[[TransactionResult], None]) -> None:
+        def on_commit(outcome: TransactionResult) -> None:
             if outcome.is_applied:
                 self._watch_cache.apply_commit(transaction, outcome.commit_revision)
-            done(outcome)
-
-        self._store.commit(transaction, written)
+            on_result(outcome)
 
-    # What the leader does about them.
+        self._store.commit(transaction, on_commit)
 
     def review(self) -> None:
-        """As leader, bring pending changes into force once every member acts on a share under the new limit."""
+        """As leader, put pending changes in force once every member acts on a share under the new limit."""
         may_decide = self._leadership.is_leading and self._state.reconciled
         if self._committing or not may_decide or not self._is_exchange_ready():
             return
-        acted = [team for team, record in self.records.items() if record.pending is not None and self._holds(team)]
-        if not acted:
+        promotable = [
+            team
+            for team, record in self.records.items()
+            if record.pending is not None and self._are_shares_within_limit(team)
+        ]
+        if not promotable:
             return
         self._committing = True
         transaction = Transaction(conditions=self._common_conditions())
-        for team in acted[: self._store.limits.max_transaction_operations]:
-            self._put(transaction, key_of(team), promote(self.records[team], self._platform.get(team)))
+        for team in promotable[: self._store.limits.max_transaction_operations]:
+            self._put(transaction, key_of(team), promote(self.records[team], self._platform_teams.get(team)))
 
-        def done(outcome: TransactionResult) -> None:
+        def on_result(outcome: TransactionResult) -> None:
             self._committing = False
             if outcome.is_applied:
-                log.info("team limits in force: teams=%r", ", ".join(acted))
+                log.info("team limits in force: teams=%r", ", ".join(promotable))
 
-        self._commit(transaction, done)
+        self._commit(transaction, on_result)
 
-    def _holds(self, team: str) -> bool:
-        """Tell whether all members' shares are surely within what counts while the change is pending."""
+    def _are_shares_within_limit(self, team: str) -> bool:
+        """Return whether all shares that members may act on are within the limit that applies during the change."""
         limit = self._state.limits.get(team)
         return limit is None or self._share_split.within(team, limit)
--- a/src/ramptide/quota/messages.py
+++ b/src/ramptide/quota/messages.py
@@ -1,4 +1,4 @@
-"""What controllers tell each other about team limits, carried as one field of their messages."""
+"""The messages about team limits that controllers exchange, as one field of their peer messages."""
 
 from typing import Annotated, Any
 
@@ -6,7 +6,7 @@
 
 from ramptide.state.amounts import NO_LIMIT, Amounts
 
-#: Raised when the messages change so that another version would misread them.
+#: The version is increased when the messages change in a way that another version would misread.
 VERSION = 1
 
 Units = Annotated[int, msgspec.Meta(ge=0, lt=NO_LIMIT)]
@@ -14,7 +14,7 @@
 
 
 class QuotaMessageError(ValueError):
-    """A message about team limits that is refused; the text says why, in one line."""
+    """Raised for a message about team limits that is refused; the text gives the reason in one line."""
 
 
 class TaskDemand(msgspec.Struct, array_like=True, frozen=True):
@@ -26,7 +26,7 @@
 
     @property
     def size(self) -> Amounts:
-        """What one of the tasks takes of the limit."""
+        """The amounts that one of the tasks uses of the limit."""
         return Amounts(self.cpus, self.gpus)
 
 
@@ -34,7 +34,7 @@
 
 
 class TransferRow(msgspec.Struct, array_like=True, frozen=True):
-    """Share that the sender has deducted from its own for the receiver; its transfers are numbered from 1."""
+    """Share that the sender has deducted for the receiver; transfers between two members are numbered from 1."""
 
     number: Number
     team: str
@@ -43,12 +43,12 @@
 
     @property
     def amounts(self) -> Amounts:
-        """How much is passed on."""
+        """The amounts that are passed on."""
         return Amounts(self.cpus, self.gpus)
 
 
 class AccountRow(msgspec.Struct, array_like=True, frozen=True):
-    """What the sender has given to and taken from another member of one team's limit, over the whole view."""
+    """The totals that the sender has passed to and received from another member in this view, for one team."""
 
     member: str
     team: str
@@ -59,21 +59,21 @@
 
     @property
     def given(self) -> Amounts:
-        """What was deducted for the other member."""
+        """The total that was deducted for the other member."""
         return Amounts(self.given_cpus, self.given_gpus)
 
     @property
     def taken(self) -> Amounts:
-        """What was taken from the other member."""
+        """The total that was received from the other member."""
         return Amounts(self.taken_cpus, self.taken_gpus)
 
 
 class QuotaMessage(msgspec.Struct, frozen=True):
-    """What one member tells another.
+    """A message from one member to another.
 
-    `confirmed`: the last of the receiver's transfers that the sender took. `short`: waiting tasks for which the
-    sender's share is too small. `claims`: jobs whose next task lies within its team's guarantee and has no room yet.
-    For the leader alone: all waiting tasks, and the accounts that changed.
+    `confirmed`: the number of the last of the receiver's transfers that the sender has received. `short`: waiting tasks
+    that the sender's share does not cover. `claims`: jobs whose next task lies within its team's guarantee and has no
+    room yet. `waiting` and `accounts` are sent to the leader only: all waiting tasks, and the accounts that changed.
     """
 
     version: int
@@ -90,12 +90,12 @@
 
 
 def decode(value: Any) -> QuotaMessage:
-    """Check a decoded value.
+    """Convert a decoded value to a message, and check it.
 
     Raises
     ------
     QuotaMessageError
-        If it is no message of this version.
+        If the value is not a message of this version.
     """
     version = value.get("version") if isinstance(value, dict) else None
     if version != VERSION:
--- a/src/ramptide/quota/operators.py
+++ b/src/ramptide/quota/operators.py
@@ -1,4 +1,4 @@
-"""What operators see of the team limits, and change: status, metrics and the calls of the administration API."""
+"""The operators' interface to team limits: status, metrics and the calls of the administration API."""
 
 from collections.abc import Callable, Iterator
 from http import HTTPStatus
@@ -33,7 +33,7 @@
 
 
 class ResourceShare(msgspec.Struct, frozen=True):
-    """One resource of a team at one controller."""
+    """One controller's share of one resource of a team's limit, and its use."""
 
     held: float
     used: float
@@ -42,7 +42,7 @@
 
 
 class TeamShare(msgspec.Struct, frozen=True, rename={"cpus": "cores"}):
-    """Both resources; `pending`: whether a change of the limit is not in force yet."""
+    """A team's CPUs and GPUs at one controller; `pending`: whether a change of the limit is not in force yet."""
 
     cpus: ResourceShare
     gpus: ResourceShare
@@ -50,7 +50,7 @@
 
 
 class ShareState(Protocol):
-    """What operators see of the controller's state."""
+    """The part of the controller's state that the report reads."""
 
     @property
     def teams(self) -> dict[str, Team]:
@@ -66,15 +66,15 @@
 
     @property
     def quota_shares(self) -> TeamAmounts:
-        """What we may use of each limit."""
+        """The share of each limit that this controller may use."""
 
     @property
     def scheduler(self) -> JobScheduler | None:
-        """The jobs that we schedule; None without a place in the view."""
+        """The jobs that this controller schedules; None while it is not a member of the view."""
 
 
 class QuotaReport:
-    """What operators see of the quota feature at one controller."""
+    """Reports the state of the quota feature at one controller."""
 
     def __init__(
         self, state: ShareState, cluster_usage: ClusterUsage, exchange: QuotaExchange, limit_table: LimitTable
@@ -85,7 +85,7 @@
         self._limit_table = limit_table
 
     def shares_by_team(self) -> dict[str, TeamShare]:
-        """Return what this controller holds of each limit, by team; empty without a place in the view."""
+        """Return this controller's share of each limit, by team; empty while it is not a member of the view."""
         scheduler = self._state.scheduler
         if scheduler is None:
             return {}
@@ -97,26 +97,26 @@
 
     def _share_of(self, team: str, used: Amounts, used_everywhere: Amounts) -> TeamShare:
         held = self._state.quota_shares.get(team, NOTHING)
-        borrowed = _beyond(used_everywhere, self._state.guarantees.get(team, NOTHING))
+        borrowed = _beyond_guarantee(used_everywhere, self._state.guarantees.get(team, NOTHING))
         in_transfer = self._exchange.in_transfer(team)
         resources = [
             ResourceShare(
-                held=to_number(held[side]),
-                used=to_number(used[side]),
-                borrowed=to_number(borrowed[side]),
-                in_transfer=to_number(in_transfer[side]),
+                held=to_number(held[index]),
+                used=to_number(used[index]),
+                borrowed=to_number(borrowed[index]),
+                in_transfer=to_number(in_transfer[index]),
             )
-            for side in (0, 1)
+            for index in (0, 1)
         ]
         record = self._limit_table.records.get(team)
         return TeamShare(resources[0], resources[1], record is not None and record.pending is not None)
 
     def status(self) -> dict[str, Any]:
-        """Return the feature's entry in the status."""
+        """Return the entry of the quota feature in the status."""
         exchange = self._exchange
         percentiles = exchange.waits.percentiles()
         return {
-            "members_without": exchange.missing(),
+            "members_without": exchange.members_without_feature(),
             "transfers": {outcome: exchange.counters[outcome] for outcome in TRANSFER_OUTCOMES},
             "share_waits": {
                 "count": exchange.waits.count,
@@ -127,21 +127,21 @@
         }
 
     def limits(self) -> dict[str, Any]:
-        """Return the limits that count, and the changes that are pending."""
+        """Return the limits in effect and the pending changes."""
         state = self._state
         teams = {
             name: {
                 "removed": name not in state.teams,
-                "limit": _numbers(state.limits.get(name)),
-                "guarantee": _numbers(state.guarantees.get(name)),
+                "limit": _to_numbers(state.limits.get(name)),
+                "guarantee": _to_numbers(state.guarantees.get(name)),
                 "record": msgspec.to_builtins(self._limit_table.records.get(name)),
             }
             for name in sorted(state.teams.keys() | state.limits.keys())
         }
-        return {"members_without": self._exchange.missing(), "teams": teams}
+        return {"members_without": self._exchange.members_without_feature(), "teams": teams}
 
     def metrics(self) -> "Iterator[Metric]":
-        """Yield the feature's metrics."""
+        """Yield the metrics of the quota feature."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         shares = self.shares_by_team()
@@ -175,24 +175,24 @@
         yield quantiles
 
 
-def _beyond(used: Amounts, guaranteed: Amounts) -> Amounts:
-    """Return what a team uses beyond its guarantee, by all controllers."""
+def _beyond_guarantee(used: Amounts, guaranteed: Amounts) -> Amounts:
+    """Return the amounts that a team uses beyond its guarantee."""
     return Amounts(max(0, used.cpus - guaranteed.cpus), max(0, used.gpus - guaranteed.gpus))
 
 
 class QuotaAdminApi:
-    """The calls of the administration API about team limits."""
+    """Handles the calls of the administration API about team limits."""
 
     def __init__(self, report: QuotaReport, limit_table: LimitTable) -> None:
         self._report = report
         self._limit_table = limit_table
 
     def show(self, _body: bytes, answer: Answer) -> None:
-        """Answer with the limits that count, and the changes that are pending."""
+        """Answer with the limits in effect and the pending changes."""
         answer(HTTPStatus.OK, encode_json(self._report.limits()), JSON)
 
     def change(self, body: bytes, answer: Answer) -> None:
-        """Write changes of limits; 202 when they are pending."""
+        """Write changes of limits, and answer with status 202 once they are stored as pending."""
 
         def on_result(result: TransactionResult) -> None:
             if result.is_applied:
@@ -205,12 +205,13 @@
         try:
             changes = decode_json(body)
             self._limit_table.request(changes, on_result)
-        except (MessageError, LimitError) as problem:
-            answer(HTTPStatus.BAD_REQUEST, encode_error(str(problem)), JSON)
+        except (MessageError, LimitError) as error:
+            answer(HTTPStatus.BAD_REQUEST, encode_error(str(error)), JSON)
 
 
-def _numbers(amounts: Amounts | None) -> dict[str, float | None] | None:
+def _to_numbers(amounts: Amounts | None) -> dict[str, float | None] | None:
+    """Return amounts as JSON numbers, with null for an unlimited resource."""
     if amounts is None:
         return None
-    known = [None if one == float("inf") else one for one in map(to_number, amounts)]
-    return {"cores": known[0], "gpus": known[1]}
+    numbers = [None if number == float("inf") else number for number in map(to_number, amounts)]
+    return {"cores": numbers[0], "gpus": numbers[1]}
--- a/src/ramptide/quota/overrides.py
+++ b/src/ramptide/quota/overrides.py
@@ -1,7 +1,8 @@
-"""Team limits that operators changed: their records, checked changes, and what is in force. Pure.
+"""Team limits that operators change: records, checks of changes, and the limits in effect. This module does no I/O.
 
-A change is first *pending*: the stricter of the old and the new limit counts. It comes into force when every member has
-acknowledged a share under it. So from that commit on nothing starts above the new limit, whoever was slow to hear.
+A change is first *pending*: the stricter of the old and the new limit applies. It is put in force when every member has
+acknowledged a share under it. So from that commit on no task starts above the new limit, however late a member receives
+the change.
 """
 
 from collections.abc import Iterable, Mapping
@@ -22,11 +23,11 @@
 
 
 class LimitError(ValueError):
-    """A change of limits that is refused; the text names the team and the field in one line."""
+    """Raised for a change of limits or a record that is refused; the text gives the reason in one line."""
 
 
 class TeamLimit(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """What a team is guaranteed and may use; 0 means none. Of a removed team nothing is accepted or started."""
+    """A team's guarantees and limits, 0 for none; no job of a removed team is accepted, and no task is started."""
 
     cpus: Number = 0.0
     cpus_max: Number = 0.0
@@ -34,20 +35,20 @@
     gpus_max: Number = 0.0
     removed: bool = False
 
-    def team(self, name: str) -> Team:
-        """Return it in the form of the platform's settings."""
+    def to_team(self, name: str) -> Team:
+        """Return the limit in the form of the platform's settings."""
         return Team(name, self.cpus, self.cpus_max, self.gpus, self.gpus_max)
 
     @classmethod
     def of_team(cls, team: Team | None) -> "TeamLimit":
-        """Return the platform's limit of a team; a team that the platform does not know counts as removed."""
+        """Return the platform's limit of a team; a team that is not in the platform's settings counts as removed."""
         if team is None:
             return cls(removed=True)
         return cls(team.cpus, team.cpus_max, team.gpus, team.gpus_max)
 
 
 class LimitRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What the state service keeps of one team. `in_force` None: the platform's limit."""
+    """The stored limit of one team; `in_force` is None while the platform's limit is in force."""
 
     version: int
     in_force: TeamLimit | None = None
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveLimits:
-    """What counts now: the teams of which jobs are accepted, and all limits and guarantees."""
+    """The teams whose jobs are accepted, and all limits and guarantees in effect."""
 
     teams: dict[str, Team]
     limits: TeamAmounts
@@ -69,7 +70,7 @@
     Raises
     ------
     LimitError
-        If the name is too long for a key.
+        If the name is empty or too long for a key.
     """
     key = LIMIT_PREFIX + quote(team, safe="")
     if not team or len(key) > MAX_KEY_BYTES:
@@ -78,17 +79,17 @@
 
 
 def team_of(key: str) -> str:
-    """Return the team whose record has this key."""
+    """Return the team whose limit record has this key."""
     return unquote(key.removeprefix(LIMIT_PREFIX))
 
 
 def decode_record(value: Any) -> LimitRecord:
-    """Check a record.
+    """Convert a decoded value to a record, and check it.
 
     Raises
     ------
     LimitError
-        If it is broken or of another version.
+        If the value is not a record of this version.
     """
     try:
         record = msgspec.convert(value, LimitRecord)
@@ -100,84 +101,89 @@
 
 
 def change(name: str, changes: Any, record: LimitRecord | None, platform: Team | None) -> LimitRecord:
-    """Return the record with a change pending. `changes`: some fields of `TeamLimit`, or None for the platform's limit.
+    """Return a team's record with a change pending.
+
+    `changes`: some fields of `TeamLimit`, or None for the platform's limit. `platform`: the team's platform settings.
 
     Raises
     ------
     LimitError
-        If a field is unknown or wrong, or the limit would be above the platform's.
+        If a field is unknown or wrong, a guarantee is above its limit, or a limit is above the platform's.
     """
     in_force = record.in_force if record is not None else None
     if changes is None:
         return LimitRecord(RECORD_VERSION, in_force, TeamLimit.of_team(platform))
     if not isinstance(changes, dict):
         raise LimitError(f"{name}: not an object")
-    present = in_force or TeamLimit.of_team(platform)
-    base = {} if present.removed else msgspec.to_builtins(present)
+    current = in_force or TeamLimit.of_team(platform)
+    base = {} if current.removed else msgspec.to_builtins(current)
     try:
         wanted = msgspec.convert(base | changes, TeamLimit)
     except msgspec.ValidationError as error:
         raise LimitError(f"{name}: {error}") from error
-    _check_sense(name, wanted)
+    _check_guarantees(name, wanted)
     if platform is not None and not wanted.removed:
-        _check_platform(name, wanted, platform)
+        _check_platform_limits(name, wanted, platform)
     return LimitRecord(RECORD_VERSION, in_force, wanted)
 
 
-def _check_sense(name: str, wanted: TeamLimit) -> None:
-    for guaranteed, most, field in (
+def _check_guarantees(name: str, wanted: TeamLimit) -> None:
+    """Check that no guarantee is above the limit of its resource."""
+    for guaranteed, maximum, field in (
         (wanted.cpus, wanted.cpus_max, "cpus"),
         (wanted.gpus, wanted.gpus_max, "gpus"),
     ):
-        if most and guaranteed > most:
-            raise LimitError(f"{name}: {field} {guaranteed:g} is more than {field}_max {most:g}")
+        if maximum and guaranteed > maximum:
+            raise LimitError(f"{name}: {field} {guaranteed:g} is more than {field}_max {maximum:g}")
 
 
-def _check_platform(name: str, wanted: TeamLimit, platform: Team) -> None:
-    for most, allowed, field in (
+def _check_platform_limits(name: str, wanted: TeamLimit, platform: Team) -> None:
+    """Check that no limit is above the platform's."""
+    for maximum, allowed, field in (
         (wanted.cpus_max, platform.cpus_max, "cpus_max"),
         (wanted.gpus_max, platform.gpus_max, "gpus_max"),
     ):
-        if allowed and (not most or most > allowed):
-            raise LimitError(f"{name}: {field} {most:g} is more than the platform's {allowed:g}")
+        if allowed and (not maximum or maximum > allowed):
+            raise LimitError(f"{name}: {field} {maximum:g} is more than the platform's {allowed:g}")
 
 
 def promote(record: LimitRecord, platform: Team | None) -> LimitRecord | None:
-    """Return the record with what was pending in force; None when that is the platform's limit and needs no record."""
+    """Return the record with the pending limit in force; None when that is the platform's, which needs no record."""
     if record.pending is None or record.pending == TeamLimit.of_team(platform):
         return None
     return LimitRecord(RECORD_VERSION, record.pending)
 
 
 def effective(platform: Mapping[str, Team], records: Mapping[str, LimitRecord]) -> EffectiveLimits:
-    """Return what counts now."""
-    found = EffectiveLimits({}, {}, {})
+    """Return the limits in effect, given the platform's teams and the operators' records."""
+    limits = EffectiveLimits({}, {}, {})
     for name in platform.keys() | records.keys():
         record = records.get(name)
         in_force = record.in_force if record is not None else None
-        present = in_force or TeamLimit.of_team(platform.get(name))
-        pending = record.pending if record is not None and record.pending is not None else present
-        _add(found, name, [present, pending])
-    return found
+        current = in_force or TeamLimit.of_team(platform.get(name))
+        pending = record.pending if record is not None and record.pending is not None else current
+        _add_team(limits, name, [current, pending])
+    return limits
 
 
-def _add(found: EffectiveLimits, name: str, both: Iterable[TeamLimit]) -> None:
-    teams = [one.team(name) for one in both]
-    if any(one.removed for one in both):
-        found.limits[name] = NOTHING
+def _add_team(in_effect: EffectiveLimits, name: str, current_and_pending: Iterable[TeamLimit]) -> None:
+    teams = [team_limit.to_team(name) for team_limit in current_and_pending]
+    if any(team_limit.removed for team_limit in current_and_pending):
+        in_effect.limits[name] = NOTHING
         return
-    # The later one, with the lower limits: what is accepted must be able to run under both.
-    lower = [min((most for most in limits if most), default=0.0) for limits in _limits(teams)]
-    found.teams[name] = Team(name, teams[-1].cpus, lower[0], teams[-1].gpus, lower[1])
+    # The pending guarantees, with the lower limits: an accepted job must be able to run under both.
+    lower = [min((maximum for maximum in maximums if maximum), default=0.0) for maximums in _maximums(teams)]
+    in_effect.teams[name] = Team(name, teams[-1].cpus, lower[0], teams[-1].gpus, lower[1])
     if any(lower):
-        found.limits[name] = _lowest([limits_of(team) for team in teams])
+        in_effect.limits[name] = _lowest([limits_of(team) for team in teams])
     if teams[-1].cpus or teams[-1].gpus:
-        found.guarantees[name] = guarantee_of(teams[-1])
+        in_effect.guarantees[name] = guarantee_of(teams[-1])
 
 
-def _limits(teams: list[Team]) -> list[list[float]]:
+def _maximums(teams: list[Team]) -> list[list[float]]:
+    """Return the maximums of all given teams for CPUs, then for GPUs; 0 stands for no limit."""
     return [[team.cpus_max for team in teams], [team.gpus_max for team in teams]]
 
 
 def _lowest(limits: list[Amounts]) -> Amounts:
-    return Amounts(min(one.cpus for one in limits), min(one.gpus for one in limits))
+    return Amounts(min(limit.cpus for limit in limits), min(limit.gpus for limit in limits))
--- a/src/ramptide/quota/plan_file.py
+++ b/src/ramptide/quota/plan_file.py
@@ -1,4 +1,4 @@
-"""The file that `ramptide quota plan` reads: a fleet, and the teams that are to share it."""
+"""The input file of `ramptide quota plan`: a fleet, and the teams that share it."""
 
 import tomllib
 from pathlib import Path
@@ -12,11 +12,11 @@
 
 
 class PlanError(Exception):
-    """A file that can't be read or makes no sense; the text is one line that names the place."""
+    """Raised when a plan fails, mostly for a file that cannot be read or is invalid; the text is one line."""
 
 
 class _Checked(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Fields that are not known are refused, as they would be misspelled ones."""
+    """Base class of the file's tables, which refuse unknown fields: these may be misspelled ones."""
 
 
 class MachineKind(_Checked, frozen=True):
@@ -31,7 +31,7 @@
 
 
 class TaskSize(_Checked, frozen=True):
-    """What one task of a team takes."""
+    """The resources that one task of a team needs."""
 
     cores: Size
     ram_gb: Size = 0.0
@@ -51,12 +51,12 @@
     zones: list[Name] = []
 
     def may_use(self, kind: MachineKind) -> bool:
-        """Tell whether the team's tasks may run on machines of this kind."""
+        """Return whether the team's tasks may run on machines of this kind."""
         return (not self.types or kind.type in self.types) and (not self.zones or kind.zone in self.zones)
 
 
 class PlanFile(_Checked, frozen=True):
-    """The whole file."""
+    """The content of a plan file."""
 
     machines: Annotated[list[MachineKind], msgspec.Meta(min_length=1)]
     teams: Annotated[list[TeamPlan], msgspec.Meta(min_length=1)]
@@ -68,32 +68,32 @@
     Raises
     ------
     PlanError
-        If it can't be read, a field is unknown, missing or wrong, or it contradicts itself.
+        If the file cannot be read, a field is unknown, missing or wrong, or fields contradict each other.
     """
     try:
         value = tomllib.loads(path.read_text(encoding="utf-8"))
-        found = msgspec.convert(value, PlanFile)
+        plan_file = msgspec.convert(value, PlanFile)
     except OSError as error:
         raise PlanError(f"{path}: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.ValidationError) as error:
         raise PlanError(f"{path}: {error}") from error
-    names = [team.name for team in found.teams]
-    twice = sorted({name for name in names if names.count(name) > 1})
-    if twice:
-        raise PlanError(f"{path}: team {twice[0]!r} is there twice")
-    for team in found.teams:
+    names = [team.name for team in plan_file.teams]
+    duplicates = sorted({name for name in names if names.count(name) > 1})
+    if duplicates:
+        raise PlanError(f"{path}: team {duplicates[0]!r} is there twice")
+    for team in plan_file.teams:
         _check_team(path, team)
-    return found
+    return plan_file
 
 
 def _check_team(path: Path, team: TeamPlan) -> None:
     if not team.task.cores and not team.task.gpus:
         raise PlanError(f"{path}: team {team.name!r}: its task takes neither cores nor gpus")
-    for guaranteed, most, each, field in (
+    for guaranteed, maximum, per_task, field in (
         (team.cpus, team.cpus_max, team.task.cores, "cpus"),
         (team.gpus, team.gpus_max, team.task.gpus, "gpus"),
     ):
-        if most and guaranteed > most:
-            raise PlanError(f"{path}: team {team.name!r}: {field} {guaranteed:g} is above {field}_max {most:g}")
-        if most and each > most:
-            raise PlanError(f"{path}: team {team.name!r}: one task takes more than {field}_max {most:g}")
+        if maximum and guaranteed > maximum:
+            raise PlanError(f"{path}: team {team.name!r}: {field} {guaranteed:g} is above {field}_max {maximum:g}")
+        if maximum and per_task > maximum:
+            raise PlanError(f"{path}: team {team.name!r}: one task takes more than {field}_max {maximum:g}")
--- a/src/ramptide/quota/planner.py
+++ b/src/ramptide/quota/planner.py
@@ -1,7 +1,8 @@
-"""Whether limits and guarantees can hold on a given fleet, by an integer program. For operators; no controller uses it.
+"""Checks by an integer program whether limits and guarantees can hold on a given fleet.
 
-The program treats the machines of a kind as one pool, with no more tasks of a team than fit machine by machine. What it
-calls impossible is so; what it calls possible is packed machine by machine then, and reported if that fails.
+Operators run this module through the command line; no controller uses it. The program treats the machines of a kind as
+one pool, with no more tasks of a team than fit machine by machine. A shortage that it finds is real. The tasks that it
+places are then packed machine by machine, and those that find no room are reported too.
 """
 
 import math
@@ -19,49 +20,52 @@
 
 __all__ = ["PlanError", "PlanReport", "TeamReport", "most_used", "plan"]
 
-STDOUT = 1
+STDOUT_FD = 1
 
 
 @dataclass(frozen=True, slots=True)
 class TeamReport:
-    """What comes out for a team, in whole tasks."""
+    """The result of a plan for one team, in whole tasks."""
 
     team: TeamPlan
     guaranteed: int
-    #: Tasks of the guarantee that don't fit while all teams use theirs.
+    #: Tasks of the guarantee that do not fit while all teams use their guarantees.
     short: int
-    #: Tasks that the limit allows (None: no limit), and those that fit the empty fleet, up to that.
+    #: Tasks that the limit allows; None for no limit.
     allowed: int | None
+    #: Tasks that fit the empty fleet, counted up to the limit.
     reachable: int
 
     @property
     def holds(self) -> bool:
-        """Whether the guarantee can be given and the limit be used."""
+        """Whether the fleet has room for the guarantee and for all that the limit allows."""
         return not self.short and (self.allowed is None or self.reachable >= self.allowed)
 
     def line(self) -> str:
-        """Return the result in words."""
+        """Return the result as a line of text."""
         limit = "no limit" if self.allowed is None else f"limit {self.allowed} tasks"
         parts = [f"{self.team.name}: guarantee {self.guaranteed} tasks, {limit}"]
         if self.short:
-            parts.append(f"the guarantee lacks room for {self.short} tasks ({self._amounts(self.short)})")
+            parts.append(f"the guarantee lacks room for {self.short} tasks ({self._format_amounts(self.short)})")
         if self.allowed is not None and self.reachable < self.allowed:
             missing = self.allowed - self.reachable
-            parts.append(f"the limit can't be used: {missing} tasks too many for the fleet ({self._amounts(missing)})")
+            parts.append(
+                f"the limit can't be used: {missing} tasks too many for the fleet ({self._format_amounts(missing)})"
+            )
         return "; ".join(parts) if len(parts) > 1 else f"{parts[0]}: holds"
 
-    def _amounts(self, tasks: int) -> str:
+    def _format_amounts(self, tasks: int) -> str:
         task = self.team.task
-        found = [
+        parts = [
             f"{task.cores * tasks:g} cores" if task.cores else "",
             f"{task.gpus * tasks:g} gpus" if task.gpus else "",
         ]
-        return ", ".join(one for one in found if one)
+        return ", ".join(part for part in parts if part)
 
 
 @dataclass(frozen=True, slots=True)
 class PlanReport:
-    """What comes out of a plan file."""
+    """The result of a plan file."""
 
     teams: list[TeamReport]
 
@@ -71,79 +75,90 @@
         return all(team.holds for team in self.teams)
 
     def lines(self) -> list[str]:
-        """Return the results in words, a line for each team."""
+        """Return a line of text for each team, and one for the whole plan."""
         verdict = "all guarantees and limits can hold" if self.holds else "not all guarantees and limits can hold"
         return [*(team.line() for team in self.teams), verdict]
 
 
 def plan(path: Path) -> PlanReport:
-    """Read a plan file and work out what holds.
+    """Read a plan file and check which guarantees and limits can hold.
 
     Raises
     ------
     PlanError
-        If the file makes no sense, or the solver is missing or gives up.
+        If the file is invalid, or the solver is missing or finds no optimal solution.
     """
     file = load(path)
-    wanted = [_tasks(team.cpus, team.gpus, team) or 0 for team in file.teams]
-    placed = _most_placed(file, file.teams, wanted)
-    packed = _pack(file, file.teams, placed)
+    wanted = [_tasks_covered(team.cpus, team.gpus, team) or 0 for team in file.teams]
+    placed = _maximize_placement(file, file.teams, wanted)
+    packed = _pack_tasks(file, file.teams, placed)
     reports = []
     for team, guaranteed, fits in zip(file.teams, wanted, packed, strict=True):
-        allowed = _tasks(team.cpus_max, team.gpus_max, team)
-        alone = _most_placed(file, [team], [allowed if allowed is not None else _everywhere(file, team)])
+        allowed = _tasks_covered(team.cpus_max, team.gpus_max, team)
+        alone = _maximize_placement(file, [team], [allowed if allowed is not None else _fleet_capacity(file, team)])
         reports.append(TeamReport(team, guaranteed, guaranteed - fits, allowed, sum(alone[0])))
     return PlanReport(reports)
 
 
-def _tasks(cores: float, gpus: float, team: TeamPlan) -> int | None:
-    """Return how many tasks of a team amounts cover; None where neither resource is bounded."""
+def _tasks_covered(cores: float, gpus: float, team: TeamPlan) -> int | None:
+    """Return how many tasks of a team the given amounts cover; None where they bound neither resource."""
     task = Amounts(units_needed(team.task.cores), units_needed(team.task.gpus))
     counts = [
-        units_allowed(most) // each for most, each in ((cores, task.cpus), (gpus, task.gpus)) if most > 0 and each > 0
+        units_allowed(amount) // per_task
+        for amount, per_task in ((cores, task.cpus), (gpus, task.gpus))
+        if amount > 0 and per_task > 0
     ]
     return min(counts) if counts else None
 
 
-def _fits(team: TeamPlan, kind: MachineKind) -> int:
+def _tasks_per_machine(team: TeamPlan, kind: MachineKind) -> int:
     """Return how many tasks of a team fit one empty machine."""
     if not team.may_use(kind):
         return 0
     task = team.task
     sizes = ((kind.cores, task.cores), (kind.gpus, task.gpus), (kind.ram_gb, task.ram_gb))
-    return min(units_allowed(room) // units_needed(each) for room, each in sizes if each > 0)
+    return min(units_allowed(room) // units_needed(per_task) for room, per_task in sizes if per_task > 0)
 
 
-def _everywhere(file: PlanFile, team: TeamPlan) -> int:
-    return sum(kind.count * _fits(team, kind) for kind in file.machines)
+def _fleet_capacity(file: PlanFile, team: TeamPlan) -> int:
+    """Return how many tasks of a team fit the empty fleet, machine by machine."""
+    return sum(kind.count * _tasks_per_machine(team, kind) for kind in file.machines)
 
 
-def _solver() -> Any:
+def _new_model() -> Any:
+    """Return an empty model of the solver, which prints nothing."""
     try:
         import highspy
     except ImportError as error:
         raise PlanError("the solver is missing: install requirements-planner.txt") from error
-    with _without_output():
+    with _discarded_stdout():
         model = highspy.Highs()
     model.silent()
     return model
 
 
 @contextmanager
-def _without_output() -> Iterator[None]:
-    """Keep what the solver's own code prints when it starts out of the report."""
+def _discarded_stdout() -> Iterator[None]:
+    """Discard standard output, to which the solver's native code prints when it starts."""
     sys.stdout.flush()
-    kept, nowhere = os.dup(STDOUT), os.open(os.devnull, os.O_WRONLY)
+    saved_stdout, devnull_fd = os.dup(STDOUT_FD), os.open(os.devnull, os.O_WRONLY)
     try:
-        os.dup2(nowhere, STDOUT)
+        os.dup2(devnull_fd, STDOUT_FD)
         yield
     finally:
-        os.dup2(kept, STDOUT)
-        os.close(kept)
-        os.close(nowhere)
+        os.dup2(saved_stdout, STDOUT_FD)
+        os.close(saved_stdout)
+        os.close(devnull_fd)
 
 
 def _solve(model: Any, objective: Any) -> None:
+    """Maximize the objective.
+
+    Raises
+    ------
+    PlanError
+        If the solver finds no optimal solution.
+    """
     import highspy
 
     model.maximize(objective)
@@ -152,71 +167,74 @@
         raise PlanError(f"the solver gives up: {model.modelStatusToString(status)}")
 
 
-def _whole_number(model: Any, most: int) -> Any:
+def _integer_variable(model: Any, maximum: int) -> Any:
     import highspy
 
-    return model.addVariable(lb=0, ub=most, type=highspy.HighsVarType.kInteger)
+    return model.addVariable(lb=0, ub=maximum, type=highspy.HighsVarType.kInteger)
 
 
-def _most_placed(file: PlanFile, teams: Sequence[TeamPlan], wanted: Sequence[int]) -> list[list[int]]:
-    """Return how many tasks of each team go to each kind of machine, so that as much as possible is placed."""
-    model = _solver()
+def _maximize_placement(file: PlanFile, teams: Sequence[TeamPlan], wanted: Sequence[int]) -> list[list[int]]:
+    """Return how many tasks of each team go to each kind of machine when as much as possible is placed."""
+    model = _new_model()
     counts = [
-        [_whole_number(model, min(most, kind.count * _fits(team, kind))) for kind in file.machines]
-        for team, most in zip(teams, wanted, strict=True)
+        [_integer_variable(model, min(maximum, kind.count * _tasks_per_machine(team, kind))) for kind in file.machines]
+        for team, maximum in zip(teams, wanted, strict=True)
     ]
-    for row, most in zip(counts, wanted, strict=True):
-        model.addConstr(sum(row) <= most)
+    for row, maximum in zip(counts, wanted, strict=True):
+        model.addConstr(sum(row) <= maximum)
     for index, kind in enumerate(file.machines):
         for resource in ("cores", "gpus", "ram_gb"):
             used = [getattr(team.task, resource) * row[index] for team, row in zip(teams, counts, strict=True)]
             model.addConstr(sum(used) <= getattr(kind, resource) * kind.count)
     weights = [max(team.task.cores, team.task.gpus) for team in teams]
-    _solve(model, sum(weight * one for weight, row in zip(weights, counts, strict=True) for one in row))
-    return [[round(model.val(one)) for one in row] for row in counts]
+    _solve(model, sum(weight * variable for weight, row in zip(weights, counts, strict=True) for variable in row))
+    return [[round(model.val(variable)) for variable in row] for row in counts]
 
 
-def _pack(file: PlanFile, teams: Sequence[TeamPlan], placed: list[list[int]]) -> list[int]:
-    """Put the tasks onto single machines, the largest first, and return how many of each team find room."""
-    found = [0] * len(teams)
-    order = sorted(range(len(teams)), key=lambda one: -max(teams[one].task.cores, teams[one].task.gpus))
-    for index, kind in enumerate(file.machines):
+def _pack_tasks(file: PlanFile, teams: Sequence[TeamPlan], placed: list[list[int]]) -> list[int]:
+    """Pack the tasks onto single machines, the largest first; return how many of each team find room."""
+    packed = [0] * len(teams)
+    order = sorted(range(len(teams)), key=lambda team: -max(teams[team].task.cores, teams[team].task.gpus))
+    for kind_index, kind in enumerate(file.machines):
         rooms = [[kind.cores, kind.gpus, kind.ram_gb] for _ in range(kind.count)]
-        for one in order:
-            found[one] += _first_fit(rooms, teams[one], placed[one][index])
-    return found
+        for team_index in order:
+            packed[team_index] += _first_fit(rooms, teams[team_index], placed[team_index][kind_index])
+    return packed
 
 
 def _first_fit(rooms: list[list[float]], team: TeamPlan, tasks: int) -> int:
+    """Place tasks in the first rooms that fit them, which are changed in place; return how many found room."""
     sizes = [team.task.cores, team.task.gpus, team.task.ram_gb]
     left = tasks
     for room in rooms:
-        fits = min(math.floor(free / each + 1e-9) for free, each in zip(room, sizes, strict=True) if each > 0)
-        take = min(fits, left)
-        for side, each in enumerate(sizes):
-            room[side] -= each * take
-        left -= take
+        fits = min(
+            math.floor(free / per_task + 1e-9) for free, per_task in zip(room, sizes, strict=True) if per_task > 0
+        )
+        placed = min(fits, left)
+        for resource, per_task in enumerate(sizes):
+            room[resource] -= per_task * placed
+        left -= placed
         if not left:
             break
     return tasks - left
 
 
 def most_used(limit: Amounts, demands: Sequence[TaskDemand]) -> Amounts:
-    """Return what whole tasks of these sizes can use of a limit at the most, all decided in one place.
+    """Return the largest part of a limit that whole tasks of these sizes can use without a split among controllers.
 
-    No split among controllers can do better, so it tells how much a split leaves unused.
+    No split among controllers can use more, so the difference shows how much a split leaves unused.
     """
     if not demands:
         return NOTHING
-    model = _solver()
-    counts = [_whole_number(model, demand.count) for demand in demands]
-    for side in ("cpus", "gpus"):
+    model = _new_model()
+    counts = [_integer_variable(model, demand.count) for demand in demands]
+    for resource in ("cpus", "gpus"):
         model.addConstr(
-            sum(getattr(demand, side) * one for demand, one in zip(demands, counts, strict=True))
-            <= getattr(limit, side)
+            sum(getattr(demand, resource) * variable for demand, variable in zip(demands, counts, strict=True))
+            <= getattr(limit, resource)
         )
-    _solve(model, sum((demand.cpus + demand.gpus) * one for demand, one in zip(demands, counts, strict=True)))
-    tasks = [round(model.val(one)) for one in counts]
+    _solve(model, sum((demand.cpus + demand.gpus) * variable for demand, variable in zip(demands, counts, strict=True)))
+    tasks = [round(model.val(variable)) for variable in counts]
     return Amounts(
         sum(demand.cpus * count for demand, count in zip(demands, tasks, strict=True)),
         sum(demand.gpus * count for demand, count in zip(demands, tasks, strict=True)),
--- a/src/ramptide/quota/share_exchange.py
+++ b/src/ramptide/quota/share_exchange.py
@@ -1,4 +1,4 @@
-"""Passes spare share of team limits on to members that are short of it, beside the leader's split."""
+"""Passes spare share of team limits to members that need more than the leader's split gives them."""
 
 import logging
 from collections import Counter
@@ -16,7 +16,7 @@
 from ramptide.quota.ledger import AccountBook, Ledger
 from ramptide.quota.messages import VERSION, Demands, QuotaMessage, QuotaMessageError, decode
 from ramptide.quota.share_waits import ShareWaits
-from ramptide.quota.task_demands import difference, missing_share, waiting_demands, whole_tasks_within
+from ramptide.quota.task_demands import subtract, uncovered_demands, waiting_demands, whole_tasks_within
 from ramptide.scheduling.headroom import task_headroom
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.job_state import JobState
@@ -30,13 +30,14 @@
 log = logging.getLogger(__name__)
 
 AT_ONCE = timedelta(0)
-#: So many jobs are sent that wait for room within a guarantee, each for so long: it may never find any.
+#: Limits the jobs that are sent as claims, which wait for room within a guarantee.
 MAX_CLAIMS_SENT = 8
+#: A claim is sent for no longer than this after its job began to wait, as the job may never find room.
 CLAIM_TIMEOUT = timedelta(seconds=10)
 
 
 class ExchangeState(Protocol):
-    """What the exchange reads of the controller's state."""
+    """The part of the controller's state that the exchange reads."""
 
     @property
     def member(self) -> str:
@@ -44,7 +45,7 @@
 
     @property
     def jobs(self) -> dict[str, Job]:
-        """The jobs that are not over."""
+        """The jobs that have not ended."""
 
     @property
     def limits(self) -> TeamAmounts:
@@ -56,14 +57,14 @@
 
     @property
     def quota_shares(self) -> TeamAmounts:
-        """What we may use of each limit."""
+        """The share of each limit that this controller may use."""
 
     @property
     def reconciled(self) -> bool:
-        """Whether it is known of all machines what earlier views left on them."""
+        """Whether the tasks that earlier views left on machines are known for all machines."""
 
     def require_scheduler(self) -> JobScheduler:
-        """Return the jobs that we schedule; raises without a place in the view."""
+        """Return the jobs that this controller schedules; raises while it is not a member of the view."""
 
 
 class ProcessIdentity(Protocol):
@@ -75,14 +76,14 @@
 
 
 class QuotaExchange:
-    """The quota feature of one controller: its ledger, what it is short of, and what it gives.
+    """The quota feature of one controller: its ledger, the share that it needs, and the share that it passes on.
 
     Parameters
     ----------
     cluster_usage
-        What teams use over all controllers.
+        The amounts that teams use over all controllers.
     on_balance_changed
-        Called when what we may use has changed by a transfer.
+        Called when a transfer has changed the share that this controller may use.
     """
 
     def __init__(
@@ -102,65 +103,67 @@
         self.counters: Counter[str] = Counter()
         self._view: View | None = None
         self._ledger = Ledger((), {})
-        self._book = AccountBook()
-        #: Teams whose account changed, for messages to the leader.
-        self._changed: ChangeLog[str] = ChangeLog()
-        #: The last message of each other member of this view.
+        self._account_book = AccountBook()
+        #: Teams whose account changed, for the messages to the leader.
+        self._changed_accounts: ChangeLog[str] = ChangeLog()
+        #: The last quota message of each other member in this view.
         self._last_messages: dict[str, QuotaMessage] = {}
         self._waiting: Demands = {}
-        self._short: Demands = {}
+        self._uncovered: Demands = {}
         self._claims: list[str] = []
         self._team_usage: TeamAmounts = {}
 
     def new_view(self, view: View | None) -> None:
-        """Start with an empty ledger; `view` is None when we have no place in it."""
+        """Start a view with an empty ledger; `view` is None when this controller is not a member of it."""
         self._view = view
-        self._ledger = Ledger(self._members(), self._state.limits)
-        self._book = AccountBook()
-        self._changed = ChangeLog()
+        self._ledger = Ledger(self._other_members(), self._state.limits)
+        self._account_book = AccountBook()
+        self._changed_accounts = ChangeLog()
         self._last_messages = {}
-        self._waiting, self._short = {}, {}
+        self._waiting, self._uncovered = {}, {}
         self.waits.forget()
 
-    # What the rest of the controller asks.
-
     def permits(self, shares: TeamAmounts) -> TeamAmounts:
-        """Return what we may use of each limit, given the shares that the leader sent."""
-        changed = {team: self._ledger.permit(team, shares[team]) for team in self._ledger.moved() if team in shares}
+        """Return the share of each limit that this controller may use, given the shares that the leader sent."""
+        changed = {
+            team: self._ledger.permit(team, shares[team])
+            for team in self._ledger.teams_with_transfers()
+            if team in shares
+        }
         return {**shares, **changed}
 
-    def missing(self) -> list[str]:
-        """Return the other members that have not sent a message of the feature in this view."""
-        return [name for name in self._members() if name not in self._last_messages]
+    def members_without_feature(self) -> list[str]:
+        """Return the other members that have sent no quota message in this view."""
+        return [name for name in self._other_members() if name not in self._last_messages]
 
     @property
     def ready(self) -> bool:
-        """Whether every member of the view takes part: else the leader could not count what was passed on."""
-        return self._view is not None and not self.missing()
+        """Whether every member of the view takes part; otherwise the leader could not count transfers."""
+        return self._view is not None and not self.members_without_feature()
 
     def offsets(self) -> Mapping[str, TeamAmounts]:
-        """Return by how much transfers have moved each member's share, as the leader knows."""
-        return self._book.offsets()
+        """Return how much transfers have changed each member's share, as far as the leader knows."""
+        return self._account_book.offsets()
 
     def split_policy(self) -> FittingSplit | None:
-        """Return the leader's split in whole tasks; None while some member does not send the sizes of its tasks."""
+        """Return the split in whole tasks; None while some member does not send the sizes of its waiting tasks."""
         if not self.ready:
             return None
         waiting = {name: message.waiting for name, message in self._last_messages.items()}
         return FittingSplit(waiting | {self._state.member: self._waiting})
 
     def within_guarantee(self, spec: JobSpec) -> bool:
-        """Tell whether a task more of the job lies within its team's guarantee, over all controllers."""
+        """Return whether one more task of the job keeps its team within its guarantee, over all controllers."""
         return within_guarantee(spec, self._team_usage, self._state.guarantees)
 
     def unclaimed(self, spec: JobSpec, rooms: list[Room]) -> list[Room]:
-        """Return the rooms that the job may take although its team is beyond its guarantee.
+        """Return the rooms that the job may use beside the claims of other controllers.
 
-        What would fit a job of another controller that waits within its guarantee is left to that, if its priority is
-        no lower.
+        A job beyond its team's guarantee leaves out each room that fits a claiming job of another team whose priority
+        is no lower: those jobs wait at other controllers within their teams' guarantees.
         """
-        claimants = [job_id for message in self._last_messages.values() for job_id in message.claims]
-        claiming_specs = [job.spec for job_id in claimants if (job := self._state.jobs.get(job_id))]
+        claiming_job_ids = [job_id for message in self._last_messages.values() for job_id in message.claims]
+        claiming_specs = [job.spec for job_id in claiming_job_ids if (job := self._state.jobs.get(job_id))]
         claims = [
             claim
             for claim in claiming_specs
@@ -171,98 +174,97 @@
         return [room for room in rooms if not any(admits(claim, room) and room.fits(claim) for claim in claims)]
 
     def _claiming_jobs(self, scheduler: JobScheduler, now: timedelta) -> list[str]:
-        """Return our jobs that wait within a guarantee; one that was not tried in this view yet is among them."""
-        found = []
+        """Return the scheduler's jobs that wait within a guarantee, with those that were not tried in this view yet."""
+        job_ids = []
         for job_state in scheduler.with_pending_tasks.values():
-            tried = job_state.waiting_since
-            recent = tried is None or now - tried < CLAIM_TIMEOUT
-            startable = recent and job_state.startable and job_state.retry_at <= now
-            if startable and self.within_guarantee(job_state.job.spec):
-                found.append(job_state.job.job_id)
-                if len(found) >= MAX_CLAIMS_SENT:
+            wait_started_at = job_state.waiting_since
+            is_recent = wait_started_at is None or now - wait_started_at < CLAIM_TIMEOUT
+            is_startable = is_recent and job_state.startable and job_state.retry_at <= now
+            if is_startable and self.within_guarantee(job_state.job.spec):
+                job_ids.append(job_state.job.job_id)
+                if len(job_ids) >= MAX_CLAIMS_SENT:
                     break
-        return found
+        return job_ids
 
     def waits_for_limit(self, job_state: JobState, usage: TeamAmounts) -> bool:
-        """Tell whether it is the share of its team's limit, and not room, that keeps a job from starting."""
+        """Return whether the share of its team's limit, and not room, keeps a job from starting."""
         spec = job_state.job.spec
         share = self._state.quota_shares.get(spec.team, NOTHING)
         return task_headroom(spec, usage.get(spec.team, NOTHING), share, self._state.limits) == 0
 
-    # The round.
-
     def review(self, scheduler: JobScheduler, now: timedelta) -> None:
-        """Work out what waits and what we are short of, pass on what others are short of, and ask for ours."""
-        held = scheduler.usage_with_transfers()
+        """Update the waiting tasks and what the local share does not cover; pass on spare share and ask for more."""
+        usage = scheduler.usage_with_transfers()
         teams = {job_state.job.spec.team for job_state in scheduler.with_pending_tasks.values()}
         self._team_usage = self._cluster_usage.usage_of(teams)
         self._waiting = waiting_demands(scheduler, self._state.limits, now)
-        before, self._short = self._short, self._missing_share(held)
+        uncovered_before, self._uncovered = self._uncovered, self._find_uncovered(usage)
         self._claims = self._claiming_jobs(scheduler, now)
-        self.waits.review(self._waiting_for_share(scheduler, held, now), now)
+        self.waits.review(self._jobs_waiting_for_share(scheduler, usage, now), now)
         if not self._state.reconciled or not self.ready:
             return
         for name in self._last_messages:
-            self._give_to(name, held)
-        if any(team not in before for team in self._short):
-            for name in self._members():
+            self._pass_share_to(name, usage)
+        if any(team not in uncovered_before for team in self._uncovered):
+            for name in self._other_members():
                 self._peers.send_within(self._peers.by_name[name], AT_ONCE)
 
-    def _members(self) -> list[str]:
+    def _other_members(self) -> list[str]:
         return [name for name in self._view.members if name != self._state.member] if self._view is not None else []
 
-    def _missing_share(self, held: TeamAmounts) -> Demands:
-        """Return the waiting tasks that our share does not cover, by team."""
-        missing = {team: missing_share(demands, self._available(team, held)) for team, demands in self._waiting.items()}
-        return {team: demands for team, demands in missing.items() if demands}
+    def _find_uncovered(self, usage: TeamAmounts) -> Demands:
+        """Return the waiting tasks that this controller's share does not cover, by team."""
+        uncovered = {
+            team: uncovered_demands(demands, self._unused_share(team, usage)) for team, demands in self._waiting.items()
+        }
+        return {team: demands for team, demands in uncovered.items() if demands}
 
-    def _available(self, team: str, held: TeamAmounts) -> Amounts:
-        """Return what of our share is not used."""
-        return difference(self._state.quota_shares.get(team, NOTHING), held.get(team, NOTHING))
+    def _unused_share(self, team: str, usage: TeamAmounts) -> Amounts:
+        """Return the unused part of this controller's share."""
+        return subtract(self._state.quota_shares.get(team, NOTHING), usage.get(team, NOTHING))
 
-    def _waiting_for_share(self, scheduler: JobScheduler, held: TeamAmounts, now: timedelta) -> set[str]:
-        """Return the jobs of which no task starts for want of share, although their team's limit has room for one."""
-        found = set()
+    def _jobs_waiting_for_share(self, scheduler: JobScheduler, usage: TeamAmounts, now: timedelta) -> set[str]:
+        """Return the jobs whose tasks wait only for share, as their team's limit has room for one of them."""
+        job_ids = set()
         for job_state in scheduler.with_pending_tasks.values():
             spec = job_state.job.spec
-            if spec.team not in self._short or job_state.retry_at > now or not job_state.startable:
+            if spec.team not in self._uncovered or job_state.retry_at > now or not job_state.startable:
                 continue
-            room = difference(self._state.limits[spec.team], self._team_usage.get(spec.team, NOTHING))
-            if tasks_within(room, amounts_of(spec)) and self.waits_for_limit(job_state, held):
-                found.add(job_state.job.job_id)
-        return found
-
-    # Giving and taking.
+            room = subtract(self._state.limits[spec.team], self._team_usage.get(spec.team, NOTHING))
+            if tasks_within(room, amounts_of(spec)) and self.waits_for_limit(job_state, usage):
+                job_ids.add(job_state.job.job_id)
+        return job_ids
 
-    def _give_to(self, receiver: str, held: TeamAmounts) -> None:
-        """Pass on what a member is short of and we neither use nor need, in sizes of its tasks."""
+    def _pass_share_to(self, receiver: str, usage: TeamAmounts) -> None:
+        """Pass share to a member for whole tasks that it cannot cover, from what is neither used nor needed here."""
         for team, demands in self._last_messages[receiver].short.items():
             if team not in self._state.quota_shares or self._ledger.awaits(receiver, team):
-                # Its message may be from before it took what is under way.
+                # The receiver's message may be older than its receipt of the unconfirmed transfer.
                 continue
-            spare = self._available(team, held)
+            spare = self._unused_share(team, usage)
             for own in self._waiting.get(team, ()):
-                spare = difference(spare, own.size.times(own.count))
-            given = whole_tasks_within(demands, spare, self._state.limits[team])
-            if any(given):
-                self._ledger.give(receiver, team, given, spare)
+                spare = subtract(spare, own.size.times(own.count))
+            amounts = whole_tasks_within(demands, spare, self._state.limits[team])
+            if any(amounts):
+                self._ledger.give(receiver, team, amounts, spare)
                 self.counters["given"] += 1
-                self._balance_changed([team])
+                self._record_balance_change([team])
                 self._peers.send_within(self._peers.by_name[receiver], AT_ONCE)
 
-    def _balance_changed(self, teams: list[str]) -> None:
+    def _record_balance_change(self, teams: list[str]) -> None:
+        """Record that transfers of these teams were sent or received, for the leader and the local share."""
         scheduler = self._state.require_scheduler()
         for team in teams:
-            self._changed.mark(team, scheduler.sequence_number + 1)
-        self._book.take(self._state.member, self._ledger.account_rows(teams))
+            self._changed_accounts.mark(team, scheduler.sequence_number + 1)
+        self._account_book.take(self._state.member, self._ledger.account_rows(teams))
         self._on_balance_changed()
 
     def message_for(self, peer: Peer) -> QuotaMessage | None:
-        """Return the message for another controller; None when it is not a member of our view."""
+        """Return the quota message for another controller; None when it is not a member of the local view."""
         view = self._view
         if view is None or peer.name not in view.members:
             return None
-        leads = peer.name == view.leader
+        is_leader = peer.name == view.leader
         return QuotaMessage(
             version=VERSION,
             view=view.number,
@@ -271,49 +273,49 @@
             receiver=peer.name,
             confirmed=self._ledger.last_taken(peer.name),
             transfers=self._ledger.offered(peer.name),
-            short=self._short,
+            short=self._uncovered,
             claims=self._claims,
-            waiting=self._waiting if leads else {},
-            accounts=self._ledger.account_rows(self._changed.since(peer.acknowledged)) if leads else [],
+            waiting=self._waiting if is_leader else {},
+            accounts=self._ledger.account_rows(self._changed_accounts.since(peer.acknowledged)) if is_leader else [],
         )
 
     def take(self, message: PeerMessage, scheduler: JobScheduler) -> None:
-        """Take the message of another member; one that can't be taken is refused as a whole, counted and logged."""
+        """Apply the quota message of another member; an invalid one is refused as a whole, counted and logged."""
         if message.quota is None:
             return
         try:
             quota_message = decode(message.quota)
             self._check_sender(quota_message, message)
             confirmed = self._ledger.confirm(quota_message.sender, quota_message.confirmed)
-            taken = self._ledger.take(quota_message.sender, quota_message.transfers)
+            received = self._ledger.take(quota_message.sender, quota_message.transfers)
         except QuotaMessageError as error:
             self.counters["refused"] += 1
             log.error("quota message refused: member=%s error=%r", message.member, str(error))
             return
         self._last_messages[quota_message.sender] = quota_message
-        self._book.take(quota_message.sender, quota_message.accounts)
-        if confirmed or taken:
+        self._account_book.take(quota_message.sender, quota_message.accounts)
+        if confirmed or received:
             scheduler.needs_round = True
-        if taken:
-            self.counters["taken"] += len(taken)
-            self._balance_changed([row.team for row in taken])
+        if received:
+            self.counters["taken"] += len(received)
+            self._record_balance_change([row.team for row in received])
 
     def _check_sender(self, quota_message: QuotaMessage, message: PeerMessage) -> None:
         view = self._view
         if view is None or quota_message.view != view.number:
-            raise QuotaMessageError(f"it is of view {quota_message.view}")
+            raise QuotaMessageError(f"the message belongs to view {quota_message.view}, not to the current view")
         if (
             quota_message.sender != message.member
             or view.members.get(quota_message.sender) != quota_message.incarnation
         ):
             raise QuotaMessageError(
-                f"{quota_message.sender} as {quota_message.incarnation} is no member of view {view.number}"
+                f"{quota_message.sender} as {quota_message.incarnation} is not a member of view {view.number}"
             )
         if quota_message.sender == self._state.member or quota_message.receiver != self._state.member:
-            raise QuotaMessageError(f"it is of {quota_message.sender} for {quota_message.receiver}")
-
-    # For operators.
+            raise QuotaMessageError(
+                f"sender {quota_message.sender} and receiver {quota_message.receiver} do not match the local member"
+            )
 
     def in_transfer(self, team: str) -> Amounts:
-        """Return what we have deducted for others and nobody counts yet."""
+        """Return the share of a team that this controller has passed on and no receiver has confirmed."""
         return self._ledger.in_transfer(team)
--- a/src/ramptide/quota/share_waits.py
+++ b/src/ramptide/quota/share_waits.py
@@ -1,4 +1,4 @@
-"""How long jobs wait because their controller's share of a team's limit is too small although the limit has room."""
+"""Measures how long jobs wait for share: their controller's share is too small, although the team's limit has room."""
 
 from datetime import timedelta
 
@@ -11,33 +11,33 @@
 
 
 class ShareWaits:
-    """The waits under way, and a histogram of those that are over."""
+    """The current waits, and a histogram of those that have ended."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(LOWEST_MS, HIGHEST_MS, SIGNIFICANT_DIGITS)
-        self._since: dict[str, timedelta] = {}
+        self._waiting_since: dict[str, timedelta] = {}
         self.total = timedelta(0)
 
-    def review(self, short: set[str], now: timedelta) -> None:
-        """Take the jobs that wait for share now; the waits of all others are over."""
-        for job_id in self._since.keys() - short:
-            waited = now - self._since.pop(job_id)
+    def review(self, waiting: set[str], now: timedelta) -> None:
+        """Record the jobs that wait for share now, and end the waits of all other jobs."""
+        for job_id in self._waiting_since.keys() - waiting:
+            waited = now - self._waiting_since.pop(job_id)
             self.total += waited
             self._histogram.record_value(min(max(round(waited / MILLISECOND), LOWEST_MS), HIGHEST_MS))
-        for job_id in short - self._since.keys():
-            self._since[job_id] = now
+        for job_id in waiting - self._waiting_since.keys():
+            self._waiting_since[job_id] = now
 
     def forget(self) -> None:
-        """Drop the waits under way: their jobs may have another scheduler in the next view."""
-        self._since.clear()
+        """Discard the current waits, whose jobs may have another scheduler in the next view."""
+        self._waiting_since.clear()
 
     @property
     def count(self) -> int:
-        """How many waits are over."""
+        """How many waits have ended."""
         return int(self._histogram.get_total_count())
 
     def percentiles(self) -> dict[float, float]:
-        """Return the seconds within which so many percent of the waits were over; empty before the first."""
+        """Return, by percentage, the seconds within which that part of the waits ended; empty before the first end."""
         if not self.count:
             return {}
-        return {one: self._histogram.get_value_at_percentile(one) / 1000 for one in PERCENTILES}
+        return {percent: self._histogram.get_value_at_percentile(percent) / 1000 for percent in PERCENTILES}
--- a/src/ramptide/quota/task_demands.py
+++ b/src/ramptide/quota/task_demands.py
@@ -1,4 +1,7 @@
-"""What tasks wait for: their sizes, what a share of a limit leaves uncovered, and what fits in spare share. Pure."""
+"""Waiting tasks by size: those that a share does not cover, and those that spare share covers.
+
+This module does no I/O.
+"""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -8,58 +11,58 @@
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, TeamAmounts, amounts_of, tasks_within
 
-__all__ = ["difference", "missing_share", "waiting_demands", "whole_tasks_within"]
+__all__ = ["subtract", "uncovered_demands", "waiting_demands", "whole_tasks_within"]
 
-#: So many sizes of waiting tasks of a team are sent, the most numerous first; others are sent once those run.
+#: Limits the sizes of waiting tasks that are sent for a team, the most numerous first; others follow once those run.
 MAX_SIZES_SENT = 8
 
 
-def difference(amounts: Amounts, taken: Amounts) -> Amounts:
-    """Return what is left of amounts."""
-    return Amounts(amounts.cpus - taken.cpus, amounts.gpus - taken.gpus)
+def subtract(amounts: Amounts, subtrahend: Amounts) -> Amounts:
+    """Return the amounts that are left after a subtraction."""
+    return Amounts(amounts.cpus - subtrahend.cpus, amounts.gpus - subtrahend.gpus)
 
 
 def waiting_demands(scheduler: JobScheduler, limits: TeamAmounts, now: timedelta) -> Demands:
-    """Return our waiting tasks of teams with a limit, by size, no more of each than the limit allows at all."""
+    """Return the scheduler's waiting tasks of teams with a limit, by size, each count at most what the limit allows."""
     counts: dict[str, Counter[Amounts]] = {}
     for job_state in scheduler.with_pending_tasks.values():
         spec = job_state.job.spec
         if spec.team in limits and job_state.retry_at <= now and not job_state.frozen:
             counts.setdefault(spec.team, Counter())[amounts_of(spec)] += job_state.startable
     demands = {team: _most_numerous(sizes, limits[team]) for team, sizes in counts.items()}
-    return {team: found for team, found in demands.items() if found}
+    return {team: team_demands for team, team_demands in demands.items() if team_demands}
 
 
 def _most_numerous(sizes: Counter[Amounts], limit: Amounts) -> list[TaskDemand]:
-    found = []
+    demands = []
     for size, count in sizes.most_common(MAX_SIZES_SENT):
         fits = tasks_within(limit, size)
         tasks = count if fits is None else min(count, fits)
         if tasks > 0:
-            found.append(TaskDemand(size.cpus, size.gpus, tasks))
-    return found
+            demands.append(TaskDemand(size.cpus, size.gpus, tasks))
+    return demands
 
 
-def missing_share(demands: Iterable[TaskDemand], available: Amounts) -> list[TaskDemand]:
-    """Return the waiting tasks of a team that what is available of its share does not cover."""
-    missing = []
+def uncovered_demands(demands: Iterable[TaskDemand], available: Amounts) -> list[TaskDemand]:
+    """Return the waiting tasks of a team that the available share does not cover."""
+    uncovered = []
     for demand in demands:
         fits = tasks_within(available, demand.size)
         covered = demand.count if fits is None else min(fits, demand.count)
-        available = difference(available, demand.size.times(covered))
+        available = subtract(available, demand.size.times(covered))
         if covered < demand.count:
-            missing.append(TaskDemand(demand.cpus, demand.gpus, demand.count - covered))
-    return missing
+            uncovered.append(TaskDemand(demand.cpus, demand.gpus, demand.count - covered))
+    return uncovered
 
 
 def whole_tasks_within(demands: Iterable[TaskDemand], spare: Amounts, limit: Amounts) -> Amounts:
-    """Return what those tasks take that fit in spare share; nothing of a resource without a limit."""
-    taken = NOTHING
+    """Return the amounts of the tasks that fit in the spare share; zero for a resource without a limit."""
+    total = NOTHING
     for demand in demands:
-        fits = tasks_within(difference(spare, taken), demand.size)
+        fits = tasks_within(subtract(spare, total), demand.size)
         more = demand.size.times(min(fits or 0, demand.count))
-        taken = Amounts(taken.cpus + more.cpus, taken.gpus + more.gpus)
+        total = Amounts(total.cpus + more.cpus, total.gpus + more.gpus)
     return Amounts(
-        0 if limit.cpus == NO_LIMIT else taken.cpus,
-        0 if limit.gpus == NO_LIMIT else taken.gpus,
+        0 if limit.cpus == NO_LIMIT else total.cpus,
+        0 if limit.gpus == NO_LIMIT else total.gpus,
     )
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -252,7 +252,7 @@
     def forgetful(self: Ledger, giver: str, rows: list[TransferRow]) -> list[TransferRow]:
         for row in rows:
             add_amounts(self._balance, row.team, row.amounts)
-            self._accounts[giver].last_taken = row.number
+            self._accounts[giver].last_received = row.number
         return list(rows)
 
     monkeypatch.setattr(Ledger, "take", forgetful)
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -175,7 +175,7 @@
 
 def test_without_waiting_for_the_members_something_starts_above_the_new_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     """A member that is cut off from the leader goes on under the share that it has."""
-    monkeypatch.setattr(LimitTable, "_holds", lambda self, team: True)
+    monkeypatch.setattr(LimitTable, "_are_shares_within_limit", lambda self, team: True)
     world = running()
     world.cut_link(busiest(world), leader_of(world))
     lower(world, 1.0)
