--- a/src/ramptide/protocol/agents.py
+++ b/src/ramptide/protocol/agents.py
@@ -1,4 +1,4 @@
-"""The interface of the agents on the machines: heartbeats, their replies, and commands."""
+"""The interface of the agents on the machines: heartbeats, replies to them, and commands."""
 
 import functools
 from datetime import timedelta
@@ -36,9 +36,10 @@
 COMMANDS_PATH = "/orders"
 INSPECT_PATH = "/inspect"
 
-#: Counts of this size or more would make all true heartbeats look old; msgspec's own bounds end at 2^63.
+#: Counts must be below this limit: a larger one would make all later heartbeats look old. The check is in code, as
+#: msgspec's own bounds end at 2^63.
 COUNT_LIMIT = 2**64
-TASK_ID_CACHE_SIZE = 16384
+TASK_ID_CACHE_ENTRIES = 16384
 
 
 class TaskStatus(StrEnum):
@@ -51,18 +52,18 @@
 
 
 class TaskOutcome(StrEnum):
-    """Why a task ended, as far as the scheduler tells causes apart."""
+    """The causes of a task's end that the scheduler distinguishes."""
 
     SUCCEEDED = "done"
     FAILED = "error"
 
 
-#: Causes with which an agent ends a task that it did not start.
+#: The causes that an agent reports when it ends a task without having started it.
 REFUSAL_CAUSES = ("no_room", "busy", "unknown")
 
 
 class TaskReport(Struct, rename={"task_id": "piece", "attempt": "try", "checkpointed": "kept"}):
-    """A task in a heartbeat."""
+    """The state of a task, as a heartbeat reports it."""
 
     task_id: Name
     attempt: Count
@@ -71,7 +72,7 @@
     checkpointed: bool | None = None
 
     def __post_init__(self) -> None:
-        """Check the range of the count."""
+        """Check the range of the attempt number."""
         _check_counts(self.attempt)
 
 
@@ -91,8 +92,9 @@
 ):
     """An agent's heartbeat with the state of its machine.
 
-    `fencing_token`: the highest that the agent has seen. `raw_tasks` is decoded by `decode_task_reports` only when it
-    differs from the heartbeat before. `preemption_notice_s`: the seconds until the cloud takes the machine back.
+    `fencing_token`: the highest token that the agent has seen. `raw_tasks` is decoded by `decode_task_reports` only
+    when it differs from that of the previous heartbeat. `preemption_notice_s`: the seconds until the cloud takes the
+    machine back.
     """
 
     host: MachineName
@@ -112,7 +114,7 @@
 
 
 class Command(Struct, omit_defaults=True, rename={"task_id": "piece", "attempt": "try", "grace_s": "windDownS"}):
-    """A command to an agent; `grace_s` is the time that a stopped task gets to save a checkpoint."""
+    """A command to an agent; `grace_s` is the time in which a stopped task may save a checkpoint."""
 
     verb: Literal["launch", "kill", "reap"]
     task_id: str
@@ -146,30 +148,30 @@
     Raises
     ------
     MessageError
-        If it is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return decode_message(body, Heartbeat)
 
 
 def decode_task_reports(raw: bytes | msgspec.Raw) -> list[TaskReport]:
-    """Decode the tasks of a heartbeat, which stay raw until then, as most heartbeats repeat the one before.
+    """Decode the tasks of a heartbeat, which are kept raw at first, as most heartbeats repeat the previous one.
 
     Raises
     ------
     MessageError
-        If one of them is wrong, naming the field.
+        If a task is invalid; the text names the field.
     """
     return decode_message(bytes(raw), list[TaskReport])
 
 
-@functools.lru_cache(maxsize=TASK_ID_CACHE_SIZE)
+@functools.lru_cache(maxsize=TASK_ID_CACHE_ENTRIES)
 def parse_task_id(task_id: str) -> tuple[str, int]:
     """Split a task id such as 'j-000412/3' into the job id and the task's index.
 
     Raises
     ------
     MessageError
-        If it is none.
+        If the text is not a task id.
     """
     job_id, slash, index = task_id.rpartition("/")
     is_index = index.isdigit() and index.isascii()
@@ -184,7 +186,7 @@
 
 
 def stop_command(job_id: str, task_index: int, attempt: int, grace: timedelta) -> Command:
-    """Return the command to stop an attempt, which gets `grace` to save a checkpoint."""
+    """Return the command to stop an attempt, which may save a checkpoint within `grace`."""
     return Command("kill", f"{job_id}/{task_index}", attempt, grace.total_seconds())
 
 
@@ -194,7 +196,7 @@
 
 
 def encode_commands(fencing_token: int, agent_epoch: int, commands: list[Command]) -> bytes:
-    """Encode commands that are sent to an agent directly, rather than in the reply to a heartbeat."""
+    """Encode commands that are sent to an agent directly instead of in the reply to a heartbeat."""
     return encode_json(_CommandRequest(fencing_token, agent_epoch, commands))
 
 
--- a/src/ramptide/protocol/cloud.py
+++ b/src/ramptide/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's interface: machine types, rentals, returns and the list of machines."""
+"""The interface of the cloud: machine types, rentals, returns and the list of machines."""
 
 from msgspec import Struct
 
@@ -66,7 +66,7 @@
         "age_s": "ageS",
     },
 ):
-    """A machine in the cloud's list."""
+    """A machine in the cloud's list of machines."""
 
     host: MachineName
     machine_type: Name
@@ -78,7 +78,7 @@
 
 
 class MachinePage(Struct, rename={"machines": "hosts"}):
-    """A page of the cloud's list of machines; `more`: another one follows."""
+    """A page of the cloud's list of machines; `more`: whether another page follows."""
 
     machines: list[ListedMachine]
     more: bool
@@ -109,7 +109,7 @@
     Raises
     ------
     MessageError
-        If the body is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return decode_message(body, _MachineTypeList).machine_types
 
@@ -120,7 +120,7 @@
     Raises
     ------
     MessageError
-        If the body is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return decode_message(body, MachinePage)
 
@@ -131,16 +131,16 @@
     Raises
     ------
     MessageError
-        If the body is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return list(decode_message(body, _RentReply).hosts)
 
 
 def encode_rent_request(request_id: str, machine_type: str, zone: str, spot: bool, count: int) -> bytes:
-    """Encode a call that rents machines; `request_id` is its idempotency key."""
+    """Encode a request to rent machines; `request_id` is its idempotency key."""
     return encode_json(_RentRequest(request_id, machine_type, zone, spot, count))
 
 
 def encode_return_request(hosts: list[str]) -> bytes:
-    """Encode a call that returns machines."""
+    """Encode a request to return machines."""
     return encode_json(_ReturnRequest(hosts))
--- a/src/ramptide/protocol/jobs.py
+++ b/src/ramptide/protocol/jobs.py
@@ -30,15 +30,15 @@
 HEALTH_PATH = "/healthz"
 MAX_TASKS = 100_000
 
-_JOB_ID = re.compile(r"\Aj-[0-9]{1,30}\Z")
-JobId = Annotated[str, Meta(pattern=_JOB_ID.pattern)]
+_JOB_ID_PATTERN = re.compile(r"\Aj-[0-9]{1,30}\Z")
+JobId = Annotated[str, Meta(pattern=_JOB_ID_PATTERN.pattern)]
 JobKind = Literal["batch", "service"]
-#: A job array: each of its tasks ends by itself.
+#: A job array, each of whose tasks ends by itself.
 BATCH: JobKind = "batch"
-#: Replicas that run until the job is cancelled.
+#: A set of replicas that run until the job is cancelled.
 SERVICE: JobKind = "service"
 JobPriority = Literal["low", "normal", "high", "production"]
-#: The lowest first.
+#: The priorities, the lowest first.
 PRIORITIES = get_args(JobPriority)
 
 
@@ -76,11 +76,11 @@
         "deadline_s": "dueS",
     },
 ):
-    """A job as a user submits it; also stored, in this form, in the job's record.
+    """A job as a user submits it; the job's record stores it in the same form.
 
-    Resources are per task. `spread_zones`: no zone may run more than half of the tasks. `spot`: preemptible machines
-    may be used. `checkpoint_interval_s` is 0 for tasks that save nothing. `machine_types` and `zone` restrict where
-    tasks may run. `deadline_s` counts from the submission.
+    Resources are per task. `spread_zones`: no zone may run more than half of the tasks. `spot`: the tasks may run on
+    preemptible machines. `checkpoint_interval_s` is 0 for tasks that save no checkpoints. `machine_types` and `zone`
+    restrict where tasks may run. `deadline_s` counts from the submission.
     """
 
     job_id: JobId
@@ -108,7 +108,7 @@
 class _JobStatusReply(
     Struct, omit_defaults=True, rename={"job_id": "ref", "done_count": "done", "running_count": "running"}
 ):
-    """A job's state; the counts of tasks are left out where they are not told."""
+    """A job's state; a task count that is not given is left out."""
 
     job_id: str
     status: JobStatus | str
@@ -117,7 +117,7 @@
 
 
 class HealthReply(Struct, rename={"unavailable": "lacks"}):
-    """The answer to a health check, with the dependencies that the controller cannot reach."""
+    """The reply to a health check, with the dependencies that the controller cannot reach."""
 
     healthy: bool
     unavailable: list[str]
@@ -129,16 +129,16 @@
     Raises
     ------
     MessageError
-        If it is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return decode_message(body, JobSpec)
 
 
 def is_job_id(text: str) -> bool:
-    """Tell whether the text is a job id, such as 'j-000412'."""
-    return bool(_JOB_ID.match(text))
+    """Return whether the text is a job id, such as 'j-000412'."""
+    return bool(_JOB_ID_PATTERN.match(text))
 
 
 def encode_job_status(job_id: str, status: str, done: int | None = None, running: int | None = None) -> bytes:
-    """Encode a job's state as users see it, with the numbers of its done and running tasks where they are known."""
+    """Encode a job's state as users see it, with the numbers of its done and running tasks if given."""
     return encode_json(_JobStatusReply(job_id, status, done, running))
--- a/src/ramptide/protocol/key_value_store.py
+++ b/src/ramptide/protocol/key_value_store.py
@@ -37,7 +37,7 @@
 class KeyValue(Struct, rename={"key": "path", "value": "v", "mod_revision": "stamp"}):
     """A key with its value and the revision of its last change.
 
-    Null is never written, so that a missing value cannot look like a key that was deleted.
+    Controllers never write null, so that a missing value cannot be mistaken for a deleted key.
     """
 
     key: str
@@ -51,7 +51,7 @@
 
 
 class KeyValuePage(Struct, rename={"key_values": "rows", "revision": "epoch"}):
-    """A page of keys with their values, as of a revision; `more`: another one follows."""
+    """A page of keys with their values, as of a revision; `more`: whether another page follows."""
 
     key_values: list[KeyValue]
     revision: Count
@@ -68,8 +68,8 @@
 
     def __post_init__(self) -> None:
         """Check that the event is either a put with a value or a deletion."""
-        puts, deletes = self.put_key is not None, self.deleted_key is not None
-        if puts is deletes or puts is (self.value is None):
+        is_put, is_deletion = self.put_key is not None, self.deleted_key is not None
+        if is_put is is_deletion or is_put is (self.value is None):
             raise ValueError("neither a put with a value nor a drop")
 
 
@@ -124,7 +124,7 @@
     Raises
     ------
     MessageError
-        If the body is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return decode_message(body, KeyValue)
 
@@ -135,7 +135,7 @@
     Raises
     ------
     MessageError
-        If the body is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return decode_message(body, KeyValuePage)
 
@@ -146,7 +146,7 @@
     Raises
     ------
     MessageError
-        If the body is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return decode_message(body, EventBatch)
 
@@ -157,18 +157,18 @@
     Raises
     ------
     MessageError
-        If the body is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return decode_message(body, _Commit).revision
 
 
 def decode_failed_keys(body: bytes) -> list[str]:
-    """Decode the keys of the conditions that did not hold.
+    """Decode the keys whose conditions did not hold when a transaction was refused.
 
     Raises
     ------
     MessageError
-        If the body is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return decode_message(body, _Conflict).failed_keys
 
@@ -179,13 +179,13 @@
     Raises
     ------
     MessageError
-        If the body is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return decode_message(body, _LeaseReply).lease_id
 
 
 def encode_lease_request(lifetime: timedelta) -> bytes:
-    """Encode a call that creates a lease."""
+    """Encode a request to create a lease."""
     return encode_json(_LeaseRequest(int(lifetime / timedelta(milliseconds=1))))
 
 
@@ -195,11 +195,11 @@
     Parameters
     ----------
     conditions
-        The modification revision that each of these keys must have; 0 for a key that must not exist.
+        By key, the modification revision that it must have; 0 for a key that must not exist.
     puts
-        Keys with their new value and the id of the lease with which they expire, if any.
+        Keys with their new value and, for a key that expires with a lease, the id of the lease.
     deletes
-        Keys to delete.
+        The keys to delete.
     """
     operations: list[Put | _Delete] = [*puts, *(_Delete(key) for key in deletes)]
     return encode_json(
--- a/src/ramptide/protocol/settings_file.py
+++ b/src/ramptide/protocol/settings_file.py
@@ -37,7 +37,7 @@
 
 
 class Team(Struct):
-    """A team's quota: what it is guaranteed and what it may use at the most; 0 means none."""
+    """A team's quota: its guarantees and its limits, each 0 for none."""
 
     name: Name
     cpus: Amount = 0.0
@@ -47,16 +47,16 @@
 
 
 class Objective(Struct, rename={"job_class": "class"}):
-    """A service-level objective that the cluster is held to."""
+    """A service-level objective of the cluster."""
 
     kind: str
     job_class: str | None = None
 
 
 class AgentTimings(Struct, rename={"heartbeat_interval_s": "report_s", "cancel_timeout_s": "cancel_s"}):
-    """The times that agents keep, in seconds.
+    """The timings of the agents, in seconds.
 
-    `cancel_timeout_s`: no task of a cancelled job may run for longer than this after the confirmation.
+    `cancel_timeout_s`: no task of a cancelled job may run for longer than this after the cancellation was confirmed.
     """
 
     heartbeat_interval_s: Positive
@@ -82,16 +82,16 @@
 
 
 class CloudLimits(Struct, rename={"requests_per_second": "rps"}):
-    """The limits of the cloud, which all controllers share; its list of machines is `list_lag_s` old at the most."""
+    """The limits of the cloud, which all controllers share; its list of machines is at most `list_lag_s` old."""
 
     requests_per_second: Positive
     list_lag_s: Amount
 
 
 class ProcessLimits(Struct):
-    """The limits of a controller's process, as far as the platform names them.
+    """The limits of a controller's process, each None if the platform does not state it.
 
-    `cpu`: its share of a core. `ram_mb`: the memory past which it is killed.
+    `cpu`: the share of a core that the process may use. `ram_mb`: the memory above which it is killed.
     """
 
     fd_limit: Annotated[int, Meta(ge=32)] | None = None
@@ -103,7 +103,7 @@
     Struct,
     rename={"controllers": "nodes", "agents": "workers", "key_value_store": "state", "process_limits": "quota"},
 ):
-    """The part of the settings that all controllers share; `controllers` is their number."""
+    """The part of the settings that all controllers share; `controllers` is the number of controllers."""
 
     controllers: Annotated[int, Meta(ge=1)]
     teams: list[Team]
@@ -126,7 +126,7 @@
 ):
     """The settings file of a controller.
 
-    Users and agents use `client_address`, other controllers and operators `peer_address`.
+    Users and agents connect to `client_address`, other controllers and operators to `peer_address`.
     """
 
     member: Name
@@ -144,6 +144,6 @@
     Raises
     ------
     MessageError
-        If it is wrong, naming the field.
+        If the body is invalid; the text names the field.
     """
     return decode_message(body, Settings)
--- a/src/ramptide/protocol/types.py
+++ b/src/ramptide/protocol/types.py
@@ -1,4 +1,4 @@
-"""Field types with their bounds, and the JSON codec that all outside interfaces share."""
+"""Field types with their bounds, and the JSON codec of all external interfaces."""
 
 from typing import Annotated, Any, TypeVar
 
@@ -21,21 +21,21 @@
 ]
 
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
-#: May be negative; small enough for arithmetic with time spans.
+#: Seconds that may be negative, within the range of a timedelta.
 Seconds = Annotated[float, Meta(ge=-1e9, le=1e9)]
-#: Seconds since 1970, well within what a datetime holds.
+#: Seconds since 1970, within the range of a datetime.
 Timestamp = Annotated[float, Meta(ge=0, le=1e11)]
 Positive = Annotated[float, Meta(gt=0, le=1e9)]
 Count = Annotated[int, Meta(ge=0)]
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
-#: Part of keys of the key-value store, which may have 200 bytes and no spaces.
+#: Machine names are parts of keys of the key-value store, which may have at most 200 bytes and no spaces.
 MachineName = Annotated[str, Meta(min_length=1, max_length=120, pattern=r"\A[!-~]+\Z")]
 
 Message = TypeVar("Message")
 
 
 class MessageError(ValueError):
-    """A message that does not have the form its sender should give it; the text names the field."""
+    """Raised for a message that is not valid JSON or has an invalid field; the text names the field."""
 
 
 def encode_json(value: Any) -> bytes:
@@ -54,20 +54,20 @@
     Raises
     ------
     MessageError
-        If the body is no JSON.
+        If the body is not JSON.
     """
     return decode_message(body, Any)
 
 
-def decode_message(body: bytes, kind: type[Message]) -> Message:
+def decode_message(body: bytes, message_type: type[Message]) -> Message:
     """Decode a JSON body into a message of the given type.
 
     Raises
     ------
     MessageError
-        If the body is no JSON, or a field is missing or out of its bounds.
+        If the body is not JSON, or a field is missing, of another type or out of its bounds.
     """
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=message_type)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise MessageError(str(error)) from error
