--- a/src/ramptide/transport/event_loop.py
+++ b/src/ramptide/transport/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: sockets through `selectors`, and timers. The only module that reads the monotonic clock."""
+"""The event loop for sockets and timers. No other module reads the monotonic clock."""
 
 import contextlib
 import functools
@@ -19,12 +19,12 @@
 log = logging.getLogger(__name__)
 
 NO_DELAY = timedelta(0)
-#: Deferrable events of one turn; the rest are found ready again in the next one, after what is more urgent.
-DEFERRABLE_PER_TURN = 16
+#: Limits the deferrable events handled in a turn; the others are handled in later turns, after more urgent events.
+MAX_DEFERRABLE_EVENTS_PER_TURN = 16
 
 
 class Timer:
-    """A call scheduled for a point in time."""
+    """A call that is scheduled for a point in time."""
 
     __slots__ = ("action",)
 
@@ -32,12 +32,12 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
-        """Prevent the call; without effect once it was made."""
+        """Prevent the call; this has no effect once the call was made."""
         self.action = None
 
 
 class _Watch(NamedTuple):
-    """What to call with the event mask of a socket, and whether that may wait for all else."""
+    """The callback for the events of a socket, and whether other events may be handled before it."""
 
     on_ready: Callable[[int], None]
     deferrable: bool
@@ -52,16 +52,16 @@
 
 
 class EventLoop:
-    """Calls back when a socket is ready or a timer is due, on one thread.
+    """Calls callbacks on one thread when a socket is ready or a timer is due.
 
-    In each turn deferrable sockets come last, and only a few of them: with more input than can be handled, leases and
-    timers are served in time all the same.
+    Each turn handles deferrable sockets last, and only a few of them, so that leases and timers are served in time even
+    when there is more input than the process can handle.
 
     Attributes
     ----------
     now
-        The monotonic time at which the current event began. It is read anew for each: on a slow processor a turn may
-        take seconds, and what its last event renews or starts must rest on no older time.
+        The monotonic time at which the current event began. The clock is read for each event: on a slow processor a
+        turn may take seconds, and what its last event renews or starts must not be based on an older time.
     """
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
         self._timers: list[_ScheduledTimer] = []
         self._timer_order = itertools.count()
         self._running = False
-        #: File descriptors that were ready and not handled, those that have waited longest first.
+        #: The file descriptors that were ready and not handled, the longest-waiting first.
         self._deferred: dict[int, None] = {}
         self._read_clock()
 
@@ -82,7 +82,7 @@
         return datetime.now(UTC)
 
     def after(self, delay: timedelta, action: Callable[[], None]) -> Timer:
-        """Schedule a call; equal times keep the order in which they were scheduled."""
+        """Schedule a call; calls with equal times keep the order in which they were scheduled."""
         timer = Timer(action)
         heapq.heappush(self._timers, _ScheduledTimer(self.now + max(delay, NO_DELAY), next(self._timer_order), timer))
         return timer
@@ -90,12 +90,12 @@
     def watch(
         self, sock: socket.socket, events: int, on_ready: Callable[[int], None], deferrable: bool = False
     ) -> None:
-        """Call `on_ready` with the event mask; a second call for the same socket replaces the first."""
-        watched = _Watch(on_ready, deferrable)
+        """Call `on_ready` with the event mask of a socket; a second watch of the same socket replaces the first."""
+        watch = _Watch(on_ready, deferrable)
         try:
-            self._selector.modify(sock, events, watched)
+            self._selector.modify(sock, events, watch)
         except KeyError:
-            self._selector.register(sock, events, watched)
+            self._selector.register(sock, events, watch)
 
     def unwatch(self, sock: socket.socket) -> None:
         """Stop watching a socket; one that is not watched is ignored."""
@@ -103,7 +103,7 @@
             self._selector.unregister(sock)
 
     def stop(self) -> None:
-        """Let `run` return after the current turn."""
+        """Make `run` return after the current turn."""
         self._running = False
 
     def run(self) -> None:
@@ -113,7 +113,7 @@
             self.turn()
 
     def turn(self) -> None:
-        """Wait for sockets or the next timer, then process everything that is due."""
+        """Wait for sockets or the next timer, then process what is due, except for surplus deferrable events."""
         ready = self._selector.select(self._seconds_to_next_timer())
         self._read_clock()
         deferred: dict[int, Callable[[], None]] = {}
@@ -127,7 +127,7 @@
         self._run_deferred(deferred)
 
     def _seconds_to_next_timer(self) -> float | None:
-        """Drop cancelled timers from the top of the heap; return how long to wait, or None without a timer."""
+        """Remove cancelled timers from the top of the heap; return how long to wait, or None without a timer."""
         while self._timers and self._timers[0].timer.action is None:
             heapq.heappop(self._timers)
         if not self._timers:
@@ -135,16 +135,16 @@
         return max(0.0, (self._timers[0].due_at - timedelta(seconds=time.monotonic())).total_seconds())
 
     def _run_deferred(self, ready: dict[int, Callable[[], None]]) -> None:
-        """Run some of the calls, by file descriptor: first those that have waited since earlier turns."""
+        """Run some of the calls, given by file descriptor: first those that have waited since earlier turns."""
         waiting = [fd for fd in self._deferred if fd in ready]
         waiting += [fd for fd in ready if fd not in self._deferred]
-        self._deferred = dict.fromkeys(waiting[DEFERRABLE_PER_TURN:])
-        for fd in waiting[:DEFERRABLE_PER_TURN]:
+        self._deferred = dict.fromkeys(waiting[MAX_DEFERRABLE_EVENTS_PER_TURN:])
+        for fd in waiting[:MAX_DEFERRABLE_EVENTS_PER_TURN]:
             self._run_guarded(WorkKind.SOCKETS, ready[fd])
 
     def _run_due_timers(self) -> None:
-        # What becomes due meanwhile waits for the next turn: rounds that take longer than their pause must not keep the
-        # sockets waiting.
+        # Timers that become due meanwhile wait for the next turn: decision rounds that take longer than their interval
+        # must not keep the sockets waiting.
         due_by = self.now
         while self._timers and self._timers[0].due_at <= due_by:
             due_at, _, timer = heapq.heappop(self._timers)
@@ -156,7 +156,7 @@
 
     def _run_guarded(self, work: WorkKind, action: Callable[[], None]) -> None:
         self._read_clock()
-        # One failing event must not end the process: safety rests on the leases and conditions that others check.
+        # An exception in one event must not end the process: safety rests on leases and conditions that others check.
         try:
             self.statistics.measure(work, action)
         except Exception:
--- a/src/ramptide/transport/http/__init__.py
+++ b/src/ramptide/transport/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on the event loop: one parser for every role, a server, and a client that keeps connections open."""
+"""HTTP/1.1 on the event loop: a parser for requests and responses, a server, and a client with a connection pool."""
--- a/src/ramptide/transport/http/address.py
+++ b/src/ramptide/transport/http/address.py
@@ -10,7 +10,7 @@
 
 
 class HostAndPort(NamedTuple):
-    """Where to connect or listen, in the form that sockets take."""
+    """The address to connect to or listen on, in the form that sockets use."""
 
     host: str
     port: int
--- a/src/ramptide/transport/http/client.py
+++ b/src/ramptide/transport/http/client.py
@@ -1,4 +1,4 @@
-"""The HTTP client."""
+"""The HTTP client, which keeps connections open for later calls."""
 
 import errno
 import logging
@@ -19,12 +19,12 @@
 log = logging.getLogger(__name__)
 
 MAX_RESPONSE_BODY_BYTES = 64 * 1024 * 1024
-#: Delay until a call that could not be started is reported as failed, so that callers do not spin.
+#: The delay until a call that could not be started is reported as failed, so that callers do not retry in a busy loop.
 FAILED_CALL_DELAY = timedelta(milliseconds=50)
 
 
 class _ClientConnection(Connection):
-    """Carries one request at a time to one address; idle connections wait in the client's pool."""
+    """A connection to one address that carries one request at a time; idle ones are kept in the client's pool."""
 
     def __init__(self, client: "Client", address: str) -> None:
         host_and_port = parse_address(address)
@@ -34,7 +34,7 @@
         super().__init__(client.loop, sock)
         self.client = client
         self.address = address
-        self.parser = Parser(response=True, max_body=MAX_RESPONSE_BODY_BYTES)
+        self.parser = Parser(response=True, max_body_bytes=MAX_RESPONSE_BODY_BYTES)
         self.on_response: ResponseCallback | None = None
         self.timeout_timer: Timer | None = None
         self.is_connected = False
@@ -44,7 +44,7 @@
         self.loop.watch(sock, selectors.EVENT_WRITE, self.on_ready)
 
     def send(self, data: bytes, timeout: timedelta, on_response: ResponseCallback) -> None:
-        """Send an encoded request, as soon as the connection is established."""
+        """Send an encoded request as soon as the connection is established."""
         self.on_response = on_response
         self.output += data
         self.timeout_timer = self.loop.after(timeout, self.close)
@@ -52,7 +52,7 @@
             self.flush()
 
     def on_ready(self, mask: int) -> None:
-        """Complete the connect, send buffered output and process received bytes."""
+        """Establish the connection, send buffered output and process received bytes."""
         if not self.is_connected:
             if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 self.close()
@@ -84,7 +84,7 @@
             self.close()
 
     def _complete(self, message: Message, reuse: bool) -> None:
-        """Hand the response to the caller after the connection went back to the pool or was closed."""
+        """Release or close the connection, then pass the response to the caller."""
         on_response, self.on_response = self.on_response, None
         if self.timeout_timer is not None:
             self.timeout_timer.cancel()
@@ -97,7 +97,7 @@
             on_response(message)
 
     def close(self) -> None:
-        """Close the connection; a request that is under way fails."""
+        """Close the connection; a request in flight fails."""
         if not self.is_open:
             return
         super().close()
@@ -110,14 +110,14 @@
 
 
 class Client:
-    """Sends requests to other services over connections that are kept open.
+    """Sends requests to other services over connections that are reused.
 
     Parameters
     ----------
     loop
         The event loop to run on.
     max_connections
-        Calls that need more connections than this fail.
+        The limit of open connections; a call that needs another one fails if no idle one can be closed.
     """
 
     def __init__(self, loop: EventLoop, max_connections: int) -> None:
@@ -127,19 +127,19 @@
         self._idle: dict[str, deque[_ClientConnection]] = {}
 
     def call(self, request: Request, on_response: ResponseCallback) -> None:
-        """Send a request; `on_response` gets the response, or None when none came in time."""
+        """Send a request; `on_response` gets the response, or None if the call failed or timed out."""
         address = request.address
         idle = self._idle.get(address)
         try:
             if idle:
                 connection = idle.pop()
             elif self.open_connections >= self.max_connections and not self._close_idle():
-                raise OSError(errno.EMFILE, "no room for another connection")
+                raise OSError(errno.EMFILE, "all connections are in use")
             else:
                 connection = _ClientConnection(self, address)
                 self.open_connections += 1
         except (OSError, ValueError) as error:
-            # An agent may have told an address that is none.
+            # The address may come from an agent, and may be invalid.
             log.debug("call failed: address=%s error=%r", address, str(error))
             self.loop.after(FAILED_CALL_DELAY, lambda: on_response(None))
             return
@@ -147,7 +147,7 @@
         connection.send(data, request.timeout, on_response)
 
     def _close_idle(self) -> bool:
-        """Close the connection that was released first of those that are idle; False when none is."""
+        """Close the longest idle connection of some address; return whether there was one."""
         for connections in self._idle.values():
             if connections:
                 connections[0].close()
@@ -155,11 +155,11 @@
         return False
 
     def release(self, connection: _ClientConnection) -> None:
-        """Keep an idle connection for later calls."""
+        """Keep an idle connection in the pool for later calls."""
         self._idle.setdefault(connection.address, deque()).append(connection)
 
     def discard(self, connection: _ClientConnection) -> None:
-        """Forget a connection that was closed."""
+        """Remove a closed connection from the pool and from the count of open connections."""
         self.open_connections -= 1
         idle = self._idle.get(connection.address)
         if idle and connection in idle:
--- a/src/ramptide/transport/http/connection.py
+++ b/src/ramptide/transport/http/connection.py
@@ -1,4 +1,4 @@
-"""The part that server and client connections have in common."""
+"""The base class of server and client connections."""
 
 import contextlib
 import selectors
@@ -19,21 +19,21 @@
         self.sock = sock
         self.output = bytearray()
         self.is_open = True
-        #: Whether its input may wait for that of other connections.
+        #: Whether events of this connection may wait until other events are handled.
         self.deferrable = False
 
     def _watch(self) -> None:
-        """Wait for input, and for room to write while output is buffered."""
+        """Watch the socket for input and, while output is buffered, for room to write."""
         events = selectors.EVENT_READ | (selectors.EVENT_WRITE if self.output else 0)
         self.loop.watch(self.sock, events, self.on_ready, self.deferrable)
 
     def write(self, data: bytes) -> None:
-        """Send data, now as far as the socket takes it and the rest later."""
+        """Send as much of the data as the socket accepts now, and the rest later."""
         self.output += data
         self.flush()
 
     def flush(self) -> None:
-        """Send buffered output as far as the socket takes it."""
+        """Send as much buffered output as the socket accepts."""
         if not self.is_open:
             return
         had_output = bool(self.output)
@@ -49,7 +49,7 @@
             self._watch()
 
     def read(self) -> bytes | None:
-        """Return received bytes, b"" at the end of the stream, or None when there is no input now."""
+        """Return received bytes, b"" at the end of the stream or after an error, or None if there is no input now."""
         try:
             return self.sock.recv(READ_SIZE_BYTES)
         except (BlockingIOError, InterruptedError):
@@ -70,6 +70,6 @@
 
 
 def disable_nagle(sock: socket.socket) -> None:
-    """Send small messages at once instead of gathering them."""
+    """Disable Nagle's algorithm, so that small messages are sent at once."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/src/ramptide/transport/http/messages.py
+++ b/src/ramptide/transport/http/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages: what the parser returns, and how requests and responses are encoded."""
+"""HTTP messages: the type that the parser returns, and the encoding of requests and responses."""
 
 from http import HTTPStatus
 
@@ -6,12 +6,12 @@
 
 
 class HttpError(Exception):
-    """The peer sent bytes that are not acceptable HTTP.
+    """Raised when the peer sends bytes that are not acceptable HTTP.
 
     Attributes
     ----------
     status
-        The status code that a server responds with.
+        The status code with which a server responds.
     """
 
     def __init__(self, status: int, text: str) -> None:
@@ -27,9 +27,9 @@
 
     __slots__ = ("body", "headers", "keep_alive", "method", "status", "target")
 
-    def __init__(self, start_line: str, headers: dict[str, str], response: bool) -> None:
+    def __init__(self, start_line: str, headers: dict[str, str], is_response: bool) -> None:
         self.method, self.target, self.status = "", "", 0
-        if response:
+        if is_response:
             self.status, version = _parse_status_line(start_line)
         else:
             self.method, self.target, version = _parse_request_line(start_line)
@@ -69,7 +69,7 @@
 
 
 def encode_request(method: str, target: str, host: str, body: bytes, content_type: str) -> bytes:
-    """Return the bytes of a request; one without a body has no headers for it if its method is GET."""
+    """Return the bytes of a request; a GET request without a body has no headers for the body."""
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n"
     if body or method != "GET":
         head += f"Content-Type: {content_type}\r\nContent-Length: {len(body)}\r\n"
@@ -77,7 +77,7 @@
 
 
 def encode_response(status: int, body: bytes, content_type: str, headers: dict[str, str], keep_alive: bool) -> bytes:
-    """Return the bytes of a response; without `keep_alive` it announces that the connection is closed."""
+    """Return the bytes of a response; without `keep_alive`, it announces that the connection will be closed."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
@@ -90,5 +90,5 @@
 
 
 def is_ascii_digits(text: str) -> bool:
-    """Tell whether the text consists of ASCII digits only, at least one."""
+    """Return whether the text consists of one or more ASCII digits."""
     return text.isascii() and text.isdigit()
--- a/src/ramptide/transport/http/parser.py
+++ b/src/ramptide/transport/http/parser.py
@@ -14,13 +14,14 @@
 MAX_CONTENT_LENGTH_DIGITS = 15
 MAX_CHUNK_SIZE_DIGITS = 8
 HEX_DIGITS = "0123456789abcdefABCDEF"
-#: Number of parsed heads that are kept, and the longest one that is.
-HEAD_CACHE_SIZE = 1000
+#: The number of parsed heads that are cached.
+HEAD_CACHE_ENTRIES = 1000
+#: Longer heads are not cached.
 MAX_CACHED_HEAD_BYTES = 512
 UNREPEATABLE_HEADERS = ("content-length", "transfer-encoding", "host")
 
 
-def _parse_head(raw: bytes, response: bool) -> Message:
+def _parse_head(raw: bytes, is_response: bool) -> Message:
     """Parse the start line and the headers."""
     lines = raw.decode("latin-1").split("\r\n")
     headers: dict[str, str] = {}
@@ -32,14 +33,14 @@
         if name in headers and name in UNREPEATABLE_HEADERS:
             raise HttpError(400, f"repeated {name}")
         headers[name] = value
-    message = Message(lines[0], headers, response)
+    message = Message(lines[0], headers, is_response)
     if "content-length" in headers and "transfer-encoding" in headers:
-        raise HttpError(400, "both framings")
+        raise HttpError(400, "both content-length and transfer-encoding")
     return message
 
 
-#: Clients repeat the same head, and parsing it costs more than all the rest of a request.
-_parse_head_cached = functools.lru_cache(HEAD_CACHE_SIZE)(_parse_head)
+#: Clients repeat the same head, and parsing it takes longer than all other work on a request.
+_parse_head_cached = functools.lru_cache(HEAD_CACHE_ENTRIES)(_parse_head)
 
 
 class _State(Enum):
@@ -56,7 +57,7 @@
     | TRAILER | HEAD (an empty line) |
     | UNTIL_CLOSE | HEAD (the end of the stream) |
 
-    Each return to HEAD with a message completes it.
+    A message is complete when the state returns to HEAD.
     """
 
     HEAD = auto()
@@ -68,7 +69,7 @@
 
 
 class _Progress(Enum):
-    """How a step went that completed no message."""
+    """The result of a step that completed no message."""
 
     ADVANCED = auto()
     NEEDS_DATA = auto()
@@ -78,25 +79,25 @@
 
 
 class Parser:
-    """Turns a stream of bytes into whole messages, however the bytes were split.
+    """Parses a stream of bytes into whole messages, however the bytes were split.
 
     Parameters
     ----------
-    response
-        Whether the stream holds responses instead of requests.
-    max_body
-        The largest body in bytes that is accepted.
+    is_response
+        Whether the stream contains responses instead of requests.
+    max_body_bytes
+        The size of the largest body that is accepted.
     """
 
-    def __init__(self, response: bool = False, max_body: int = MAX_REQUEST_BODY_BYTES) -> None:
-        self._response = response
-        self._max_body = max_body
+    def __init__(self, response: bool = False, max_body_bytes: int = MAX_REQUEST_BODY_BYTES) -> None:
+        self._is_response = response
+        self._max_body_bytes = max_body_bytes
         self._buffer = bytearray()
         self._state = _State.HEAD
         self._message: Message | None = None
-        self._missing = 0
+        self._missing_bytes = 0
         self._body = bytearray()
-        #: Whether the client waits for an interim response before it sends the body.
+        #: Whether the client waits for a 100 Continue response before it sends the body.
         self.expects_continue = False
         self._steps: dict[_State, Callable[[], _StepResult]] = {
             _State.HEAD: self._read_head,
@@ -113,7 +114,7 @@
         return self._state is _State.HEAD and not self._buffer
 
     def feed(self, data: bytes) -> None:
-        """Append received bytes."""
+        """Append received bytes to the buffer."""
         self._buffer += data
 
     def next(self) -> Message | None:
@@ -132,11 +133,11 @@
                 return None
 
     def closed(self) -> Message | None:
-        """Return the message that the end of the stream completes: a response without a length."""
+        """Return the response that the end of the stream completes, as it has no length; None if there is none."""
         if self._state is _State.UNTIL_CLOSE:
             self._body += self._buffer
             self._buffer.clear()
-            return self._finish()
+            return self._complete_message()
         return None
 
     def _read_line(self, limit: int) -> str | None:
@@ -160,16 +161,16 @@
         raw = bytes(self._buffer[:end])
         del self._buffer[: end + 4]
         parse = _parse_head_cached if len(raw) <= MAX_CACHED_HEAD_BYTES else _parse_head
-        message = parse(raw, self._response).copy()
+        message = parse(raw, self._is_response).copy()
         self._body.clear()
-        if self._response and (message.status < 200 or message.status in (204, 304)):
-            # Interim responses are skipped; the others have no body.
+        if self._is_response and (message.status < 200 or message.status in (204, 304)):
+            # Interim responses are skipped; those with status 204 or 304 have no body.
             return message if message.status >= 200 else _Progress.ADVANCED
         self._message = message
         return self._select_framing(message)
 
     def _select_framing(self, message: Message) -> _StepResult:
-        """Decide from the headers how the end of the body is found."""
+        """Select from the headers how the end of the body is found."""
         headers = message.headers
         length, coding = headers.get("content-length"), headers.get("transfer-encoding")
         if coding is not None:
@@ -179,30 +180,30 @@
         elif length is not None:
             if not is_ascii_digits(length) or len(length) > MAX_CONTENT_LENGTH_DIGITS:
                 raise HttpError(400, "bad content length")
-            self._missing = int(length)
-            self._check_body_size(self._missing)
+            self._missing_bytes = int(length)
+            self._check_body_size(self._missing_bytes)
             self._state = _State.BODY
-        elif self._response:
+        elif self._is_response:
             self._state = _State.UNTIL_CLOSE
         else:
-            return self._finish()
+            return self._complete_message()
         self.expects_continue = headers.get("expect", "").lower() == "100-continue"
         return _Progress.ADVANCED
 
     def _check_body_size(self, size: int) -> None:
-        if size > self._max_body:
+        if size > self._max_body_bytes:
             raise HttpError(413, "body too long")
 
-    def _take_missing(self) -> bool:
-        """Move bytes to the body; return whether none is missing any more."""
-        take = min(self._missing, len(self._buffer))
-        self._body += self._buffer[:take]
-        del self._buffer[:take]
-        self._missing -= take
-        return self._missing == 0
+    def _read_missing_bytes(self) -> bool:
+        """Move expected bytes from the buffer to the body; return whether all of them have arrived."""
+        count = min(self._missing_bytes, len(self._buffer))
+        self._body += self._buffer[:count]
+        del self._buffer[:count]
+        self._missing_bytes -= count
+        return self._missing_bytes == 0
 
     def _read_body(self) -> _StepResult:
-        return self._finish() if self._take_missing() else _Progress.NEEDS_DATA
+        return self._complete_message() if self._read_missing_bytes() else _Progress.NEEDS_DATA
 
     def _read_chunk_size(self) -> _StepResult:
         line = self._read_line(MAX_CHUNK_SIZE_LINE_BYTES)
@@ -211,13 +212,13 @@
         size = line.partition(";")[0].strip()
         if not size or len(size) > MAX_CHUNK_SIZE_DIGITS or any(digit not in HEX_DIGITS for digit in size):
             raise HttpError(400, "bad chunk size")
-        self._missing = int(size, 16)
-        self._check_body_size(len(self._body) + self._missing)
-        self._state = _State.CHUNK if self._missing else _State.TRAILER
+        self._missing_bytes = int(size, 16)
+        self._check_body_size(len(self._body) + self._missing_bytes)
+        self._state = _State.CHUNK if self._missing_bytes else _State.TRAILER
         return _Progress.ADVANCED
 
     def _read_chunk(self) -> _StepResult:
-        if not self._take_missing() or len(self._buffer) < 2:
+        if not self._read_missing_bytes() or len(self._buffer) < 2:
             return _Progress.NEEDS_DATA
         if self._buffer[:2] != b"\r\n":
             raise HttpError(400, "bad chunk end")
@@ -229,7 +230,7 @@
         line = self._read_line(MAX_HEAD_BYTES)
         if line is None:
             return _Progress.NEEDS_DATA
-        return self._finish() if line == "" else _Progress.ADVANCED
+        return self._complete_message() if line == "" else _Progress.ADVANCED
 
     def _read_until_close(self) -> _StepResult:
         self._body += self._buffer
@@ -237,10 +238,11 @@
         self._check_body_size(len(self._body))
         return _Progress.NEEDS_DATA
 
-    def _finish(self) -> Message:
+    def _complete_message(self) -> Message:
+        """Return the message with its body, and prepare to read the next one."""
         message = self._message
         if message is None:
-            raise RuntimeError("a body was completed for which no head was read")
+            raise RuntimeError("a body is complete, but no head was read before it")
         message.body = bytes(self._body)
         self._body.clear()
         self._message = None
--- a/src/ramptide/transport/http/server.py
+++ b/src/ramptide/transport/http/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server."""
+"""The HTTP server, which passes each request to a handler."""
 
 import contextlib
 import errno
@@ -23,46 +23,46 @@
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 FULL_LOG_INTERVAL = timedelta(seconds=60)
 MAX_ACCEPTS_PER_EVENT = 64
-#: Idle connections are looked for this many times per idle timeout; half a request may take one such period.
+#: Connections are checked this many times per idle timeout; an unfinished request may last one such interval.
 SWEEPS_PER_IDLE_TIMEOUT = 6
-#: While more than this share of the connections is in use, each is closed after its response: more clients than
-#: connections take turns then, and what is left free is there for those that come.
+#: While more than this ratio of the connections is in use, each is closed after its response: more clients than
+#: connections then take turns, and the free connections remain available to new clients.
 CROWDED_SHARE = 0.75
 
 
 class Exchange:
-    """One request and the means to respond to it, once, now or later."""
+    """One request, to which the handler responds once, now or later."""
 
     def __init__(self, connection: "_ServerConnection", request: Message) -> None:
-        #: None once the request has been responded to.
+        #: The connection of the request; None once a response was given.
         self._connection: _ServerConnection | None = connection
         self.request = request
 
     def prefer(self) -> None:
-        """Have later requests on the same connection handled before those of deferrable ones."""
+        """Handle later requests on the same connection before those of deferrable connections."""
         if self._connection is not None:
             self._connection.deferrable = False
 
     def respond(
         self, status: int, body: bytes, content_type: str = JSON, headers: dict[str, str] | None = None
     ) -> None:
-        """Send the response; any call after the first does nothing."""
+        """Send the response; a second call does nothing."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.reply(self.request, status, body, content_type, headers or {})
 
 
 class _ServerConnection(Connection):
-    """Reads one request after the other and hands each to the server's handler."""
+    """A connection that reads one request after the other and passes each to the server's handler."""
 
     def __init__(self, server: "Server", sock: socket.socket) -> None:
         super().__init__(server.loop, sock)
         self.server = server
         self.deferrable = server.deferrable
-        self.parser = Parser(max_body=server.max_body)
-        #: Whether a request has been handed to the handler that has not responded yet.
+        self.parser = Parser(max_body_bytes=server.max_body_bytes)
+        #: Whether the handler has a request to which it has not responded yet.
         self.is_handling = False
-        #: Whether the last response is written or being written.
+        #: Whether the last response of the connection has been written, at least to the output buffer.
         self.is_closing = False
         self.last_used = self.loop.now
         self._watch()
@@ -83,14 +83,14 @@
                 self.process_next()
 
     def _mark_used(self) -> None:
-        """Keep the server's connections in the order of their last use."""
+        """Record the use, and move this connection to the end of the server's connections."""
         self.last_used = self.loop.now
         connections = self.server.connections
         if connections.pop(self, False) is None:
             connections[self] = None
 
     def process_next(self) -> None:
-        """Hand the next request to the handler unless the one before still waits for its response."""
+        """Pass the next request to the handler unless the previous one still waits for its response."""
         if self.is_handling or not self.is_open:
             return
         try:
@@ -109,27 +109,27 @@
         try:
             self.server.handler(exchange)
         except Exception:
-            # The client gets a response whatever went wrong here.
+            # The client gets a response whatever exception the handler raises.
             log.exception("request failed: method=%s target=%s", request.method, request.target)
             exchange.respond(500, _encode_error("internal error"))
 
     def _send_last(self, data: bytes) -> None:
-        """Send the last response.
+        """Send the last response of the connection.
 
-        Input is still read, and dropped: closing a socket with unread input would destroy the response.
+        Input is still read and dropped, as closing a socket with unread input could destroy the response.
         """
         self.is_closing = True
         self.write(data)
         self._shut_down_writing()
 
     def _shut_down_writing(self) -> None:
-        """Tell the client that nothing more follows, once the last response has been sent."""
+        """Shut down the sending side, once the last response has been sent."""
         if self.is_closing and self.is_open and not self.output:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
 
     def reply(self, request: Message, status: int, body: bytes, content_type: str, headers: dict[str, str]) -> None:
-        """Send the response to `request` and go on with the next one."""
+        """Send the response to `request` and process the next request."""
         if not self.is_open:
             return
         self.is_handling = False
@@ -145,13 +145,13 @@
             self.process_next()
 
     def close(self) -> None:
-        """Close the socket and leave the server's connections."""
+        """Close the socket and remove this connection from the server."""
         super().close()
         self.server.connections.pop(self, None)
 
 
 class Server:
-    """Listens on an address and hands each request to a handler.
+    """Listens on an address and passes each request to a handler.
 
     Parameters
     ----------
@@ -162,13 +162,13 @@
     handler
         Called with an `Exchange` for each request.
     max_connections
-        Above this number the connection that has been unused longest is closed.
+        The limit of open connections; at the limit, a new one replaces the connection that has been unused longest.
     idle_timeout
         How long a connection may stay open without a request.
-    max_body
-        The largest request body in bytes that is accepted.
+    max_body_bytes
+        The size of the largest request body that is accepted.
     deferrable
-        Whether requests may wait for all other work; those of a connection that is preferred may not.
+        Whether requests may wait until other events are handled, except on connections that were prioritized.
     """
 
     def __init__(
@@ -178,7 +178,7 @@
         handler: Callable[[Exchange], None],
         max_connections: int,
         idle_timeout: timedelta,
-        max_body: int = MAX_REQUEST_BODY_BYTES,
+        max_body_bytes: int = MAX_REQUEST_BODY_BYTES,
         deferrable: bool = False,
     ) -> None:
         self.loop = loop
@@ -186,22 +186,22 @@
         self.handler = handler
         self.max_connections = max_connections
         self.idle_timeout = idle_timeout
-        self.max_body = max_body
-        #: An ordered set; the least recently used connection comes first.
+        self.max_body_bytes = max_body_bytes
+        #: The open connections as an ordered set, the least recently used one first.
         self.connections: dict[_ServerConnection, None] = {}
         self._full_logged_at: timedelta | None = None
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
         self.sock.bind(parse_address(address))
-        # When a controller fails, all its agents may connect here at once.
+        # When another controller fails, all its agents may connect here at once.
         self.sock.listen(max_connections)
         loop.watch(self.sock, selectors.EVENT_READ, self._accept)
         self._close_idle()
 
     @property
     def is_crowded(self) -> bool:
-        """Whether so many connections are open that none is kept for later requests."""
+        """Whether so many connections are open that each is closed after its response."""
         return len(self.connections) > self.max_connections * CROWDED_SHARE
 
     def _accept(self, _mask: int) -> None:
@@ -212,16 +212,16 @@
                 return
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE):
-                    self._make_room()
+                    self._close_longest_unused()
                 return
             if len(self.connections) >= self.max_connections:
-                self._make_room()
+                self._close_longest_unused()
             sock.setblocking(False)
             disable_nagle(sock)
             self.connections[_ServerConnection(self, sock)] = None
 
-    def _make_room(self) -> None:
-        """Close the connection that has been unused longest, so that slow clients cannot hold all."""
+    def _close_longest_unused(self) -> None:
+        """Close the connection that has been unused longest, so that slow clients cannot occupy all connections."""
         if self._full_logged_at is None or self.loop.now - self._full_logged_at > FULL_LOG_INTERVAL:
             self._full_logged_at = self.loop.now
             log.error(
@@ -232,11 +232,11 @@
             longest_unused.close()
 
     def _close_idle(self) -> None:
-        """Close the connections that are over their time limit; repeats itself."""
+        """Close the connections that exceed their time limit, and schedule the next such check."""
         sweep_interval = self.idle_timeout / SWEEPS_PER_IDLE_TIMEOUT
         for connection in list(self.connections):
-            between_requests = connection.parser.is_idle and not connection.is_closing
-            limit = self.idle_timeout if between_requests else sweep_interval
+            is_between_requests = connection.parser.is_idle and not connection.is_closing
+            limit = self.idle_timeout if is_between_requests else sweep_interval
             if not connection.is_handling and self.loop.now - connection.last_used > limit:
                 connection.close()
         self.loop.after(sweep_interval, self._close_idle)
--- a/src/ramptide/transport/loop_runtime.py
+++ b/src/ramptide/transport/loop_runtime.py
@@ -1,4 +1,4 @@
-"""The runtime of a real process, on the event loop and the HTTP client."""
+"""The runtime of a real process, based on the event loop and the HTTP client."""
 
 from collections.abc import Callable
 from datetime import datetime, timedelta
@@ -12,7 +12,7 @@
 
 
 class LoopRuntime:
-    """Time and timers from the loop, calls through the client; implements `Runtime`."""
+    """Implements `Runtime` with the time and timers of the event loop and the calls of the HTTP client."""
 
     def __init__(self, loop: EventLoop, client: Client) -> None:
         self._loop = loop
@@ -32,9 +32,9 @@
         return self._loop.after(delay, action)
 
     def call(self, request: Request, on_response: ResponseCallback) -> None:
-        """Send a request; `on_response` gets the response, or None when none came in time."""
+        """Send a request; `on_response` gets the response, or None if the call failed or timed out."""
 
-        def measured(response: Response | None) -> None:
+        def on_measured_response(response: Response | None) -> None:
             self._loop.statistics.measure(WorkKind.RESPONSES, lambda: on_response(response))
 
-        self._client.call(request, measured)
+        self._client.call(request, on_measured_response)
--- a/src/ramptide/transport/process_statistics.py
+++ b/src/ramptide/transport/process_statistics.py
@@ -1,4 +1,4 @@
-"""What this process spends its processor time on, and how late its timers are."""
+"""Statistics of this process: its processor time by kind of work, and how late its timers are."""
 
 import time
 from collections import deque
@@ -10,16 +10,17 @@
 __all__ = ["WORST_DELAY_KEPT", "ProcessStatistics", "WorkKind"]
 
 NO_TIME = timedelta(0)
-#: The worst delay is shown for so long.
+#: The reported worst delay covers the timers that were called within this window.
 WORST_DELAY_KEPT = timedelta(minutes=1)
-#: The label of what the transport itself takes.
+#: The label of the processor time that the transport itself takes.
 TRANSPORT_LABEL = "transport"
 
 
 class WorkKind(Enum):
-    """Kinds of work. Socket events hold the four after them, and what the transport itself takes.
+    """Kinds of work; the values are their labels in the metrics.
 
-    The values are the labels in the metrics.
+    The time of `SOCKETS` includes that of the transport itself and of the four kinds after it. Only failures of calls
+    that a timer reports are part of `TIMERS` instead.
     """
 
     TIMERS = "timers"
@@ -30,63 +31,63 @@
     RESPONSES = "responses"
 
 
-#: The kinds that are part of the work on socket events.
+#: The kinds of work that handlers do during socket events.
 HANDLERS = (WorkKind.HEARTBEATS, WorkKind.USERS, WorkKind.PEERS, WorkKind.RESPONSES)
 
 
 class _TimerDelay(NamedTuple):
-    """How late a timer was called, and when."""
+    """The delay of a timer, and when the timer was called."""
 
     called_at: timedelta
     delay: timedelta
 
 
 class ProcessStatistics:
-    """Counts processor time by kind of work, and how late timers are.
+    """Adds up processor time by kind of work, and records how late timers are.
 
     Attributes
     ----------
-    timers
-        How many timers were called.
-    delays
-        The sum of their delays.
+    timer_count
+        The number of timers that were called.
+    total_timer_delay
+        The sum of the delays of these timers.
     """
 
     def __init__(self) -> None:
-        self._spent = dict.fromkeys(WorkKind, NO_TIME)
+        self._processor_time = dict.fromkeys(WorkKind, NO_TIME)
         self.timers = 0
         self.delays = NO_TIME
-        #: Delays of the last minute that no later one exceeds; the longest first.
-        self._worst: deque[_TimerDelay] = deque()
+        #: The delays within the window that no later one reaches, the longest first.
+        self._worst_delays: deque[_TimerDelay] = deque()
 
     def measure(self, work: WorkKind, action: Callable[[], None]) -> None:
-        """Run the action and count the processor time that it takes."""
-        began = time.process_time()
+        """Run the action and add the processor time that it takes to its kind of work."""
+        started_at = time.process_time()
         try:
             action()
         finally:
-            self._spent[work] += timedelta(seconds=time.process_time() - began)
+            self._processor_time[work] += timedelta(seconds=time.process_time() - started_at)
 
     def by_kind(self) -> dict[str, timedelta]:
-        """Return the processor time by the label of its kind; what the transport takes beside handlers is one more."""
-        spent = {work.value: self._spent[work] for work in (WorkKind.TIMERS, *HANDLERS)}
-        handled = sum((self._spent[work] for work in HANDLERS), NO_TIME)
-        return spent | {TRANSPORT_LABEL: max(self._spent[WorkKind.SOCKETS] - handled, NO_TIME)}
+        """Return the processor time by label: each kind of handler, the timers, and the transport itself."""
+        spent = {work.value: self._processor_time[work] for work in (WorkKind.TIMERS, *HANDLERS)}
+        handler_time = sum((self._processor_time[work] for work in HANDLERS), NO_TIME)
+        return spent | {TRANSPORT_LABEL: max(self._processor_time[WorkKind.SOCKETS] - handler_time, NO_TIME)}
 
     def timer_ran(self, now: timedelta, delay: timedelta) -> None:
-        """Count a timer that is called `delay` after it was due."""
+        """Record a timer that is called `delay` after it was due."""
         self.timers += 1
         self.delays += delay
-        while self._worst and self._worst[-1].delay <= delay:
-            self._worst.pop()
-        self._worst.append(_TimerDelay(now, delay))
-        self._drop_old(now)
+        while self._worst_delays and self._worst_delays[-1].delay <= delay:
+            self._worst_delays.pop()
+        self._worst_delays.append(_TimerDelay(now, delay))
+        self._drop_old_delays(now)
 
     def worst_delay(self, now: timedelta) -> timedelta:
-        """Return the longest delay of a timer in the last minute."""
-        self._drop_old(now)
-        return self._worst[0].delay if self._worst else NO_TIME
+        """Return the longest delay of a timer within the window that ends now."""
+        self._drop_old_delays(now)
+        return self._worst_delays[0].delay if self._worst_delays else NO_TIME
 
-    def _drop_old(self, now: timedelta) -> None:
-        while self._worst and now - self._worst[0].called_at > WORST_DELAY_KEPT:
-            self._worst.popleft()
+    def _drop_old_delays(self, now: timedelta) -> None:
+        while self._worst_delays and now - self._worst_delays[0].called_at > WORST_DELAY_KEPT:
+            self._worst_delays.popleft()
--- a/src/ramptide/transport/runtime.py
+++ b/src/ramptide/transport/runtime.py
@@ -1,4 +1,4 @@
-"""The interface between controllers and their environment; tests implement it with a virtual clock and network."""
+"""The interface between controllers and their environment, which tests implement with a virtual clock and network."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,8 +15,8 @@
 class Request:
     """An HTTP request to another service.
 
-    `address`: its `host:port`. `target`: the path, with the query if there is one. `timeout`: how long to wait for the
-    whole response. `content_type`: that of the body.
+    `address`: the `host:port` of the service. `target`: the path, with the query if there is one. `timeout`: how long
+    to wait for the whole response. `content_type`: the content type of the body.
     """
 
     address: str
@@ -38,15 +38,15 @@
     """A scheduled call."""
 
     def cancel(self) -> None:
-        """Prevent the call; without effect once it was made."""
+        """Prevent the call; this has no effect once the call was made."""
 
 
-#: Gets the response, or None when there was none.
+#: A callback that gets the response, or None if the call failed or timed out.
 ResponseCallback = Callable[[Response | None], None]
 
 
 class Runtime(Protocol):
-    """Clock, timers and HTTP calls."""
+    """The clocks, timers and HTTP calls that controllers use."""
 
     @property
     def now(self) -> timedelta:
@@ -56,7 +56,7 @@
         """Return the wall-clock time, in UTC."""
 
     def after(self, delay: timedelta, action: Callable[[], None]) -> TimerHandle:
-        """Schedule a call; equal times keep the order in which they were scheduled."""
+        """Schedule a call; calls with equal times keep the order in which they were scheduled."""
 
     def call(self, request: Request, on_response: ResponseCallback) -> None:
-        """Send a request; `on_response` gets the response, or None when none came in time."""
+        """Send a request; `on_response` gets the response, or None if the call failed or timed out."""
