--- a/src/ramptide/autoscaling/__init__.py
+++ b/src/ramptide/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""The leader's fleet: when to scale out and in, the rentals, and the demand of the whole cluster."""
+"""The management of the fleet by the leader: cluster demand, scaling decisions, rentals and returns of machines."""
--- a/src/ramptide/autoscaling/autoscaler.py
+++ b/src/ramptide/autoscaling/autoscaler.py
@@ -1,7 +1,8 @@
-"""The autoscaler: one rental per step while the counts stay high, a small idle pool, a cooldown for idle machines.
+"""The autoscaler: one rental per step while demand stays high, a small idle pool, a cooldown for idle machines.
 
-Pure: `Autoscaler.step` is given what is known and says what to rent, drain and return. Each of its concerns has a
-module of its own: `demand_signal`, `machine_choice`, `idle_pool`, `faulty_machines` and `consolidation`.
+The module does no I/O besides logging: `Autoscaler.step` gets the leader's knowledge as arguments and returns what to
+rent, drain and return. Each concern has a module of its own: `demand_signal`, `machine_choice`, `idle_pool`,
+`faulty_machines` and `consolidation`.
 """
 
 from collections.abc import Iterable
@@ -20,7 +21,7 @@
 
 
 class Autoscaler:
-    """Decides in steps which machines to rent, to keep idle and to return; `tuning` may be replaced between steps."""
+    """Decides in steps which machines to rent, keep idle and return; `tuning` may be replaced between two steps."""
 
     def __init__(self, tuning: Tuning, durations: AgentDurations) -> None:
         self.tuning = tuning
@@ -30,41 +31,41 @@
         self._faulty = FaultyMachines(durations)
         self._consolidation = ServiceConsolidation()
 
-    # What operators see.
+    # Values for the status and the metrics.
 
     @property
     def trigger(self) -> Trigger:
-        """Whether so many tasks wait that machines are rented."""
+        """Whether enough tasks wait for machines to be rented."""
         return self._signal.trigger
 
     @property
     def waiting(self) -> int:
-        """The waiting tasks without room, as of the last step."""
+        """The number of waiting tasks without room, as of the last step."""
         return self._signal.waiting
 
     @property
     def long_waiting(self) -> int:
-        """Those of them that have waited for long."""
+        """The number of those waiting tasks that have waited for longer than `Tuning.long_wait`."""
         return self._signal.long_waiting
 
     @property
     def idle_pool(self) -> list[str]:
-        """The idle machines that are kept ready."""
+        """The hosts of the idle machines that are kept ready."""
         return self._pool.hosts
 
-    # Signals.
+    # Results of requests and uses of images.
 
     def note_refusal(self, kind: MachineKind, now: timedelta) -> None:
-        """Note that there was no capacity: the kind is not tried for a while, longer after each refusal."""
-        self._choice.note_refusal(kind, now)
+        """Record that the cloud had no capacity for a kind: it is not tried for a while, longer after each refusal."""
+        self._choice.record_refusal(kind, now)
 
-    def note_rental(self, kind: MachineKind) -> None:
-        """Note that machines of the kind could be rented, which ends the pause after refusals."""
-        self._choice.note_rental(kind)
+    def record_rental(self, kind: MachineKind) -> None:
+        """Record that machines of a kind were rented, which ends the pause after refusals."""
+        self._choice.record_rental(kind)
 
     def note_image_use(self, image: str) -> None:
-        """Count a use of an image: the pool keeps machines that hold the images used most recently."""
-        self._pool.note_image_use(image)
+        """Count a use of an image: the idle pool prefers machines that have cached the images used most recently."""
+        self._pool.record_image_use(image)
 
     # Decisions.
 
@@ -74,20 +75,20 @@
         demands: list[Demand],
         machines: list[FleetMachine],
         machine_types: Iterable[MachineType],
-        is_rebuilt: bool,
+        is_state_complete: bool,
     ) -> ScalingPlan:
-        """Decide what to rent and what to return.
+        """Return which machines to rent, drain, keep and return.
 
-        `demands` are the waiting tasks, the most urgent first. Until `is_rebuilt`, after a change of view, nothing is
-        rented and no idle machine is returned.
+        `demands` are the waiting tasks, the most urgent first. While `is_state_complete` is false, as after a change of
+        view, nothing is rented and no idle machine is drained.
         """
         plan = ScalingPlan()
-        uncovered = self._signal.count(demands, machines, self.tuning)
+        uncovered = self._signal.update_counts(demands, machines, self.tuning)
         self._signal.update_trigger(now, self.tuning)
-        self._faulty.add_to(plan, now, machines, self.tuning)
-        self._pool.choose(now, machines, self.tuning)
-        self._consolidation.note_services(now, machines)
-        if is_rebuilt:
+        self._faulty.add_to_plan(plan, now, machines, self.tuning)
+        self._pool.update(now, machines, self.tuning)
+        self._consolidation.track_services(now, machines)
+        if is_state_complete:
             self._scale_out(plan, now, uncovered, machines, machine_types)
             self._scale_in(plan, now, uncovered, machines)
         return plan
@@ -100,27 +101,27 @@
         machines: list[FleetMachine],
         machine_types: Iterable[MachineType],
     ) -> None:
-        """Rent for waiting tasks while the trigger is high, or one machine for the pool while it is low."""
+        """Plan rentals for waiting tasks while the trigger is high; while it is low, one for a too small pool."""
         if self.trigger is Trigger.HIGH:
-            plan.rent = self._choice.cheapest(now, uncovered, machine_types, self.tuning)
+            plan.rent = self._choice.choose_cheapest(now, uncovered, machine_types, self.tuning)
             plan.count = self._choice.rental_count(plan.rent, uncovered, machine_types, self.tuning.step_most)
         elif self.trigger is Trigger.LOW and self._pool.is_short(machines):
-            plan.rent, plan.count = self._choice.for_pool(now, machine_types), 1
+            plan.rent, plan.count = self._choice.choose_for_pool(now, machine_types), 1
 
     def _scale_in(
         self, plan: ScalingPlan, now: timedelta, uncovered: list[Demand], machines: list[FleetMachine]
     ) -> None:
-        """Drain machines that were idle for the cooldown, once the trigger has been low for as long.
+        """Plan to drain machines that were idle for the cooldown, once the trigger has been low for as long.
 
-        While it is not low, only those drain that no waiting task can use: a job that cannot be placed must not keep
-        all others rented.
+        While the trigger is not low, only idle machines that no waiting task can use are drained: a job that cannot be
+        placed must not keep all idle machines rented.
         """
-        is_calm = self._signal.has_been_low_for(self.tuning.cooldown, now)
-        if is_calm or self.trigger is not Trigger.LOW:
-            usable_by = None if is_calm else uncovered
+        was_low_for_cooldown = self._signal.has_been_low_for(self.tuning.cooldown, now)
+        if was_low_for_cooldown or self.trigger is not Trigger.LOW:
+            usable_by = None if was_low_for_cooldown else uncovered
             for host in self._pool.idle_for_long(now, machines, self.tuning, usable_by):
                 plan.drain.setdefault(host, IDLE)
-        if is_calm:
-            host_to_empty = self._consolidation.choose(now, machines, plan.drain, self.tuning)
+        if was_low_for_cooldown:
+            host_to_empty = self._consolidation.choose_machine(now, machines, plan.drain, self.tuning)
             if host_to_empty is not None:
                 plan.drain[host_to_empty] = UNDERUTILIZED
--- a/src/ramptide/autoscaling/cloud_list.py
+++ b/src/ramptide/autoscaling/cloud_list.py
@@ -1,4 +1,4 @@
-"""The cloud's list of machines, which may be old: what it shows, since when, and what it lacks."""
+"""The cloud's list of machines, which may be out of date: what it shows, since when, and which machines it lacks."""
 
 from collections.abc import Iterator
 from datetime import timedelta
@@ -13,12 +13,12 @@
 
 __all__ = ["CloudList"]
 
-#: Added to twice the lag of the cloud's list, for the answer's own time on its way.
+#: Added to twice the lag of the cloud's list for the transmission of the response.
 LIST_MARGIN = timedelta(seconds=2)
 
 
 class ListState(Protocol):
-    """What the list is compared with, and how often it is read."""
+    """The state of the controller with which the list is compared, and the settings."""
 
     @property
     def tuning(self) -> Tuning:
@@ -34,54 +34,55 @@
 
 
 class CloudList:
-    """Reads the list now and then, as the leader.
+    """Reads the cloud's list of machines at intervals while this controller leads.
 
-    `list_lag`: how old the list that the cloud answers with may be.
+    `list_lag`: how far the list in a response may lag behind the actual machines.
     """
 
     def __init__(self, runtime: Runtime, state: ListState, cloud: CloudClient, list_lag: timedelta) -> None:
         self._runtime = runtime
         self._state = state
         self._cloud = cloud
-        #: A list may be twice the lag old when the next one is due.
+        #: A list may be twice the lag old by the time the next one is read.
         self._max_age = list_lag * 2 + LIST_MARGIN
         self._read_at: timedelta | None = None
         self._is_reading = False
         self._listed: dict[str, ListedMachine] = {}
         self._listed_since: dict[str, timedelta] = {}
         self._recorded_since: dict[str, timedelta] = {}
-        #: Machines of the fleet record that are surely gone, as the list lacks them.
+        #: Machines of the fleet record that are certainly gone, as the list lacks them.
         self.missing: set[str] = set()
 
     def new_view(self) -> None:
-        """Start anew in a new view: its leader needs a list that is younger than the view."""
+        """Make a reading due in a new view, whose leader needs a list that is younger than the view."""
         self._read_at = None
         self._is_reading = False
 
     @property
     def has_been_read(self) -> bool:
-        """Whether a list was read in this view."""
+        """Whether a list was read in the current view."""
         return self._read_at is not None
 
     def note_recorded(self, host: str) -> None:
-        """Note since when a machine is in the fleet record, which every controller follows."""
+        """Record since when a machine is in the fleet record, which every controller follows."""
         self._recorded_since.setdefault(host, self._runtime.now)
 
     def forget(self, host: str) -> None:
-        """Forget a machine that has left the fleet record."""
+        """Drop what is known of a machine that has left the fleet record."""
         self._recorded_since.pop(host, None)
         self._listed_since.pop(host, None)
         self.missing.discard(host)
 
     def statuses(self) -> dict[str, str]:
-        """Return the status of each listed machine."""
+        """Return the status of each listed machine, by host."""
         return {host: machine.status for host, machine in self._listed.items()}
 
     def listed_for_long(self) -> Iterator[ListedMachine]:
-        """Yield the machines that have been listed for longer than the list lags; none before a list was read.
+        """Yield the machines that have been listed for longer than the list may be out of date.
 
-        A list may show what is gone, so what it shows for a moment proves nothing. It counts as of the moment it was
-        read, since it may be the last one before an outage.
+        Nothing is yielded before a list was read. A list may still show a machine that is gone, so a machine that was
+        listed for a shorter time may not exist. The time is counted up to the last reading and not up to now, since
+        that reading may be the last one before an outage.
         """
         read_at = self._read_at
         if read_at is None:
@@ -91,7 +92,7 @@
                 yield machine
 
     def read_if_due(self) -> None:
-        """Read the list again when the last reading is long ago."""
+        """Read the list again if the last reading is older than `Tuning.list_every` and none is in progress."""
         now = self._runtime.now
         is_fresh = self._read_at is not None and now - self._read_at < self._state.tuning.list_every
         if self._is_reading or is_fresh:
@@ -105,22 +106,22 @@
             self._is_reading = False
             if machines is not None:
                 self._read_at = now
-                self._take({machine.host: machine for machine in machines})
+                self._apply_list({machine.host: machine for machine in machines})
 
         self._cloud.list_machines(on_machines)
 
-    def _take(self, listed: dict[str, ListedMachine]) -> None:
+    def _apply_list(self, listed: dict[str, ListedMachine]) -> None:
         now, records = self._runtime.now, self._state.machines
         self._listed = listed
         for host in listed:
             self._listed_since.setdefault(host, now)
         for host in [host for host in self._listed_since if host not in listed and host not in records]:
             del self._listed_since[host]
-        # A list that is younger than a machine and lacks it says that it is gone, whether we saw it listed or a leader
-        # before us did.
-        oldest = now - self._max_age
+        # A recent list that lacks a machine proves it gone if the machine has been known for longer than a list may be
+        # out of date. The time since it was recorded counts too, as only an earlier leader may have seen it listed.
+        cutoff = now - self._max_age
         self.missing = {
             host
             for host in records
-            if host not in listed and min(self._recorded_since[host], self._listed_since.get(host, now)) < oldest
+            if host not in listed and min(self._recorded_since[host], self._listed_since.get(host, now)) < cutoff
         }
--- a/src/ramptide/autoscaling/consolidation.py
+++ b/src/ramptide/autoscaling/consolidation.py
@@ -1,4 +1,4 @@
-"""Machines that run few services are emptied one by one when others have room for these. Pure."""
+"""The choice of machines with few services to empty, one by one, when others have room for the services. No I/O."""
 
 from collections import Counter
 from datetime import timedelta
@@ -13,31 +13,35 @@
 
 
 class ServiceConsolidation:
-    """Chooses one machine to empty at a time.
+    """Chooses one machine at a time to empty.
 
-    Services end one by one and leave machines that run a few each and never become idle. Their services find room on
-    machines of the same owner that run more of them, which are emptied last. A replica is down while it moves, so a
-    machine is left alone when services use more than `thin_share` of it, or when something was just started there.
+    Services end one by one and leave machines that run a few each and never become idle. A machine is emptied if its
+    services fit on machines of the same owner whose services hold as many CPUs or more. A replica is down while it
+    moves, so a machine is not emptied if its services use more than `Tuning.thin_share` of its CPUs, or if a service
+    was started there less than `Tuning.started` ago.
     """
 
     def __init__(self) -> None:
-        #: What each machine serves, and since when nothing new was started there.
+        #: By host, the ids of the jobs of its services, and since when none was added.
         self._unchanged_since: dict[str, tuple[set[str], timedelta]] = {}
         self._last_chosen_at = NO_TIME
 
-    def note_services(self, now: timedelta, machines: list[FleetMachine]) -> None:
-        """Note since when nothing new was started on the machines that run services only."""
-        known, self._unchanged_since = self._unchanged_since, {}
+    def track_services(self, now: timedelta, machines: list[FleetMachine]) -> None:
+        """Record since when no job was added on each machine that runs services only."""
+        previous, self._unchanged_since = self._unchanged_since, {}
         for machine in machines:
             if machine.services:
                 job_ids = {spec.job_id for spec in machine.services}
-                before, since = known.get(machine.host, (set(), now))
-                self._unchanged_since[machine.host] = (job_ids, since if job_ids <= before else now)
+                job_ids_before, since = previous.get(machine.host, (set(), now))
+                self._unchanged_since[machine.host] = (job_ids, since if job_ids <= job_ids_before else now)
 
-    def choose(
+    def choose_machine(
         self, now: timedelta, machines: list[FleetMachine], draining: dict[str, str], tuning: Tuning
     ) -> str | None:
-        """Return a machine to empty, at most one every `gather`; `draining`: what the step drains already."""
+        """Return a machine to empty, at most one every `Tuning.gather`, or None.
+
+        `draining`: the machines that the current step drains already, with the reasons.
+        """
         if now - self._last_chosen_at < tuning.gather:
             return None
         if any(machine.record.drain_reason == UNDERUTILIZED for machine in machines):
@@ -61,12 +65,15 @@
 
 
 def _cost_of_keeping(machine: FleetMachine) -> tuple[float, str]:
-    """Return the sort key of a machine, the most expensive for what it serves lowest."""
+    """Return the sort key of a machine, lowest for the highest price per CPU that its services hold."""
     return -machine.price / machine.service_cpus, machine.host
 
 
 def _fits_elsewhere(machine: FleetMachine, serving: list[FleetMachine]) -> bool:
-    """Tell whether all its services find room on machines of the same owner that run no fewer."""
+    """Return whether all services of a machine fit on other machines of its owner.
+
+    Only machines whose services hold as many CPUs or more are considered.
+    """
     rooms = [
         other.room.copy()
         for other in serving
--- a/src/ramptide/autoscaling/demand.py
+++ b/src/ramptide/autoscaling/demand.py
@@ -1,4 +1,4 @@
-"""The demand of the whole cluster, as the leader knows it: by our scheduler and the other members' messages."""
+"""The demand of the whole cluster, as the leader knows it from its own scheduler and the other members' messages."""
 
 from collections import Counter
 from datetime import timedelta
@@ -22,22 +22,22 @@
 
 
 class DemandState(Protocol):
-    """What the demand is worked out from."""
+    """The state of the controller that the demand is calculated from."""
 
     @property
     def jobs(self) -> dict[str, Job]:
-        """The jobs that are not over."""
+        """The jobs that are not finished, by id."""
 
     @property
     def limits(self) -> TeamAmounts:
         """The limits of the teams that have one."""
 
     def require_scheduler(self) -> JobScheduler:
-        """Return the jobs that we schedule; raises without a place in the view."""
+        """Return the scheduler of this controller's jobs; raises if this controller is not in the view."""
 
 
 class ClusterDemand:
-    """Puts together the waiting tasks of all schedulers."""
+    """Collects the waiting tasks of all schedulers."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self._urgency_order = urgency_order
 
     def demands(self) -> list[Demand]:
-        """Return the waiting tasks of all schedulers that their team's limit lets run now, most urgent first."""
+        """Return the waiting tasks of all schedulers that their teams' limits let run now, the most urgent first."""
         wall, jobs, limits = self._runtime.wall(), self._state.jobs, self._state.limits
         usage = self._cluster_usage.team_usage()
         waiting = [(jobs[row.job_id], row, placed) for row, placed in self._waiting_rows() if row.job_id in jobs]
@@ -64,20 +64,23 @@
         for job, row, placed in waiting:
             spec = job.spec
             limit = limits.get(spec.team, NO_LIMITS)
-            tasks = min(row.task_count, task_headroom(spec, usage.get(spec.team, NOTHING), limit, limits))
-            if tasks > 0:
-                add_amounts(usage, spec.team, amounts_of(spec).times(tasks))
+            task_count = min(row.task_count, task_headroom(spec, usage.get(spec.team, NOTHING), limit, limits))
+            if task_count > 0:
+                add_amounts(usage, spec.team, amounts_of(spec).times(task_count))
                 waited = timedelta(seconds=row.waited_s)
-                demands.append(Demand(spec, tasks, waited, Counter(placed), frozenset(row.avoided_hosts)))
+                demands.append(Demand(spec, task_count, waited, Counter(placed), frozenset(row.avoided_hosts)))
         return demands
 
     def _waiting_rows(self) -> list[tuple[WaitingJobRow, Counter[str]]]:
-        """Return the rows of all schedulers, each with how many tasks of the job run in each zone, as far as known."""
+        """Return the rows of all schedulers, each with the number of the job's tasks by zone.
+
+        The numbers by zone are known only for the jobs that this controller schedules.
+        """
         scheduler = self._state.require_scheduler()
         rows: list[tuple[WaitingJobRow, Counter[str]]] = [
             (row, scheduler.jobs[row.job_id].zones) for row in waiting_rows(scheduler, self._runtime.now)
         ]
         for message in self._peers.last_messages():
-            # A job that was handed over to us may still be in its former scheduler's last message.
+            # A job that was handed over to this controller may still be in the last message of its former scheduler.
             rows += [(row, Counter()) for row in message.waiting_jobs if row.job_id not in scheduler.jobs]
         return rows
--- a/src/ramptide/autoscaling/demand_signal.py
+++ b/src/ramptide/autoscaling/demand_signal.py
@@ -1,4 +1,4 @@
-"""The two counts that machines are rented by, and the trigger that follows from them. Pure."""
+"""The two counts of waiting tasks that decide when machines are rented, and the trigger set from them."""
 
 import logging
 from collections import Counter
@@ -20,10 +20,10 @@
 
 
 class Trigger(Enum):
-    """Whether so many tasks wait that machines are rented: no, not for long enough yet, or yes.
+    """Whether enough tasks wait for machines to be rented: no, not for long enough yet, or yes.
 
-    LOW becomes RISING when a count is high, RISING becomes HIGH when one has stayed high through the window, and both
-    become LOW when none is. The value stands in the status and in the log.
+    LOW becomes RISING when a count is high, RISING becomes HIGH when a count has stayed high for `Tuning.window`, and
+    both become LOW when no count is high. The values appear in the status and in the log.
     """
 
     LOW = "quiet"
@@ -32,7 +32,7 @@
 
 
 class DemandSignal:
-    """Counts waiting tasks without room, and watches how long the counts stay high.
+    """Counts waiting tasks without room, and tracks how long the counts stay high.
 
     `waiting` and `long_waiting` are the counts as of the last step.
     """
@@ -45,53 +45,53 @@
         self._low_since = NO_TIME
 
     def has_been_low_for(self, span: timedelta, now: timedelta) -> bool:
-        """Tell whether no count has been high for so long."""
+        """Return whether the trigger has been low for at least `span`."""
         return self.trigger is Trigger.LOW and now - self._low_since >= span
 
-    def count(self, demands: list[Demand], machines: list[FleetMachine], tuning: Tuning) -> list[Demand]:
-        """Count the waiting tasks that fit neither free room nor booting machines, and those that wait long.
+    def update_counts(self, demands: list[Demand], machines: list[FleetMachine], tuning: Tuning) -> list[Demand]:
+        """Count the waiting tasks that fit neither free room nor booting machines, and the long-waiting ones of them.
 
-        Returns the demands with the tasks that are not covered.
+        Returns the demands, reduced to the tasks that are not covered.
         """
         rooms = _free_and_booting(machines)
         self.waiting = self.long_waiting = 0
         uncovered = []
-        for group in _alike(demands):
+        for group in _group_alike(demands):
             spec, avoided = group[0].spec, group[0].avoided_hosts
             open_rooms = [room for room in rooms if room.host not in avoided] if avoided else rooms
-            # What will run on machines that boot counts for the zone rules, or all would be rented in one zone.
+            # Tasks assigned to booting machines count for the zone rules, or all machines would be rented in one zone.
             placed = Counter(group[0].placed)
-            covered = fill(spec, sum(demand.tasks for demand in group), open_rooms, placed)
-            left = self._count_group(group, covered, tuning.long_wait)
-            if left:
-                self.waiting += left
-                uncovered.append(replace(group[0], tasks=left, placed=placed))
+            covered = fill(spec, sum(demand.task_count for demand in group), open_rooms, placed)
+            uncovered_count = self._count_group(group, covered, tuning.long_wait)
+            if uncovered_count:
+                self.waiting += uncovered_count
+                uncovered.append(replace(group[0], task_count=uncovered_count, placed=placed))
         return uncovered
 
     def _count_group(self, group: list[Demand], covered: int, long_wait: timedelta) -> int:
-        """Return how many tasks of the demands are not covered; those that wait long are counted."""
-        left = 0
+        """Return how many tasks of the demands are not covered, and add the long-waiting ones to `long_waiting`."""
+        uncovered_count = 0
         for demand in group:
-            taken = min(covered, demand.tasks)
-            covered -= taken
-            left += demand.tasks - taken
+            covered_count = min(covered, demand.task_count)
+            covered -= covered_count
+            uncovered_count += demand.task_count - covered_count
             if demand.waited > long_wait:
-                self.long_waiting += demand.tasks - taken
-        return left
+                self.long_waiting += demand.task_count - covered_count
+        return uncovered_count
 
     def update_trigger(self, now: timedelta, tuning: Tuning) -> None:
-        """Bring the trigger in line with the counts."""
+        """Set the trigger from the counts."""
         is_high = self.waiting >= tuning.waiting_high or self.long_waiting >= tuning.long_waiting_high
         if not is_high:
             if self.trigger is not Trigger.LOW:
-                self._become(Trigger.LOW, now)
+                self._set_trigger(Trigger.LOW, now)
                 self._low_since = now
         elif self.trigger is Trigger.LOW:
-            self._become(Trigger.RISING, now)
+            self._set_trigger(Trigger.RISING, now)
         if self.trigger is Trigger.RISING and now - self._since >= tuning.window:
-            self._become(Trigger.HIGH, now)
+            self._set_trigger(Trigger.HIGH, now)
 
-    def _become(self, trigger: Trigger, now: timedelta) -> None:
+    def _set_trigger(self, trigger: Trigger, now: timedelta) -> None:
         counts = (self.waiting, self.long_waiting)
         log.debug("trigger changed: trigger=%s waiting=%d long_waiting=%d", trigger.value, *counts)
         self.trigger = trigger
@@ -99,7 +99,7 @@
 
 
 def _free_and_booting(machines: list[FleetMachine]) -> list[Room]:
-    """Return what is free, and what booting machines will have."""
+    """Return the free room of machines, and the whole room of machines that still boot."""
     rooms = [machine.room for machine in machines if machine.room is not None]
     rooms += [
         empty_room(machine.machine_type, machine.record.zone, machine.record.spot, machine.host)
@@ -109,10 +109,10 @@
     return rooms
 
 
-def _alike(demands: list[Demand]) -> Iterable[list[Demand]]:
-    """Group demands that the same rooms can serve; jobs with zone rules are each a group of their own."""
+def _group_alike(demands: list[Demand]) -> Iterable[list[Demand]]:
+    """Group demands that the same rooms can serve; each job with zone rules forms a group of its own."""
     groups: dict[Any, list[Demand]] = {}
     for demand in demands:
-        own = demand.spec.job_id if demand.spec.single_zone or demand.spec.spread_zones else None
-        groups.setdefault((needs(demand.spec), own, demand.avoided_hosts), []).append(demand)
+        separate_job = demand.spec.job_id if demand.spec.single_zone or demand.spec.spread_zones else None
+        groups.setdefault((needs(demand.spec), separate_job, demand.avoided_hosts), []).append(demand)
     return groups.values()
--- a/src/ramptide/autoscaling/fleet_manager.py
+++ b/src/ramptide/autoscaling/fleet_manager.py
@@ -1,4 +1,7 @@
-"""The leader's step: what to rent, drain and return, recorded in one transaction before the cloud is called."""
+"""The leader's step: it plans rentals, drains and returns, and records the changes in one transaction.
+
+A rental is sent to the cloud only once it is recorded; a return does not wait for the transaction of its step.
+"""
 
 import logging
 from collections import Counter
@@ -35,12 +38,12 @@
 
 log = logging.getLogger(__name__)
 
-#: The status of a listed machine that is of no use.
+#: The status in the cloud's list of a machine that failed and cannot be used.
 FAILED_STATUS = "failed"
 
 
 class FleetState(Protocol):
-    """What the fleet manager reads of the controller's state, and the counters that it adds to."""
+    """The state of the controller that the fleet manager reads, and the counters that it increments."""
 
     @property
     def tuning(self) -> Tuning:
@@ -52,11 +55,11 @@
 
     @property
     def scheduler(self) -> JobScheduler | None:
-        """The jobs that we schedule; None without a place in the view."""
+        """The scheduler of this controller's jobs; None while this controller is not in the view."""
 
     @property
     def reconciled(self) -> bool:
-        """Whether it is known of all machines what earlier views left on them."""
+        """Whether all machines are reconciled: it is known what earlier views left on them."""
 
     @property
     def machines(self) -> dict[str, MachineRecord]:
@@ -72,7 +75,7 @@
 
     @property
     def counters(self) -> Counter[str]:
-        """Counts for the metrics."""
+        """The counters of the metrics, by name."""
 
     def require_view(self) -> View:
         """Return the current view; raises when there is none."""
@@ -84,13 +87,13 @@
     Parameters
     ----------
     demand, observation
-        What the leader decides by.
+        The waiting tasks and the knowledge of machines on which the leader bases its decisions.
     may_start
-        Tells whether our authority in the view is proven.
+        Returns whether the authority of this controller in the view is proven.
     list_lag
-        How old the cloud's list of machines may be.
+        How far the cloud's list of machines may lag behind the actual machines.
     confirm_timeout
-        How long a cancelled task may be on a silent machine before the machine is returned.
+        How long a cancelled task may remain on a silent machine before the machine is returned.
     """
 
     def __init__(
@@ -123,29 +126,29 @@
         self._cloud_list = CloudList(runtime, state, cloud, list_lag)
         self._requests = RentalRequests(runtime, state, cloud, autoscaler, self._step)
         self._returns = MachineReturns(runtime, state, cloud)
-        #: Whether machine types were read that the key-value store does not have yet.
+        #: Whether machine types were read from the cloud that are not in the key-value store yet.
         self.machine_types_read = False
         self._rental_count = 0
         self._is_writing = False
-        #: Decisions of the last write, when its answer was lost.
+        #: The decisions of the last write if its response was lost.
         self._unconfirmed_decisions: list[MachineDecision] = []
         self._timer: TimerHandle | None = runtime.after(state.tuning.step, self._step)
 
     def new_view(self) -> None:
-        """Start anew in a new view: nothing is rented before a list of machines that is younger than it."""
+        """Reset for a new view, in which nothing is rented before the cloud's list of machines was read again."""
         self._cloud_list.new_view()
         self._unconfirmed_decisions = []
 
     def note_recorded(self, host: str) -> None:
-        """Note since when a machine is in the fleet record, which every controller follows."""
+        """Record since when a machine is in the fleet record, which every controller follows."""
         self._cloud_list.note_recorded(host)
 
     def forget(self, host: str) -> None:
-        """Forget a machine that has left the fleet record."""
+        """Drop what is known of a machine that has left the fleet record."""
         self._cloud_list.forget(host)
         self._returns.forget(host)
 
-    # The step.
+    # The step of the leader.
 
     def _step(self) -> None:
         if self._timer is not None:
@@ -158,7 +161,7 @@
         if self._watch_cache.is_unavailable:
             self._return_unconfirmed()
             return
-        # Before the watch has shown the view, a former leader's last changes may be missing here.
+        # Until the watch has delivered the view, the last changes of a former leader may be missing here.
         if self._is_writing or self._watch_cache.revision < self._membership.view_revision:
             return
         plan = self._plan()
@@ -167,21 +170,21 @@
         self._write(plan)
 
     def _plan(self) -> ScalingPlan:
-        """Decide by what is known now.
+        """Return the autoscaler's decisions for the present state.
 
-        Nothing is rented before a new leader has rebuilt what it knows from heartbeats and a fresh list. Lost machines
-        are returned meanwhile: the answer proves them gone, and that reconciles them.
+        A new leader rents nothing until all machines are reconciled and it has read the cloud's list. It returns lost
+        machines meanwhile: the response to a return proves a machine gone, which reconciles it.
         """
         self.autoscaler.tuning = self._state.tuning
         machines = self._observation.machines(self._cloud_list.statuses(), self._cloud_list.missing)
-        is_rebuilt = self._state.reconciled and self._cloud_list.has_been_read
+        is_state_complete = self._state.reconciled and self._cloud_list.has_been_read
         demands, machine_types = self._demand.demands(), self._state.machine_types.values()
-        return self.autoscaler.step(self._runtime.now, demands, machines, machine_types, is_rebuilt)
+        return self.autoscaler.step(self._runtime.now, demands, machines, machine_types, is_state_complete)
 
     def _return_unconfirmed(self) -> None:
         """Return machines on which a cancelled task may still run, during an outage of the key-value store.
 
-        Nothing can be written then, but the time limit of a cancellation that was confirmed before passes all the same.
+        Nothing can be written then, but the deadline of a cancellation that was confirmed before still holds.
         """
         if not self._may_start():
             return
@@ -189,10 +192,10 @@
         unconfirmed_for = self._machine_index.unconfirmed_for
         self._returns.return_machines(host for host in self._state.machines if unconfirmed_for(host, now) > timeout)
 
-    # The record.
+    # The fleet record.
 
     def _write(self, plan: ScalingPlan) -> None:
-        """Write the step's one transaction; it depends on the view, so that a former leader writes nothing."""
+        """Commit the step's transaction, conditional on the view's revision, so that a former leader writes nothing."""
         self._log_unconfirmed()
         edits = self._edits(plan)
         transaction = Transaction(conditions={VIEW_KEY: self._membership.view_revision})
@@ -200,12 +203,12 @@
             self.machine_types_read = False
             machine_types = [msgspec.to_builtins(machine_type) for machine_type in self._state.machine_types.values()]
             transaction.puts.append(Put(MACHINE_TYPES_KEY, machine_types))
-        fitting = self._add_records(transaction, edits.records)
+        fitting_ids = self._add_records(transaction, edits.records)
         if transaction.size:
-            self._commit(transaction, written(edits.decisions, fitting))
+            self._commit(transaction, written(edits.decisions, fitting_ids))
 
     def _edits(self, plan: ScalingPlan) -> FleetEdits:
-        """Return the changes of the fleet record: results of requests, the plan, and machines that nobody recorded."""
+        """Return the changes to the fleet record: results of requests, the plan, and machines in no record."""
         view, state = self._state.require_view(), self._state
         edits = FleetEdits(state.rentals, state.machines)
         requested = {rental_id: rental for rental_id, rental in state.rentals.items() if rental.machines is None}
@@ -213,7 +216,7 @@
         for rental_id, hosts in self._requests.rented.items():
             edits.add_rented(rental_id, requested[rental_id], hosts, view.number)
         edits.delete(self._requests.refused)
-        edits.change_machines(self._newly_up(), plan, self._returns.gone)
+        edits.change_machines(self._unregistered_up_hosts(), plan, self._returns.gone)
         if plan.rent is not None:
             self._rental_count += 1
             rental_id = f"r-{view.number}-{self._membership.incarnation}-{self._rental_count}"
@@ -221,8 +224,8 @@
         self._adopt_unexpected(edits, view.number)
         return edits
 
-    def _newly_up(self) -> list[str]:
-        """Return the machines whose first heartbeat is not recorded yet."""
+    def _unregistered_up_hosts(self) -> list[str]:
+        """Return the machines that have come up and are not recorded as registered yet."""
         observed = self._machine_index.machines
         return [
             host
@@ -231,7 +234,7 @@
         ]
 
     def _adopt_unexpected(self, edits: FleetEdits, view: int) -> None:
-        """Record machines that nobody recorded and that send heartbeats, or have been listed for long."""
+        """Record machines in no record that send heartbeats, or that the cloud has listed for long enough."""
         wall_s = self._runtime.wall().timestamp()
         for host, kind in self._observation.unrecorded_machines().items():
             if self._is_unexpected(host):
@@ -242,28 +245,29 @@
                 edits.adopt(machine.host, RentalRecord(*kind, wall_s - machine.age_s, created_in_view=view))
 
     def _is_unexpected(self, host: str) -> bool:
-        """Tell whether no record and no request accounts for a machine.
+        """Return whether neither the fleet record nor a rental request accounts for a machine.
 
-        Names are not given twice: what was returned for sure is gone, whatever late heartbeats and old lists show.
+        The cloud does not reuse names: a machine that was returned is gone, even if late heartbeats and old lists show
+        it.
         """
         if self._returns.was_returned(host) or host in self._state.machines:
             return False
         return host not in self._requests.rented_hosts() and not self._requests.has_requests_in_flight
 
     def _add_records(self, transaction: Transaction, records: dict[str, RentalRecord | None]) -> set[str]:
-        """Add the records that fit, and return which; what does not fit is found again by the next step."""
-        fitting: set[str] = set()
+        """Add the records that fit into the transaction and return their ids; the next step finds the others again."""
+        fitting_ids: set[str] = set()
         for rental_id, record in records.items():
             if transaction.size >= self._store.limits.max_transaction_operations:
                 break
-            fitting.add(rental_id)
+            fitting_ids.add(rental_id)
             key = RENTAL_PREFIX + rental_id
             transaction.conditions[key] = self._watch_cache.mod_revision(key)
             if record is None:
                 transaction.deletes.append(key)
             else:
                 transaction.puts.append(Put(key, to_value(record)))
-        return fitting
+        return fitting_ids
 
     def _commit(self, transaction: Transaction, decisions: list[MachineDecision]) -> None:
         self._is_writing = True
@@ -277,11 +281,11 @@
             self._watch_cache.apply_commit(transaction, result.commit_revision)
             self._requests.send_recorded()
 
-        # A few changes a second that all else waits for: they do not queue behind the users' commits.
+        # The fleet's few writes per second do not queue behind the users' commits, as all else waits for them.
         self._store.commit(transaction, on_result, CallPriority.LEASE)
 
     def _log_unconfirmed(self) -> None:
-        """Log the decisions of a write whose answer was lost, if the records show that it was applied."""
+        """Log the decisions of a write whose response was lost, if the records show that it was applied."""
         machines = self._state.machines
         unconfirmed, self._unconfirmed_decisions = self._unconfirmed_decisions, []
-        log_decisions(decision for decision in unconfirmed if decision.shown_by(machines.get(decision.host)))
+        log_decisions(decision for decision in unconfirmed if decision.is_shown_in(machines.get(decision.host)))
--- a/src/ramptide/autoscaling/fleet_observation.py
+++ b/src/ramptide/autoscaling/fleet_observation.py
@@ -1,4 +1,4 @@
-"""What the leader knows of each machine in the fleet record, put together for a step of the autoscaler."""
+"""The leader's knowledge of each machine in the fleet record, collected for a step of the autoscaler."""
 
 from collections.abc import Callable, Iterable, Mapping
 from datetime import timedelta
@@ -22,19 +22,21 @@
 __all__ = ["FleetObservation"]
 
 NO_TIME = timedelta(0)
-#: So many silent machines, or such a share of the fleet, are returned at once rather than that a new view waits for the
-#: end of their leases.
-MAX_RETURNED_SILENT, MAX_RETURNED_SILENT_SHARE = 3, 0.05
-#: The last ones that did not see our token may be fewer, as they may be healthy, and are waited for so many heartbeats.
-LAST_MACHINES_SHARE, LAST_MACHINES_HEARTBEATS = 0.01, 2
+#: Up to this number of silent machines, or this part of the fleet if that is more, are returned at once, so that a new
+#: view does not wait for the end of their leases.
+MAX_RETURNED_SILENT, MAX_RETURNED_SILENT_RATIO = 3, 0.05
+#: Machines that have not seen the view's fencing token may be healthy. They are returned only if no more machines than
+#: this part of the fleet, or `MAX_RETURNED_SILENT`, are unreconciled more than this number of heartbeat intervals after
+#: earlier views were fenced.
+MAX_RETURNED_UNSEEN_RATIO, MAX_UNSEEN_HEARTBEATS = 0.01, 2
 
 
 class ObservationState(Protocol):
-    """What the leader's knowledge of machines is put together from."""
+    """The state of the controller from which the knowledge of machines is collected."""
 
     @property
     def jobs(self) -> dict[str, Job]:
-        """The jobs that are not over."""
+        """The jobs that are not finished, by id."""
 
     @property
     def machines(self) -> dict[str, MachineRecord]:
@@ -46,19 +48,19 @@
 
     @property
     def view_since(self) -> timedelta:
-        """When this controller took the view."""
+        """When this controller adopted the view."""
 
     @property
     def reconciled(self) -> bool:
-        """Whether it is known of all machines what earlier views left on them."""
+        """Whether all machines are reconciled: it is known what earlier views left on them."""
 
     @property
     def shard(self) -> Shard | None:
-        """The machines that we own; None without a place in the view."""
+        """The machines that this controller owns; None while this controller is not in the view."""
 
     @property
     def scheduler(self) -> JobScheduler | None:
-        """The jobs that we schedule; None without a place in the view."""
+        """The scheduler of this controller's jobs; None while this controller is not in the view."""
 
     def owner_of(self, host: str) -> str:
         """Return the member that owns a machine."""
@@ -70,9 +72,9 @@
     Parameters
     ----------
     unreconciled_machines
-        Returns the machines whose state in this view is not known yet, each with the reason.
+        Returns the machines that are not reconciled in this view yet, each with the reason.
     others_fenced_at
-        Returns when no member of an earlier view can reply to agents any more; None while that is not known.
+        Returns the moment after which no member of an earlier view can reply to agents; None while it is not known.
     """
 
     def __init__(
@@ -96,22 +98,22 @@
         self._heartbeat_interval = heartbeat_interval
 
     def machines(self, cloud_statuses: Mapping[str, str], missing: Iterable[str]) -> list[FleetMachine]:
-        """Return what is known of every machine in the fleet record.
+        """Return a description of every machine in the fleet record.
 
-        `cloud_statuses`: the status of machines in the cloud's list. `missing`: machines that the list lacks.
+        `cloud_statuses`: the status of each machine in the cloud's list. `missing`: machines that the list lacks.
         """
         now, wall_s = self._runtime.now, self._runtime.wall().timestamp()
         self._room_finder.refresh()
         rooms = {room.host: room for room in self._room_finder.rooms()}
         unlisted = set(missing)
-        holding_up = self._holding_up_view(now)
+        blocking = self._machines_blocking_reconciliation(now)
         found = []
         for host, record in self._state.machines.items():
             age = timedelta(seconds=max(0.0, wall_s - record.requested_timestamp))
             machine = self._describe(host, record, rooms.get(host), age)
             machine.cloud_status = cloud_statuses.get(host)
             machine.is_listed = host not in unlisted
-            machine.holds_up_view = host in holding_up
+            machine.blocks_reconciliation = host in blocking
             found.append(machine)
         return found
 
@@ -119,7 +121,7 @@
         now = self._runtime.now
         observed = self._machine_index.machines.get(host) or ObservedMachine()
         is_indexed = host in self._machine_index.machines
-        # Only its owner can tell that it is silent: not to hear the owner says nothing of the machine.
+        # Only its owner's messages show that a machine is silent; silence of the owner says nothing about the machine.
         is_silent = observed.is_reported and observed.missed_heartbeats
         unreachable_since, preempted_at = observed.unreachable_since, observed.preempted_at
         return FleetMachine(
@@ -145,31 +147,36 @@
         scheduler = self._state.scheduler
         return len(scheduler.attempts.get(host, ())) if scheduler is not None else 0
 
-    def _holding_up_view(self, now: timedelta) -> set[str]:
-        """Return the few machines that a new view waits for and that are returned rather than waited for.
+    def _machines_blocking_reconciliation(self, now: timedelta) -> set[str]:
+        """Return the machines that a new view would wait for and that are returned instead, as they are few.
 
-        These are silent ones, or the very last that did not send a heartbeat in time. On a large fleet some machine has
-        nearly always just failed.
+        These are silent machines, and the last ones whose agents have not seen the fencing token in time. On a large
+        fleet some machine has nearly always just failed.
         """
         unreconciled = {} if self._state.reconciled else self._unreconciled_machines()
-        fleet = len(self._state.machines)
+        fleet_size = len(self._state.machines)
         silent = {host for host, reason in unreconciled.items() if reason == MISSED_HEARTBEATS}
-        found = silent if len(silent) <= max(MAX_RETURNED_SILENT, fleet * MAX_RETURNED_SILENT_SHARE) else set()
-        are_few = bool(unreconciled) and len(unreconciled) <= max(MAX_RETURNED_SILENT, fleet * LAST_MACHINES_SHARE)
+        found = silent if len(silent) <= max(MAX_RETURNED_SILENT, fleet_size * MAX_RETURNED_SILENT_RATIO) else set()
+        are_few = bool(unreconciled) and len(unreconciled) <= max(
+            MAX_RETURNED_SILENT, fleet_size * MAX_RETURNED_UNSEEN_RATIO
+        )
         fenced_at = self._others_fenced_at() if are_few else None
-        if fenced_at is not None and now - fenced_at > self._heartbeat_interval * LAST_MACHINES_HEARTBEATS:
-            # Nobody else replies to them any more, so they would have found their owners.
+        if fenced_at is not None and now - fenced_at > self._heartbeat_interval * MAX_UNSEEN_HEARTBEATS:
+            # No other controller replies to them any more, so a healthy machine would have found its owner.
             found |= {host for host, reason in unreconciled.items() if reason == TOKEN_NOT_SEEN}
         return found
 
     def _services(self, observed: ObservedMachine) -> list[JobSpec]:
-        """Return what runs there when that is services only, else nothing; tasks of finished jobs don't count."""
+        """Return the specifications of the services on a machine, or nothing if other tasks run there as well.
+
+        Tasks of finished jobs do not count.
+        """
         jobs = (self._state.jobs.get(row[0]) for row in observed.tasks if row[3] not in FINISHED_PHASE_NAMES)
         found = [job.spec for job in jobs if job is not None]
         return found if all(spec.kind == SERVICE for spec in found) else []
 
     def unrecorded_machines(self) -> dict[str, tuple[str, str, bool]]:
-        """Return type, zone and kind (spot or not) of machines that send heartbeats and are not in the fleet record."""
+        """Return the type, the zone and whether it is spot of each machine in no record that sends heartbeats."""
         shard = self._state.shard
         found = shard.unrecorded_machines() if shard is not None else {}
         for message in self._peers.last_messages():
--- a/src/ramptide/autoscaling/fleet_types.py
+++ b/src/ramptide/autoscaling/fleet_types.py
@@ -1,4 +1,4 @@
-"""What a step of the autoscaler is given, and what it returns."""
+"""The types of the arguments and of the result of a step of the autoscaler."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -11,9 +11,9 @@
 from ramptide.state.records import MachineRecord
 
 __all__ = [
-    "DEAD_REASONS",
     "GONE",
     "IDLE",
+    "IMMEDIATE_RETURN_REASONS",
     "NEVER_UP",
     "PREEMPTED",
     "QUARANTINED",
@@ -29,7 +29,7 @@
 
 NO_TIME = timedelta(0)
 
-# Why machines drain, as the fleet record, the status and the log say.
+# Reasons for draining a machine, as they stand in the fleet record, the status and the log.
 GONE = "gone"
 IDLE = "idle"
 NEVER_UP = "never up"
@@ -39,12 +39,12 @@
 UNCONFIRMED = "unproven"
 UNDERUTILIZED = "thin"
 UNREACHABLE = "deaf"
-#: Nothing that runs there is waited for.
-DEAD_REASONS = frozenset({GONE, SILENT, UNREACHABLE, NEVER_UP, PREEMPTED, UNCONFIRMED})
+#: Reasons for which a machine is returned without waiting for its tasks.
+IMMEDIATE_RETURN_REASONS = frozenset({GONE, SILENT, UNREACHABLE, NEVER_UP, PREEMPTED, UNCONFIRMED})
 
 
 class MachineKind(NamedTuple):
-    """What can be rented: a machine type in a zone, as a spot instance or not."""
+    """A kind of machine that can be rented: a machine type in a zone, as a spot instance or not."""
 
     machine_type: str
     zone: str
@@ -53,34 +53,38 @@
 
 @dataclass(slots=True)
 class FleetMachine:
-    """What the leader knows of a rented machine.
+    """The leader's knowledge of a rented machine.
 
     Attributes
     ----------
     age
         How long ago it was requested.
     silent_for, unreachable_for
-        For how long its owner has heard nothing of it, or our replies have not reached it; zero if that is not so.
+        For how long its owner has received no heartbeat from it, or its owner's replies have not reached it; zero if
+        that is not so.
     preempted_in
-        The time until the cloud takes it back; None without a notice.
-    accusing_jobs
-        Jobs that failed there and do well elsewhere.
+        The time until the cloud preempts it; None without a preemption notice.
+    fault_indicating_job_count
+        The number of jobs that failed there and succeed or run elsewhere.
+    task_count
+        The number of its active tasks in its owner's report, plus the attempts there of the leader's own scheduler.
     consecutive_failures
-        Jobs that failed there with nothing done since, whosever fault it was.
+        The number of different jobs that failed there with no success since, whether the machine or the jobs are at
+        fault.
     unconfirmed_for
-        How long a task of a job that is over may have been there with no heartbeat to show it gone.
+        How long a task of a finished job may have been there with no heartbeat to show it gone.
     room
-        What is free there; None if it takes no tasks.
+        What is free there; None if it accepts no tasks.
     is_drained
-        Whether it drains and runs nothing any more.
+        Whether it is draining and runs nothing any more.
     cloud_status
-        The status in the cloud's list; None if that does not show it.
+        Its status in the cloud's list; None if the list does not show it.
     is_listed
         False if the cloud's list proves it gone.
-    holds_up_view
-        Whether a new view waits for it and is better off without it.
+    blocks_reconciliation
+        Whether a new view waits for it to be reconciled, and it is to be returned instead.
     services
-        What runs there, when that is services only.
+        The specifications of the services there; empty if other tasks run there as well.
     """
 
     host: str
@@ -98,7 +102,7 @@
     is_listed: bool = True
     unreachable_for: timedelta = NO_TIME
     unconfirmed_for: timedelta = NO_TIME
-    holds_up_view: bool = False
+    blocks_reconciliation: bool = False
     owner: str = ""
     consecutive_failures: int = 0
     services: list[JobSpec] = field(default_factory=list)
@@ -110,29 +114,38 @@
 
     @property
     def is_booting(self) -> bool:
-        """Whether it was rented and nothing can have been started on it yet."""
+        """Whether the machine was rented and no task can have been started on it yet."""
         return not (self.is_up and self.record.registered)
 
     @property
     def price(self) -> float:
-        """The price of its type per hour; 0 for a type that the cloud does not name any more."""
+        """The price of its type per hour; 0 for a type that the cloud no longer lists."""
         return self.machine_type.price if self.machine_type is not None else 0.0
 
     @property
     def service_cpus(self) -> float:
-        """The CPUs that its services hold."""
+        """The number of CPUs that its services hold."""
         return sum(spec.cpus for spec in self.services)
 
 
 @dataclass(slots=True)
 class Demand:
-    """Tasks of one job that wait and that its team's limit lets run.
+    """Waiting tasks of one job that its team's limit lets run.
 
-    `placed`: how many tasks of the job run in each zone. `avoided_hosts`: machines whose room does not count for it.
+    Attributes
+    ----------
+    task_count
+        The number of these tasks.
+    waited
+        How long they have waited.
+    placed
+        The number of the job's tasks in each zone.
+    avoided_hosts
+        Machines whose room does not count for the job.
     """
 
     spec: JobSpec
-    tasks: int
+    task_count: int
     waited: timedelta
     placed: Counter[str]
     avoided_hosts: frozenset[str] = frozenset()
@@ -140,16 +153,16 @@
 
 @dataclass(slots=True)
 class ScalingPlan:
-    """What one step decided.
+    """The decisions of one step.
 
     Attributes
     ----------
     rent, count
-        The kind of machines to rent, None for none, and how many.
+        The kind of machine to rent, or None, and how many of it.
     drain
-        Machines to drain, each with the reason.
+        Machines to drain, with the reasons.
     keep
-        Machines that drained as idle and stay after all.
+        Machines that were draining as idle and are kept after all.
     return_now
         Machines to return to the cloud.
     """
--- a/src/ramptide/autoscaling/idle_pool.py
+++ b/src/ramptide/autoscaling/idle_pool.py
@@ -1,4 +1,4 @@
-"""The idle machines that are kept ready, and those that are idle for long enough to go. Pure."""
+"""The choice of idle machines to keep ready, and of machines that were idle for long enough to drain. No I/O."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -10,14 +10,14 @@
 
 __all__ = ["IdlePool"]
 
-#: Uses of images that are remembered before all lose half of their weight.
+#: The number of counted image uses above which all counts are halved.
 MAX_IMAGE_USES = 400
 
 
 class IdlePool:
-    """Keeps a few idle machines that hold the images used most recently.
+    """Keeps a few idle machines ready that have cached the images used most recently.
 
-    `hosts`: the machines that are kept, as of the last step; `wanted_size`: how many should be.
+    `hosts`: the machines that are kept, as of the last step; `wanted_size`: how many are to be kept.
     """
 
     def __init__(self) -> None:
@@ -26,39 +26,39 @@
         self._image_uses: Counter[str] = Counter()
         self._idle_since: dict[str, timedelta] = {}
 
-    def note_image_use(self, image: str) -> None:
-        """Count a use of an image; old uses lose weight as new ones come."""
+    def record_image_use(self, image: str) -> None:
+        """Count a use of an image; the weight of old uses decreases as new ones are counted."""
         self._image_uses[image] += 1
         if sum(self._image_uses.values()) > MAX_IMAGE_USES:
             self._image_uses = Counter({name: count // 2 for name, count in self._image_uses.items() if count > 1})
 
-    def choose(self, now: timedelta, machines: list[FleetMachine], tuning: Tuning) -> None:
-        """Choose the idle machines to keep, and note since when each machine is idle."""
+    def update(self, now: timedelta, machines: list[FleetMachine], tuning: Tuning) -> None:
+        """Choose the idle machines to keep, and record since when each machine is idle."""
         idle = {machine.host: machine for machine in machines if _is_idle(machine)}
-        ordinary = {host for host, machine in idle.items() if not machine.record.spot}
+        non_spot = {host for host, machine in idle.items() if not machine.record.spot}
         self._idle_since = {host: self._idle_since.get(host, now) for host in idle}
-        up = sum(machine.is_up and not machine.is_draining for machine in machines)
-        self.wanted_size = max(tuning.pool_size, round(up * tuning.pool_share))
-        self.hosts = sorted(ordinary, key=lambda host: self._preference(idle[host], tuning))[: self.wanted_size]
+        up_count = sum(machine.is_up and not machine.is_draining for machine in machines)
+        self.wanted_size = max(tuning.pool_size, round(up_count * tuning.pool_share))
+        self.hosts = sorted(non_spot, key=lambda host: self._preference(idle[host], tuning))[: self.wanted_size]
 
     def _preference(self, machine: FleetMachine, tuning: Tuning) -> tuple[bool, int, float, str]:
-        """Return the sort key of an idle machine, the best to keep lowest."""
-        images = sum(self._image_uses[image] for image in machine.room.images) if machine.room is not None else 0
-        # Where all fails it may be the jobs' fault, but a machine that is not in doubt is the better one to keep.
-        is_in_doubt = machine.consecutive_failures >= tuning.sick_jobs
-        return (is_in_doubt, -images, machine.price, machine.host)
+        """Return the sort key of an idle machine, lowest for the best one to keep."""
+        image_uses = sum(self._image_uses[image] for image in machine.room.images) if machine.room is not None else 0
+        # The failures may be the jobs' fault, but a machine without them is the better one to keep.
+        has_many_failures = machine.consecutive_failures >= tuning.sick_jobs
+        return (has_many_failures, -image_uses, machine.price, machine.host)
 
     def is_short(self, machines: list[FleetMachine]) -> bool:
-        """Tell whether the pool lacks machines, those that boot included."""
+        """Return whether the pool has too few machines, with booting non-spot machines counted in."""
         booting = sum(not machine.is_up and not machine.record.spot and not machine.is_draining for machine in machines)
         return len(self.hosts) + booting < self.wanted_size
 
     def idle_for_long(
         self, now: timedelta, machines: list[FleetMachine], tuning: Tuning, usable_by: list[Demand] | None
     ) -> Iterator[str]:
-        """Yield the machines beyond the pool that were idle for the cooldown.
+        """Yield the machines outside the pool that have been idle for the cooldown.
 
-        `usable_by`: without those that one of these demands could use; None to yield all.
+        `usable_by`: machines that one of these demands could use are left out; None to yield all.
         """
         for machine in machines:
             since = self._idle_since.get(machine.host)
@@ -73,7 +73,7 @@
 
 
 def _is_usable(machine: FleetMachine, demands: list[Demand]) -> bool:
-    """Tell whether a waiting task could run on the machine, were its room not kept for others."""
+    """Return whether a waiting task would fit on the empty machine, whatever its room is kept for."""
     machine_type, record = machine.machine_type, machine.record
     if machine_type is None:
         return False
--- a/src/ramptide/autoscaling/machine_choice.py
+++ b/src/ramptide/autoscaling/machine_choice.py
@@ -1,4 +1,4 @@
-"""Which kind of machine to rent, and how many. Pure."""
+"""The choice of the kind of machine to rent, and of how many. No I/O."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -17,19 +17,19 @@
 NO_TIME = timedelta(0)
 FIRST_REFUSAL_PAUSE = timedelta(seconds=5)
 MAX_REFUSAL_PAUSE = timedelta(seconds=40)
-# A GPU is worth about a dozen CPUs, and a GB a fiftieth of one; only the order of magnitude matters.
-GPU_WEIGHT, RAM_GB_WEIGHT = 12.0, 0.02
+# The number of CPUs that one GPU and one GB of memory count as; only the order of magnitude matters.
+GPU_WEIGHT_CPUS, RAM_GB_WEIGHT_CPUS = 12.0, 0.02
 
 
 class _RefusalPause(NamedTuple):
-    """A kind that the cloud had no capacity for: when it may be tried again, and how long the pause is."""
+    """The pause after a refusal of a kind: when the kind may be tried again, and the length of the pause."""
 
     until: timedelta
     length: timedelta
 
 
 class _Offer(NamedTuple):
-    """A kind that may be rented now, with its price per hour."""
+    """A kind of machine that may be rented now, with its price per hour."""
 
     machine_type: MachineType
     zone: str
@@ -42,19 +42,19 @@
 
 
 class MachineChoice:
-    """Chooses among the kinds that the cloud did not refuse lately."""
+    """Chooses among the kinds of machines that are not paused after a refusal."""
 
     def __init__(self) -> None:
         self._refusals: dict[MachineKind, _RefusalPause] = {}
 
-    def note_refusal(self, kind: MachineKind, now: timedelta) -> None:
-        """Note that there was no capacity: the kind is not tried for a while, longer after each refusal."""
-        before = self._refusals[kind].length if kind in self._refusals else FIRST_REFUSAL_PAUSE / 2
-        pause = min(before * 2, MAX_REFUSAL_PAUSE)
+    def record_refusal(self, kind: MachineKind, now: timedelta) -> None:
+        """Record that the cloud had no capacity for a kind: it is not tried for a while, longer after each refusal."""
+        previous_length = self._refusals[kind].length if kind in self._refusals else FIRST_REFUSAL_PAUSE / 2
+        pause = min(previous_length * 2, MAX_REFUSAL_PAUSE)
         self._refusals[kind] = _RefusalPause(now + pause, pause)
 
-    def note_rental(self, kind: MachineKind) -> None:
-        """Note that machines of the kind could be rented, which ends the pause after refusals."""
+    def record_rental(self, kind: MachineKind) -> None:
+        """Record that machines of a kind were rented, which ends the pause after refusals."""
         self._refusals.pop(kind, None)
 
     def _offers(self, now: timedelta, machine_types: Iterable[MachineType]) -> Iterator[_Offer]:
@@ -65,13 +65,13 @@
                     if refusal is None or refusal.until <= now:
                         yield _Offer(machine_type, zone, spot, price)
 
-    def cheapest(
+    def choose_cheapest(
         self, now: timedelta, uncovered: list[Demand], machine_types: Iterable[MachineType], tuning: Tuning
     ) -> MachineKind | None:
-        """Return the kind with the lowest price for the work that it would take, its boot included."""
+        """Return the kind with the lowest price for the waiting work that it would run, its boot time included."""
         best: tuple[float, MachineKind] | None = None
         for offer in self._offers(now, machine_types):
-            work = _work_taken(offer, uncovered)
+            work = _fitting_work(offer, uncovered)
             if work <= 0:
                 continue
             boot = timedelta(seconds=offer.machine_type.boot_s)
@@ -80,8 +80,8 @@
                 best = (cost, offer.kind)
         return best[1] if best is not None else None
 
-    def for_pool(self, now: timedelta, machine_types: Iterable[MachineType]) -> MachineKind | None:
-        """Return the cheapest kind that is not spot, for the idle pool; None when none can be had."""
+    def choose_for_pool(self, now: timedelta, machine_types: Iterable[MachineType]) -> MachineKind | None:
+        """Return the cheapest kind that is not spot, for the idle pool; None if no such kind may be rented now."""
         offers = [(offer.price, offer.kind) for offer in self._offers(now, machine_types) if not offer.spot]
         return min(offers)[1] if offers else None
 
@@ -91,37 +91,37 @@
     ) -> int:
         """Return how many machines of the kind to rent in this step.
 
-        One is the rule; while the waiting tasks would fill more, as they do with hundreds of machines, a step rents
-        several, up to `max_count`.
+        It is the number of machines to which waiting tasks would be assigned, up to `max_count`: where hundreds of
+        machines are needed, a step rents several.
         """
         if kind is None:
             return 0
-        machine_type = next((one for one in machine_types if one.name == kind.machine_type), None)
+        machine_type = next((candidate for candidate in machine_types if candidate.name == kind.machine_type), None)
         if machine_type is None:
             return 0
-        # What earlier machines of the step would take counts for the zone rules of the later ones.
-        left = [replace(demand, placed=Counter(demand.placed)) for demand in uncovered]
+        # Tasks assigned to earlier machines of the step count for the zone rules when a later machine is filled.
+        remaining = [replace(demand, placed=Counter(demand.placed)) for demand in uncovered]
         for count in range(max_count):
             room = empty_room(machine_type, kind.zone, kind.spot)
-            taken = 0
-            for demand in left:
-                found = fill(demand.spec, demand.tasks, [room], demand.placed)
-                demand.tasks -= found
-                taken += found
-            if not taken:
+            assigned_count = 0
+            for demand in remaining:
+                fitting_count = fill(demand.spec, demand.task_count, [room], demand.placed)
+                demand.task_count -= fitting_count
+                assigned_count += fitting_count
+            if not assigned_count:
                 return count
         return max_count
 
 
-def _work_taken(offer: _Offer, uncovered: list[Demand]) -> float:
-    """Return how much of the waiting work a machine of the kind would take."""
+def _fitting_work(offer: _Offer, uncovered: list[Demand]) -> float:
+    """Return the weighted amount of waiting work that would fit on one machine of the kind."""
     room = empty_room(offer.machine_type, offer.zone, offer.spot)
     work = 0.0
     for demand in uncovered:
-        work += fill(demand.spec, demand.tasks, [room], Counter(demand.placed)) * _weight(demand.spec)
+        work += fill(demand.spec, demand.task_count, [room], Counter(demand.placed)) * _weight(demand.spec)
     return work
 
 
 def _weight(spec: JobSpec) -> float:
-    """Return a task's weight when the prices of kinds are compared: its CPUs, GPUs and memory as CPUs."""
-    return spec.cpus + spec.gpus * GPU_WEIGHT + spec.ram_gb * RAM_GB_WEIGHT
+    """Return the weight of a task for the comparison of prices: its CPUs, with GPUs and memory converted to CPUs."""
+    return spec.cpus + spec.gpus * GPU_WEIGHT_CPUS + spec.ram_gb * RAM_GB_WEIGHT_CPUS
--- a/src/ramptide/autoscaling/machine_decisions.py
+++ b/src/ramptide/autoscaling/machine_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions about machines, logged once their records are written."""
+"""The leader's decisions about machines, which are logged once their records are written."""
 
 import logging
 from collections.abc import Collection, Iterable
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineDecision:
-    """What a step of the leader decided about a machine.
+    """A decision of one step of the leader about one machine.
 
-    `rental_id`: the rental whose record is to contain it. `drain_reason`: the reason that the record is to give.
+    `rental_id`: the rental whose record is to contain the machine. `drain_reason`: the drain reason in that record.
     """
 
     host: str
@@ -23,24 +23,24 @@
     zone: str
     rental_id: str
     drain_reason: str | None
-    #: Why it drains, or what else becomes of it.
+    #: The drain reason or another outcome, as it is logged.
     outcome: str
 
-    def shown_by(self, record: MachineRecord | None) -> bool:
-        """Tell whether the machine's record shows the decision."""
+    def is_shown_in(self, record: MachineRecord | None) -> bool:
+        """Return whether the machine's record shows the decision."""
         return record is not None and record.rental_id == self.rental_id and record.drain_reason == self.drain_reason
 
 
 def written(decisions: Iterable[MachineDecision], rentals: Collection[str]) -> list[MachineDecision]:
-    """Return the decisions whose records are among `rentals`."""
+    """Return the decisions whose records are those of `rentals`."""
     return [decision for decision in decisions if decision.rental_id in rentals]
 
 
 def log_decisions(decisions: Iterable[MachineDecision]) -> None:
-    """Log one line for all machines of a kind that have the same outcome, as there may be hundreds at once."""
-    together: dict[tuple[str, str, str], list[str]] = {}
+    """Log one line for all machines of a type and zone with the same outcome, as there may be hundreds at once."""
+    hosts_by_outcome: dict[tuple[str, str, str], list[str]] = {}
     for decision in decisions:
-        together.setdefault((decision.machine_type, decision.zone, decision.outcome), []).append(decision.host)
-    for (machine_type, zone, outcome), hosts in together.items():
+        hosts_by_outcome.setdefault((decision.machine_type, decision.zone, decision.outcome), []).append(decision.host)
+    for (machine_type, zone, outcome), hosts in hosts_by_outcome.items():
         names = ", ".join(hosts)
         log.info("machines decided: hosts=%r machine_type=%s zone=%s outcome=%r", names, machine_type, zone, outcome)
--- a/src/ramptide/autoscaling/machine_returns.py
+++ b/src/ramptide/autoscaling/machine_returns.py
@@ -1,4 +1,4 @@
-"""The return of machines to the cloud: its answer proves that they and all on them are gone."""
+"""The return of machines to the cloud, whose response proves that they and everything on them are gone."""
 
 import logging
 from collections import Counter
@@ -14,12 +14,13 @@
 
 log = logging.getLogger(__name__)
 
-#: Names are not given twice, and what shows a machine later than this after its return is no late message any more.
-RETURNED_KEPT = timedelta(hours=1)
+#: How long returned machines are remembered: late messages that show them arrive within this time, and the cloud does
+#: not reuse names.
+RETURNED_RETENTION = timedelta(hours=1)
 
 
 class ReturnState(Protocol):
-    """The fleet record, and the counters that returns add to."""
+    """The fleet record, and the counters that returns increment."""
 
     @property
     def machines(self) -> dict[str, MachineRecord]:
@@ -27,13 +28,13 @@
 
     @property
     def counters(self) -> Counter[str]:
-        """Counts for the metrics."""
+        """The counters of the metrics, by name."""
 
 
 class MachineReturns:
-    """Returns machines, and remembers which are gone.
+    """Returns machines to the cloud, and remembers which are gone.
 
-    `gone`: machines that are surely gone and that the fleet record still has.
+    `gone`: machines that are certainly gone and are still in the fleet record.
     """
 
     def __init__(self, runtime: Runtime, state: ReturnState, cloud: CloudClient) -> None:
@@ -42,20 +43,20 @@
         self._cloud = cloud
         self._in_flight: set[str] = set()
         self.gone: set[str] = set()
-        #: When machines were returned, the latest last.
+        #: When each machine was returned, in the order of the returns.
         self._returned_at: dict[str, timedelta] = {}
 
     def forget(self, host: str) -> None:
-        """Forget a machine that has left the fleet record."""
+        """Drop a machine that has left the fleet record from `gone` and from the returns in flight."""
         self.gone.discard(host)
         self._in_flight.discard(host)
 
     def was_returned(self, host: str) -> bool:
-        """Tell whether a machine was returned: late heartbeats and old lists that show it mean nothing."""
+        """Return whether a machine was returned, so that late heartbeats and old lists that show it mean nothing."""
         return host in self._returned_at
 
     def return_machines(self, wanted: Iterable[str]) -> None:
-        """Return machines, as many as one call takes; those on their way or gone are left out."""
+        """Return machines, up to the limit of one call; those that are being returned or gone are left out."""
         hosts = [host for host in wanted if host not in self._in_flight and host not in self.gone]
         hosts = hosts[:MAX_RETURNS_PER_CALL]
         if not hosts:
@@ -67,13 +68,13 @@
             if is_done:
                 log.info("machines returned: hosts=%r", ", ".join(hosts))
                 self.gone.update(host for host in hosts if host in self._state.machines)
-                self._note_returned(hosts)
+                self._record_returned(hosts)
                 self._state.counters["returns"] += len(hosts)
 
         self._cloud.return_machines(hosts, on_returned)
 
-    def _note_returned(self, hosts: list[str]) -> None:
+    def _record_returned(self, hosts: list[str]) -> None:
         now = self._runtime.now
         self._returned_at |= dict.fromkeys(hosts, now)
-        while now - self._returned_at[oldest := next(iter(self._returned_at))] > RETURNED_KEPT:
+        while now - self._returned_at[oldest := next(iter(self._returned_at))] > RETURNED_RETENTION:
             del self._returned_at[oldest]
--- a/src/ramptide/autoscaling/rental_requests.py
+++ b/src/ramptide/autoscaling/rental_requests.py
@@ -1,4 +1,4 @@
-"""The requests to rent machines: each is recorded first, then sent to the cloud under its recorded id."""
+"""The requests to rent machines: each is recorded first, then sent to the cloud with its recorded id."""
 
 import logging
 from collections import Counter
@@ -17,7 +17,7 @@
 
 
 class RentalState(Protocol):
-    """The recorded rentals, and the counters that the requests add to."""
+    """The recorded rentals, and the counters that rentals increment."""
 
     @property
     def rentals(self) -> dict[str, RentalRecord]:
@@ -25,13 +25,13 @@
 
     @property
     def counters(self) -> Counter[str]:
-        """Counts for the metrics."""
+        """The counters of the metrics, by name."""
 
 
 class RentalRequests:
-    """Sends the recorded requests, a former leader's included, and keeps their results until these are recorded.
+    """Sends the recorded requests, also those of former leaders, and keeps the results until they are recorded.
 
-    `on_shortage` is called when the cloud had less than was asked for: the next best kind may be tried at once.
+    `on_shortage` is called when the cloud had fewer machines than requested: the next best kind may be tried at once.
     """
 
     def __init__(
@@ -55,23 +55,23 @@
 
     @property
     def has_requests_in_flight(self) -> bool:
-        """Whether some request has no answer yet."""
+        """Whether a request has no response yet."""
         return bool(self._in_flight)
 
     def rented_hosts(self) -> set[str]:
-        """Return the machines that were rented and are not recorded yet."""
+        """Return the hosts of the machines that were rented and are not recorded yet."""
         return {host for hosts in self.rented.values() for host in hosts}
 
     def keep_only(self, rentals: dict[str, RentalRecord]) -> None:
-        """Forget the results of all but these rentals, as they are recorded."""
+        """Drop the results of all rentals but these, as those results are recorded."""
         self.rented = {rental_id: hosts for rental_id, hosts in self.rented.items() if rental_id in rentals}
         self.refused &= rentals.keys()
 
     def send_recorded(self) -> None:
-        """Send the recorded requests that have no answer yet, by their ids: repeating one rents nothing twice."""
+        """Send the recorded requests that have no response yet; repeating one with the same id rents nothing twice."""
         for rental_id, rental in self._state.rentals.items():
-            is_known = rental_id in self._in_flight or rental_id in self.rented or rental_id in self.refused
-            if rental.machines is None and not is_known:
+            is_sent = rental_id in self._in_flight or rental_id in self.rented or rental_id in self.refused
+            if rental.machines is None and not is_sent:
                 self._send(rental_id, rental)
 
     def _send(self, rental_id: str, rental: RentalRecord) -> None:
@@ -80,25 +80,25 @@
         def on_result(result: RentResult) -> None:
             self._in_flight.discard(rental_id)
             if result.hosts is not None:
-                self._take_hosts(rental_id, rental, result.hosts)
+                self._record_rented(rental_id, rental, result.hosts)
             elif result.is_refused:
-                self._take_refusal(rental_id, rental)
+                self._record_refusal(rental_id, rental)
 
         kind = MachineKind(rental.machine_type, rental.zone, rental.spot)
         self._cloud.rent(rental_id, *kind, rental.count, on_result)
 
-    def _take_hosts(self, rental_id: str, rental: RentalRecord, hosts: list[str]) -> None:
+    def _record_rented(self, rental_id: str, rental: RentalRecord, hosts: list[str]) -> None:
         kind = MachineKind(rental.machine_type, rental.zone, rental.spot)
         log.info("machines rented: hosts=%r machine_type=%s zone=%s spot=%s", ", ".join(hosts), *kind)
         self.rented[rental_id] = hosts
-        self._autoscaler.note_rental(kind)
+        self._autoscaler.record_rental(kind)
         self._state.counters["rentals"] += len(hosts)
         if len(hosts) < rental.count:
-            # No more of this kind: the step goes on with the next best one.
+            # The cloud has no more of this kind, so the next best kind is tried.
             self._autoscaler.note_refusal(kind, self._runtime.now)
             self._on_shortage()
 
-    def _take_refusal(self, rental_id: str, rental: RentalRecord) -> None:
+    def _record_refusal(self, rental_id: str, rental: RentalRecord) -> None:
         kind = MachineKind(rental.machine_type, rental.zone, rental.spot)
         log.info("no capacity: machine_type=%s zone=%s spot=%s", *kind)
         self.refused.add(rental_id)
