--- a/src/ramptide/agents/__init__.py
+++ b/src/ramptide/agents/__init__.py
@@ -1,4 +1,4 @@
 """The machines that this controller owns: heartbeats, commands, lease expiry, announcements of the fencing token.
 
-Start with `shard`, which holds the parts together; `attempt_phases` shows what an attempt of a task goes through.
+`shard` combines the parts and is the place to start reading; `attempt_phases` defines the phases of a task's attempt.
 """
--- a/src/ramptide/agents/attempt_phases.py
+++ b/src/ramptide/agents/attempt_phases.py
@@ -1,7 +1,7 @@
-"""The life of an attempt on a machine, as the machine's owner follows it.
+"""The phases of an attempt on a machine, as the machine's owner tracks them.
 
-An agent's heartbeat decides: whatever phase it shows, the attempt takes (`show_reported_phase`). All other changes
-stand in `TRANSITIONS`; an event that is not listed for a phase leaves it as it is.
+An attempt adopts whatever phase the agent's heartbeat reports (`apply_reported_phase`). All other changes of the phase
+are listed in `TRANSITIONS`; an event that is not listed for a phase does not change it.
 """
 
 from collections.abc import Mapping
@@ -9,34 +9,34 @@
 
 from ramptide.state.task_state import REPORTED_PHASES, DesiredState, Phase, TaskEntry
 
-__all__ = ["TRANSITIONS", "AttemptEvent", "advance", "is_forgettable", "show_reported_phase"]
+__all__ = ["TRANSITIONS", "AttemptEvent", "advance", "apply_reported_phase", "is_forgettable"]
 
 
 class AttemptEvent(Enum):
-    """What happens to an attempt other than by being shown in a heartbeat."""
+    """An event that may change the phase of an attempt, other than a heartbeat that reports the attempt."""
 
-    # Members are single objects; Enum's own hash, of the name, shows in profiles.
+    # Each member is a single object, so hashing by identity suffices and is faster than Enum's hash of the name.
     __hash__ = object.__hash__
 
-    #: Its scheduler no longer wants it to run.
+    #: The attempt's scheduler no longer wants it to run.
     STOP_REQUESTED = auto()
     #: The command to start it went into the reply to a heartbeat.
     START_SENT = auto()
-    #: Our replies no longer reach the agent, so nothing more is started there.
+    #: The owner's replies no longer reach the agent, so no more tasks are started there.
     AGENT_UNREACHABLE = auto()
-    #: It is wanted, and the heartbeat after the start command does not show it.
+    #: The attempt is wanted, and the heartbeat after the start command does not report it.
     START_LOST = auto()
-    #: The same, on a machine where nothing is started any more.
+    #: As START_LOST, on a machine on which no more tasks are started.
     START_LOST_UNREACHABLE = auto()
-    #: A newer heartbeat does not show it, so it is not on the machine.
+    #: A newer heartbeat does not report the attempt, so it is not on the machine.
     ABSENT = auto()
-    #: The agent's lease has certainly run out, and it has stopped everything.
+    #: The agent's lease has certainly expired, and the agent has stopped all tasks.
     LEASE_EXPIRED = auto()
 
 
 _REPORTED_TO_GONE = dict.fromkeys(REPORTED_PHASES, Phase.GONE)
 
-#: For each event the phases in which it matters, and the phase that follows.
+#: For each event the phases in which it has an effect, with the phase that follows.
 TRANSITIONS: Mapping[AttemptEvent, Mapping[Phase, Phase]] = {
     AttemptEvent.STOP_REQUESTED: {Phase.QUEUED: Phase.GONE},
     AttemptEvent.START_SENT: {Phase.QUEUED: Phase.SENT},
@@ -49,7 +49,7 @@
 
 
 def advance(entry: TaskEntry, event: AttemptEvent) -> bool:
-    """Move an attempt to the phase that follows the event; return whether the event matters in its phase."""
+    """Move an attempt to the phase that follows the event; return whether the event has an effect in its phase."""
     following = TRANSITIONS[event].get(entry.phase)
     if following is None:
         return False
@@ -57,12 +57,12 @@
     return True
 
 
-def show_reported_phase(entry: TaskEntry, phase: Phase, cause: str | None) -> None:
-    """Take the phase that a heartbeat shows, with the cause of the end if it has ended."""
+def apply_reported_phase(entry: TaskEntry, phase: Phase, cause: str | None) -> None:
+    """Set the phase that a heartbeat reports, with the cause of the end if the attempt has ended."""
     entry.phase = phase
     entry.cause = cause
 
 
 def is_forgettable(entry: TaskEntry) -> bool:
-    """Whether no scheduler waits to hear how the attempt went, so that it may be dropped once it is over."""
+    """Return whether no scheduler waits for the result of the attempt, so that it may be dropped once it is over."""
     return entry.desired in (None, DesiredState.REAP)
--- a/src/ramptide/agents/commands.py
+++ b/src/ramptide/agents/commands.py
@@ -1,7 +1,7 @@
-"""The commands to agents, which travel in the replies to their heartbeats.
+"""The commands to agents, which are sent in the replies to their heartbeats.
 
-An agent drops a late reply, and has one heartbeat in flight, so its next heartbeat shows for sure whether the commands
-of the reply before were carried out.
+An agent ignores a late reply and has only one heartbeat in flight, so its next heartbeat shows reliably whether the
+commands of the previous reply were carried out.
 """
 
 from datetime import timedelta
@@ -15,16 +15,16 @@
 
 
 class CommandDelivery:
-    """Works out the commands for the agents of the machines in a table."""
+    """Determines the commands for the agents of the machines in a table."""
 
     def __init__(self, table: MachineTable) -> None:
         self._table = table
         self._find_spec = table.find_spec
 
-    def take(self, host: str, now: timedelta, may_start: bool) -> list[Command]:
-        """Return the commands for the reply to a heartbeat just taken, and note them as sent.
+    def prepare_commands(self, host: str, now: timedelta, may_start: bool) -> list[Command]:
+        """Return the commands for the reply to the latest heartbeat, and record them as sent.
 
-        Stops and reaps come before starts, for which they make room; starts are left out unless `may_start`.
+        Stops and reaps come before starts, since they free resources for them; starts are left out unless `may_start`.
         """
         machine = self._table.machines.get(host)
         if machine is None or not machine.has_current_token:
@@ -34,7 +34,7 @@
         for key, entry in list(machine.entries.items()):
             job_id, task_index, attempt = key
             if entry.requested_by is None and entry.desired is None and self._find_spec(job_id) is None:
-                # Found on the machine, and its job is over: nobody else would have it removed.
+                # The attempt was found on the machine and its job is finished: no scheduler will ask for its removal.
                 machine.request_reap(key, entry)
             if _needs_start(entry):
                 if may_start:
@@ -43,14 +43,14 @@
             elif _needs_reap(entry):
                 commands.append(reap_command(job_id, task_index, attempt))
             elif _needs_stop(entry):
-                self._stop(commands, entry, now)
+                self._add_stop(commands, entry, now)
         if starts:
             self._table.mark_changed(host)
         return commands + starts
 
     @staticmethod
-    def _stop(commands: list[Command], entry: TaskEntry, now: timedelta) -> None:
-        # The stop is repeated until a heartbeat shows the end; a task that writes its checkpoint gets its grace period.
+    def _add_stop(commands: list[Command], entry: TaskEntry, now: timedelta) -> None:
+        # A stop is repeated until a heartbeat reports the end; a task that saves its checkpoint gets its grace period.
         if entry.stop_sent_at is None:
             entry.stop_sent_at = now
         grace_left = max(entry.stop_sent_at + entry.grace - now, NO_TIME)
@@ -58,8 +58,8 @@
             return
         commands.append(stop_command(entry.job_id, entry.task_index, entry.attempt, grace_left))
 
-    def pending(self, host: str) -> bool:
-        """Tell whether there is a command for this machine's agent that it was not sent yet."""
+    def has_unsent_commands(self, host: str) -> bool:
+        """Return whether there is a command for the agent of a machine that was not sent yet."""
         machine = self._table.machines.get(host)
         if machine is None or not machine.has_current_token:
             return False
--- a/src/ramptide/agents/desired_states.py
+++ b/src/ramptide/agents/desired_states.py
@@ -1,7 +1,7 @@
-"""What the jobs' schedulers ask for on the machines that this controller owns.
+"""The desired states that the jobs' schedulers send for attempts on the machines that this controller owns.
 
-The owner of a machine alone replies to its agent's heartbeats in a view, so commands go only in these replies, and the
-schedulers of all controllers send their desired states to the owner.
+In a view only the owner of a machine replies to its agent's heartbeats, and commands are sent only in these replies, so
+the schedulers of all controllers send their desired states to the owner.
 """
 
 from collections.abc import Callable, Mapping
@@ -15,13 +15,13 @@
 
 __all__ = ["DesiredStates", "MachineCheck"]
 
-#: Tells whether tasks may be started on a machine at present.
+#: Returns whether tasks may be started on a machine at present.
 MachineCheck = Callable[[OwnedMachine], bool]
 
 
 @dataclass(frozen=True, slots=True)
 class _DesiredTask:
-    """What a scheduler asks for one attempt; `grace` is the time to save a checkpoint when it is stopped."""
+    """The state that a scheduler wants for one attempt; `grace` is its time to save a checkpoint when it is stopped."""
 
     key: TaskKey
     state: DesiredState
@@ -35,11 +35,11 @@
 
 
 class DesiredStates:
-    """Takes the desired states of all schedulers for the machines in a table."""
+    """Applies the desired states of all schedulers to the machines in a table."""
 
     def __init__(self, table: MachineTable) -> None:
         self._table = table
-        #: For each controller, the sequence number of its last message whose desired states were taken.
+        #: For each controller, the sequence number of its last message whose desired states were applied.
         self.acknowledged: dict[str, int] = {}
 
     def apply(
@@ -47,11 +47,11 @@
         sender: str,
         sequence_number: int,
         changes: Mapping[str, list[DesiredTaskRow] | None],
-        takes_tasks: MachineCheck,
+        accepts_tasks: MachineCheck,
     ) -> None:
-        """Take what changed of the desired states of `sender`'s scheduler: each machine's list in full.
+        """Apply the changed desired states of `sender`'s scheduler, which are the full lists of the changed machines.
 
-        A copy of a message that was taken before, or an older one, changes nothing.
+        A copy of a message that was applied before, or an older message, changes nothing.
         """
         if sequence_number <= self.acknowledged.get(sender, 0):
             return
@@ -61,18 +61,18 @@
             if machine is None:
                 continue
             for row in rows or ():
-                self._apply_to_machine(machine, _DesiredTask.from_row(row, sender), takes_tasks)
+                self._apply_to_machine(machine, _DesiredTask.from_row(row, sender), accepts_tasks)
             self._table.hosts_to_notify.add(host)
             self._table.mark_changed(host)
 
-    def _apply_to_machine(self, machine: OwnedMachine, desired: _DesiredTask, takes_tasks: MachineCheck) -> None:
+    def _apply_to_machine(self, machine: OwnedMachine, desired: _DesiredTask, accepts_tasks: MachineCheck) -> None:
         entry = machine.entries.get(desired.key)
         if entry is None:
             if desired.state is not DesiredState.RUN:
                 return
-            entry = self._new_entry(machine, desired, takes_tasks)
+            entry = self._new_entry(machine, desired, accepts_tasks)
             self._table.add_entry(machine, entry)
-        if not _may_follow(entry.desired, desired.state):
+        if not _can_replace(entry.desired, desired.state):
             return
         entry.desired, entry.requested_by, entry.grace = desired.state, desired.requested_by, desired.grace
         if desired.state is not DesiredState.RUN:
@@ -80,18 +80,18 @@
         if desired.state is DesiredState.REAP and entry.phase in (Phase.REFUSED, Phase.GONE):
             del machine.entries[desired.key]
 
-    def _new_entry(self, machine: OwnedMachine, desired: _DesiredTask, takes_tasks: MachineCheck) -> TaskEntry:
+    def _new_entry(self, machine: OwnedMachine, desired: _DesiredTask, accepts_tasks: MachineCheck) -> TaskEntry:
         job_id, task_index, attempt = desired.key
         spec = self._table.find_spec(job_id)
-        accepted = (
-            spec is not None and not machine.is_unreachable and takes_tasks(machine) and machine.has_room_for(spec)
+        is_accepted = (
+            spec is not None and not machine.is_unreachable and accepts_tasks(machine) and machine.has_room_for(spec)
         )
-        phase = Phase.QUEUED if accepted else Phase.REFUSED
+        phase = Phase.QUEUED if is_accepted else Phase.REFUSED
         return TaskEntry(job_id, task_index, attempt, phase, spec, requested_by=desired.requested_by)
 
 
-def _may_follow(before: DesiredState | None, after: DesiredState) -> bool:
-    """Tell whether a desired state may replace another: what was told to stop does not run again."""
+def _can_replace(before: DesiredState | None, after: DesiredState) -> bool:
+    """Return whether a desired state may replace another: an attempt that was told to stop does not run again."""
     if before is DesiredState.REAP:
         return False
     return not (before is DesiredState.STOP and after is DesiredState.RUN)
--- a/src/ramptide/agents/failure_history.py
+++ b/src/ramptide/agents/failure_history.py
@@ -1,19 +1,19 @@
-"""Which jobs failed on a machine, from which it is judged whether the machine or the jobs are at fault."""
+"""The jobs that failed on a machine, which show whether the machine or the jobs are at fault."""
 
 from ramptide.agents.owned_machine import OwnedMachine
 from ramptide.protocol.agents import TaskOutcome
 
 __all__ = ["FAILED_JOBS_KEPT", "record_outcome"]
 
-#: Jobs that a machine's status names as failed there: the message stays small however many jobs were submitted with a
-#: mistake.
+#: The number of failed jobs kept for a machine's status, which limits the size of messages when many faulty jobs are
+#: submitted.
 FAILED_JOBS_KEPT = 8
 
 
 def record_outcome(machine: OwnedMachine, job_id: str, cause: str | None) -> None:
-    """Record how a task ended; `MachineIndex` judges by the jobs that failed with no success since.
+    """Record how a task ended; `MachineIndex` evaluates the jobs that failed with no success since.
 
-    Only `TaskOutcome` causes count: an attempt that was stopped or preempted says nothing of the machine.
+    Only `TaskOutcome` causes count: an attempt that was stopped or preempted says nothing about the machine.
     """
     if cause == TaskOutcome.SUCCEEDED:
         machine.consecutive_failures = 0
--- a/src/ramptide/agents/heartbeat_intake.py
+++ b/src/ramptide/agents/heartbeat_intake.py
@@ -1,10 +1,10 @@
-"""The agents' heartbeats: whether they are new, whether our replies arrive, and what runs on the machine."""
+"""The evaluation of agents' heartbeats: whether one is new, whether replies arrive, and what runs on the machine."""
 
 import logging
 from collections.abc import Mapping
 from datetime import timedelta
 
-from ramptide.agents.attempt_phases import AttemptEvent, advance, is_forgettable, show_reported_phase
+from ramptide.agents.attempt_phases import AttemptEvent, advance, apply_reported_phase, is_forgettable
 from ramptide.agents.failure_history import record_outcome
 from ramptide.agents.machine_table import MachineTable
 from ramptide.agents.owned_machine import HeartbeatId, OwnedMachine
@@ -24,14 +24,15 @@
 
 log = logging.getLogger(__name__)
 
-#: An agent waits 4 s for a reply and another interval before it sends the next heartbeat.
+#: A longer gap between two heartbeats means that the reply was missed: an agent waits 4 s for a reply and another
+#: heartbeat interval before it sends the next heartbeat.
 REPLY_MISSED_AFTER = timedelta(seconds=4.5)
-#: The moment at which the cloud takes a machine is worked out anew from each heartbeat, so it always moves a little.
+#: The moment of a preemption is calculated from each heartbeat, so it always varies a little.
 PREEMPTION_TIME_TOLERANCE = timedelta(seconds=1)
 
 
 class HeartbeatIntake:
-    """Takes the heartbeats of the machines in a table."""
+    """Applies heartbeats to the machines in a table."""
 
     def __init__(self, table: MachineTable) -> None:
         self._table = table
@@ -40,17 +41,17 @@
         self._mark_changed = table.mark_changed
 
     def take(self, heartbeat: Heartbeat, now: timedelta) -> bool:
-        """Take a heartbeat; return whether it is new. An old one changes nothing.
+        """Apply a heartbeat and return whether it is new; an old one changes nothing.
 
         Raises
         ------
         MessageError
-            If it names a task that its job does not have. Nothing of it is taken then.
+            If the heartbeat names a task that its job does not have. Nothing of it is applied then.
         """
         machine = self._table.machines.get(heartbeat.host)
         has_current_token = heartbeat.fencing_token >= self._view
         if machine is None:
-            # A late copy of what a machine said before it was returned bears an older fencing token.
+            # An older fencing token marks a late copy of a heartbeat that the machine sent before it was returned.
             if has_current_token:
                 self._table.unrecorded[heartbeat.host] = heartbeat
             return True
@@ -59,13 +60,13 @@
             return False
         reports = None
         raw_tasks = bytes(heartbeat.raw_tasks)
-        # A heartbeat that repeats the one before is news only where a start was sent meanwhile.
+        # Tasks that are the same as in the previous heartbeat matter only if a start was sent in between.
         if raw_tasks != machine.raw_tasks or any(entry.phase is Phase.SENT for entry in machine.entries.values()):
             reports = self._decode_tasks(raw_tasks)
         self._track_replies(machine, heartbeat_id, now)
-        self._note_arrival(machine, heartbeat, heartbeat_id, now)
+        self._record_arrival(machine, heartbeat, heartbeat_id, now)
         if has_current_token is not machine.has_current_token or (has_current_token and not machine.is_reconciled):
-            self._note_token(machine, has_current_token)
+            self._record_token(machine, has_current_token)
         if has_current_token and reports is not None:
             machine.raw_tasks = raw_tasks
             self._reconcile(machine, reports)
@@ -77,28 +78,28 @@
             job_id, task_index = parse_task_id(report.task_id)
             spec = self._find_spec(job_id)
             if spec is not None and task_index >= spec.task_count:
-                raise MessageError(f"piece: {report.task_id!r} is not of the job")
+                raise MessageError(f"piece: {report.task_id!r} has an index that its job does not have")
             reports[(job_id, task_index, report.attempt)] = report
         return reports
 
-    def _note_token(self, machine: OwnedMachine, has_current_token: bool) -> None:
-        """Note whether the heartbeat was made after the agent saw our fencing token.
+    def _record_token(self, machine: OwnedMachine, has_current_token: bool) -> None:
+        """Record whether the agent created the heartbeat after it saw the fencing token of this view.
 
-        If so the machine is reconciled: no reply of an older view can be carried out any more. Heartbeats with an older
-        token may be stale.
+        If so, the machine is reconciled: no reply of an earlier view can be carried out any more. A heartbeat with an
+        older token may be out of date.
         """
         machine.has_current_token = has_current_token
         if has_current_token:
             machine.is_reconciled = True
         self._mark_changed(machine.host)
 
-    # Whether our replies arrive.
+    # Reachability of the agent by replies.
 
     def _track_replies(self, machine: OwnedMachine, heartbeat_id: HeartbeatId, now: timedelta) -> None:
-        """Conclude from the heartbeat's id whether our last reply reached the agent.
+        """Determine from the heartbeat's id whether the last reply of this controller reached the agent.
 
-        An agent whose heartbeat got no reply sends the next to another controller, so a gap in the sequence numbers,
-        or a new epoch, says that our last reply did not reach it.
+        An agent whose heartbeat got no reply sends the next one to another controller, so a gap in the sequence
+        numbers, or a new epoch, shows that the last reply from here did not reach it.
         """
         if machine.last_heartbeat_at is None:
             return
@@ -108,10 +109,10 @@
             self._mark_reachable(machine)
 
     def _mark_unreachable(self, machine: OwnedMachine, now: timedelta) -> None:
-        """Start nothing there any more.
+        """Mark the agent as unreachable by replies, so that no more tasks are started on the machine.
 
-        What was not sent yet is refused, so that its scheduler looks elsewhere; what may be there runs again only when
-        a heartbeat or the machine's return proves it gone.
+        Attempts whose start was not sent yet are refused, so that their schedulers choose another machine. A task that
+        may be on the machine runs again only when a heartbeat, an expired lease or the machine's return proves it gone.
         """
         if machine.unreachable_since is None:
             log.debug("machine unreachable: host=%s", machine.host)
@@ -125,9 +126,9 @@
         machine.unreachable_since = None
         self._mark_changed(machine.host)
 
-    # What the agent tells of the machine.
+    # State of the machine.
 
-    def _note_arrival(
+    def _record_arrival(
         self, machine: OwnedMachine, heartbeat: Heartbeat, heartbeat_id: HeartbeatId, now: timedelta
     ) -> None:
         machine.last_heartbeat_id = heartbeat_id
@@ -142,10 +143,10 @@
             machine.preempted_at = preempted_at
             self._mark_changed(machine.host)
 
-    # What runs there.
+    # Tasks on the machine.
 
     def _reconcile(self, machine: OwnedMachine, reports: Mapping[TaskKey, TaskReport]) -> None:
-        """Bring the machine's entries in line with what the heartbeat shows."""
+        """Update the machine's entries from the tasks that the heartbeat reports."""
         for key, report in reports.items():
             entry = machine.entries.get(key)
             if entry is None:
@@ -171,15 +172,15 @@
             )
         if phase is Phase.ENDED and entry.phase is not Phase.ENDED:
             record_outcome(machine, entry.job_id, report.cause)
-        show_reported_phase(entry, phase, report.cause)
+        apply_reported_phase(entry, phase, report.cause)
         if entry.spec is not None and phase is not Phase.ENDED:
             machine.record_image_use(entry.spec.image)
 
     def _handle_absent(self, machine: OwnedMachine, key: TaskKey, entry: TaskEntry) -> None:
-        """Take note that a newer heartbeat lacks the attempt, so it is not on the machine."""
+        """Update the entry of an attempt that is not on the machine, as a newer heartbeat does not report it."""
         if entry.desired is DesiredState.RUN and entry.phase is Phase.SENT:
-            lost = AttemptEvent.START_LOST_UNREACHABLE if machine.is_unreachable else AttemptEvent.START_LOST
-            advance(entry, lost)
+            event = AttemptEvent.START_LOST_UNREACHABLE if machine.is_unreachable else AttemptEvent.START_LOST
+            advance(entry, event)
         else:
             advance(entry, AttemptEvent.ABSENT)
         if entry.phase in FINISHED_PHASES and is_forgettable(entry):
@@ -187,13 +188,13 @@
 
 
 def _reported_phase(report: TaskReport) -> Phase:
-    """Return the phase of a reported task; one with a status that we do not know counts as running."""
+    """Return the phase of a reported task; a task with an unknown status counts as running."""
     phase = PHASE_BY_NAME.get(report.status, Phase.RUNNING)
     return phase if phase in REPORTED_PHASES else Phase.RUNNING
 
 
 def _has_moved(before: timedelta | None, after: timedelta | None) -> bool:
-    """Tell whether the announced moment of preemption came, went or moved by more than the tolerance."""
+    """Return whether the announced preemption was added, was withdrawn or moved by more than the tolerance."""
     if before is None or after is None:
         return before is not after
     return abs(after - before) > PREEMPTION_TIME_TOLERANCE
--- a/src/ramptide/agents/heartbeats.py
+++ b/src/ramptide/agents/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of agents: who replies to them, when, and with what."""
+"""The replies to agents' heartbeats: immediate, delayed, or redirected to the machine's owner."""
 
 import logging
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
 
 class HeartbeatState(Protocol):
-    """The view that this controller acts in, and the machines that it owns there."""
+    """The view of this controller, the machines that it owns there, and the settings."""
 
     @property
     def member(self) -> str:
@@ -45,23 +45,23 @@
 
     @property
     def shard(self) -> Shard | None:
-        """The machines that we own; None without a place in the view."""
+        """The machines that this controller owns; None while this controller is not in the view."""
 
     def owner_of(self, host: str) -> str:
         """Return the member that owns a machine."""
 
 
 class ReplyAuthority(Protocol):
-    """What this controller may do now."""
+    """The authority of this controller towards agents at present."""
 
     def may_renew(self) -> bool:
-        """Tell whether leases of agents may still be renewed."""
+        """Return whether leases of agents may still be renewed."""
 
     def may_reply(self) -> bool:
-        """Tell whether we may reply to agents."""
+        """Return whether this controller may reply to agents."""
 
     def may_start(self) -> bool:
-        """Tell whether tasks may be started."""
+        """Return whether tasks may be started."""
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
         self._held: dict[str, HeldHeartbeat] = {}
 
     def new_view(self) -> None:
-        """Reply to all held heartbeats, so that the agents learn their owners and the new fencing token at once."""
+        """Reply to all held heartbeats, so that agents learn their owners and the new fencing token at once."""
         held, self._held = self._held, {}
         for host, heartbeat in held.items():
             if self._authority.may_reply() and self._state.owner_of(host) != self._state.member:
@@ -95,13 +95,13 @@
                 self._reply(host, heartbeat.reply)
 
     def forget(self, host: str) -> None:
-        """Reply to a machine's held heartbeat with 503, if there is one."""
+        """Reply with status 503 to the held heartbeat of a machine, if there is one."""
         held = self._held.pop(host, None)
         if held is not None:
             held.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"")
 
     def receive_heartbeat(self, body: bytes, reply: ReplyCallback) -> None:
-        """Take an agent's heartbeat and reply to it now or, while no news is expected, later."""
+        """Process an agent's heartbeat and reply at once or, if no task there is expected to end, with a delay."""
         try:
             heartbeat = decode_heartbeat(body)
         except MessageError as error:
@@ -117,10 +117,10 @@
         elif shard is None or not self._authority.may_reply() or heartbeat.fencing_token > view.number:
             reply(HTTPStatus.SERVICE_UNAVAILABLE, TRY_ELSEWHERE)
         else:
-            self._take(shard, heartbeat, reply)
+            self._apply_heartbeat(shard, heartbeat, reply)
 
-    def _take(self, shard: Shard, heartbeat: Heartbeat, reply: ReplyCallback) -> None:
-        """Take a heartbeat of a machine that we own."""
+    def _apply_heartbeat(self, shard: Shard, heartbeat: Heartbeat, reply: ReplyCallback) -> None:
+        """Apply a heartbeat of a machine that this controller owns, and reply to it or hold it."""
         host = heartbeat.host
         try:
             is_new = shard.heartbeats.take(heartbeat, self._runtime.now)
@@ -128,28 +128,29 @@
             reply(HTTPStatus.BAD_REQUEST, encode_json({"error": str(error)}))
             return
         if not is_new:
-            # A late copy: it may not use up a command, nor count as answered.
+            # A late copy must not consume a command, nor count as answered.
             reply(HTTPStatus.SERVICE_UNAVAILABLE, TRY_ELSEWHERE)
             return
         self.forget(host)
         machine = shard.machines.get(host)
-        if machine is not None and self._may_hold(machine) and not shard.commands.pending(host):
+        if machine is not None and self._can_hold_reply(machine) and not shard.commands.has_unsent_commands(host):
             self._held[host] = HeldHeartbeat(reply, self._runtime.now + self._state.tuning.hold)
             return
         self._reply(host, reply)
 
     def receive_direct_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take the heartbeat with which an agent responded to the announcement of our fencing token.
+        """Apply the heartbeat with which an agent responded to the announcement of the view's fencing token.
 
-        Only as the first one of the view: until then no reply of ours can be under way to the agent, so what the
-        heartbeat lacks is not there. Other controllers may have replied up to now, and its lease counts from then on.
+        It is applied only as the machine's first heartbeat of the view: until then no reply of this controller can be
+        on its way to the agent, so a task that the heartbeat does not report is not on the machine. Other controllers
+        may have replied up to now, so the agent's lease is counted from now at the earliest.
         """
         shard = self._state.shard
         machine = shard.machines.get(heartbeat.host) if shard is not None else None
         if machine is None or shard is None or heartbeat.fencing_token != shard.view:
             return
         if machine.last_heartbeat_at is not None:
-            machine.skip_heartbeat(HeartbeatId.of(heartbeat))
+            machine.record_skipped_heartbeat(HeartbeatId.of(heartbeat))
             return
         now = self._runtime.now
         try:
@@ -166,8 +167,8 @@
         else:
             reply(HTTPStatus.SERVICE_UNAVAILABLE, TRY_ELSEWHERE)
 
-    def _may_hold(self, machine: OwnedMachine) -> bool:
-        """Tell whether the reply may wait for a start: no task is there that ends and would be reported."""
+    def _can_hold_reply(self, machine: OwnedMachine) -> bool:
+        """Return whether the reply can wait for a start, as no task is there whose end would be reported."""
         return (
             self._state.tuning.hold > NO_TIME
             and machine.has_current_token
@@ -183,16 +184,18 @@
             reply(HTTPStatus.SERVICE_UNAVAILABLE, TRY_ELSEWHERE)
             return
         machine, now = shard.machines.get(host), self._runtime.now
-        commands = shard.commands.take(host, now, self._authority.may_start())
+        commands = shard.commands.prepare_commands(host, now, self._authority.may_start())
         if machine is not None:
             machine.last_reply_at = now
         reply(HTTPStatus.OK, encode_heartbeat_reply(view.number, commands))
 
     def reply_to_held(self, now: timedelta) -> None:
-        """Reply to the held heartbeats that are due or whose machines have commands."""
+        """Reply to the held heartbeats that are due or for whose machines there are commands."""
         shard = self._state.shard
         for host, held in list(self._held.items()):
-            has_commands = shard is not None and host in shard.hosts_to_notify and shard.commands.pending(host)
+            has_commands = (
+                shard is not None and host in shard.hosts_to_notify and shard.commands.has_unsent_commands(host)
+            )
             if held.until <= now or has_commands:
                 del self._held[host]
                 self._reply(host, held.reply)
--- a/src/ramptide/agents/lease_expiry.py
+++ b/src/ramptide/agents/lease_expiry.py
@@ -1,4 +1,4 @@
-"""The leases of machines that miss heartbeats: when what ran there is certainly over."""
+"""The expiry of the leases of machines that miss heartbeats, after which their tasks have certainly ended."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -10,20 +10,20 @@
 
 __all__ = ["CLOCK_DRIFT", "MISSED_HEARTBEAT_LIMIT", "ExpiredLease", "LeaseExpiry"]
 
-#: An agent's clock may run slower than ours by this factor.
+#: The largest ratio by which the clock of an agent may run slower than that of a controller.
 CLOCK_DRIFT = 1.002
-#: Added to a lease before it counts as run out, for what the drift does not cover.
+#: Added to the duration of a lease before it counts as expired, for delays that the clock drift does not cover.
 LEASE_MARGIN = timedelta(seconds=1)
-#: After so many heartbeat intervals a machine or a controller counts as one that misses heartbeats.
+#: The number of heartbeat intervals after which a silent machine or controller counts as missing heartbeats.
 MISSED_HEARTBEAT_LIMIT = 3
 
 
 @dataclass(frozen=True, slots=True)
 class ExpiredLease:
-    """A machine whose agent's lease has certainly ended.
+    """A machine whose agent's lease has certainly expired.
 
-    `lost_tasks`: how many tasks were given up with it; `reconciled`: whether it counts as reconciled from now on, as
-    nothing of an earlier view can be left on it.
+    `lost_tasks`: the number of tasks given up with it. `reconciled`: whether the expiry made the machine reconciled, as
+    no task of an earlier view can be left on it.
     """
 
     host: str
@@ -32,14 +32,14 @@
 
 
 class LeaseExpiry:
-    """Gives up what is on machines that miss heartbeats, once their leases have certainly run out.
+    """Gives up the attempts on machines whose leases have certainly expired.
 
     Parameters
     ----------
     table
         The machines.
     lease_duration
-        How long an agent goes on without a reply before it stops everything.
+        How long an agent continues without a reply before it stops all tasks.
     heartbeat_interval
         How often agents send heartbeats.
     """
@@ -50,18 +50,18 @@
         self._missed_heartbeats_after = heartbeat_interval * MISSED_HEARTBEAT_LIMIT
 
     def expire(self, now: timedelta, others_fenced_at: timedelta | None) -> list[ExpiredLease]:
-        """Mark machines that miss heartbeats, and give up what is on those whose leases have certainly run out.
+        """Mark machines that miss heartbeats, and give up the attempts on those whose leases have certainly expired.
 
-        Only a heartbeat that was replied to renews a lease, counted from when it was sent, so from before the reply.
-        In this view only we reply; members of earlier views may have replied until `others_fenced_at` (None: not known
-        yet). Returned are the leases that changed something.
+        A lease is renewed only by a heartbeat that gets a reply, and counts from the sending of the heartbeat, which is
+        before the reply. In this view only this controller replies; members of earlier views may have replied until
+        `others_fenced_at` (None while it is not known). Returns the expired leases that changed a machine's state.
         """
         expires_after = self._lease_duration * CLOCK_DRIFT + LEASE_MARGIN
         expired = []
         for machine in self._table.machines.values():
             self._check_heartbeats(machine, now)
             latest_reply = machine.latest_reply()
-            if not machine.is_reconciled and not machine.no_earlier_owner_since:
+            if not machine.is_reconciled and not machine.covers_earlier_views:
                 if others_fenced_at is None:
                     continue
                 latest_reply = max(latest_reply, others_fenced_at)
@@ -84,13 +84,13 @@
             machine.is_reconciled = True
             self._table.mark_changed(machine.host)
         if machine.last_heartbeat_at is not None and machine.raw_tasks is not None:
-            # Its next true heartbeat is of a later epoch; a late one or a copy of this epoch revives nothing.
+            # The agent's next new heartbeat has a later epoch; a late one or a copy of this epoch must restore nothing.
             machine.last_heartbeat_id = HeartbeatId(machine.last_heartbeat_id.agent_epoch + 1, 0)
             machine.raw_tasks = None
         return ExpiredLease(machine.host, self._give_up_tasks(machine), newly_reconciled)
 
     def _give_up_tasks(self, machine: OwnedMachine) -> int:
-        """Give up all attempts; return how many may have been on the machine."""
+        """Give up all attempts on a machine; return the number of those that may have been there."""
         lost = sum(entry.phase in REPORTED_PHASES or entry.phase is Phase.SENT for entry in machine.entries.values())
         for key, entry in list(machine.entries.items()):
             if advance(entry, AttemptEvent.LEASE_EXPIRED):
--- a/src/ramptide/agents/owned_machine.py
+++ b/src/ramptide/agents/owned_machine.py
@@ -31,16 +31,16 @@
         return cls(heartbeat.agent_epoch, heartbeat.sequence_number)
 
     def directly_follows(self, previous: "HeartbeatId") -> bool:
-        """Whether the agent sent no other heartbeat in between."""
+        """Return whether the agent sent no other heartbeat between `previous` and this one."""
         return self.agent_epoch == previous.agent_epoch and self.sequence_number == previous.sequence_number + 1
 
 
-#: Older than every heartbeat.
+#: An id that is lower than that of every heartbeat.
 NO_HEARTBEAT = HeartbeatId(0, 0)
 
 
 class FreeResources(NamedTuple):
-    """What no attempt on a machine holds; `ram_gb` in gigabytes."""
+    """The resources of a machine that no attempt holds; `ram_gb` in gigabytes."""
 
     cpus: float
     gpus: float
@@ -52,48 +52,48 @@
 
 @dataclass(slots=True)
 class OwnedMachine:
-    """A machine that this controller owns in the present view. All moments are of the monotonic clock."""
+    """A machine that this controller owns in the current view. All moments are of the monotonic clock."""
 
     host: str
     record: MachineRecord
-    #: None while the cloud's list of types does not show it.
+    #: None while the cloud's list of machine types does not contain the type.
     machine_type: MachineType | None
     #: Whether no reply of an earlier view can be carried out any more.
     is_reconciled: bool
-    #: No other controller of this view has replied to it after this moment.
+    #: The moment after which no other controller of this view replies to the agent; it may be in the future.
     no_other_owner_since: timedelta
-    #: Whether no controller of an earlier view has replied to it after that moment either.
-    no_earlier_owner_since: bool = False
+    #: Whether `no_other_owner_since` holds for the controllers of earlier views as well.
+    covers_earlier_views: bool = False
     entries: dict[TaskKey, TaskEntry] = field(default_factory=dict)
     last_heartbeat_id: HeartbeatId = NO_HEARTBEAT
-    #: Since when its heartbeats show that our replies do not arrive; None while they do.
+    #: Since when its heartbeats have shown that replies do not reach the agent; None while they do.
     unreachable_since: timedelta | None = None
     missed_heartbeats: bool = False
-    #: The encoded tasks of the last heartbeat that was compared with the entries.
+    #: The encoded tasks of the last heartbeat from which the entries were updated.
     raw_tasks: bytes | None = None
     last_heartbeat_at: timedelta | None = None
     last_reply_at: timedelta | None = None
-    #: When the cloud takes the machine back; None when it has not announced that.
+    #: When the cloud preempts the machine; None without a preemption notice.
     preempted_at: timedelta | None = None
-    #: An ordered set of the images that the agent has cached; the most recently used is the last.
+    #: An ordered set of the images that the agent has cached, the most recently used one last.
     images: dict[str, None] = field(default_factory=dict)
     is_up: bool = False
-    #: Whether the last heartbeat was made after the agent saw the fencing token of this view.
+    #: Whether the agent created its last heartbeat after it saw the fencing token of this view.
     has_current_token: bool = False
-    #: The last different jobs that failed here, the latest last.
+    #: The different jobs that failed here last, the latest one last.
     failed_jobs: list[str] = field(default_factory=list)
-    #: How many of the last `failed_jobs` failed with no success here since.
+    #: The number of last entries of `failed_jobs` that failed with no success here since.
     consecutive_failures: int = 0
-    #: Where its agent can be called.
+    #: The address at which the agent accepts requests; None while it is not known.
     address: str | None = None
 
     @property
     def is_unreachable(self) -> bool:
-        """Whether its heartbeats come, but our replies do not reach it."""
+        """Whether heartbeats of the agent arrive, but replies do not reach it."""
         return self.unreachable_since is not None
 
     def free_resources(self) -> FreeResources:
-        """Return what no attempt holds; nothing while a task of an unknown job is here."""
+        """Return the resources that no attempt holds; none while an attempt of an unknown job is on the machine."""
         if self.machine_type is None:
             return NOTHING_FREE
         cpus, gpus, ram_gb = self.machine_type.cpus, self.machine_type.gpus, self.machine_type.ram_gb
@@ -108,7 +108,7 @@
         return FreeResources(cpus, gpus, ram_gb)
 
     def has_room_for(self, spec: JobSpec) -> bool:
-        """Tell whether one more task of the job fits."""
+        """Return whether one more task of the job fits on the machine."""
         free = self.free_resources()
         return (
             spec.cpus <= free.cpus + ROUNDING
@@ -117,34 +117,34 @@
         )
 
     def runs_only_services(self) -> bool:
-        """Tell whether nothing runs here that ends by itself, so that nobody waits for news in the heartbeats."""
+        """Return whether no task that ends by itself is here, so that no scheduler waits for news in heartbeats."""
         return all(
             entry.spec is not None and entry.spec.kind == SERVICE and entry.phase is not Phase.ENDED
             for entry in self.entries.values()
         )
 
     def record_image_use(self, image: str) -> None:
-        """Keep the most recently used images, as the agent caches them."""
+        """Record the use of an image; only the most recently used images are kept, as in the agent's cache."""
         self.images.pop(image, None)
         self.images[image] = None
         while len(self.images) > CACHED_IMAGES_KEPT:
             self.images.pop(next(iter(self.images)))
 
     def request_reap(self, key: TaskKey, entry: TaskEntry) -> None:
-        """Have an attempt stopped and forgotten, whoever asked for it; at once if it is not on the machine."""
+        """Mark an attempt to be stopped and dropped, whoever requested it; drop it at once if it is not here."""
         entry.desired, entry.grace = DesiredState.REAP, NO_TIME
         if entry.phase in (Phase.QUEUED, Phase.REFUSED, Phase.GONE):
             del self.entries[key]
 
-    def skip_heartbeat(self, heartbeat_id: HeartbeatId) -> None:
-        """Count a heartbeat that was not taken, so that the next does not look as if one had gone elsewhere."""
+    def record_skipped_heartbeat(self, heartbeat_id: HeartbeatId) -> None:
+        """Record the id of a heartbeat that was not applied, so that the next one does not seem to follow a gap."""
         if heartbeat_id.agent_epoch == self.last_heartbeat_id.agent_epoch:
             self.last_heartbeat_id = max(self.last_heartbeat_id, heartbeat_id)
 
     def latest_reply(self) -> timedelta:
-        """Return the last moment at which its agent may have got a reply, as far as this view tells.
+        """Return the last moment at which the agent may have received a reply, as far as it is known in this view.
 
-        `no_other_owner_since` may lie ahead: a controller that was left out of the view may reply for a moment yet,
-        and our own reply may not arrive.
+        `no_other_owner_since` may be in the future: a controller that was left out of the view may still reply for a
+        moment, and the last reply of this controller may not arrive.
         """
         return max(self.last_reply_at or self.no_other_owner_since, self.no_other_owner_since)
--- a/src/ramptide/agents/shard.py
+++ b/src/ramptide/agents/shard.py
@@ -1,4 +1,4 @@
-"""The machines that a controller owns in one view: what joins and leaves, and what the other controllers are told."""
+"""The machines that a controller owns in one view: which join and leave, and what is sent to other controllers."""
 
 from datetime import timedelta
 
@@ -17,29 +17,29 @@
 
 
 class Shard(MachineTable):
-    """All machines that a controller owns in one view, with the parts that work on them.
+    """All machines that a controller owns in one view, with the objects that operate on them.
 
     Parameters
     ----------
     view
-        The number of the view, which is its fencing token too.
+        The number of the view, which is also its fencing token.
     lease_duration
-        How long an agent goes on without a reply before it stops everything.
+        How long an agent continues without a reply before it stops all tasks.
     heartbeat_interval
         How often agents send heartbeats.
     find_spec
-        Looks up the jobs of the tasks.
+        Returns the specification of a job by its id.
 
     Attributes
     ----------
     heartbeats
-        Takes the agents' heartbeats.
+        Applies the agents' heartbeats.
     desired_states
-        Takes what the jobs' schedulers ask for.
+        Applies the desired states of the jobs' schedulers.
     commands
-        Works out the commands to the agents.
+        Determines the commands to the agents.
     leases
-        Gives up what is on machines whose leases have run out.
+        Gives up the attempts on machines whose leases have expired.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self.commands = CommandDelivery(self)
         self.leases = LeaseExpiry(self, lease_duration, heartbeat_interval)
 
-    # The fleet record.
+    # Changes of the fleet record and of jobs.
 
     def add_machine(
         self,
@@ -62,10 +62,10 @@
         images: list[str],
         last_possible_reply: timedelta | None = None,
     ) -> None:
-        """Add a machine of the fleet record, or take its changed record.
+        """Add a machine of the fleet record, or apply its changed record.
 
-        `last_possible_reply`: the last moment at which anybody may have replied to it, where we know from the view
-        before.
+        `last_possible_reply`: the last moment at which any controller may have replied to it, if this is known from the
+        previous view.
         """
         machine = self.machines.get(host)
         if machine is None:
@@ -73,10 +73,10 @@
                 host,
                 record,
                 machine_type,
-                # Nobody starts tasks on a machine that is not recorded as registered, so it may be surely empty.
+                # Earlier views can have started tasks only on a machine that is recorded as registered.
                 is_reconciled=record.is_unused_before(self.view),
                 no_other_owner_since=now if last_possible_reply is None else last_possible_reply,
-                no_earlier_owner_since=last_possible_reply is not None,
+                covers_earlier_views=last_possible_reply is not None,
                 images=dict.fromkeys(images),
             )
             self.machines[host] = machine
@@ -86,27 +86,28 @@
         self.mark_changed(host)
 
     def remove_machine(self, host: str) -> None:
-        """Drop a machine that left the fleet record: the cloud confirmed its return, so it and all on it are gone."""
+        """Drop a machine that left the fleet record: the cloud confirmed its return, so it and its tasks are gone."""
         if self.machines.pop(host, None) is not None:
             self.mark_changed(host)
 
     def last_possible_replies(self, others_fenced_at: timedelta | None) -> dict[str, timedelta]:
-        """Return the last moment at which anybody may have replied to each machine, for the owner in the next view.
+        """Return the last moment at which any controller may have replied to each machine, for use in the next view.
 
-        When that is us again, only we could reply in between, so a machine that has missed heartbeats over several
-        views need not be counted anew in each. Machines of which that is not known are left out.
+        If this controller owns a machine in the next view again, no other controller could reply in between, so the
+        silence of a machine that misses heartbeats over several views need not be counted from the start in each.
+        Machines for which the moment is not known are left out.
         """
-        found = {}
+        replies = {}
         for host, machine in self.machines.items():
             latest_reply = machine.latest_reply()
-            if machine.is_reconciled or machine.no_earlier_owner_since:
-                found[host] = latest_reply
+            if machine.is_reconciled or machine.covers_earlier_views:
+                replies[host] = latest_reply
             elif others_fenced_at is not None:
-                found[host] = max(latest_reply, others_fenced_at)
-        return found
+                replies[host] = max(latest_reply, others_fenced_at)
+        return replies
 
     def job_finished(self, job_id: str) -> None:
-        """Stop the tasks of a job that is no longer live, whoever asked for them."""
+        """Request the stop of all attempts of a job that has finished, whoever requested them."""
         for host in self.hosts_by_job.pop(job_id, ()):
             machine = self.machines.get(host)
             if machine is not None:
@@ -116,15 +117,15 @@
             self.hosts_to_notify.add(host)
             self.mark_changed(host)
 
-    # What the other controllers are told.
+    # Information for the other controllers.
 
     def status(self, host: str, now: timedelta) -> MachineStatus | None:
-        """Return a machine's state as it is sent to the other controllers; None when we do not own it."""
+        """Return a machine's status for the other controllers; None if this controller does not own the machine."""
         machine = self.machines.get(host)
         return status_of(machine, now) if machine is not None else None
 
     def waiting_schedulers(self, host: str) -> set[str]:
-        """Return the controllers whose schedulers wait for news of what they asked for on the machine."""
+        """Return the controllers whose schedulers wait for news of attempts that they requested on the machine."""
         machine = self.machines.get(host)
         if machine is None:
             return set()
--- a/src/ramptide/agents/status.py
+++ b/src/ramptide/agents/status.py
@@ -1,4 +1,4 @@
-"""The status of our machines, in the form that the other controllers get."""
+"""The status of an owned machine, as it is sent to the other controllers."""
 
 from datetime import timedelta
 
@@ -9,7 +9,7 @@
 
 
 def status_of(machine: OwnedMachine, now: timedelta) -> MachineStatus:
-    """Return the status of a machine of ours at the moment `now` of the monotonic clock."""
+    """Return the status of an owned machine at the moment `now` of the monotonic clock."""
     return MachineStatus(
         is_reconciled=machine.is_reconciled,
         is_up=machine.is_up,
@@ -30,7 +30,7 @@
 
 
 def _silent_for(machine: OwnedMachine, now: timedelta) -> timedelta:
-    """Return how long the machine has been silent; zero when no heartbeat is missing."""
+    """Return how long the machine has been silent; zero if it does not miss heartbeats."""
     if not machine.missed_heartbeats:
         return timedelta(0)
     return now - (machine.last_heartbeat_at or machine.no_other_owner_since)
--- a/src/ramptide/agents/token_announcer.py
+++ b/src/ramptide/agents/token_announcer.py
@@ -1,8 +1,8 @@
-"""Announces the fencing token of a new membership view to agents, ahead of the replies to their next heartbeats.
+"""Announces the fencing token of a new view to agents, ahead of the replies to their next heartbeats.
 
-An agent may wait up to 4 s for the reply of a controller that is gone before it sends a heartbeat to another one. Until
-it has shown its tasks under the new token, nothing of a limited team is started. A direct request without commands
-raises the token at once, and the response is the agent's heartbeat.
+An agent may wait up to 4 s for the reply of a controller that has failed before it sends a heartbeat to another one.
+Until it has reported its tasks under the new token, no task of a limited team is started. A direct request without
+commands raises the agent's token at once, and the response is the agent's heartbeat.
 """
 
 import logging
@@ -19,23 +19,25 @@
 
 log = logging.getLogger(__name__)
 
-#: Requests at a time: enough to ask hundreds of agents within a second, few enough to leave sockets for other calls.
+#: The most requests at a time: enough to reach hundreds of agents within a second, few enough to leave sockets for
+#: other calls.
 MAX_IN_FLIGHT = 16
-#: An agent that does not respond by then is left to its own heartbeat: a machine that hangs must not hold up others.
+#: An agent that does not respond in time learns the token from its next heartbeat: a hanging machine must not delay
+#: the announcement to others.
 RESPONSE_TIMEOUT = timedelta(seconds=1)
-#: The epoch of most agents. One of another epoch says so, and is asked once more.
+#: The epoch of most agents. An agent with another epoch reports it in its response, and gets a second request.
 FIRST_AGENT_EPOCH = 1
 
 
 class TokenAnnouncer:
-    """Announces one fencing token at a time; a new one replaces what is left of the one before.
+    """Announces one fencing token at a time; a new one cancels what is left of the previous announcement.
 
     Parameters
     ----------
     runtime
-        Timers and calls.
+        The calls to agents.
     on_heartbeat
-        Gets the heartbeat of each agent that has seen the token.
+        Called with the heartbeat of each agent that has seen the token.
     """
 
     def __init__(self, runtime: Runtime, on_heartbeat: Callable[[Heartbeat], None]) -> None:
@@ -46,13 +48,13 @@
         self._waiting: deque[tuple[str, str]] = deque()
 
     def announce(self, fencing_token: int, addresses: Mapping[str, str]) -> None:
-        """Tell the token to agents, given by host and address; nobody else is told any more."""
+        """Announce a token to agents, given by host and address; waiting requests with an earlier token are dropped."""
         self._fencing_token = fencing_token
         self._waiting = deque(addresses.items())
         self._send_waiting()
 
     def stop(self) -> None:
-        """Announce nothing more."""
+        """Drop the waiting requests, and ignore responses to those in flight."""
         self._fencing_token = 0
         self._waiting.clear()
 
