--- a/src/ramptide/clients/__init__.py
+++ b/src/ramptide/clients/__init__.py
@@ -1,6 +1,6 @@
-"""Clients of the key-value store and of the cloud, within their rate limits.
+"""Clients of the key-value store and of the cloud, which keep within the rate limits of both services.
 
-`key_value_store` and `cloud` are what the other packages use; `transactions` holds what is committed and its results.
-`service_client` is what both clients have in common, and `rate_limits` decides when a call is sent. A failed call is a
-result like any other: no client raises.
+Other packages use `key_value_store` and `cloud`; `transactions` defines transactions and their results. Both clients
+are based on `service_client`, and `rate_limits` decides when a call is sent. A failed call is reported as a result; no
+client raises an exception for it.
 """
--- a/src/ramptide/clients/cloud.py
+++ b/src/ramptide/clients/cloud.py
@@ -25,19 +25,20 @@
 
 __all__ = ["MAX_RETURNS_PER_CALL", "CloudClient", "RentResult"]
 
-#: How long a call of any priority may wait for the rate limit before it is given up.
+#: How long a call of each priority may wait for the rate limit before it is rejected.
 MAX_QUEUE_TIME = dict.fromkeys(CallPriority, timedelta(seconds=10))
 CALL_TIMEOUT = timedelta(seconds=5)
+#: The most machines in one page of the list.
 RENTALS_PAGE_SIZE = 500
 #: The most machines that one call returns.
 MAX_RETURNS_PER_CALL = 100
 #: The part of the cloud's rate limit that one controller uses: alone, or next to others. Only the leader rents and
-#: lists; the others ask for the machine types now and then.
-USED_PART_ALONE = 0.9
-USED_PART_WITH_OTHERS = 0.7
+#: lists machines; the other controllers just read the machine types from time to time.
+USED_RATIO_ALONE = 0.9
+USED_RATIO_WITH_OTHERS = 0.7
 #: The name of the cloud in log lines.
 SERVICE_NAME = "the cloud"
-#: What the body of a 503 response contains when there is no capacity; any other 503 is a fault of the cloud.
+#: Part of the body of a 503 response for lack of capacity; any other 503 response is a fault of the cloud.
 NO_CAPACITY = b"no capacity"
 
 
@@ -48,10 +49,9 @@
     Attributes
     ----------
     hosts
-        The machines, which may be fewer than were asked for; None if the cloud did not say.
+        The machines, which may be fewer than requested; None if there was no successful response.
     is_refused
-        Whether the cloud refused, for want of capacity or since it does not know what was asked for: nothing was
-        rented.
+        Whether the cloud refused the request, for lack of capacity or because it is invalid: nothing was rented.
     """
 
     hosts: list[str] | None
@@ -59,7 +59,7 @@
 
 
 class CloudClient:
-    """The cloud's interface as one controller sees it.
+    """Calls the API of the cloud for one controller.
 
     Parameters
     ----------
@@ -74,12 +74,12 @@
     """
 
     def __init__(self, runtime: Runtime, address: str, limits: CloudLimits, controller_count: int) -> None:
-        rate = limits.requests_per_second * (USED_PART_ALONE if controller_count == 1 else USED_PART_WITH_OTHERS)
+        rate = limits.requests_per_second * (USED_RATIO_ALONE if controller_count == 1 else USED_RATIO_WITH_OTHERS)
         rate_limiter = RateLimiter(runtime, TokenBucket(rate, rate))
         self._client = ServiceClient(runtime, address, SERVICE_NAME, rate_limiter, MAX_QUEUE_TIME, CALL_TIMEOUT)
 
     def list_machine_types(self, on_machine_types: Callable[[list[MachineType] | None], None]) -> None:
-        """Read the machine types; `on_machine_types` gets None when that failed."""
+        """Read the machine types; `on_machine_types` gets None if the call failed."""
 
         def on_response(response: Response | None) -> None:
             on_machine_types(self._client.decode_success(decode_machine_types, response))
@@ -100,7 +100,7 @@
         Parameters
         ----------
         request_id
-            The idempotency key: a repeated request with the same one rents nothing more.
+            The idempotency key: a repeated request with the same key rents no further machines.
         machine_type, zone, spot
             The name of the machine type, its zone, and whether to rent spot instances.
         count
@@ -119,7 +119,7 @@
     def return_machines(self, hosts: list[str], on_returned: Callable[[bool], None]) -> None:
         """Return at most `MAX_RETURNS_PER_CALL` machines.
 
-        `on_returned(True)` proves that they and everything on them are gone; False says nothing.
+        `on_returned(True)` proves that they and everything on them are gone; False proves nothing.
         """
 
         def on_response(response: Response | None) -> None:
@@ -129,7 +129,7 @@
         self._client.call(request, on_response)
 
     def list_machines(self, on_machines: Callable[[list[ListedMachine] | None], None]) -> None:
-        """Read the whole list of rented machines; `on_machines` gets None when a page of it could not be read."""
+        """Read the whole list of rented machines; `on_machines` gets None if a page of the list could not be read."""
 
         def on_pages(pages: list[MachinePage] | None) -> None:
             on_machines(None if pages is None else [machine for page in pages for machine in page.machines])
@@ -139,7 +139,7 @@
 
 
 def _is_refusal(response: Response) -> bool:
-    """Tell whether a response to a rental says that nothing was rented, and that a repetition would not help."""
+    """Return whether a response to a rental says that nothing was rented and that repeating it would not help."""
     if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
         return NO_CAPACITY in response.body
     return response.status == HTTPStatus.BAD_REQUEST
--- a/src/ramptide/clients/key_value_store.py
+++ b/src/ramptide/clients/key_value_store.py
@@ -34,7 +34,7 @@
 
 log = logging.getLogger(__name__)
 
-#: How long a call of each priority may wait for the rate limit before it is given up.
+#: How long a call of each priority may wait for the rate limit before it is rejected.
 MAX_QUEUE_TIME = {
     CallPriority.LEASE: timedelta(seconds=4),
     CallPriority.COMMIT: timedelta(seconds=2),
@@ -43,11 +43,12 @@
 }
 CALL_TIMEOUT = timedelta(seconds=2)
 KEEP_ALIVE_TIMEOUT = timedelta(seconds=1)
-#: How much longer than the store blocks we wait for the answer of a watch.
+#: Added to the time for which the store blocks a watch to get the timeout of its response.
 WATCH_TIMEOUT_MARGIN = timedelta(seconds=1)
+#: The most keys in one page of a list.
 PAGE_SIZE = 500
 #: The part of the store's rate limits that all controllers together use.
-USED_PART_OF_LIMITS = 0.95
+USED_RATIO_OF_LIMITS = 0.95
 MAX_LOGGED_BODY_BYTES = 200
 #: The name of the store in log lines.
 SERVICE_NAME = "the state service"
@@ -55,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadResult:
-    """The result of the read of one key.
+    """The result of reading one key.
 
     Attributes
     ----------
     is_known
-        Whether the store answered.
+        Whether a valid response showed the state of the key.
     key_value
-        The key with its value; None if there is no such key, or if nothing is known.
+        The key with its value; None if the key does not exist, or if `is_known` is false.
     """
 
     is_known: bool
@@ -76,7 +77,7 @@
     Attributes
     ----------
     revision
-        The revision of the first page: a watch from there misses nothing.
+        The revision of the first page: a watch from this revision misses no change.
     key_values
         The keys with their values.
     """
@@ -92,10 +93,9 @@
     Attributes
     ----------
     batch
-        The events; None when the store did not answer.
+        The events; None if there was no successful response.
     is_compacted
-        Whether the store no longer has all events since the revision that was asked for, so that the keys must be read
-        again.
+        Whether the store no longer has all events since the requested revision, so that the keys must be read again.
     """
 
     batch: EventBatch | None
@@ -103,16 +103,16 @@
 
 
 class LeaseStatus(Enum):
-    """What a keep-alive of a lease has shown."""
+    """The status of a lease as of a keep-alive."""
 
     ALIVE = auto()
     EXPIRED = auto()
-    #: The store did not answer.
+    #: The store gave no response, or one that shows neither.
     UNKNOWN = auto()
 
 
 class KeyValueStore:
-    """The key-value store as one controller sees it.
+    """Calls the API of the key-value store for one controller.
 
     Parameters
     ----------
@@ -128,26 +128,26 @@
     Attributes
     ----------
     runtime
-        As given; those who use the store schedule their retries with it.
+        As given; callers schedule their retries with it.
     limits
-        As given; those who build transactions keep within them.
+        As given; callers keep their transactions within them.
     """
 
     def __init__(self, runtime: Runtime, address: str, limits: KeyValueStoreLimits, controller_count: int) -> None:
         self.runtime = runtime
         self.limits = limits
-        calls = limits.requests_per_second * USED_PART_OF_LIMITS
-        writes = limits.writes_per_second * USED_PART_OF_LIMITS
-        # The load differs: the leader writes more. A single controller never takes more than half of the whole rate,
-        # and what is rejected for that was not carried out.
-        self._write_bucket = TokenBucket(writes / controller_count, writes / controller_count, writes / 2)
-        call_bucket = TokenBucket(calls / controller_count, calls / controller_count, calls / 2)
+        call_rate = limits.requests_per_second * USED_RATIO_OF_LIMITS
+        write_rate = limits.writes_per_second * USED_RATIO_OF_LIMITS
+        # The rates may grow, as the load of the controllers differs: the leader writes more. One of several controllers
+        # never uses more than half of the whole rate. A call that is rejected for its rate was not carried out.
+        self._write_bucket = TokenBucket(write_rate / controller_count, write_rate / controller_count, write_rate / 2)
+        call_bucket = TokenBucket(call_rate / controller_count, call_rate / controller_count, call_rate / 2)
         self._rate_limiter = RateLimiter(runtime, call_bucket, self._write_bucket)
         self._client = ServiceClient(runtime, address, SERVICE_NAME, self._rate_limiter, MAX_QUEUE_TIME, CALL_TIMEOUT)
 
     @property
     def write_rate(self) -> float:
-        """The writes per second that this controller may send at present."""
+        """The number of writes per second that this controller may send at present."""
         return self._write_bucket.rate
 
     def write_delay(self, priority: CallPriority) -> timedelta:
@@ -164,7 +164,7 @@
         on_result
             Called with the result.
         on_send
-            Called when the request leaves: whoever asks after that needs another read.
+            Called when the request is sent: whoever asks for the key after that needs another read.
         """
 
         def on_response(response: Response | None) -> None:
@@ -178,7 +178,7 @@
         self._client.call(request, on_response, on_send)
 
     def list_keys(self, prefix: str, on_snapshot: Callable[[Snapshot | None], None]) -> None:
-        """Read all keys with a prefix; `on_snapshot` gets None when a page of them could not be read."""
+        """Read all keys with a prefix; `on_snapshot` gets None if a page of the list could not be read."""
 
         def on_pages(pages: list[KeyValuePage] | None) -> None:
             if pages is None:
@@ -208,7 +208,7 @@
         self._client.call(request, on_response, on_reject=on_reject)
 
     def _transaction_result(self, response: Response | None) -> TransactionResult:
-        """Return what a response to a transaction says; a broken body leaves the outcome unknown."""
+        """Return the result of a transaction from its response; an invalid body leaves the outcome unknown."""
         if response is None:
             return TransactionResult(TransactionOutcome.UNKNOWN)
         if response.status == HTTPStatus.OK:
@@ -236,10 +236,10 @@
         Parameters
         ----------
         lifetime
-            How long the lease lives after its creation and after each keep-alive.
+            How long the lease is valid after its creation and after each keep-alive.
         on_lease
-            Called with the id of the lease, or None when there was no answer; a lease that may exist all the same
-            expires unused.
+            Called with the id of the lease, or None if the call failed; a lease that was created all the same expires
+            unused.
         """
 
         def on_response(response: Response | None) -> None:
@@ -264,7 +264,7 @@
         self._client.call(ServiceCall(CallPriority.LEASE, "POST", target, timeout=KEEP_ALIVE_TIMEOUT), on_response)
 
     def revoke_lease(self, lease_id: int) -> None:
-        """End a lease at once; if the request is lost, the lease expires."""
+        """Revoke a lease at once; if the request is lost, the lease expires."""
         request = ServiceCall(CallPriority.LEASE, "DELETE", f"{LEASES_PATH}/{lease_id}")
         self._client.call(request, _ignore_response)
 
@@ -285,12 +285,12 @@
         since
             The revision after which events are wanted.
         block
-            How long the store waits for an event when there is none. Without it this is a plain read of all that has
-            changed, and waits its turn among the reads.
+            How long the store waits for an event if there is none. A call with zero is a plain read of the changes, and
+            has the priority of reads.
         on_result
             Called with the result.
         on_send
-            Called when the request leaves.
+            Called when the request is sent.
         """
         query = urlencode({"prefix": prefix, "since": since, "blockMs": int(block / timedelta(milliseconds=1))})
 
@@ -308,4 +308,4 @@
 
 
 def _ignore_response(_response: Response | None) -> None:
-    """Take a response that nobody waits for."""
+    """Ignore the response to a request whose result no caller needs."""
--- a/src/ramptide/clients/service_client.py
+++ b/src/ramptide/clients/service_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to one outside service: within its rate limit, with decoded responses, and page by page."""
+"""HTTP calls to one external service: within its rate limit, with decoded responses, and with paged lists."""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -20,7 +20,7 @@
 
 
 class Page(Protocol):
-    """One page of a list; `more`: another one follows."""
+    """One page of a list; `more`: whether another page follows."""
 
     more: bool
 
@@ -35,13 +35,13 @@
     Attributes
     ----------
     priority
-        Its place among the calls that wait for the rate limit.
+        The priority among the calls that wait for the rate limit.
     method, target, body
         The HTTP request.
     writes
-        The number of keys that it changes, which count against the limit on writes.
+        The number of keys that the request changes, which counts against the limit on writes.
     timeout
-        How long to wait for the response once it was sent; None for the usual time of this service.
+        How long to wait for the response after sending; None for the default of the client.
     """
 
     priority: CallPriority
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PagedRequest:
-    """A request for a whole list, of which each response holds one page.
+    """A request for a whole list, of which each response contains one page.
 
     Attributes
     ----------
@@ -65,7 +65,7 @@
     query
         The query parameters besides `limit` and `since`.
     page_size
-        The most items in a page.
+        The most items in one page.
     """
 
     priority: CallPriority
@@ -88,9 +88,9 @@
     rate_limiter
         Decides when a request is sent.
     max_queue_time
-        How long a request of each priority may wait for the rate limiter.
+        How long a request of each priority may wait for the rate limit.
     call_timeout
-        How long to wait for a response unless the request says otherwise.
+        How long to wait for a response unless the request has a timeout.
     """
 
     def __init__(
@@ -123,15 +123,15 @@
         request
             The request.
         on_response
-            Called with the response, or None when there was none in time.
+            Called with the response, or None if there was none in time.
         on_send
-            Called when the request leaves.
+            Called when the request is sent.
         on_reject
-            Called instead of `on_response` when the request waited too long and was never sent; without it,
-            `on_response` gets None then.
+            Called instead of `on_response` if the request waited too long and was not sent; without it, `on_response`
+            gets None then.
         """
 
-        def receive(response: Response | None) -> None:
+        def handle_response(response: Response | None) -> None:
             if response is not None and response.status == HTTPStatus.TOO_MANY_REQUESTS:
                 self._rate_limiter.report_overload()
             on_response(response)
@@ -140,7 +140,9 @@
             if on_send is not None:
                 on_send()
             timeout = self._call_timeout if request.timeout is None else request.timeout
-            self._runtime.call(Request(self._address, request.method, request.target, timeout, request.body), receive)
+            self._runtime.call(
+                Request(self._address, request.method, request.target, timeout, request.body), handle_response
+            )
 
         reject = on_reject or (lambda: on_response(None))
         self._rate_limiter.submit(
@@ -148,13 +150,13 @@
         )
 
     def decode_success(self, decode: Callable[[bytes], Message], response: Response | None) -> Message | None:
-        """Return the decoded body of a successful response, or None for any other; a broken body is logged."""
+        """Return the decoded body of a successful response, or None for any other; an invalid body is logged."""
         if response is None or response.status != HTTPStatus.OK:
             return None
         return self.decode_body(decode, response.body)
 
     def decode_body(self, decode: Callable[[bytes], Message], body: bytes) -> Message | None:
-        """Return the decoded body, or None for a broken one, which is logged."""
+        """Return the decoded body, or None for an invalid one, which is logged."""
         try:
             return decode(body)
         except MessageError as error:
@@ -173,13 +175,13 @@
         Parameters
         ----------
         request
-            What to read.
+            The list to read.
         decode
-            Decodes one page; it raises `MessageError` for a broken one.
+            Decodes one page, or raises `MessageError` if it is invalid.
         last_key_of
             Returns the key of a page's last item, after which the next page begins; None for an empty page.
         on_pages
-            Called with all pages, or None when one of them could not be read.
+            Called with all pages, or None if one of them could not be read.
         """
         pages: list[PageType] = []
 
@@ -197,8 +199,12 @@
                     return
                 last_key = last_key_of(page)
                 if last_key is None or last_key <= (after or ""):
-                    # To follow it would ask for the same page for ever.
-                    log.error("broken response: service=%r error=%r", self._name, "a page that leads nowhere")
+                    # A request after this key would get the same page again, without end.
+                    log.error(
+                        "broken response: service=%r error=%r",
+                        self._name,
+                        "page announces more items but has no later key",
+                    )
                     on_pages(None)
                     return
                 request_page(last_key)
--- a/src/ramptide/clients/transactions.py
+++ b/src/ramptide/clients/transactions.py
@@ -1,4 +1,4 @@
-"""Compare-and-swap transactions of the key-value store, and what became of them."""
+"""Compare-and-swap transactions of the key-value store, and their results."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True)
 class Transaction:
-    """Conditions and operations that are applied together or not at all.
+    """Operations that are applied together if all conditions hold, and not at all otherwise.
 
     Attributes
     ----------
     conditions
-        The modification revision that each of these keys must have; 0 for a key that must not exist.
+        The modification revision that each key must have, by key; 0 for a key that must not exist.
     puts
-        Keys with their new value and the lease, if any, with which they expire.
+        Keys to write, with their values and the leases, if any, with which they expire.
     deletes
         Keys to delete.
     """
@@ -48,32 +48,32 @@
 
 
 class TransactionOutcome(Enum):
-    """What became of a transaction."""
+    """The outcome of a transaction."""
 
     #: All operations were applied.
     APPLIED = auto()
     #: Nothing was applied: a condition did not hold.
     CONFLICT = auto()
-    #: Nothing was applied: the store's rate limit rejected it, or it waited too long for our share of that limit.
+    #: Nothing was applied: the store rejected the rate, or the call waited too long for this controller's share of it.
     RATE_LIMITED = auto()
     #: Nothing was applied: the store refused it.
     REFUSED = auto()
-    #: No answer that could be read: it may have been applied, or may be yet.
+    #: There was no valid response: the operations may have been applied, or may still be applied.
     UNKNOWN = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class TransactionResult:
-    """What became of a transaction.
+    """The result of a transaction.
 
     Attributes
     ----------
     outcome
-        Which of the possible results it is; the properties ask for each.
+        The outcome; each property checks for one of them.
     commit_revision
-        The revision at which it was applied; 0 unless it was.
+        The revision at which it was applied; 0 if it was not.
     conflicting_keys
-        The keys whose conditions did not hold, in the order of the answer; empty unless that was the cause.
+        The keys whose conditions did not hold, in the order of the response; empty for any other outcome.
     """
 
     outcome: TransactionOutcome
@@ -97,5 +97,5 @@
 
     @property
     def is_unknown(self) -> bool:
-        """Whether nobody knows if it was, or will be, applied."""
+        """Whether it is not known if it was, or still will be, applied."""
         return self.outcome is TransactionOutcome.UNKNOWN
