--- a/src/ramptide/agents/heartbeat_intake.py
+++ b/src/ramptide/agents/heartbeat_intake.py
@@ -78,7 +78,7 @@
             job_id, task_index = parse_task_id(report.task_id)
             spec = self._find_spec(job_id)
             if spec is not None and task_index >= spec.task_count:
-                raise MessageError(f"piece: {report.task_id!r} has an index that its job does not have")
+                raise MessageError(f"piece: {report.task_id!r} is not of the job")
             reports[(job_id, task_index, report.attempt)] = report
         return reports
 
--- a/src/ramptide/transport/http/parser.py
+++ b/src/ramptide/transport/http/parser.py
@@ -35,7 +35,7 @@
         headers[name] = value
     message = Message(lines[0], headers, is_response)
     if "content-length" in headers and "transfer-encoding" in headers:
-        raise HttpError(400, "both content-length and transfer-encoding")
+        raise HttpError(400, "both framings")
     return message
 
 
