--- a/src/ramptide/agents/heartbeat_intake.py
+++ b/src/ramptide/agents/heartbeat_intake.py
@@ -40,7 +40,7 @@
         self._find_spec = table.find_spec
         self._mark_changed = table.mark_changed
 
-    def take(self, heartbeat: Heartbeat, now: timedelta) -> bool:
+    def apply(self, heartbeat: Heartbeat, now: timedelta) -> bool:
         """Apply a heartbeat and return whether it is new; an old one changes nothing.
 
         Raises
--- a/src/ramptide/agents/heartbeats.py
+++ b/src/ramptide/agents/heartbeats.py
@@ -84,7 +84,7 @@
         self._watch_cache = watch_cache
         self._held: dict[str, HeldHeartbeat] = {}
 
-    def new_view(self) -> None:
+    def on_new_view(self) -> None:
         """Reply to all held heartbeats, so that agents learn their owners and the new fencing token at once."""
         held, self._held = self._held, {}
         for host, heartbeat in held.items():
@@ -94,7 +94,7 @@
             else:
                 self._reply(host, heartbeat.reply)
 
-    def forget(self, host: str) -> None:
+    def reject_held_heartbeat(self, host: str) -> None:
         """Reply with status 503 to the held heartbeat of a machine, if there is one."""
         held = self._held.pop(host, None)
         if held is not None:
@@ -123,7 +123,7 @@
         """Apply a heartbeat of a machine that this controller owns, and reply to it or hold it."""
         host = heartbeat.host
         try:
-            is_new = shard.heartbeats.take(heartbeat, self._runtime.now)
+            is_new = shard.heartbeats.apply(heartbeat, self._runtime.now)
         except MessageError as error:
             reply(HTTPStatus.BAD_REQUEST, encode_json({"error": str(error)}))
             return
@@ -131,7 +131,7 @@
             # A late copy must not consume a command, nor count as answered.
             reply(HTTPStatus.SERVICE_UNAVAILABLE, TRY_ELSEWHERE)
             return
-        self.forget(host)
+        self.reject_held_heartbeat(host)
         machine = shard.machines.get(host)
         if machine is not None and self._can_hold_reply(machine) and not shard.commands.has_unsent_commands(host):
             self._held[host] = HeldHeartbeat(reply, self._runtime.now + self._state.tuning.hold)
@@ -154,7 +154,7 @@
             return
         now = self._runtime.now
         try:
-            is_new = self._authority.may_reply() and shard.heartbeats.take(heartbeat, now)
+            is_new = self._authority.may_reply() and shard.heartbeats.apply(heartbeat, now)
         except MessageError as error:
             log.debug("broken heartbeat: host=%s error=%r", heartbeat.host, str(error))
             return
--- a/src/ramptide/agents/lease_expiry.py
+++ b/src/ramptide/agents/lease_expiry.py
@@ -8,10 +8,10 @@
 from ramptide.agents.owned_machine import HeartbeatId, OwnedMachine
 from ramptide.state.task_state import REPORTED_PHASES, Phase
 
-__all__ = ["CLOCK_DRIFT", "MISSED_HEARTBEAT_LIMIT", "ExpiredLease", "LeaseExpiry"]
+__all__ = ["MAX_CLOCK_DRIFT_RATIO", "MISSED_HEARTBEAT_LIMIT", "ExpiredLease", "LeaseExpiry"]
 
 #: The largest ratio by which the clock of an agent may run slower than that of a controller.
-CLOCK_DRIFT = 1.002
+MAX_CLOCK_DRIFT_RATIO = 1.002
 #: Added to the duration of a lease before it counts as expired, for delays that the clock drift does not cover.
 LEASE_MARGIN = timedelta(seconds=1)
 #: The number of heartbeat intervals after which a silent machine or controller counts as missing heartbeats.
@@ -56,7 +56,7 @@
         before the reply. In this view only this controller replies; members of earlier views may have replied until
         `others_fenced_at` (None while it is not known). Returns the expired leases that changed a machine's state.
         """
-        expires_after = self._lease_duration * CLOCK_DRIFT + LEASE_MARGIN
+        expires_after = self._lease_duration * MAX_CLOCK_DRIFT_RATIO + LEASE_MARGIN
         expired = []
         for machine in self._table.machines.values():
             self._check_heartbeats(machine, now)
--- a/src/ramptide/agents/machine_table.py
+++ b/src/ramptide/agents/machine_table.py
@@ -41,7 +41,7 @@
         """Mark a machine whose status has changed, so that it is sent to the other controllers."""
         self.changed_hosts.add(host)
 
-    def take_changed(self) -> set[str]:
+    def pop_changed(self) -> set[str]:
         """Return the machines that have changed since the last call, and reset their marks."""
         changed, self.changed_hosts = self.changed_hosts, set()
         return changed
--- a/src/ramptide/agents/owned_machine.py
+++ b/src/ramptide/agents/owned_machine.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from ramptide.placement.bin_packing import ROUNDING
+from ramptide.placement.bin_packing import ROUNDING_TOLERANCE
 from ramptide.protocol.agents import Heartbeat
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import SERVICE, JobSpec
@@ -111,9 +111,9 @@
         """Return whether one more task of the job fits on the machine."""
         free = self.free_resources()
         return (
-            spec.cpus <= free.cpus + ROUNDING
-            and spec.gpus <= free.gpus + ROUNDING
-            and spec.ram_gb <= free.ram_gb + ROUNDING
+            spec.cpus <= free.cpus + ROUNDING_TOLERANCE
+            and spec.gpus <= free.gpus + ROUNDING_TOLERANCE
+            and spec.ram_gb <= free.ram_gb + ROUNDING_TOLERANCE
         )
 
     def runs_only_services(self) -> bool:
--- a/src/ramptide/api/administration.py
+++ b/src/ramptide/api/administration.py
@@ -102,7 +102,7 @@
                 "default": defaults[name],
                 "low": bound.low,
                 "high": bound.high,
-                "text": bound.text,
+                "text": bound.description,
             }
             for name, bound in BOUNDS.items()
         }
@@ -110,7 +110,7 @@
 
     def _change_settings(self, body: bytes, answer: Answer) -> None:
         try:
-            tuning = self._state.tuning.changed(decode_json(body))
+            tuning = self._state.tuning.with_changes(decode_json(body))
         except (MessageError, SettingsError) as error:
             answer(HTTPStatus.BAD_REQUEST, encode_error(str(error)), JSON)
             return
--- a/src/ramptide/api/jobs.py
+++ b/src/ramptide/api/jobs.py
@@ -289,7 +289,7 @@
 
         The key-value store cannot commit as much as is requested, so the user is told at once when to retry.
         """
-        delay = self._commit_batcher.delay()
+        delay = self._commit_batcher.expected_delay()
         if delay > MAX_COMMIT_DELAY:
             self._answer_unavailable(answer, Unavailable.OVERLOADED, delay)
         return delay > MAX_COMMIT_DELAY
@@ -297,7 +297,7 @@
     def _answer_not_committed(self, result: TransactionResult, answer: Answer) -> None:
         """Answer for a change that was not committed: it waited too long in the queue, or its commit had no answer."""
         if result.is_rate_limited:
-            self._answer_unavailable(answer, Unavailable.OVERLOADED, self._commit_batcher.delay())
+            self._answer_unavailable(answer, Unavailable.OVERLOADED, self._commit_batcher.expected_delay())
         else:
             self._answer_unavailable(answer, Unavailable.STATE_SERVICE)
 
--- a/src/ramptide/api/metrics.py
+++ b/src/ramptide/api/metrics.py
@@ -206,12 +206,14 @@
 def process_metrics(statistics: ProcessStatistics, now: timedelta) -> "Iterator[Metric]":
     """Yield the processor time by kind of work, and the delays of timers."""
     spent = CounterMetricFamily("ramptide_processor_seconds", "processor time by kind of work", labels=("work",))
-    for kind, time in statistics.by_kind().items():
+    for kind, time in statistics.processor_time_by_kind().items():
         spent.add_metric((kind,), time.total_seconds())
     yield spent
-    yield CounterMetricFamily("ramptide_timers", "timers that were called", value=statistics.timers)
+    yield CounterMetricFamily("ramptide_timers", "timers that were called", value=statistics.timer_count)
     yield CounterMetricFamily(
-        "ramptide_timer_delay_seconds", "how late timers were called", value=statistics.delays.total_seconds()
+        "ramptide_timer_delay_seconds",
+        "how late timers were called",
+        value=statistics.total_timer_delay.total_seconds(),
     )
     yield GaugeMetricFamily(
         "ramptide_worst_timer_delay_seconds",
--- a/src/ramptide/api/status.py
+++ b/src/ramptide/api/status.py
@@ -162,6 +162,6 @@
         if process is None:
             return None
         return {
-            "processor_s": {kind: spent.total_seconds() for kind, spent in process.by_kind().items()},
+            "processor_s": {kind: spent.total_seconds() for kind, spent in process.processor_time_by_kind().items()},
             "worst_timer_delay_s": process.worst_delay(self._runtime.now).total_seconds(),
         }
--- a/src/ramptide/api/telemetry.py
+++ b/src/ramptide/api/telemetry.py
@@ -75,11 +75,11 @@
         self._due: timedelta | None = None
         self._stall_ended_at: timedelta | None = None
 
-    def plan(self, due: timedelta) -> None:
+    def set_next_round(self, due: timedelta) -> None:
         """Set when the next round is due."""
         self._due = due
 
-    def begin(self, now: timedelta) -> None:
+    def record_round_start(self, now: timedelta) -> None:
         """Record that a round begins, and count a stall if it is late."""
         if not self._is_late(now):
             return
@@ -116,13 +116,13 @@
         self.leases_expired = 0
         self._unconfirmed: list[ExpiredLease] = []
 
-    def view_changed(self, number: int) -> None:
+    def record_view_change(self, number: int) -> None:
         """Count a new view."""
         self.view_changes += 1
         self._unconfirmed.clear()
         self.last_changes.append(ViewChange(number))
 
-    def reconciled(self, spent: timedelta) -> None:
+    def record_reconciliation(self, spent: timedelta) -> None:
         """Record that all machines are reconciled in the current view, `spent` after it was received."""
         self.reconciled_changes += 1
         self.reconciliation_total += spent
@@ -130,7 +130,7 @@
         if self.last_changes:
             self.last_changes[-1].settled_s = round(spent.total_seconds(), 3)
 
-    def answered(self, route: Route, status: int) -> None:
+    def record_answer(self, route: Route, status: int) -> None:
         """Count an answer to a user."""
         self.answers[route, status] += 1
 
@@ -138,7 +138,7 @@
         """Return a callback that counts an answer and passes it on to `answer`."""
 
         def count_and_answer(status: int, body: bytes, headers: dict[str, str]) -> None:
-            self.answered(route, status)
+            self.record_answer(route, status)
             answer(status, body, headers)
 
         return count_and_answer
@@ -150,7 +150,7 @@
             counts.setdefault(route.value, {})[str(status)] = count
         return counts
 
-    def take_expired_leases(self, expired: Sequence[ExpiredLease], confirmed: bool) -> None:
+    def record_expired_leases(self, expired: Sequence[ExpiredLease], confirmed: bool) -> None:
         """Count and log leases that expired.
 
         Without `confirmed` this controller may have been removed from the view, while the machines go on under another
--- a/src/ramptide/autoscaling/autoscaler.py
+++ b/src/ramptide/autoscaling/autoscaler.py
@@ -55,7 +55,7 @@
 
     # Results of requests and uses of images.
 
-    def note_refusal(self, kind: MachineKind, now: timedelta) -> None:
+    def record_refusal(self, kind: MachineKind, now: timedelta) -> None:
         """Record that the cloud had no capacity for a kind: it is not tried for a while, longer after each refusal."""
         self._choice.record_refusal(kind, now)
 
@@ -63,7 +63,7 @@
         """Record that machines of a kind were rented, which ends the pause after refusals."""
         self._choice.record_rental(kind)
 
-    def note_image_use(self, image: str) -> None:
+    def record_image_use(self, image: str) -> None:
         """Count a use of an image: the idle pool prefers machines that have cached the images used most recently."""
         self._pool.record_image_use(image)
 
--- a/src/ramptide/autoscaling/cloud_list.py
+++ b/src/ramptide/autoscaling/cloud_list.py
@@ -53,7 +53,7 @@
         #: Machines of the fleet record that are certainly gone, as the list lacks them.
         self.missing: set[str] = set()
 
-    def new_view(self) -> None:
+    def on_new_view(self) -> None:
         """Make a reading due in a new view, whose leader needs a list that is younger than the view."""
         self._read_at = None
         self._is_reading = False
@@ -63,7 +63,7 @@
         """Whether a list was read in the current view."""
         return self._read_at is not None
 
-    def note_recorded(self, host: str) -> None:
+    def track_machine(self, host: str) -> None:
         """Record since when a machine is in the fleet record, which every controller follows."""
         self._recorded_since.setdefault(host, self._runtime.now)
 
--- a/src/ramptide/autoscaling/consolidation.py
+++ b/src/ramptide/autoscaling/consolidation.py
@@ -5,7 +5,7 @@
 
 from ramptide.autoscaling.fleet_types import UNDERUTILIZED, FleetMachine
 from ramptide.config.tuning import Tuning
-from ramptide.placement.bin_packing import fill
+from ramptide.placement.bin_packing import fill_rooms
 
 __all__ = ["ServiceConsolidation"]
 
@@ -82,4 +82,4 @@
         and other.owner == machine.owner
         and other.service_cpus >= machine.service_cpus
     ]
-    return all(fill(spec, 1, rooms, Counter()) for spec in machine.services)
+    return all(fill_rooms(spec, 1, rooms, Counter()) for spec in machine.services)
--- a/src/ramptide/autoscaling/demand.py
+++ b/src/ramptide/autoscaling/demand.py
@@ -11,7 +11,7 @@
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.own_demand import waiting_rows
 from ramptide.scheduling.urgency_order import UrgencyOrder
-from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, TeamAmounts, add_amounts, amounts_of
+from ramptide.state.amounts import NO_LIMIT, ZERO_AMOUNTS, Amounts, TeamAmounts, add_amounts, amounts_of
 from ramptide.state.jobs import Job
 from ramptide.team_limits.cluster_usage import ClusterUsage
 from ramptide.transport.runtime import Runtime
@@ -64,7 +64,7 @@
         for job, row, placed in waiting:
             spec = job.spec
             limit = limits.get(spec.team, NO_LIMITS)
-            task_count = min(row.task_count, task_headroom(spec, usage.get(spec.team, NOTHING), limit, limits))
+            task_count = min(row.task_count, task_headroom(spec, usage.get(spec.team, ZERO_AMOUNTS), limit, limits))
             if task_count > 0:
                 add_amounts(usage, spec.team, amounts_of(spec).times(task_count))
                 waited = timedelta(seconds=row.waited_s)
@@ -78,7 +78,7 @@
         """
         scheduler = self._state.require_scheduler()
         rows: list[tuple[WaitingJobRow, Counter[str]]] = [
-            (row, scheduler.jobs[row.job_id].zones) for row in waiting_rows(scheduler, self._runtime.now)
+            (row, scheduler.jobs[row.job_id].placed_by_zone) for row in waiting_rows(scheduler, self._runtime.now)
         ]
         for message in self._peers.last_messages():
             # A job that was handed over to this controller may still be in the last message of its former scheduler.
--- a/src/ramptide/autoscaling/demand_signal.py
+++ b/src/ramptide/autoscaling/demand_signal.py
@@ -10,7 +10,7 @@
 
 from ramptide.autoscaling.fleet_types import Demand, FleetMachine
 from ramptide.config.tuning import Tuning
-from ramptide.placement.bin_packing import Room, empty_room, fill, needs
+from ramptide.placement.bin_packing import Room, empty_room, fill_rooms, placement_needs
 
 __all__ = ["DemandSignal", "Trigger"]
 
@@ -61,7 +61,7 @@
             open_rooms = [room for room in rooms if room.host not in avoided] if avoided else rooms
             # Tasks assigned to booting machines count for the zone rules, or all machines would be rented in one zone.
             placed = Counter(group[0].placed)
-            covered = fill(spec, sum(demand.task_count for demand in group), open_rooms, placed)
+            covered = fill_rooms(spec, sum(demand.task_count for demand in group), open_rooms, placed)
             uncovered_count = self._count_group(group, covered, tuning.long_wait)
             if uncovered_count:
                 self.waiting += uncovered_count
@@ -114,5 +114,5 @@
     groups: dict[Any, list[Demand]] = {}
     for demand in demands:
         separate_job = demand.spec.job_id if demand.spec.single_zone or demand.spec.spread_zones else None
-        groups.setdefault((needs(demand.spec), separate_job, demand.avoided_hosts), []).append(demand)
+        groups.setdefault((placement_needs(demand.spec), separate_job, demand.avoided_hosts), []).append(demand)
     return groups.values()
--- a/src/ramptide/autoscaling/faulty_machines.py
+++ b/src/ramptide/autoscaling/faulty_machines.py
@@ -56,7 +56,7 @@
 
     def add_to_plan(self, plan: ScalingPlan, now: timedelta, machines: list[FleetMachine], tuning: Tuning) -> None:
         """Add the machines to drain and to return to a plan."""
-        suspected = [machine.host for machine in machines if machine.accusing_jobs >= tuning.sick_jobs]
+        suspected = [machine.host for machine in machines if machine.fault_indicating_job_count >= tuning.sick_jobs]
         self._suspected_since = {host: self._suspected_since.get(host, now) for host in suspected}
         for machine in machines:
             current_reason = machine.record.drain_reason
@@ -97,7 +97,7 @@
         )
         if reason in IMMEDIATE_RETURN_REASONS or machine.is_drained or is_overdue:
             plan.return_now.append(machine.host)
-        elif reason == IDLE and machine.tasks:
+        elif reason == IDLE and machine.task_count:
             plan.keep.append(machine.host)
 
 
--- a/src/ramptide/autoscaling/fleet_manager.py
+++ b/src/ramptide/autoscaling/fleet_manager.py
@@ -17,7 +17,7 @@
 from ramptide.autoscaling.fleet_edits import FleetEdits
 from ramptide.autoscaling.fleet_observation import FleetObservation
 from ramptide.autoscaling.fleet_types import ScalingPlan
-from ramptide.autoscaling.machine_decisions import MachineDecision, log_decisions, written
+from ramptide.autoscaling.machine_decisions import MachineDecision, log_decisions, written_decisions
 from ramptide.autoscaling.machine_returns import MachineReturns
 from ramptide.autoscaling.rental_requests import RentalRequests
 from ramptide.clients.cloud import CloudClient
@@ -127,21 +127,21 @@
         self._requests = RentalRequests(runtime, state, cloud, autoscaler, self._step)
         self._returns = MachineReturns(runtime, state, cloud)
         #: Whether machine types were read from the cloud that are not in the key-value store yet.
-        self.machine_types_read = False
+        self.has_unsaved_machine_types = False
         self._rental_count = 0
         self._is_writing = False
         #: The decisions of the last write if its response was lost.
         self._unconfirmed_decisions: list[MachineDecision] = []
         self._timer: TimerHandle | None = runtime.after(state.tuning.step, self._step)
 
-    def new_view(self) -> None:
+    def on_new_view(self) -> None:
         """Reset for a new view, in which nothing is rented before the cloud's list of machines was read again."""
-        self._cloud_list.new_view()
+        self._cloud_list.on_new_view()
         self._unconfirmed_decisions = []
 
-    def note_recorded(self, host: str) -> None:
+    def track_machine(self, host: str) -> None:
         """Record since when a machine is in the fleet record, which every controller follows."""
-        self._cloud_list.note_recorded(host)
+        self._cloud_list.track_machine(host)
 
     def forget(self, host: str) -> None:
         """Drop what is known of a machine that has left the fleet record."""
@@ -189,7 +189,7 @@
         if not self._may_start():
             return
         now, timeout = self._runtime.now, self._confirm_timeout
-        unconfirmed_for = self._machine_index.unconfirmed_for
+        unconfirmed_for = self._machine_index.unconfirmed_duration
         self._returns.return_machines(host for host in self._state.machines if unconfirmed_for(host, now) > timeout)
 
     # The fleet record.
@@ -199,13 +199,13 @@
         self._log_unconfirmed()
         edits = self._edits(plan)
         transaction = Transaction(conditions={VIEW_KEY: self._membership.view_revision})
-        if self.machine_types_read:
-            self.machine_types_read = False
+        if self.has_unsaved_machine_types:
+            self.has_unsaved_machine_types = False
             machine_types = [msgspec.to_builtins(machine_type) for machine_type in self._state.machine_types.values()]
             transaction.puts.append(Put(MACHINE_TYPES_KEY, machine_types))
         fitting_ids = self._add_records(transaction, edits.records)
         if transaction.size:
-            self._commit(transaction, written(edits.decisions, fitting_ids))
+            self._commit(transaction, written_decisions(edits.decisions, fitting_ids))
 
     def _edits(self, plan: ScalingPlan) -> FleetEdits:
         """Return the changes to the fleet record: results of requests, the plan, and machines in no record."""
--- a/src/ramptide/autoscaling/fleet_observation.py
+++ b/src/ramptide/autoscaling/fleet_observation.py
@@ -104,7 +104,7 @@
         """
         now, wall_s = self._runtime.now, self._runtime.wall().timestamp()
         self._room_finder.refresh()
-        rooms = {room.host: room for room in self._room_finder.rooms()}
+        rooms = {room.host: room for room in self._room_finder.free_rooms()}
         unlisted = set(missing)
         blocking = self._machines_blocking_reconciliation(now)
         found = []
@@ -132,20 +132,20 @@
             age=age,
             silent_for=now - max(observed.heard_at, self._state.view_since) if is_silent else NO_TIME,
             preempted_in=None if preempted_at is None else preempted_at - now,
-            accusing_jobs=self._machine_index.count_accusing_jobs(host) if is_indexed else 0,
+            fault_indicating_job_count=self._machine_index.count_jobs_indicating_fault(host) if is_indexed else 0,
             consecutive_failures=observed.consecutive_failures,
-            tasks=observed.active_tasks + self._own_attempts(host),
+            task_count=observed.active_tasks + self._own_attempts(host),
             room=room.copy() if room is not None else None,
             is_drained=observed.is_reported and observed.is_draining and not observed.active_tasks,
             unreachable_for=now - unreachable_since if unreachable_since is not None else NO_TIME,
-            unconfirmed_for=self._machine_index.unconfirmed_for(host, now),
+            unconfirmed_for=self._machine_index.unconfirmed_duration(host, now),
             owner=self._state.owner_of(host),
             services=self._services(observed) if room is not None and room.service_cpus else [],
         )
 
     def _own_attempts(self, host: str) -> int:
         scheduler = self._state.scheduler
-        return len(scheduler.attempts.get(host, ())) if scheduler is not None else 0
+        return len(scheduler.attempts_by_host.get(host, ())) if scheduler is not None else 0
 
     def _machines_blocking_reconciliation(self, now: timedelta) -> set[str]:
         """Return the machines that a new view would wait for and that are returned instead, as they are few.
--- a/src/ramptide/autoscaling/fleet_types.py
+++ b/src/ramptide/autoscaling/fleet_types.py
@@ -94,8 +94,8 @@
     age: timedelta
     silent_for: timedelta
     preempted_in: timedelta | None
-    accusing_jobs: int
-    tasks: int
+    fault_indicating_job_count: int
+    task_count: int
     room: Room | None
     is_drained: bool
     cloud_status: str | None = None
--- a/src/ramptide/autoscaling/idle_pool.py
+++ b/src/ramptide/autoscaling/idle_pool.py
@@ -6,7 +6,7 @@
 
 from ramptide.autoscaling.fleet_types import Demand, FleetMachine
 from ramptide.config.tuning import Tuning
-from ramptide.placement.bin_packing import empty_room, fill
+from ramptide.placement.bin_packing import empty_room, fill_rooms
 
 __all__ = ["IdlePool"]
 
@@ -69,7 +69,7 @@
 
 
 def _is_idle(machine: FleetMachine) -> bool:
-    return machine.is_up and not machine.tasks and machine.room is not None and not machine.is_draining
+    return machine.is_up and not machine.task_count and machine.room is not None and not machine.is_draining
 
 
 def _is_usable(machine: FleetMachine, demands: list[Demand]) -> bool:
@@ -79,7 +79,7 @@
         return False
     return any(
         machine.host not in demand.avoided_hosts
-        and fill(
+        and fill_rooms(
             demand.spec,
             1,
             [empty_room(machine_type, record.zone, record.spot, machine.host)],
--- a/src/ramptide/autoscaling/machine_choice.py
+++ b/src/ramptide/autoscaling/machine_choice.py
@@ -8,7 +8,7 @@
 
 from ramptide.autoscaling.fleet_types import Demand, MachineKind
 from ramptide.config.tuning import Tuning
-from ramptide.placement.bin_packing import empty_room, fill
+from ramptide.placement.bin_packing import empty_room, fill_rooms
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import JobSpec
 
@@ -105,7 +105,7 @@
             room = empty_room(machine_type, kind.zone, kind.spot)
             assigned_count = 0
             for demand in remaining:
-                fitting_count = fill(demand.spec, demand.task_count, [room], demand.placed)
+                fitting_count = fill_rooms(demand.spec, demand.task_count, [room], demand.placed)
                 demand.task_count -= fitting_count
                 assigned_count += fitting_count
             if not assigned_count:
@@ -118,7 +118,7 @@
     room = empty_room(offer.machine_type, offer.zone, offer.spot)
     work = 0.0
     for demand in uncovered:
-        work += fill(demand.spec, demand.task_count, [room], Counter(demand.placed)) * _weight(demand.spec)
+        work += fill_rooms(demand.spec, demand.task_count, [room], Counter(demand.placed)) * _weight(demand.spec)
     return work
 
 
--- a/src/ramptide/autoscaling/machine_decisions.py
+++ b/src/ramptide/autoscaling/machine_decisions.py
@@ -6,7 +6,7 @@
 
 from ramptide.state.records import MachineRecord
 
-__all__ = ["MachineDecision", "log_decisions", "written"]
+__all__ = ["MachineDecision", "log_decisions", "written_decisions"]
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
         return record is not None and record.rental_id == self.rental_id and record.drain_reason == self.drain_reason
 
 
-def written(decisions: Iterable[MachineDecision], rentals: Collection[str]) -> list[MachineDecision]:
+def written_decisions(decisions: Iterable[MachineDecision], rentals: Collection[str]) -> list[MachineDecision]:
     """Return the decisions whose records are those of `rentals`."""
     return [decision for decision in decisions if decision.rental_id in rentals]
 
--- a/src/ramptide/autoscaling/rental_requests.py
+++ b/src/ramptide/autoscaling/rental_requests.py
@@ -95,12 +95,12 @@
         self._state.counters["rentals"] += len(hosts)
         if len(hosts) < rental.count:
             # The cloud has no more of this kind, so the next best kind is tried.
-            self._autoscaler.note_refusal(kind, self._runtime.now)
+            self._autoscaler.record_refusal(kind, self._runtime.now)
             self._on_shortage()
 
     def _record_refusal(self, rental_id: str, rental: RentalRecord) -> None:
         kind = MachineKind(rental.machine_type, rental.zone, rental.spot)
         log.info("no capacity: machine_type=%s zone=%s spot=%s", *kind)
         self.refused.add(rental_id)
-        self._autoscaler.note_refusal(kind, self._runtime.now)
+        self._autoscaler.record_refusal(kind, self._runtime.now)
         self._on_shortage()
--- a/src/ramptide/cli.py
+++ b/src/ramptide/cli.py
@@ -162,7 +162,7 @@
     except PlanError as error:
         return _report_error(str(error), EXIT_USAGE_ERROR)
     print("\n".join(report.lines()))
-    return 0 if report.holds else EXIT_FAILURE
+    return 0 if report.is_feasible else EXIT_FAILURE
 
 
 def _parse_changes(arguments: list[str]) -> dict[str, Any]:
--- a/src/ramptide/clients/rate_limits.py
+++ b/src/ramptide/clients/rate_limits.py
@@ -81,7 +81,7 @@
         self._refill(now)
         return SECOND * (max(amount - self._tokens, 0.0) / self.rate)
 
-    def take(self, amount: float) -> None:
+    def consume(self, amount: float) -> None:
         """Remove tokens; their number may become negative."""
         self._tokens -= amount
 
@@ -156,9 +156,9 @@
         return wait_time
 
     def _send(self, call: _QueuedCall) -> None:
-        self._call_bucket.take(1)
+        self._call_bucket.consume(1)
         if self._write_bucket is not None:
-            self._write_bucket.take(call.writes)
+            self._write_bucket.consume(call.writes)
         call.send()
 
     def _send_ready(self) -> None:
--- a/src/ramptide/cluster/change_log.py
+++ b/src/ramptide/cluster/change_log.py
@@ -22,7 +22,7 @@
         #: The sequence number of each key's last change, in the order of these changes.
         self._last_change: dict[Key, int] = {}
 
-    def mark(self, key: Key, sequence_number: int) -> None:
+    def record_change(self, key: Key, sequence_number: int) -> None:
         """Record that a key was changed or removed at a sequence number, which must not be below any recorded one."""
         self._last_change.pop(key, None)
         self._last_change[key] = sequence_number
--- a/src/ramptide/cluster/free_rooms.py
+++ b/src/ramptide/cluster/free_rooms.py
@@ -79,7 +79,7 @@
         #: Machines with tasks of unknown jobs, whose room is recomputed at each refresh until it is known.
         self._hosts_of_unknown_usage: set[str] = set()
 
-    def new_view(self) -> None:
+    def on_new_view(self) -> None:
         """Have the rooms of all machines recomputed, as their reported tasks have been cleared for a new view."""
         self._hosts_of_unknown_usage.clear()
         self.invalidate_all()
@@ -140,7 +140,7 @@
             return None
         room = empty_room(machine_type, record.zone, record.spot, host)
         for spec, count in task_counts:
-            room.take(spec, count)
+            room.allocate(spec, count)
         room.images = frozenset(machine.images)
         room.idle = not task_counts
         room.heartbeat_held = machine.heartbeat_held
--- a/src/ramptide/cluster/machine_index.py
+++ b/src/ramptide/cluster/machine_index.py
@@ -110,19 +110,19 @@
         self._terminations.remove(name)
         self.invalidate(name)
 
-    def new_view(self) -> None:
+    def on_new_view(self) -> None:
         """Clear the status of all machines, which is rebuilt from heartbeats in the new view.
 
         The images and the unconfirmed terminations are kept.
         """
-        self._terminations.new_view()
+        self._terminations.on_new_view()
         for name, machine in self.machines.items():
             self.machines[name] = machine.without_status()
         self._tasks.clear()
         self._failures.clear()
-        self._free_rooms.new_view()
+        self._free_rooms.on_new_view()
 
-    def update(self, name: str, status: MachineStatus | None, now: timedelta) -> None:
+    def apply_status(self, name: str, status: MachineStatus | None, now: timedelta) -> None:
         """Apply the status of a machine from its owner; None when the owner has no such machine."""
         machine = self.machines.get(name)
         if machine is None:
@@ -153,12 +153,12 @@
         machine.failed_jobs, machine.consecutive_failures = failed_jobs, consecutive_failures
         self._failures.replace_failed_jobs(name, before, failed_jobs)
 
-    def job_finished(self, job_id: str, spec: JobSpec, now: timedelta) -> None:
+    def record_job_finished(self, job_id: str, spec: JobSpec, now: timedelta) -> None:
         """Record that a job has left the live jobs, so that the end of its tasks has yet to be confirmed."""
         self._tasks.record_job_finished(job_id, spec)
         self._terminations.record_job_finished(job_id, self._tasks.hosts_of(job_id), now)
 
-    def job_succeeded(self, job_id: str) -> None:
+    def record_job_success(self, job_id: str) -> None:
         """Record that a task of the job succeeded, so that the machines on which the job failed may be at fault."""
         self._failures.record_job_success(job_id)
 
@@ -218,24 +218,24 @@
         """Return the jobs that failed on several machines and succeeded on none, each with the number of machines."""
         return self._failures.failing_jobs()
 
-    def count_accusing_jobs(self, name: str) -> int:
+    def count_jobs_indicating_fault(self, name: str) -> int:
         """Return how many different jobs indicate that the machine is faulty; see `FailureAttribution`."""
         return self._failures.count_jobs_indicating_fault(name)
 
     def _is_quarantined(self, name: str) -> bool:
-        return self.count_accusing_jobs(name) >= self.tuning.sick_jobs
+        return self.count_jobs_indicating_fault(name) >= self.tuning.sick_jobs
 
     # Unconfirmed terminations
 
-    def unconfirmed_for(self, name: str, now: timedelta) -> timedelta:
+    def unconfirmed_duration(self, name: str, now: timedelta) -> timedelta:
         """Return for how long a silent machine may have run a task of a finished job; zero when it cannot have."""
         return self._terminations.duration(name, now)
 
-    def all_unconfirmed(self, now: timedelta) -> dict[str, float]:
+    def unconfirmed_seconds_by_machine(self, now: timedelta) -> dict[str, float]:
         """Return for how many seconds each silent machine may have run a task of a finished job."""
         return self._terminations.seconds_by_silent_machine(now)
 
-    def take_unconfirmed(self, seconds_by_machine: Mapping[str, float], now: timedelta) -> None:
+    def merge_unconfirmed_seconds(self, seconds_by_machine: Mapping[str, float], now: timedelta) -> None:
         """Adopt the durations of `unconfirmed_seconds_by_machine` on another controller, where they are longer."""
         self._terminations.merge(seconds_by_machine, now)
 
--- a/src/ramptide/cluster/membership.py
+++ b/src/ramptide/cluster/membership.py
@@ -94,7 +94,7 @@
         watch_cache: WatchCache,
         member: str,
         incarnation: str,
-        controllers: int,
+        controller_count: int,
         on_view: Callable[[], None],
     ) -> None:
         self._store = store
@@ -105,7 +105,7 @@
         self.incarnation = incarnation
         self._first_incarnation = incarnation
         self._lost_lease_count = 0
-        self._controller_count = controllers
+        self._controller_count = controller_count
         self._on_view = on_view
         self.state = MembershipState.APPLYING
         self.view: View | None = None
@@ -139,7 +139,7 @@
         return self._leader is None
 
     @property
-    def lease_kept_at(self) -> timedelta | None:
+    def lease_confirmed_at(self) -> timedelta | None:
         """When the last request that found the lease alive was sent, on the monotonic clock; None without a lease.
 
         No view leaves this controller out until `LEASE_TIMEOUT` after that moment.
--- a/src/ramptide/cluster/peers.py
+++ b/src/ramptide/cluster/peers.py
@@ -71,7 +71,7 @@
     address: str
     is_message_in_flight: bool = False
     sent_at: timedelta | None = None
-    inbox: ReceivedSequence = field(default_factory=ReceivedSequence)
+    received_sequence: ReceivedSequence = field(default_factory=ReceivedSequence)
     acknowledged: int = 0
     due_at: timedelta = ZERO
     heard_at: timedelta | None = None
@@ -117,12 +117,12 @@
         self._view_count = 0
         self.by_name = {name: Peer(name, address) for name, address in addresses.items()}
 
-    def new_view(self) -> None:
+    def on_new_view(self) -> None:
         """Reset what was received and acknowledged in the previous view, so that everything is sent again."""
         self._view_count += 1
         for peer in self.by_name.values():
             peer.last_message = None
-            peer.inbox = ReceivedSequence()
+            peer.received_sequence = ReceivedSequence()
             peer.acknowledged = 0
             peer.due_at = ZERO
 
@@ -239,7 +239,7 @@
             message.view == view
             and view
             and self._is_from_member(message)
-            and peer.inbox.accept(message.base, message.sequence_number)
+            and peer.received_sequence.accept(message.base, message.sequence_number)
         ):
             peer.heard_at = self._runtime.now
             if not message.more:
@@ -249,7 +249,7 @@
 
     # Evidence from replies
 
-    def unavailable_agreed_since(self) -> timedelta | None:
+    def store_unavailable_agreed_at(self) -> timedelta | None:
         """Return the time at which every other controller agreed that the key-value store was unavailable.
 
         It is the earliest of the last times at which each of them agreed, or the current time when there are no other
--- a/src/ramptide/cluster/unconfirmed_terminations.py
+++ b/src/ramptide/cluster/unconfirmed_terminations.py
@@ -32,7 +32,7 @@
         #: The jobs that each machine ran in earlier views, until a heartbeat in this view shows what it runs now.
         self._jobs_before_view: dict[str, set[str]] = {}
 
-    def new_view(self) -> None:
+    def on_new_view(self) -> None:
         """Record which jobs each machine runs; called before the reported tasks are cleared for a new view."""
         for name, machine in self._machines.items():
             running = set(active_job_ids(machine.tasks))
--- a/src/ramptide/config/tuning.py
+++ b/src/ramptide/config/tuning.py
@@ -16,7 +16,7 @@
 
     low: float
     high: float
-    text: str
+    description: str
 
 
 BOUNDS: dict[str, Bound] = {
@@ -82,7 +82,7 @@
         """Return all settings as numbers; times are in seconds."""
         return {name: _to_number(value) for name, value in self._values().items()}
 
-    def changed(self, changes: Any) -> "Tuning":
+    def with_changes(self, changes: Any) -> "Tuning":
         """Return a copy with some settings replaced.
 
         Raises
@@ -105,7 +105,7 @@
         tuning = cls()
         for name, number in (value if isinstance(value, dict) else {}).items():
             try:
-                tuning = tuning.changed({name: number})
+                tuning = tuning.with_changes({name: number})
             except SettingsError:
                 continue
         return tuning
--- a/src/ramptide/controller/assignments.py
+++ b/src/ramptide/controller/assignments.py
@@ -41,9 +41,9 @@
             scheduler.release_job(job.job_id)
             return
         is_known = job.job_id in scheduler.jobs
-        scheduler.take_job(job, self._runtime.now, self._machine_index.hosts_failed_on(job.job_id))
+        scheduler.adopt_job(job, self._runtime.now, self._machine_index.hosts_failed_on(job.job_id))
         if is_known:
-            scheduler.results_recorded(job.job_id)
+            scheduler.reap_recorded_results(job.job_id)
             return
         # The machines' statuses from other members may date from before this controller became the job's scheduler and
         # yet satisfy all that a handover waits for, so the tasks that they show are applied before any task is started.
@@ -69,10 +69,10 @@
         job = self._state.jobs.pop(job_id, None)
         if job is None:
             return
-        self._machine_index.job_finished(job_id, job.spec, self._runtime.now)
-        self._result_writer.forget(job_id)
+        self._machine_index.record_job_finished(job_id, job.spec, self._runtime.now)
+        self._result_writer.forget_job(job_id)
         if self._state.scheduler is not None:
-            self._state.scheduler.job_finished(job_id)
+            self._state.scheduler.finish_job(job_id)
         if self._state.shard is not None:
             self._state.shard.job_finished(job_id)
 
@@ -95,7 +95,7 @@
 
     def apply_machine_status(self, host: str, status: MachineStatus | None) -> None:
         """Apply a machine's status from its owner's message; None when the owner has no such machine."""
-        self._machine_index.update(host, status, self._runtime.now)
+        self._machine_index.apply_status(host, status, self._runtime.now)
         if status is None:
             return
         if status.address is not None and host in self._state.machines:
--- a/src/ramptide/controller/authority.py
+++ b/src/ramptide/controller/authority.py
@@ -87,7 +87,7 @@
             return False
         if not self._watch_cache.is_unavailable:
             return True
-        now, agreed_since = self._runtime.now, self._peers.unavailable_agreed_since()
+        now, agreed_since = self._runtime.now, self._peers.store_unavailable_agreed_at()
         is_outage_local = agreed_since is None or now - agreed_since > MAX_HEALTHY_AGREEMENT_AGE
         return not is_outage_local or now - current_as_of < MAX_HEALTHY_STORE_OUTAGE
 
@@ -100,7 +100,7 @@
         The proof is an answer of the key-value store, or the replies of all other controllers that they cannot reach it
         either, so that none of them can have written a newer view.
         """
-        agreed_since = self._peers.unavailable_agreed_since() if self._watch_cache.is_unavailable else None
+        agreed_since = self._peers.store_unavailable_agreed_at() if self._watch_cache.is_unavailable else None
         return _latest(self._watch_cache.current_as_of, agreed_since)
 
     def _lease_proof(self) -> timedelta | None:
@@ -109,8 +109,8 @@
         This controller's lease in the key-value store was alive at that time. While no controller reaches the store, it
         is not known whether the lease is alive, only that this controller has not been removed yet.
         """
-        agreed_since = self._peers.unavailable_agreed_since()
-        current, lease_proof = self._watch_cache.current_as_of, self._membership.lease_kept_at
+        agreed_since = self._peers.store_unavailable_agreed_at()
+        current, lease_proof = self._watch_cache.current_as_of, self._membership.lease_confirmed_at
         proof = min(current, lease_proof) if current is not None and lease_proof is not None else None
         return _latest(proof, agreed_since - LEASE_TIMEOUT if agreed_since is not None else None)
 
--- a/src/ramptide/controller/controller.py
+++ b/src/ramptide/controller/controller.py
@@ -182,7 +182,7 @@
             self.store,
             self.watch_cache,
             self.share_split,
-            lambda: exchange.ready,
+            lambda: exchange.is_ready,
             self.authority.common_conditions,
         )
 
@@ -365,7 +365,7 @@
 
     def _own_attempts(self, host: str) -> Collection[Attempt]:
         scheduler = self.state.scheduler
-        return scheduler.attempts.get(host, {}).values() if scheduler is not None else ()
+        return scheduler.attempts_by_host.get(host, {}).values() if scheduler is not None else ()
 
     def _on_store_change(self, key: str, value: Any, mod_revision: int) -> None:
         self.store_events.on_change(key, value, mod_revision)
@@ -386,5 +386,5 @@
         self.assignments.drop_finished(job_ids)
 
     def _on_machine_types(self, value: Any) -> None:
-        self.store_events.take_machine_types(value)
-        self.fleet_manager.machine_types_read = True
+        self.store_events.apply_machine_types(value)
+        self.fleet_manager.has_unsaved_machine_types = True
--- a/src/ramptide/controller/decision_loop.py
+++ b/src/ramptide/controller/decision_loop.py
@@ -36,14 +36,14 @@
 class LimitReview(Protocol):
     """The operators' changes of team limits, where the quota feature is on."""
 
-    def review(self) -> None:
+    def activate_pending_limits(self) -> None:
         """As leader, bring pending changes of limits into force."""
 
 
 class QuotaReview(Protocol):
     """The quota feature, which transfers shares in each round."""
 
-    def review(self, scheduler: JobScheduler, now: timedelta) -> None:
+    def run_round(self, scheduler: JobScheduler, now: timedelta) -> None:
         """Transfer spare share to members that are short of it, and request what this controller is short of."""
 
 
@@ -92,7 +92,7 @@
     def start(self) -> None:
         """Run a round now and schedule the next one, until the process ends."""
         now = self._runtime.now
-        self._telemetry.stall_detector.begin(now)
+        self._telemetry.stall_detector.record_round_start(now)
         scheduler, shard = self._state.scheduler, self._state.shard
         if scheduler is None or shard is None or self._state.view is None:
             self._schedule_next(IDLE_ROUND_INTERVAL)
@@ -107,7 +107,7 @@
         self._replication.send(scheduler, shard, now)
 
     def _schedule_next(self, delay: timedelta) -> None:
-        self._telemetry.stall_detector.plan(self._runtime.now + delay)
+        self._telemetry.stall_detector.set_next_round(self._runtime.now + delay)
         self._runtime.after(delay, self.start)
 
     def _run_round(self, scheduler: JobScheduler, shard: Shard, now: timedelta, is_slow_round: bool) -> None:
@@ -116,7 +116,7 @@
         if is_slow_round:
             self._last_slow_round = now
             self._process_passed_time(scheduler, shard, now)
-        changed_machines = shard.take_changed()
+        changed_machines = shard.pop_changed()
         for host in changed_machines:
             self._assignments.apply_machine_status(host, shard.status(host, now))
         own_acknowledged = shard.desired_states.acknowledged.get(self._state.member, 0)
@@ -127,15 +127,15 @@
             self._preemptor.run(scheduler, now)
             self._handover.run(scheduler, now)
         if self._limit_table is not None:
-            self._limit_table.review()
+            self._limit_table.activate_pending_limits()
         if self._quota is not None:
-            self._quota.review(scheduler, now)
-        self._replication.mark(scheduler, shard, changed_machines)
+            self._quota.run_round(scheduler, now)
+        self._replication.record_changes(scheduler, shard, changed_machines)
         self._heartbeats.reply_to_held(now)
         self._result_writer.flush(scheduler, now)
 
     def _process_passed_time(self, scheduler: JobScheduler, shard: Shard, now: timedelta) -> None:
         expired = shard.leases.expire(now, self._fencing.others_fenced_at())
-        self._telemetry.take_expired_leases(expired, confirmed=self._authority.may_reply())
+        self._telemetry.record_expired_leases(expired, confirmed=self._authority.may_reply())
         self._agent_connectivity.step_down_if_cut_off(shard)
         stop_on_draining_machines(scheduler, self._state.machines, self._machine_index.machines)
--- a/src/ramptide/controller/fencing.py
+++ b/src/ramptide/controller/fencing.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 from typing import Protocol
 
-from ramptide.agents.lease_expiry import CLOCK_DRIFT
+from ramptide.agents.lease_expiry import MAX_CLOCK_DRIFT_RATIO
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.cluster.member_lease import LEASE_TIMEOUT
 from ramptide.cluster.peers import Peers
@@ -40,7 +40,7 @@
         self._peers = peers
         # How long a member that was left out of the view may still renew leases, counted from when it was left out. Its
         # lease had run out by then, so it was last found alive `LEASE_TIMEOUT` before.
-        self._max_remaining_authority = max_renewal_proof_age - LEASE_TIMEOUT / CLOCK_DRIFT
+        self._max_remaining_authority = max_renewal_proof_age - LEASE_TIMEOUT / MAX_CLOCK_DRIFT_RATIO
         self._first_message_at: dict[str, timedelta] = {}
         self._unfenced_since: dict[tuple[str, str], timedelta] = {}
 
@@ -99,7 +99,7 @@
         #: Incarnations by member; None before the first view.
         self._survivors: dict[str, str] | None = None
 
-    def new_view(self, view: View) -> None:
+    def on_new_view(self, view: View) -> None:
         """Drop the processes that are no longer in the view."""
         known = view.members if self._survivors is None else self._survivors
         self._survivors = {
@@ -119,6 +119,6 @@
         lease before it is returned, and none when no process is left that knows what was cancelled.
         """
         has_no_survivors = self._survivors is not None and not self._survivors
-        one_lease = self._timings.lease_duration * CLOCK_DRIFT
+        one_lease = self._timings.lease_duration * MAX_CLOCK_DRIFT_RATIO
         assumed_duration = self._timings.confirm_timeout - (NO_TIME if has_no_survivors else one_lease)
         return self._runtime.now - max(assumed_duration, NO_TIME)
--- a/src/ramptide/controller/peer_messages.py
+++ b/src/ramptide/controller/peer_messages.py
@@ -69,7 +69,7 @@
 class QuotaMessages(Protocol):
     """The quota feature, which has its own field in the messages."""
 
-    def take(self, message: PeerMessage, scheduler: JobScheduler) -> None:
+    def apply_message(self, message: PeerMessage, scheduler: JobScheduler) -> None:
         """Apply what another member reports about team limits."""
 
 
@@ -102,7 +102,7 @@
             return []
         return observed.tasks if observed.is_reconciled else None
 
-    scheduler.acknowledged(acknowledged, reported_tasks)
+    scheduler.apply_acknowledgement(acknowledged, reported_tasks)
 
 
 class PeerMessageHandler:
@@ -154,7 +154,7 @@
             view=number,
             store_unavailable=self._watch_cache.is_unavailable,
             newest_view=max(number, self._peers.newest_view),
-            received=peer.inbox.sequence_number,
+            received=peer.received_sequence.sequence_number,
             finished_jobs=self._finished_since(message.revision) if message.store_unavailable else None,
         )
         return encode_reply(reply)
@@ -203,9 +203,9 @@
         acknowledged = message.acknowledged.get(self._state.member, 0)
         apply_acknowledgement(self._state, self._machine_index, scheduler, message.member, acknowledged)
         self._share_split.record_acknowledgement(message.member, message.quota_shares_acknowledged)
-        self._machine_index.take_unconfirmed(message.unconfirmed_terminations, self._runtime.now)
+        self._machine_index.merge_unconfirmed_seconds(message.unconfirmed_terminations, self._runtime.now)
         if self._quota is not None:
-            self._quota.take(message, scheduler)
+            self._quota.apply_message(message, scheduler)
 
     def _apply_leader_message(self, message: PeerMessage, scheduler: JobScheduler) -> None:
         self._machine_index.set_idle_pool(message.idle_pool)
@@ -214,6 +214,6 @@
             # took over.
             self._shares.receive_grant(shares_from_wire(message.quota_shares), message.sequence_number)
             for job_id in message.handovers_taken:
-                scheduler.transfer_confirmed(job_id)
+                scheduler.confirm_transfer(job_id)
         for job_id, task_index, number, grace_s in message.preemptions:
             self._preemptor.stop_task((job_id, task_index, number), timedelta(seconds=grace_s))
--- a/src/ramptide/controller/reconciliation.py
+++ b/src/ramptide/controller/reconciliation.py
@@ -71,7 +71,7 @@
         elapsed = now - self._state.view_since
         if not unreconciled:
             self._state.reconciled = True
-            self._telemetry.reconciled(elapsed)
+            self._telemetry.record_reconciliation(elapsed)
             log.info("view reconciled: view=%d spent_s=%.1f", view.number, elapsed.total_seconds())
             self._peers.send_all_soon()
         elif now - max(self._state.view_since, self._logged_at) > LOG_INTERVAL:
--- a/src/ramptide/controller/replication.py
+++ b/src/ramptide/controller/replication.py
@@ -44,7 +44,7 @@
 #: encode, send and read than the time limit of a message, and would be sent again and again.
 MACHINES_PER_MESSAGE = 300
 #: How many changed machines share one sequence number, so that a message can end between them.
-MACHINES_PER_NUMBER = 50
+MACHINES_PER_SEQUENCE_NUMBER = 50
 
 
 class ReplicationState(Protocol):
@@ -105,13 +105,13 @@
         #: The sequence number from which on the change logs are pruned next. A round may use several sequence numbers.
         self._prune_at_number = PRUNE_INTERVAL_SEQUENCE_NUMBERS
 
-    def new_view(self, _view: View | None) -> None:
+    def on_new_view(self, _view: View | None) -> None:
         """Start with empty change logs in a new view, also when this controller has no place in it."""
         self._status_changes = ChangeLog()
         self._desired_changes = {name: ChangeLog() for name in self._peers.by_name}
         self._prune_at_number = PRUNE_INTERVAL_SEQUENCE_NUMBERS
 
-    def mark(self, scheduler: JobScheduler, shard: Shard, changed: set[str]) -> None:
+    def record_changes(self, scheduler: JobScheduler, shard: Shard, changed: set[str]) -> None:
         """Record what changed since the last round, and schedule the messages to the controllers that wait for it."""
         if not changed and not scheduler.changed_hosts:
             return
@@ -123,8 +123,8 @@
         # The next message acknowledges this controller's own desired states, so it has to show their effects on its
         # machines: a controller that takes over one of its jobs relies on that.
         for count, host in enumerate([*own_desired, *changed], 1):
-            self._status_changes.mark(host, scheduler.sequence_number)
-            if count % MACHINES_PER_NUMBER == 0:
+            self._status_changes.record_change(host, scheduler.sequence_number)
+            if count % MACHINES_PER_SEQUENCE_NUMBER == 0:
                 scheduler.sequence_number += 1
         self._schedule_messages(shard, changed)
 
@@ -138,7 +138,7 @@
             if owner == self._state.member:
                 own_desired[host] = scheduler.desired_tasks(host)
             elif owner in self._desired_changes:
-                self._desired_changes[owner].mark(host, scheduler.sequence_number)
+                self._desired_changes[owner].record_change(host, scheduler.sequence_number)
                 self._peers.send_within(self._peers.by_name[owner], AT_ONCE)
         return own_desired
 
@@ -169,7 +169,7 @@
         self._cancellations.prune()
         common = self._common_message(scheduler, shard, view)
         statuses = _Statuses(shard, now)
-        unconfirmed = self._machine_index.all_unconfirmed(now)
+        unconfirmed = self._machine_index.unconfirmed_seconds_by_machine(now)
         for peer in due:
             split = self._split_after(peer, view)
             changes = self._changes_for(peer, view, scheduler, statuses, split)
@@ -216,7 +216,7 @@
         acknowledged = [peer.acknowledged for name, peer in peers.items() if name in view.members]
         self._status_changes.prune(min(acknowledged, default=0), shard.machines)
         for name, changes in self._desired_changes.items():
-            changes.prune(peers[name].acknowledged, scheduler.attempts)
+            changes.prune(peers[name].acknowledged, scheduler.attempts_by_host)
 
     def _split_after(self, peer: Peer, view: View) -> int | None:
         """Return the sequence number up to which the next message holds the changed machines.
--- a/src/ramptide/controller/shares.py
+++ b/src/ramptide/controller/shares.py
@@ -11,7 +11,7 @@
 class SharePermits(Protocol):
     """The quota feature, which knows the transfers between members."""
 
-    def permits(self, granted: TeamAmounts) -> TeamAmounts:
+    def permitted_shares(self, granted: TeamAmounts) -> TeamAmounts:
         """Return what this controller may use of each limit, given what the leader grants."""
 
 
@@ -48,4 +48,4 @@
     def refresh(self) -> None:
         """Recompute what this controller may use, after a new split or a transfer."""
         granted = self._state.granted_shares
-        self._state.quota_shares = self._permits.permits(granted) if self._permits is not None else granted
+        self._state.quota_shares = self._permits.permitted_shares(granted) if self._permits is not None else granted
--- a/src/ramptide/controller/store_events.py
+++ b/src/ramptide/controller/store_events.py
@@ -71,7 +71,7 @@
             if self._limit_records is not None:
                 self._limit_records.on_change(key, value)
         elif key == MACHINE_TYPES_KEY:
-            self.take_machine_types(value)
+            self.apply_machine_types(value)
         elif key == SETTINGS_KEY:
             self._on_settings(value)
         else:
@@ -103,9 +103,9 @@
             return
         if known is None:
             self._state.jobs[job_id] = job
-            self._fleet_manager.autoscaler.note_image_use(job.spec.image)
+            self._fleet_manager.autoscaler.record_image_use(job.spec.image)
         if job.progress.count:
-            self._machine_index.job_succeeded(job_id)
+            self._machine_index.record_job_success(job_id)
         self._assignments.assign(job)
 
     def _on_rental(self, rental_id: str, value: Any) -> None:
@@ -127,12 +127,12 @@
 
     def _apply_machine_record(self, host: str, record: MachineRecord) -> None:
         self._state.machines[host] = record
-        self._fleet_manager.note_recorded(host)
+        self._fleet_manager.track_machine(host)
         unconfirmed_since = self._surviving_peers.unconfirmed_since() if record.registered else None
         self._machine_index.add(host, unconfirmed_since)
         self._assignments.add_owned_machine(host, record)
         if self._state.scheduler is not None and self._state.is_quarantined(host):
-            self._state.scheduler.machine_faulty(host)
+            self._state.scheduler.discard_failures_on(host)
 
     def _remove_machine(self, host: str) -> None:
         self._state.machines.pop(host, None)
@@ -143,9 +143,9 @@
             self._state.scheduler.remove_machine(host)
         if self._state.shard is not None:
             self._state.shard.remove_machine(host)
-        self._heartbeats.forget(host)
+        self._heartbeats.reject_held_heartbeat(host)
 
-    def take_machine_types(self, value: Any) -> None:
+    def apply_machine_types(self, value: Any) -> None:
         """Apply machine types that the leader stored or this controller read from the cloud, in their stored form."""
         try:
             machine_types = msgspec.convert(value, list[MachineType])
--- a/src/ramptide/controller/timings.py
+++ b/src/ramptide/controller/timings.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from ramptide.agents.lease_expiry import CLOCK_DRIFT
+from ramptide.agents.lease_expiry import MAX_CLOCK_DRIFT_RATIO
 from ramptide.protocol.settings_file import AgentTimings
 
 __all__ = ["ControllerTimings"]
@@ -16,7 +16,7 @@
 #: The part of the cancellation timeout after which a machine that cannot be proven free of a cancelled task is
 #: returned. The rest has to suffice when a new leader takes over just before: for its election, three missed
 #: heartbeats, and the return.
-CONFIRM_TIMEOUT_SHARE = 0.5
+CONFIRM_TIMEOUT_RATIO = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,11 +49,11 @@
         # A member without proof of membership may renew leases only while they still run out in time for any
         # cancellation that other controllers may have confirmed since, and only briefly, as other controllers wait for
         # the renewals to end.
-        max_age_before_cancellation = cancel_timeout - lease_duration * CLOCK_DRIFT - RENEWAL_MARGIN
+        max_age_before_cancellation = cancel_timeout - lease_duration * MAX_CLOCK_DRIFT_RATIO - RENEWAL_MARGIN
         return cls(
             heartbeat_interval=timedelta(seconds=agents.heartbeat_interval_s),
             lease_duration=lease_duration,
             cancel_timeout=cancel_timeout,
-            confirm_timeout=cancel_timeout * CONFIRM_TIMEOUT_SHARE,
+            confirm_timeout=cancel_timeout * CONFIRM_TIMEOUT_RATIO,
             max_renewal_proof_age=min(max_age_before_cancellation, MAX_RENEWAL_PROOF_AGE),
         )
--- a/src/ramptide/controller/view_change.py
+++ b/src/ramptide/controller/view_change.py
@@ -30,14 +30,14 @@
 class ViewListener(Protocol):
     """A part whose state belongs to a single view."""
 
-    def new_view(self) -> None:
+    def on_new_view(self) -> None:
         """Handle the change to a new view."""
 
 
 class MemberListener(Protocol):
     """A part that acts only as a member of the view."""
 
-    def new_view(self, view: View | None) -> None:
+    def on_new_view(self, view: View | None) -> None:
         """Handle the change to a new view; `view` is None when this controller has no place in it."""
 
 
@@ -99,28 +99,28 @@
             raise NoViewError("the membership reports a change, but no view")
         current = self._state.view
         if current is None or view.number != current.number:
-            self._telemetry.view_changed(view.number)
+            self._telemetry.record_view_change(view.number)
         # What is known of the directly preceding view still holds; what is known of an older one may not.
         is_direct_successor = current is not None and view.number == current.number + 1
         last_possible_replies = self._last_possible_replies() if is_direct_successor else {}
         self._fencing.on_new_view(view, is_direct_successor)
         self._replace_view(view)
         for listener in self._view_listeners:
-            listener.new_view()
+            listener.on_new_view()
         silent_before = set(self._machine_index.silent_hosts())
-        self._machine_index.new_view()
+        self._machine_index.on_new_view()
         is_member = view.members.get(self._state.member) == self._membership.incarnation
         for member_listener in self._member_listeners:
-            member_listener.new_view(view if is_member else None)
-        self._surviving_peers.new_view(view)
+            member_listener.on_new_view(view if is_member else None)
+        self._surviving_peers.on_new_view(view)
         if is_member:
             shard = self._enter_view(view, last_possible_replies)
-            self._heartbeats.new_view()
+            self._heartbeats.on_new_view()
             self._announce_token(shard, silent_before)
         else:
             self._state.shard = self._state.scheduler = None
             self._token_announcer.stop()
-            self._heartbeats.new_view()
+            self._heartbeats.on_new_view()
 
     def _last_possible_replies(self) -> dict[str, timedelta]:
         """Return, by owned machine, the latest time at which any controller can have replied to it, as known now."""
--- a/src/ramptide/placement/bin_packing.py
+++ b/src/ramptide/placement/bin_packing.py
@@ -14,7 +14,7 @@
 
 #: The tolerance when amounts are compared. They are sums and differences of fractions, so an exact fit may miss by a
 #: rounding error.
-ROUNDING = 1e-6
+ROUNDING_TOLERANCE = 1e-6
 #: When a service needs a machine that runs no services yet, one that fits at least this number of its replicas is
 #: preferred, as more are likely to follow.
 MIN_REPLICAS_TO_OPEN = 4
@@ -55,14 +55,14 @@
     service_cpus: float = 0.0
     service_reserve: tuple[float, float] = (0.0, 0.0)
 
-    def fits(self, spec: JobSpec, access: ReserveAccess = ReserveAccess.NONE) -> int:
+    def count_fitting_tasks(self, spec: JobSpec, access: ReserveAccess = ReserveAccess.NONE) -> int:
         """Return how many tasks of the job fit into the room."""
         cpus, ram = self.cpus, self.ram_gb
         if self.service_cpus and spec.kind != SERVICE and access is not ReserveAccess.ALL:
             reserved_cpus, reserved_ram = self.service_reserve
             cpus, ram = cpus - reserved_cpus, ram - reserved_ram
         counts = [
-            int((free + ROUNDING) / each)
+            int((free + ROUNDING_TOLERANCE) / each)
             for free, each in ((cpus, spec.cpus), (self.gpus, spec.gpus), (ram, spec.ram_gb))
             if each > 0
         ]
@@ -79,7 +79,7 @@
             self.idle, self.heartbeat_held, self.in_pool, self.service_cpus, self.service_reserve,
         )  # fmt: skip
 
-    def take(self, spec: JobSpec, tasks: int = 1) -> None:
+    def allocate(self, spec: JobSpec, tasks: int = 1) -> None:
         """Allocate the room of `tasks` tasks of the job; a negative number releases it."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
@@ -114,9 +114,9 @@
 def fits_empty_machine(spec: JobSpec, machine_type: MachineType) -> bool:
     """Return whether a task of the job fits on an empty machine of the type."""
     return (
-        spec.cpus <= machine_type.cpus + ROUNDING
-        and spec.gpus <= machine_type.gpus + ROUNDING
-        and spec.ram_gb <= machine_type.ram_gb + ROUNDING
+        spec.cpus <= machine_type.cpus + ROUNDING_TOLERANCE
+        and spec.gpus <= machine_type.gpus + ROUNDING_TOLERANCE
+        and spec.ram_gb <= machine_type.ram_gb + ROUNDING_TOLERANCE
     )
 
 
@@ -131,7 +131,7 @@
     return bool(zones)
 
 
-def zone_room(spec: JobSpec, zone: str, placed_by_zone: Mapping[str, int]) -> int:
+def zone_headroom(spec: JobSpec, zone: str, placed_by_zone: Mapping[str, int]) -> int:
     """Return how many more tasks of the job its zone rules allow in a zone, given those placed in each zone now."""
     if spec.single_zone and any(count for other, count in placed_by_zone.items() if other != zone):
         return 0
@@ -140,7 +140,7 @@
     return spec.task_count
 
 
-def needs(spec: JobSpec) -> tuple[Any, ...]:
+def placement_needs(spec: JobSpec) -> tuple[Any, ...]:
     """Return the properties that decide where a task may run: when a job finds no room, no job of equal needs does."""
     machine_types = tuple(spec.machine_types) if spec.machine_types else None
     return (spec.kind, spec.cpus, spec.gpus, spec.ram_gb, spec.spot, spec.zone, machine_types)
@@ -156,11 +156,11 @@
     usable = [
         room
         for room in rooms
-        if room.cpus + ROUNDING >= spec.cpus
-        and room.ram_gb + ROUNDING >= spec.ram_gb
+        if room.cpus + ROUNDING_TOLERANCE >= spec.cpus
+        and room.ram_gb + ROUNDING_TOLERANCE >= spec.ram_gb
         and admits(spec, room, access)
-        and room.fits(spec, access) > 0
-        and zone_room(spec, room.zone, placed_by_zone)
+        and room.count_fitting_tasks(spec, access) > 0
+        and zone_headroom(spec, room.zone, placed_by_zone)
     ]
     if spec.single_zone and not any(placed_by_zone.values()):
         return _in_largest_zone(spec, usable)
@@ -171,14 +171,14 @@
     """Return the rooms of the zone where most tasks fit, as the first task decides the zone of all tasks of the job."""
     capacity: Counter[str] = Counter()
     for room in rooms:
-        capacity[room.zone] += room.fits(spec)
+        capacity[room.zone] += room.count_fitting_tasks(spec)
     if not capacity:
         return rooms
     best = min(capacity, key=lambda zone: (-min(capacity[zone], spec.task_count), zone))
     return [room for room in rooms if room.zone == best]
 
 
-def choose(
+def choose_room(
     spec: JobSpec, rooms: Iterable[Room], placed_by_zone: Mapping[str, int], access: ReserveAccess = ReserveAccess.NONE
 ) -> Room | None:
     """Return the room for the next task of a job, or None when the task fits nowhere."""
@@ -200,7 +200,7 @@
     """
     by_zone = Counter(placed_by_zone)
     for room in sorted(usable_rooms(spec, rooms, placed_by_zone, access), key=lambda room: _preference(spec, room)):
-        count = min(room.fits(spec, access), tasks, zone_room(spec, room.zone, by_zone))
+        count = min(room.count_fitting_tasks(spec, access), tasks, zone_headroom(spec, room.zone, by_zone))
         if count > 0:
             by_zone[room.zone] += count
             tasks -= count
@@ -225,7 +225,7 @@
     lacks_image = spec.image not in room.images
     if spec.kind == SERVICE:
         is_first_service = not room.service_cpus
-        is_small = is_first_service and room.fits(spec) < MIN_REPLICAS_TO_OPEN
+        is_small = is_first_service and room.count_fitting_tasks(spec) < MIN_REPLICAS_TO_OPEN
         return (
             is_first_service, is_small, lacks_image, not room.heartbeat_held, room.spot, room.idle, -room.service_cpus,
             room.cpus, room.host,
@@ -233,7 +233,9 @@
     return (spec.spot and not room.spot, room.heartbeat_held and not room.idle, lacks_image, room.idle, room.host)
 
 
-def fill(spec: JobSpec, tasks: int, rooms: Iterable[Room], placed_by_zone: Counter[str], allocate: bool = True) -> int:
+def fill_rooms(
+    spec: JobSpec, tasks: int, rooms: Iterable[Room], placed_by_zone: Counter[str], allocate: bool = True
+) -> int:
     """Return how many of `tasks` tasks of the job find room. This is for estimates and starts nothing.
 
     With `allocate` the room of these tasks is allocated. The tasks are added to `placed_by_zone`, as the zone rules
@@ -245,10 +247,10 @@
             break
         if not admits(spec, room):
             continue
-        count = min(room.fits(spec), tasks - fitting, zone_room(spec, room.zone, placed_by_zone))
+        count = min(room.count_fitting_tasks(spec), tasks - fitting, zone_headroom(spec, room.zone, placed_by_zone))
         if count:
             if allocate:
-                room.take(spec, count)
+                room.allocate(spec, count)
             placed_by_zone[room.zone] += count
             fitting += count
     return fitting
--- a/src/ramptide/quota/fitting.py
+++ b/src/ramptide/quota/fitting.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ramptide.quota.messages import Demands, TaskDemand
-from ramptide.state.amounts import NOTHING, Amounts, tasks_within
+from ramptide.state.amounts import ZERO_AMOUNTS, Amounts, tasks_within
 
 #: Stands for any number of tasks where the limit does not bound the tasks of a size.
 UNLIMITED_TASKS = 10**9
@@ -65,7 +65,7 @@
 
 def _allocate_in_proportion(portions: list[_Portion], left: Amounts) -> Amounts:
     """Allocate the same fraction of each demand's tasks, rounded down, and return the share that is left."""
-    wanted = NOTHING
+    wanted = ZERO_AMOUNTS
     for portion in portions:
         more = portion.demand.size.times(portion.demand.count)
         wanted = Amounts(wanted.cpus + more.cpus, wanted.gpus + more.gpus)
--- a/src/ramptide/quota/ledger.py
+++ b/src/ramptide/quota/ledger.py
@@ -11,7 +11,7 @@
 from enum import Enum, auto
 
 from ramptide.quota.messages import AccountRow, QuotaMessageError, TransferRow
-from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, TeamAmounts, add_amounts
+from ramptide.state.amounts import NO_LIMIT, ZERO_AMOUNTS, Amounts, TeamAmounts, add_amounts
 
 
 class TransferState(Enum):
@@ -76,13 +76,13 @@
 
     def balance(self, team: str) -> Amounts:
         """Return the difference that transfers make between this member's share of a team and the leader's grant."""
-        return self._balance.get(team, NOTHING)
+        return self._balance.get(team, ZERO_AMOUNTS)
 
     def teams_with_transfers(self) -> Iterable[str]:
         """Return the teams of which this member has passed on or received share."""
         return self._balance.keys()
 
-    def permit(self, team: str, granted: Amounts) -> Amounts:
+    def permitted_share(self, team: str, granted: Amounts) -> Amounts:
         """Return the share of a team's limit that this member may use, given the leader's grant.
 
         It is below zero when the leader has since withdrawn share that this member had passed on.
@@ -100,13 +100,13 @@
         for account in self._accounts.values():
             for transfer in account.unconfirmed.values():
                 add_amounts(total, transfer.team, transfer.amounts)
-        return total.get(team, NOTHING)
+        return total.get(team, ZERO_AMOUNTS)
 
-    def awaits(self, receiver: str, team: str) -> bool:
+    def has_unconfirmed(self, receiver: str, team: str) -> bool:
         """Return whether a transfer of the team's share to this receiver is not confirmed yet."""
         return any(transfer.team == team for transfer in self._accounts[receiver].unconfirmed.values())
 
-    def give(self, receiver: str, team: str, amounts: Amounts, spare: Amounts) -> Transfer:
+    def issue_transfer(self, receiver: str, team: str, amounts: Amounts, spare: Amounts) -> Transfer:
         """Deduct share for another member and return the transfer.
 
         Raises
@@ -126,7 +126,7 @@
         account.unconfirmed[transfer.number] = transfer
         return transfer
 
-    def offered(self, receiver: str) -> list[TransferRow]:
+    def rows_to_send(self, receiver: str) -> list[TransferRow]:
         """Return all unconfirmed transfers to a member for a message that leaves now, and mark them as sent."""
         transfers = self._accounts[receiver].unconfirmed.values()
         for transfer in transfers:
@@ -150,7 +150,7 @@
             del account.unconfirmed[transfer.number]
         return confirmed
 
-    def take(self, sender: str, rows: Iterable[TransferRow]) -> list[TransferRow]:
+    def receive_transfers(self, sender: str, rows: Iterable[TransferRow]) -> list[TransferRow]:
         """Add the transfers that have not arrived before, and return them; all are checked before any is added.
 
         Raises
@@ -187,7 +187,7 @@
         if not any(row.amounts):
             raise QuotaMessageError(f"transfer {row.number} of team {row.team!r} is empty")
 
-    def last_taken(self, sender: str) -> int:
+    def last_received(self, sender: str) -> int:
         """Return the number of the last transfer that was received from a member."""
         return self._accounts[sender].last_received
 
@@ -197,8 +197,8 @@
             AccountRow(
                 member,
                 team,
-                *account.given.get(team, NOTHING),
-                *account.taken.get(team, NOTHING),
+                *account.given.get(team, ZERO_AMOUNTS),
+                *account.taken.get(team, ZERO_AMOUNTS),
             )
             for team in teams
             for member, account in self._accounts.items()
@@ -217,14 +217,14 @@
         self._passed_on: dict[tuple[str, str, str], Amounts] = {}
         self._offsets: dict[str, TeamAmounts] = {}
 
-    def take(self, member: str, rows: Iterable[AccountRow]) -> None:
+    def apply_account(self, member: str, rows: Iterable[AccountRow]) -> None:
         """Apply the totals that a member reports."""
         for row in rows:
             self._raise_total((member, row.member, row.team), row.given)
             self._raise_total((row.member, member, row.team), row.taken)
 
     def _raise_total(self, key: tuple[str, str, str], amounts: Amounts) -> None:
-        before = self._passed_on.get(key, NOTHING)
+        before = self._passed_on.get(key, ZERO_AMOUNTS)
         after = Amounts(max(before[0], amounts[0]), max(before[1], amounts[1]))
         more = Amounts(after[0] - before[0], after[1] - before[1])
         if not any(more):
--- a/src/ramptide/quota/limit_table.py
+++ b/src/ramptide/quota/limit_table.py
@@ -9,7 +9,16 @@
 from ramptide.clients.key_value_store import KeyValueStore
 from ramptide.clients.transactions import Put, Transaction, TransactionResult
 from ramptide.protocol.settings_file import Team
-from ramptide.quota.overrides import LimitError, LimitRecord, change, decode_record, effective, key_of, promote, team_of
+from ramptide.quota.overrides import (
+    LimitError,
+    LimitRecord,
+    decode_record,
+    effective_limits,
+    key_of,
+    promote,
+    team_of,
+    with_pending_change,
+)
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.placement_round import LeadershipInfo
 from ramptide.state.amounts import TeamAmounts
@@ -93,7 +102,7 @@
 
     def _apply_records(self) -> None:
         """Replace the controller's teams, limits and guarantees by those in effect."""
-        in_effect = effective(self._platform_teams, self.records)
+        in_effect = effective_limits(self._platform_teams, self.records)
         for table, new in (
             (self._state.teams, in_effect.teams),
             (self._state.limits, in_effect.limits),
@@ -101,11 +110,11 @@
         ):
             table.clear()
             table.update(new)  # type: ignore[arg-type]
-        self._share_split.limits_changed()
+        self._share_split.apply_limits()
         if self._state.scheduler is not None:
             self._state.scheduler.needs_round = True
 
-    def request(self, changes: Any, on_result: Callable[[TransactionResult], None]) -> None:
+    def request_changes(self, changes: Any, on_result: Callable[[TransactionResult], None]) -> None:
         """Write changes of one or more teams' limits as pending; None stands for the platform's limit.
 
         Raises
@@ -119,7 +128,7 @@
             raise LimitError(f"{len(changes)} teams at once, {self._store.limits.max_transaction_operations} at most")
         transaction = Transaction()
         for team, wanted in changes.items():
-            record = change(team, wanted, self.records.get(team), self._platform_teams.get(team))
+            record = with_pending_change(team, wanted, self.records.get(team), self._platform_teams.get(team))
             self._put(transaction, key_of(team), record)
         self._commit(transaction, on_result)
 
@@ -139,7 +148,7 @@
 
         self._store.commit(transaction, on_commit)
 
-    def review(self) -> None:
+    def activate_pending_limits(self) -> None:
         """As leader, put pending changes in force once every member acts on a share under the new limit."""
         may_decide = self._leadership.is_leading and self._state.reconciled
         if self._committing or not may_decide or not self._is_exchange_ready():
@@ -166,4 +175,4 @@
     def _are_shares_within_limit(self, team: str) -> bool:
         """Return whether all shares that members may act on are within the limit that applies during the change."""
         limit = self._state.limits.get(team)
-        return limit is None or self._share_split.within(team, limit)
+        return limit is None or self._share_split.is_within(team, limit)
--- a/src/ramptide/quota/messages.py
+++ b/src/ramptide/quota/messages.py
@@ -89,7 +89,7 @@
     accounts: list[AccountRow] = []
 
 
-def decode(value: Any) -> QuotaMessage:
+def decode_quota_message(value: Any) -> QuotaMessage:
     """Convert a decoded value to a message, and check it.
 
     Raises
--- a/src/ramptide/quota/operators.py
+++ b/src/ramptide/quota/operators.py
@@ -13,7 +13,7 @@
 from ramptide.quota.overrides import LimitError
 from ramptide.quota.share_exchange import QuotaExchange
 from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.amounts import NOTHING, Amounts, TeamAmounts, to_number
+from ramptide.state.amounts import ZERO_AMOUNTS, Amounts, TeamAmounts, units_to_number
 from ramptide.team_limits.cluster_usage import ClusterUsage
 from ramptide.transport.runtime import JSON
 
@@ -91,20 +91,20 @@
             return {}
         used, used_everywhere = scheduler.usage_with_transfers(), self._cluster_usage.team_usage()
         return {
-            team: self._share_of(team, used.get(team, NOTHING), used_everywhere.get(team, NOTHING))
+            team: self._share_of(team, used.get(team, ZERO_AMOUNTS), used_everywhere.get(team, ZERO_AMOUNTS))
             for team in self._state.limits
         }
 
     def _share_of(self, team: str, used: Amounts, used_everywhere: Amounts) -> TeamShare:
-        held = self._state.quota_shares.get(team, NOTHING)
-        borrowed = _beyond_guarantee(used_everywhere, self._state.guarantees.get(team, NOTHING))
+        held = self._state.quota_shares.get(team, ZERO_AMOUNTS)
+        borrowed = _beyond_guarantee(used_everywhere, self._state.guarantees.get(team, ZERO_AMOUNTS))
         in_transfer = self._exchange.in_transfer(team)
         resources = [
             ResourceShare(
-                held=to_number(held[index]),
-                used=to_number(used[index]),
-                borrowed=to_number(borrowed[index]),
-                in_transfer=to_number(in_transfer[index]),
+                held=units_to_number(held[index]),
+                used=units_to_number(used[index]),
+                borrowed=units_to_number(borrowed[index]),
+                in_transfer=units_to_number(in_transfer[index]),
             )
             for index in (0, 1)
         ]
@@ -204,7 +204,7 @@
 
         try:
             changes = decode_json(body)
-            self._limit_table.request(changes, on_result)
+            self._limit_table.request_changes(changes, on_result)
         except (MessageError, LimitError) as error:
             answer(HTTPStatus.BAD_REQUEST, encode_error(str(error)), JSON)
 
@@ -213,5 +213,5 @@
     """Return amounts as JSON numbers, with null for an unlimited resource."""
     if amounts is None:
         return None
-    numbers = [None if number == float("inf") else number for number in map(to_number, amounts)]
+    numbers = [None if number == float("inf") else number for number in map(units_to_number, amounts)]
     return {"cores": numbers[0], "gpus": numbers[1]}
--- a/src/ramptide/quota/overrides.py
+++ b/src/ramptide/quota/overrides.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ramptide.protocol.settings_file import Team
-from ramptide.state.amounts import NOTHING, Amounts, TeamAmounts, guarantee_of, limits_of
+from ramptide.state.amounts import ZERO_AMOUNTS, Amounts, TeamAmounts, guarantee_of, limits_of
 from ramptide.state.records import LIMIT_PREFIX
 
 RECORD_VERSION = 1
@@ -100,7 +100,7 @@
     return record
 
 
-def change(name: str, changes: Any, record: LimitRecord | None, platform: Team | None) -> LimitRecord:
+def with_pending_change(name: str, changes: Any, record: LimitRecord | None, platform: Team | None) -> LimitRecord:
     """Return a team's record with a change pending.
 
     `changes`: some fields of `TeamLimit`, or None for the platform's limit. `platform`: the team's platform settings.
@@ -154,7 +154,7 @@
     return LimitRecord(RECORD_VERSION, record.pending)
 
 
-def effective(platform: Mapping[str, Team], records: Mapping[str, LimitRecord]) -> EffectiveLimits:
+def effective_limits(platform: Mapping[str, Team], records: Mapping[str, LimitRecord]) -> EffectiveLimits:
     """Return the limits in effect, given the platform's teams and the operators' records."""
     limits = EffectiveLimits({}, {}, {})
     for name in platform.keys() | records.keys():
@@ -169,7 +169,7 @@
 def _add_team(in_effect: EffectiveLimits, name: str, current_and_pending: Iterable[TeamLimit]) -> None:
     teams = [team_limit.to_team(name) for team_limit in current_and_pending]
     if any(team_limit.removed for team_limit in current_and_pending):
-        in_effect.limits[name] = NOTHING
+        in_effect.limits[name] = ZERO_AMOUNTS
         return
     # The pending guarantees, with the lower limits: an accepted job must be able to run under both.
     lower = [min((maximum for maximum in maximums if maximum), default=0.0) for maximums in _maximums(teams)]
--- a/src/ramptide/quota/planner.py
+++ b/src/ramptide/quota/planner.py
@@ -16,9 +16,9 @@
 
 from ramptide.quota.messages import TaskDemand
 from ramptide.quota.plan_file import MachineKind, PlanError, PlanFile, TeamPlan, load
-from ramptide.state.amounts import NOTHING, Amounts, units_allowed, units_needed
+from ramptide.state.amounts import ZERO_AMOUNTS, Amounts, units_allowed, units_needed
 
-__all__ = ["PlanError", "PlanReport", "TeamReport", "most_used", "plan"]
+__all__ = ["PlanError", "PlanReport", "TeamReport", "max_usable", "plan"]
 
 STDOUT_FD = 1
 
@@ -37,7 +37,7 @@
     reachable: int
 
     @property
-    def holds(self) -> bool:
+    def is_feasible(self) -> bool:
         """Whether the fleet has room for the guarantee and for all that the limit allows."""
         return not self.short and (self.allowed is None or self.reachable >= self.allowed)
 
@@ -70,13 +70,13 @@
     teams: list[TeamReport]
 
     @property
-    def holds(self) -> bool:
+    def is_feasible(self) -> bool:
         """Whether all limits and guarantees can hold."""
-        return all(team.holds for team in self.teams)
+        return all(team.is_feasible for team in self.teams)
 
     def lines(self) -> list[str]:
         """Return a line of text for each team, and one for the whole plan."""
-        verdict = "all guarantees and limits can hold" if self.holds else "not all guarantees and limits can hold"
+        verdict = "all guarantees and limits can hold" if self.is_feasible else "not all guarantees and limits can hold"
         return [*(team.line() for team in self.teams), verdict]
 
 
@@ -219,13 +219,13 @@
     return tasks - left
 
 
-def most_used(limit: Amounts, demands: Sequence[TaskDemand]) -> Amounts:
+def max_usable(limit: Amounts, demands: Sequence[TaskDemand]) -> Amounts:
     """Return the largest part of a limit that whole tasks of these sizes can use without a split among controllers.
 
     No split among controllers can use more, so the difference shows how much a split leaves unused.
     """
     if not demands:
-        return NOTHING
+        return ZERO_AMOUNTS
     model = _new_model()
     counts = [_integer_variable(model, demand.count) for demand in demands]
     for resource in ("cpus", "gpus"):
--- a/src/ramptide/quota/share_exchange.py
+++ b/src/ramptide/quota/share_exchange.py
@@ -14,14 +14,14 @@
 from ramptide.protocol.jobs import PRIORITIES, JobSpec
 from ramptide.quota.fitting import FittingSplit
 from ramptide.quota.ledger import AccountBook, Ledger
-from ramptide.quota.messages import VERSION, Demands, QuotaMessage, QuotaMessageError, decode
+from ramptide.quota.messages import VERSION, Demands, QuotaMessage, QuotaMessageError, decode_quota_message
 from ramptide.quota.share_waits import ShareWaits
 from ramptide.quota.task_demands import subtract, uncovered_demands, waiting_demands, whole_tasks_within
 from ramptide.scheduling.headroom import task_headroom
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.job_state import JobState
-from ramptide.scheduling.victims import within_guarantee
-from ramptide.state.amounts import NOTHING, Amounts, TeamAmounts, amounts_of, tasks_within
+from ramptide.scheduling.victims import is_within_guarantee
+from ramptide.state.amounts import ZERO_AMOUNTS, Amounts, TeamAmounts, amounts_of, tasks_within
 from ramptide.state.jobs import Job
 from ramptide.team_limits.cluster_usage import ClusterUsage
 
@@ -113,7 +113,7 @@
         self._claims: list[str] = []
         self._team_usage: TeamAmounts = {}
 
-    def new_view(self, view: View | None) -> None:
+    def on_new_view(self, view: View | None) -> None:
         """Start a view with an empty ledger; `view` is None when this controller is not a member of it."""
         self._view = view
         self._ledger = Ledger(self._other_members(), self._state.limits)
@@ -121,12 +121,12 @@
         self._changed_accounts = ChangeLog()
         self._last_messages = {}
         self._waiting, self._uncovered = {}, {}
-        self.waits.forget()
+        self.waits.discard_current()
 
-    def permits(self, shares: TeamAmounts) -> TeamAmounts:
+    def permitted_shares(self, shares: TeamAmounts) -> TeamAmounts:
         """Return the share of each limit that this controller may use, given the shares that the leader sent."""
         changed = {
-            team: self._ledger.permit(team, shares[team])
+            team: self._ledger.permitted_share(team, shares[team])
             for team in self._ledger.teams_with_transfers()
             if team in shares
         }
@@ -137,7 +137,7 @@
         return [name for name in self._other_members() if name not in self._last_messages]
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether every member of the view takes part; otherwise the leader could not count transfers."""
         return self._view is not None and not self.members_without_feature()
 
@@ -147,16 +147,16 @@
 
     def split_policy(self) -> FittingSplit | None:
         """Return the split in whole tasks; None while some member does not send the sizes of its waiting tasks."""
-        if not self.ready:
+        if not self.is_ready:
             return None
         waiting = {name: message.waiting for name, message in self._last_messages.items()}
         return FittingSplit(waiting | {self._state.member: self._waiting})
 
-    def within_guarantee(self, spec: JobSpec) -> bool:
+    def is_within_guarantee(self, spec: JobSpec) -> bool:
         """Return whether one more task of the job keeps its team within its guarantee, over all controllers."""
-        return within_guarantee(spec, self._team_usage, self._state.guarantees)
+        return is_within_guarantee(spec, self._team_usage, self._state.guarantees)
 
-    def unclaimed(self, spec: JobSpec, rooms: list[Room]) -> list[Room]:
+    def unclaimed_rooms(self, spec: JobSpec, rooms: list[Room]) -> list[Room]:
         """Return the rooms that the job may use beside the claims of other controllers.
 
         A job beyond its team's guarantee leaves out each room that fits a claiming job of another team whose priority
@@ -169,39 +169,43 @@
             for claim in claiming_specs
             if PRIORITIES.index(claim.priority) >= PRIORITIES.index(spec.priority) and claim.team != spec.team
         ]
-        if not claims or self.within_guarantee(spec):
+        if not claims or self.is_within_guarantee(spec):
             return rooms
-        return [room for room in rooms if not any(admits(claim, room) and room.fits(claim) for claim in claims)]
+        return [
+            room
+            for room in rooms
+            if not any(admits(claim, room) and room.count_fitting_tasks(claim) for claim in claims)
+        ]
 
     def _claiming_jobs(self, scheduler: JobScheduler, now: timedelta) -> list[str]:
         """Return the scheduler's jobs that wait within a guarantee, with those that were not tried in this view yet."""
         job_ids = []
-        for job_state in scheduler.with_pending_tasks.values():
+        for job_state in scheduler.jobs_with_pending_tasks.values():
             wait_started_at = job_state.waiting_since
             is_recent = wait_started_at is None or now - wait_started_at < CLAIM_TIMEOUT
             is_startable = is_recent and job_state.startable and job_state.retry_at <= now
-            if is_startable and self.within_guarantee(job_state.job.spec):
+            if is_startable and self.is_within_guarantee(job_state.job.spec):
                 job_ids.append(job_state.job.job_id)
                 if len(job_ids) >= MAX_CLAIMS_SENT:
                     break
         return job_ids
 
-    def waits_for_limit(self, job_state: JobState, usage: TeamAmounts) -> bool:
+    def is_waiting_for_limit(self, job_state: JobState, usage: TeamAmounts) -> bool:
         """Return whether the share of its team's limit, and not room, keeps a job from starting."""
         spec = job_state.job.spec
-        share = self._state.quota_shares.get(spec.team, NOTHING)
-        return task_headroom(spec, usage.get(spec.team, NOTHING), share, self._state.limits) == 0
+        share = self._state.quota_shares.get(spec.team, ZERO_AMOUNTS)
+        return task_headroom(spec, usage.get(spec.team, ZERO_AMOUNTS), share, self._state.limits) == 0
 
-    def review(self, scheduler: JobScheduler, now: timedelta) -> None:
+    def run_round(self, scheduler: JobScheduler, now: timedelta) -> None:
         """Update the waiting tasks and what the local share does not cover; pass on spare share and ask for more."""
         usage = scheduler.usage_with_transfers()
-        teams = {job_state.job.spec.team for job_state in scheduler.with_pending_tasks.values()}
+        teams = {job_state.job.spec.team for job_state in scheduler.jobs_with_pending_tasks.values()}
         self._team_usage = self._cluster_usage.usage_of(teams)
         self._waiting = waiting_demands(scheduler, self._state.limits, now)
         uncovered_before, self._uncovered = self._uncovered, self._find_uncovered(usage)
         self._claims = self._claiming_jobs(scheduler, now)
-        self.waits.review(self._jobs_waiting_for_share(scheduler, usage, now), now)
-        if not self._state.reconciled or not self.ready:
+        self.waits.update(self._jobs_waiting_for_share(scheduler, usage, now), now)
+        if not self._state.reconciled or not self.is_ready:
             return
         for name in self._last_messages:
             self._pass_share_to(name, usage)
@@ -221,24 +225,24 @@
 
     def _unused_share(self, team: str, usage: TeamAmounts) -> Amounts:
         """Return the unused part of this controller's share."""
-        return subtract(self._state.quota_shares.get(team, NOTHING), usage.get(team, NOTHING))
+        return subtract(self._state.quota_shares.get(team, ZERO_AMOUNTS), usage.get(team, ZERO_AMOUNTS))
 
     def _jobs_waiting_for_share(self, scheduler: JobScheduler, usage: TeamAmounts, now: timedelta) -> set[str]:
         """Return the jobs whose tasks wait only for share, as their team's limit has room for one of them."""
         job_ids = set()
-        for job_state in scheduler.with_pending_tasks.values():
+        for job_state in scheduler.jobs_with_pending_tasks.values():
             spec = job_state.job.spec
             if spec.team not in self._uncovered or job_state.retry_at > now or not job_state.startable:
                 continue
-            room = subtract(self._state.limits[spec.team], self._team_usage.get(spec.team, NOTHING))
-            if tasks_within(room, amounts_of(spec)) and self.waits_for_limit(job_state, usage):
+            room = subtract(self._state.limits[spec.team], self._team_usage.get(spec.team, ZERO_AMOUNTS))
+            if tasks_within(room, amounts_of(spec)) and self.is_waiting_for_limit(job_state, usage):
                 job_ids.add(job_state.job.job_id)
         return job_ids
 
     def _pass_share_to(self, receiver: str, usage: TeamAmounts) -> None:
         """Pass share to a member for whole tasks that it cannot cover, from what is neither used nor needed here."""
         for team, demands in self._last_messages[receiver].short.items():
-            if team not in self._state.quota_shares or self._ledger.awaits(receiver, team):
+            if team not in self._state.quota_shares or self._ledger.has_unconfirmed(receiver, team):
                 # The receiver's message may be older than its receipt of the unconfirmed transfer.
                 continue
             spare = self._unused_share(team, usage)
@@ -246,7 +250,7 @@
                 spare = subtract(spare, own.size.times(own.count))
             amounts = whole_tasks_within(demands, spare, self._state.limits[team])
             if any(amounts):
-                self._ledger.give(receiver, team, amounts, spare)
+                self._ledger.issue_transfer(receiver, team, amounts, spare)
                 self.counters["given"] += 1
                 self._record_balance_change([team])
                 self._peers.send_within(self._peers.by_name[receiver], AT_ONCE)
@@ -255,8 +259,8 @@
         """Record that transfers of these teams were sent or received, for the leader and the local share."""
         scheduler = self._state.require_scheduler()
         for team in teams:
-            self._changed_accounts.mark(team, scheduler.sequence_number + 1)
-        self._account_book.take(self._state.member, self._ledger.account_rows(teams))
+            self._changed_accounts.record_change(team, scheduler.sequence_number + 1)
+        self._account_book.apply_account(self._state.member, self._ledger.account_rows(teams))
         self._on_balance_changed()
 
     def message_for(self, peer: Peer) -> QuotaMessage | None:
@@ -271,29 +275,29 @@
             sender=self._state.member,
             incarnation=self._identity.incarnation,
             receiver=peer.name,
-            confirmed=self._ledger.last_taken(peer.name),
-            transfers=self._ledger.offered(peer.name),
+            confirmed=self._ledger.last_received(peer.name),
+            transfers=self._ledger.rows_to_send(peer.name),
             short=self._uncovered,
             claims=self._claims,
             waiting=self._waiting if is_leader else {},
             accounts=self._ledger.account_rows(self._changed_accounts.since(peer.acknowledged)) if is_leader else [],
         )
 
-    def take(self, message: PeerMessage, scheduler: JobScheduler) -> None:
+    def apply_message(self, message: PeerMessage, scheduler: JobScheduler) -> None:
         """Apply the quota message of another member; an invalid one is refused as a whole, counted and logged."""
         if message.quota is None:
             return
         try:
-            quota_message = decode(message.quota)
+            quota_message = decode_quota_message(message.quota)
             self._check_sender(quota_message, message)
             confirmed = self._ledger.confirm(quota_message.sender, quota_message.confirmed)
-            received = self._ledger.take(quota_message.sender, quota_message.transfers)
+            received = self._ledger.receive_transfers(quota_message.sender, quota_message.transfers)
         except QuotaMessageError as error:
             self.counters["refused"] += 1
             log.error("quota message refused: member=%s error=%r", message.member, str(error))
             return
         self._last_messages[quota_message.sender] = quota_message
-        self._account_book.take(quota_message.sender, quota_message.accounts)
+        self._account_book.apply_account(quota_message.sender, quota_message.accounts)
         if confirmed or received:
             scheduler.needs_round = True
         if received:
--- a/src/ramptide/quota/share_waits.py
+++ b/src/ramptide/quota/share_waits.py
@@ -18,7 +18,7 @@
         self._waiting_since: dict[str, timedelta] = {}
         self.total = timedelta(0)
 
-    def review(self, waiting: set[str], now: timedelta) -> None:
+    def update(self, waiting: set[str], now: timedelta) -> None:
         """Record the jobs that wait for share now, and end the waits of all other jobs."""
         for job_id in self._waiting_since.keys() - waiting:
             waited = now - self._waiting_since.pop(job_id)
@@ -27,7 +27,7 @@
         for job_id in waiting - self._waiting_since.keys():
             self._waiting_since[job_id] = now
 
-    def forget(self) -> None:
+    def discard_current(self) -> None:
         """Discard the current waits, whose jobs may have another scheduler in the next view."""
         self._waiting_since.clear()
 
--- a/src/ramptide/quota/task_demands.py
+++ b/src/ramptide/quota/task_demands.py
@@ -9,7 +9,7 @@
 
 from ramptide.quota.messages import Demands, TaskDemand
 from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, TeamAmounts, amounts_of, tasks_within
+from ramptide.state.amounts import NO_LIMIT, ZERO_AMOUNTS, Amounts, TeamAmounts, amounts_of, tasks_within
 
 __all__ = ["subtract", "uncovered_demands", "waiting_demands", "whole_tasks_within"]
 
@@ -25,9 +25,9 @@
 def waiting_demands(scheduler: JobScheduler, limits: TeamAmounts, now: timedelta) -> Demands:
     """Return the scheduler's waiting tasks of teams with a limit, by size, each count at most what the limit allows."""
     counts: dict[str, Counter[Amounts]] = {}
-    for job_state in scheduler.with_pending_tasks.values():
+    for job_state in scheduler.jobs_with_pending_tasks.values():
         spec = job_state.job.spec
-        if spec.team in limits and job_state.retry_at <= now and not job_state.frozen:
+        if spec.team in limits and job_state.retry_at <= now and not job_state.is_frozen:
             counts.setdefault(spec.team, Counter())[amounts_of(spec)] += job_state.startable
     demands = {team: _most_numerous(sizes, limits[team]) for team, sizes in counts.items()}
     return {team: team_demands for team, team_demands in demands.items() if team_demands}
@@ -57,7 +57,7 @@
 
 def whole_tasks_within(demands: Iterable[TaskDemand], spare: Amounts, limit: Amounts) -> Amounts:
     """Return the amounts of the tasks that fit in the spare share; zero for a resource without a limit."""
-    total = NOTHING
+    total = ZERO_AMOUNTS
     for demand in demands:
         fits = tasks_within(subtract(spare, total), demand.size)
         more = demand.size.times(min(fits or 0, demand.count))
--- a/src/ramptide/scheduling/attempts.py
+++ b/src/ramptide/scheduling/attempts.py
@@ -45,7 +45,7 @@
         self.by_host: dict[str, dict[TaskKey, Attempt]] = {}
         self.by_job: dict[str, dict[TaskKey, Attempt]] = {}
         #: Attempts that the machine's owner does not report: each either has not reached the owner yet or is gone.
-        self.unshown: dict[TaskKey, Attempt] = {}
+        self.unreported: dict[TaskKey, Attempt] = {}
         #: The CPUs and GPUs that each team's attempts hold.
         self.usage: TeamAmounts = {}
 
@@ -58,7 +58,7 @@
         key = attempt.key
         self.by_host.setdefault(attempt.host, {})[key] = attempt
         self.by_job.setdefault(attempt.spec.job_id, {})[key] = attempt
-        self.unshown[key] = attempt
+        self.unreported[key] = attempt
         self.update_usage(attempt)
 
     def remove(self, attempt: Attempt) -> None:
@@ -68,7 +68,7 @@
             entries = index.get(name)
             if entries is not None and entries.pop(key, None) is not None and not entries:
                 del index[name]
-        self.unshown.pop(key, None)
+        self.unreported.pop(key, None)
         self.update_usage(attempt, is_gone=True)
 
     def update_usage(self, attempt: Attempt, is_gone: bool = False) -> None:
--- a/src/ramptide/scheduling/draining.py
+++ b/src/ramptide/scheduling/draining.py
@@ -19,13 +19,13 @@
     scheduler: JobScheduler, records: Mapping[str, MachineRecord], observed: Mapping[str, ObservedMachine]
 ) -> None:
     """Stop the scheduler's tasks on machines that are draining or have a preemption notice."""
-    for host in list(scheduler.attempts):
+    for host in list(scheduler.attempts_by_host):
         record, machine = records.get(host), observed.get(host)
         is_draining = record is not None and record.drain_reason not in (None, IDLE_DRAIN_REASON)
         has_notice = machine is not None and machine.preempted_at is not None
         if not is_draining and not has_notice:
             continue
-        for attempt in list(scheduler.attempts[host].values()):
+        for attempt in list(scheduler.attempts_by_host[host].values()):
             has_checkpoints = attempt.spec.checkpoint_interval_s > 0
             # After a preemption notice, a batch task without checkpoints is not stopped, as it may finish in time.
             if is_draining or has_checkpoints or attempt.spec.kind == SERVICE:
--- a/src/ramptide/scheduling/failing_jobs.py
+++ b/src/ramptide/scheduling/failing_jobs.py
@@ -45,7 +45,7 @@
 
     def back_off(self, job_state: JobState, now: timedelta) -> None:
         """Delay the next start of a job if it fails wherever it runs."""
-        if job_state.failing:
+        if job_state.is_failing:
             self.by_id[job_state.job.job_id] = job_state
             job_state.back_off(now)
 
@@ -73,6 +73,6 @@
         for job_state in jobs.values():
             if host in job_state.failed_on:
                 job_state.failed_on.discard(host)
-                if not job_state.failing and job_state.job.job_id in self.by_id:
+                if not job_state.is_failing and job_state.job.job_id in self.by_id:
                     cleared = self.clear_failures(job_state) or cleared
         return cleared
--- a/src/ramptide/scheduling/handover.py
+++ b/src/ramptide/scheduling/handover.py
@@ -48,7 +48,7 @@
 class LimitWaits(Protocol):
     """The quota feature, which transfers quota shares to the controllers where jobs wait for them."""
 
-    def waits_for_limit(self, job_state: JobState, usage: TeamAmounts) -> bool:
+    def is_waiting_for_limit(self, job_state: JobState, usage: TeamAmounts) -> bool:
         """Return whether a job is kept from starting by its team's quota share at this controller, and not by room."""
 
 
@@ -90,7 +90,7 @@
         self._quota = quota
         self._in_flight = 0
 
-    def new_view(self) -> None:
+    def on_new_view(self) -> None:
         """Reset the count of the handovers in flight, as those of the previous view no longer count."""
         self._in_flight = 0
 
@@ -100,22 +100,22 @@
         if self._leadership.is_leading or view.leader not in self._fresh_members():
             return
         share_used = scheduler.usage_with_transfers() if self._quota is not None else {}
-        for job_state in list(scheduler.with_pending_tasks.values()):
+        for job_state in list(scheduler.jobs_with_pending_tasks.values()):
             if self._in_flight >= self._max_in_flight:
                 return
             if not self._is_due_for_handover(job_state, now):
                 continue
             # The quota feature transfers shares to where a job waits, so a job that lacks only a share stays here.
-            if self._quota is None or not self._quota.waits_for_limit(job_state, share_used):
+            if self._quota is None or not self._quota.is_waiting_for_limit(job_state, share_used):
                 self._hand_over_job(job_state, view, scheduler)
 
     def _is_due_for_handover(self, job_state: JobState, now: timedelta) -> bool:
         if job_state.waiting_since is None or now - job_state.waiting_since <= self._state.tuning.hand_over:
             return False
-        return not job_state.frozen and job_state.retry_at <= now and self._may_start_job(job_state)
+        return not job_state.is_frozen and job_state.retry_at <= now and self._may_start_job(job_state)
 
     def _hand_over_job(self, job_state: JobState, view: View, scheduler: JobScheduler) -> None:
-        job_state.frozen = True
+        job_state.is_frozen = True
         self._in_flight += 1
         handover = Handover(view.number, self._state.member, scheduler.sequence_number + 1)
         record = msgspec.structs.replace(job_state.job.record, scheduler=view.leader, handover=handover)
@@ -155,4 +155,4 @@
     def _unfreeze(self, job_state: JobState, view: View) -> None:
         if self._state.view is view:
             self._in_flight -= 1
-            job_state.frozen = False
+            job_state.is_frozen = False
--- a/src/ramptide/scheduling/job_scheduler.py
+++ b/src/ramptide/scheduling/job_scheduler.py
@@ -57,32 +57,32 @@
         #: Jobs with results that are not in the key-value store yet.
         self.jobs_with_new_results: set[str] = set()
         #: Jobs with tasks that are neither done nor placed.
-        self.with_pending_tasks: dict[str, JobState] = {}
+        self.jobs_with_pending_tasks: dict[str, JobState] = {}
         self.failing_jobs = FailingJobs(is_faulty)
         self._last_attempt_number = attempt_number_base
-        self.index = AttemptIndex()
+        self.attempt_index = AttemptIndex()
         #: The attempts on each machine: the same mapping as in the index.
-        self.attempts = self.index.by_host
+        self.attempts_by_host = self.attempt_index.by_host
 
     def _add_attempt(self, attempt: Attempt) -> None:
-        self.index.add(attempt)
+        self.attempt_index.add(attempt)
         self.changed_hosts.add(attempt.host)
         self.needs_round = True
 
     def _remove_attempt(self, attempt: Attempt) -> None:
-        self.index.remove(attempt)
+        self.attempt_index.remove(attempt)
         self.changed_hosts.add(attempt.host)
         self.needs_round = True
 
     def _update_pending(self, job_state: JobState) -> None:
         if job_state.waiting > 0 and job_state.job.job_id in self.jobs:
-            self.with_pending_tasks[job_state.job.job_id] = job_state
+            self.jobs_with_pending_tasks[job_state.job.job_id] = job_state
         else:
-            self.with_pending_tasks.pop(job_state.job.job_id, None)
+            self.jobs_with_pending_tasks.pop(job_state.job.job_id, None)
 
     # Assignment of jobs.
 
-    def take_job(self, job: Job, now: timedelta, failed_on: Collection[str] = ()) -> JobState:
+    def adopt_job(self, job: Job, now: timedelta, failed_on: Collection[str] = ()) -> JobState:
         """Add a job to those that this controller schedules, or apply the changed record of one of them.
 
         `failed_on`: the machines on which it failed under its previous scheduler, if it had one.
@@ -105,18 +105,18 @@
             return
         self._update_pending(job_state)
         self.failing_jobs.discard(job_id)
-        for attempt in self.index.of_job(job_id):
+        for attempt in self.attempt_index.of_job(job_id):
             # These attempts count here until the new scheduler confirms that it counts them, in the message that also
             # lowers this controller's quota share accordingly.
             self._remove_attempt(attempt)
             self._in_transfer.add(attempt)
         self.needs_round = True
 
-    def transfer_confirmed(self, job_id: str) -> None:
+    def confirm_transfer(self, job_id: str) -> None:
         """Stop counting the attempts of a job that was handed over, as its new scheduler counts them now."""
         self._in_transfer.remove_job(job_id)
 
-    def job_finished(self, job_id: str) -> None:
+    def finish_job(self, job_id: str) -> None:
         """Remove a job that is over, and stop its attempts, which count until they are gone from their machines."""
         job_state = self.jobs.pop(job_id, None)
         if job_state is None:
@@ -124,14 +124,14 @@
         self._update_pending(job_state)
         self.failing_jobs.discard(job_id)
         self.jobs_with_new_results.discard(job_id)
-        for attempt in self.index.of_job(job_id):
+        for attempt in self.attempt_index.of_job(job_id):
             self._set_desired(attempt, DesiredState.REAP if attempt.phase in FINISHED_PHASES else DesiredState.STOP)
         self.needs_round = True
 
-    def results_recorded(self, job_id: str) -> None:
+    def reap_recorded_results(self, job_id: str) -> None:
         """Have agents reap the job's attempts whose results the key-value store has now."""
         job_state = self.jobs.get(job_id)
-        for attempt in self.index.of_job(job_id):
+        for attempt in self.attempt_index.of_job(job_id):
             if attempt.phase is Phase.ENDED and job_state is not None and attempt.task_index in job_state.job.progress:
                 self._set_desired(attempt, DesiredState.REAP)
 
@@ -141,7 +141,7 @@
         """Start a task on a machine."""
         self._last_attempt_number += 1
         job_state.last_started_at = now
-        if job_state.failing:
+        if job_state.is_failing:
             job_state.probe = task
         spec = job_state.job.spec
         attempt = Attempt(
@@ -153,7 +153,7 @@
     def _place_attempt(self, job_state: JobState, attempt: Attempt) -> None:
         self._add_attempt(attempt)
         job_state.placed[attempt.task_index] = attempt
-        job_state.zones[attempt.zone] += 1
+        job_state.placed_by_zone[attempt.zone] += 1
         self._update_pending(job_state)
 
     def stop(self, attempt: Attempt, grace: timedelta) -> None:
@@ -173,7 +173,7 @@
         if job_state is None or job_state.placed.get(attempt.task_index) is not attempt:
             return
         del job_state.placed[attempt.task_index]
-        job_state.zones[attempt.zone] -= 1
+        job_state.placed_by_zone[attempt.zone] -= 1
         if attempt.task_index not in job_state.done:
             heapq.heappush(job_state.retry_tasks, attempt.task_index)
         self._update_pending(job_state)
@@ -185,7 +185,7 @@
 
     def remove_machine(self, host: str) -> None:
         """Remove a machine whose return the cloud has answered, with all attempts on it, which are gone."""
-        for attempt in list(self.attempts.get(host, {}).values()):
+        for attempt in list(self.attempts_by_host.get(host, {}).values()):
             attempt.phase = Phase.GONE
             self._discard_attempt(attempt)
         self._in_transfer.remove_machine(host)
@@ -195,7 +195,7 @@
     def apply_status(self, host: str, zone: str, tasks: list[TaskRow], now: timedelta) -> None:
         """Apply the owner's list of the tasks on a machine."""
         reported: set[TaskKey] = set()
-        entries = self.attempts.get(host, {})
+        entries = self.attempts_by_host.get(host, {})
         for job_id, task, number, name, cause in tasks:
             key = (job_id, task, number)
             attempt = entries.get(key)
@@ -205,20 +205,22 @@
             phase = PHASE_BY_NAME[name]
             if attempt is None:
                 attempt = self._adopt_attempt(host, zone, key, phase, now)
-            self.index.unshown.pop(key, None)
+            self.attempt_index.unreported.pop(key, None)
             if attempt.phase is not phase or phase in FINISHED_PHASES:
                 self._change_phase(attempt, phase, cause, now)
-        for key, attempt in self.attempts.get(host, {}).items():
+        for key, attempt in self.attempts_by_host.get(host, {}).items():
             if key not in reported:
-                self.index.unshown[key] = attempt
+                self.attempt_index.unreported[key] = attempt
 
-    def acknowledged(self, acknowledged_number: int, confirmed_tasks: Callable[[str], list[TaskRow] | None]) -> None:
+    def apply_acknowledgement(
+        self, acknowledged_number: int, confirmed_tasks: Callable[[str], list[TaskRow] | None]
+    ) -> None:
         """Apply an owner's acknowledgement of the messages of this controller up to `acknowledged_number`.
 
         An attempt that the owner does not report, although it has processed the desired state, is not on the machine.
         `confirmed_tasks` returns the owner's list of the tasks on a machine, or None while that list proves nothing.
         """
-        for attempt in list(self.index.unshown.values()):
+        for attempt in list(self.attempt_index.unreported.values()):
             if acknowledged_number < attempt.sequence_number or confirmed_tasks(attempt.host) is None:
                 continue
             if attempt.desired is DesiredState.RUN:
@@ -250,7 +252,7 @@
 
     def _change_phase(self, attempt: Attempt, phase: Phase, cause: str | None, now: timedelta) -> None:
         before, attempt.phase = attempt.phase, phase
-        self.index.update_usage(attempt)
+        self.attempt_index.update_usage(attempt)
         if phase is Phase.RUNNING:
             attempt.running_since = now
         if phase not in FINISHED_PHASES:
@@ -296,7 +298,7 @@
         if self.failing_jobs.clear_recovered(now):
             self.needs_round = True
 
-    def machine_faulty(self, host: str) -> None:
+    def discard_failures_on(self, host: str) -> None:
         """Discard the jobs' failures on a machine that has turned out to be faulty."""
         if self.failing_jobs.discard_failures_on(host, self.jobs):
             self.needs_round = True
@@ -305,7 +307,7 @@
 
     def desired_tasks(self, host: str) -> list[DesiredTaskRow] | None:
         """Return the desired states of all attempts on a machine; None when there are none."""
-        entries = self.attempts.get(host)
+        entries = self.attempts_by_host.get(host)
         if entries is None:
             return None
         return [
@@ -321,7 +323,7 @@
 
     def usage(self) -> dict[str, Amounts]:
         """Return the amounts that each team's attempts hold; every attempt that may be on a machine counts."""
-        return dict(self.index.usage)
+        return dict(self.attempt_index.usage)
 
     def amounts_in_transfer(self) -> dict[str, dict[str, Amounts]]:
         """Return the amounts by team of each job that was handed over and that its new scheduler does not count yet."""
--- a/src/ramptide/scheduling/job_state.py
+++ b/src/ramptide/scheduling/job_state.py
@@ -9,7 +9,7 @@
 from ramptide.protocol.jobs import BATCH, SERVICE
 from ramptide.scheduling.attempts import Attempt
 from ramptide.state.jobs import Job
-from ramptide.state.records import PROGRESS_WINDOW, Progress
+from ramptide.state.records import PROGRESS_WINDOW_TASKS, Progress
 from ramptide.state.task_state import NO_TIME, Phase
 
 BACKOFF_FIRST = timedelta(seconds=2)
@@ -30,12 +30,12 @@
     #: The attempts that may be on a machine, by task index.
     placed: dict[int, Attempt] = field(default_factory=dict)
     #: The number of these attempts in each zone.
-    zones: Counter[str] = field(default_factory=Counter)
+    placed_by_zone: Counter[str] = field(default_factory=Counter)
     #: A heap of the tasks to be started again. Tasks from `next_new_task` on were never started in this view.
     retry_tasks: list[int] = field(default_factory=list)
     next_new_task: int = 0
     #: Whether a handover of the job to another controller is being written; no task is started meanwhile.
-    frozen: bool = False
+    is_frozen: bool = False
     #: Machines on which no task of the job is started, each with the time at which that ends.
     excluded_until: dict[str, timedelta] = field(default_factory=dict)
     #: Machines on which the job failed since its failures were last cleared.
@@ -57,7 +57,7 @@
         return self.job.spec.task_count - self.done.count - len(self.placed)
 
     @property
-    def failing(self) -> bool:
+    def is_failing(self) -> bool:
         """Whether the job has failed on several machines.
 
         Such a job was most likely submitted with a mistake, and fails until it is cancelled.
@@ -67,12 +67,12 @@
     @property
     def startable(self) -> int:
         """The number of tasks that may be started and count as waiting: while the job fails at most one, as a probe."""
-        if not self.failing:
+        if not self.is_failing:
             return self.waiting
         return 0 if self.probe in self.placed else min(self.waiting, 1)
 
     @property
-    def avoids(self) -> set[str]:
+    def avoided_hosts(self) -> set[str]:
         """The machines whose room does not count for the job, so that another machine is rented.
 
         These are the machines on which it failed, while they are so few that they may all be faulty.
@@ -80,9 +80,9 @@
         return self.failed_on if len(self.failed_on) < MAX_FAULTY_MACHINES else set()
 
     @property
-    def claims_room(self) -> bool:
+    def may_claim_room(self) -> bool:
         """Whether other tasks may be stopped to make room for the job: not while it fails, as it would fail again."""
-        return not self.failing
+        return not self.is_failing
 
     @property
     def has_unrecorded_results(self) -> bool:
@@ -90,7 +90,7 @@
         return self.done.count != self.job.progress.count
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all tasks of a batch job are done; never true of a service."""
         return self.job.spec.kind == BATCH and self.done.count == self.job.spec.task_count
 
@@ -99,7 +99,7 @@
 
         While the job fails this is zero, as its starts are then held back on purpose.
         """
-        if self.failing:
+        if self.is_failing:
             return NO_TIME
         if self.last_started_at is None and not self.placed and not self.done.count:
             return wall - self.job.submitted_at
@@ -123,7 +123,7 @@
         task_count = self.job.spec.task_count
         while self.next_new_task < task_count and self._is_done_or_placed(self.next_new_task):
             self.next_new_task += 1
-        if self.next_new_task < min(task_count, self.done.low + PROGRESS_WINDOW):
+        if self.next_new_task < min(task_count, self.done.low + PROGRESS_WINDOW_TASKS):
             return self.next_new_task
         return None
 
--- a/src/ramptide/scheduling/placement_round.py
+++ b/src/ramptide/scheduling/placement_round.py
@@ -9,7 +9,15 @@
 
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.config.tuning import Tuning
-from ramptide.placement.bin_packing import ROUNDING, ReserveAccess, Room, choose, choose_rooms, needs, usable_rooms
+from ramptide.placement.bin_packing import (
+    ROUNDING_TOLERANCE,
+    ReserveAccess,
+    Room,
+    choose_room,
+    choose_rooms,
+    placement_needs,
+    usable_rooms,
+)
 from ramptide.protocol.jobs import SERVICE, JobSpec
 from ramptide.scheduling.headroom import UNLIMITED, task_headroom
 from ramptide.scheduling.job_scheduler import JobScheduler
@@ -17,7 +25,7 @@
 from ramptide.scheduling.rooms import RoomFinder
 from ramptide.scheduling.urgency import DeadlineOutlook, deadline_outlook
 from ramptide.scheduling.urgency_order import GuaranteeUsage, UrgencyOrder
-from ramptide.state.amounts import NOTHING, Amounts, TeamAmounts, add_amounts, amounts_of
+from ramptide.state.amounts import ZERO_AMOUNTS, Amounts, TeamAmounts, add_amounts, amounts_of
 from ramptide.transport.runtime import Runtime
 
 __all__ = ["PlacementRound"]
@@ -58,7 +66,7 @@
 class RoomClaims(GuaranteeUsage, Protocol):
     """The quota feature, which knows what room other controllers claim for jobs within a guarantee."""
 
-    def unclaimed(self, spec: JobSpec, rooms: list[Room]) -> list[Room]:
+    def unclaimed_rooms(self, spec: JobSpec, rooms: list[Room]) -> list[Room]:
         """Return the rooms that the job may use although its team is beyond its guarantee."""
 
 
@@ -117,7 +125,7 @@
         own_only = not self._leadership.is_leading
         self._room_finder.refresh(own_only)
         min_cpus = min(job_state.job.spec.cpus for job_state in job_states)
-        rooms = [room for room in self._room_finder.rooms(own_only) if room.cpus + ROUNDING >= min_cpus]
+        rooms = [room for room in self._room_finder.free_rooms(own_only) if room.cpus + ROUNDING_TOLERANCE >= min_cpus]
         wall = self._runtime.wall()
         placement = _Round(scheduler, rooms, scheduler.usage_with_transfers(), now, wall)
         job_states = self._filter_by_size(job_states, placement)
@@ -126,7 +134,7 @@
         unplaceable: set[tuple[object, ...]] = set()
         for job_state in job_states:
             access = self._reserve_access(job_state, now, wall)
-            key = (needs(job_state.job.spec), access)
+            key = (placement_needs(job_state.job.spec), access)
             is_short = key in unplaceable or self._place_job(job_state, access, placement)
             if is_short and _is_representative(job_state):
                 unplaceable.add(key)
@@ -135,8 +143,8 @@
     def _startable_jobs(self, scheduler: JobScheduler, now: timedelta) -> list[JobState]:
         return [
             job_state
-            for job_state in scheduler.with_pending_tasks.values()
-            if not job_state.frozen
+            for job_state in scheduler.jobs_with_pending_tasks.values()
+            if not job_state.is_frozen
             and job_state.retry_at <= now
             and job_state.startable
             and self._may_start_job(job_state)
@@ -148,8 +156,8 @@
         On a full fleet this saves the sorting, and the search through the rooms, for all but a few jobs.
         """
         rooms = placement.rooms
-        max_cpus = max((room.cpus for room in rooms), default=0.0) + ROUNDING
-        max_ram_gb = max((room.ram_gb for room in rooms), default=0.0) + ROUNDING
+        max_cpus = max((room.cpus for room in rooms), default=0.0) + ROUNDING_TOLERANCE
+        max_ram_gb = max((room.ram_gb for room in rooms), default=0.0) + ROUNDING_TOLERANCE
         fitting = []
         # Whether the team limit lets a task run, cached by the values that decide it, as many jobs are alike.
         is_allowed: dict[tuple[str, float, float], bool] = {}
@@ -165,8 +173,8 @@
         return fitting
 
     def _headroom(self, spec: JobSpec, used: dict[str, Amounts]) -> int:
-        share = self._state.quota_shares.get(spec.team, NOTHING)
-        return task_headroom(spec, used.get(spec.team, NOTHING), share, self._state.limits)
+        share = self._state.quota_shares.get(spec.team, ZERO_AMOUNTS)
+        return task_headroom(spec, used.get(spec.team, ZERO_AMOUNTS), share, self._state.limits)
 
     def _reserve_access(self, job_state: JobState, now: timedelta, wall: datetime) -> ReserveAccess:
         """Return how much of the room that is reserved for services the job may use.
@@ -182,7 +190,7 @@
         if is_starved or min(idle, time_without_room) > tuning.share_wait:
             return ReserveAccess.ALL
         waited = now - job_state.waiting_since if job_state.waiting_since is not None else NO_TIME
-        if job_state.failing or waited > tuning.long_wait or self._may_claim(job_state, waited):
+        if job_state.is_failing or waited > tuning.long_wait or self._may_claim(job_state, waited):
             return ReserveAccess.POOL
         return ReserveAccess.NONE
 
@@ -190,7 +198,7 @@
         """Return whether tasks are about to be preempted for the job, as an idle machine of the pool costs less."""
         if self._quota is None or waited < self._state.tuning.preempt_after:
             return False
-        return self._quota.within_guarantee(job_state.job.spec)
+        return self._quota.is_within_guarantee(job_state.job.spec)
 
     def _place_job(self, job_state: JobState, access: ReserveAccess, placement: _Round) -> bool:
         """Start tasks of one job; return whether fewer tasks found room than may be started."""
@@ -198,7 +206,7 @@
         max_starts = self._max_starts(job_state, access, job_state.idle_for(placement.now, placement.wall))
         rooms = self._allowed_rooms(job_state, access, placement)
         if self._quota is not None:
-            rooms = self._quota.unclaimed(spec, rooms)
+            rooms = self._quota.unclaimed_rooms(spec, rooms)
         allowed = min(self._headroom(spec, placement.used), job_state.startable, max_starts)
         waiting_before = job_state.waiting
         if spec.kind == SERVICE:
@@ -217,7 +225,7 @@
     ) -> bool:
         """Start replicas of a service, choosing the machine for each; return whether one found no room."""
         while allowed > 0 and job_state.next_task() is not None:
-            room = choose(job_state.job.spec, rooms, job_state.zones, access)
+            room = choose_room(job_state.job.spec, rooms, job_state.placed_by_zone, access)
             if room is None:
                 return True
             self._start(job_state, room, placement)
@@ -230,7 +238,7 @@
         """Start tasks of a job array, in one pass over the rooms for all of them."""
         if allowed <= 0:
             return
-        for room, count in choose_rooms(job_state.job.spec, rooms, job_state.zones, allowed, access):
+        for room, count in choose_rooms(job_state.job.spec, rooms, job_state.placed_by_zone, allowed, access):
             for _ in range(count):
                 if job_state.next_task() is None:
                     break
@@ -242,7 +250,7 @@
             return
         spec = job_state.job.spec
         placement.scheduler.start(job_state, task_index, room.host, room.zone, placement.now)
-        room.take(spec)
+        room.allocate(spec)
         if spec.kind == SERVICE:
             room.service_cpus += spec.cpus
         room.idle = room.in_pool = False
@@ -272,11 +280,11 @@
             job_state.excluded_until = {host: until for host, until in job_state.excluded_until.items() if until > now}
         excluded = job_state.excluded_until
         not_excluded = [room for room in rooms if room.host not in excluded] if excluded else rooms
-        if not job_state.failing:
+        if not job_state.is_failing:
             return not_excluded
         without_failure = [room for room in not_excluded if room.host not in job_state.failed_on]
-        must_avoid = job_state.avoids or not self._leadership.is_leading
-        if must_avoid or usable_rooms(job_state.job.spec, without_failure, job_state.zones, access):
+        must_avoid = job_state.avoided_hosts or not self._leadership.is_leading
+        if must_avoid or usable_rooms(job_state.job.spec, without_failure, job_state.placed_by_zone, access):
             return without_failure
         return rooms
 
--- a/src/ramptide/scheduling/preemption.py
+++ b/src/ramptide/scheduling/preemption.py
@@ -10,7 +10,7 @@
 
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.config.tuning import Tuning
-from ramptide.placement.bin_packing import Room, admits, needs
+from ramptide.placement.bin_packing import Room, admits, placement_needs
 from ramptide.protocol.agents import TaskStatus
 from ramptide.protocol.jobs import JobSpec
 from ramptide.scheduling.headroom import task_headroom
@@ -19,8 +19,8 @@
 from ramptide.scheduling.placement_round import LeadershipInfo
 from ramptide.scheduling.rooms import RoomFinder
 from ramptide.scheduling.urgency_order import UrgencyOrder
-from ramptide.scheduling.victims import RunningTask, may_claim, victims
-from ramptide.state.amounts import NOTHING, TeamAmounts, add_amounts, amounts_of
+from ramptide.scheduling.victims import RunningTask, choose_victims, may_claim
+from ramptide.state.amounts import ZERO_AMOUNTS, TeamAmounts, add_amounts, amounts_of
 from ramptide.state.jobs import Job
 from ramptide.state.records import MachineRecord
 from ramptide.state.task_state import TaskKey
@@ -127,7 +127,7 @@
         self.pending: dict[TaskKey, PendingPreemption] = {}
         self._last_run = timedelta(0)
 
-    def new_view(self) -> None:
+    def on_new_view(self) -> None:
         """Discard the pending preemptions of the previous view."""
         self.pending.clear()
 
@@ -151,7 +151,7 @@
             return
         wall = self._runtime.wall()
         self._room_finder.refresh()
-        rooms = {room.host: room.copy() for room in self._room_finder.rooms()}
+        rooms = {room.host: room.copy() for room in self._room_finder.free_rooms()}
         claims = _Claims(rooms, self._team_usage(), now)
         share_used = scheduler.usage_with_transfers()
         urgency_of = self._urgency_order.urgency_of
@@ -160,7 +160,7 @@
             claimants, key=lambda claimant: urgency_of(claimant.job, claimant.idle_for(now, wall), wall)
         ):
             spec = job_state.job.spec
-            key = (needs(spec), spec.priority, spec.team)
+            key = (placement_needs(spec), spec.priority, spec.team)
             if key in unmet_claims or not self._may_preempt():
                 continue
             wanted = self._wanted_tasks(job_state, share_used)
@@ -180,10 +180,10 @@
         preempt_after = self._state.tuning.preempt_after
         return [
             job_state
-            for job_state in scheduler.with_pending_tasks.values()
+            for job_state in scheduler.jobs_with_pending_tasks.values()
             if job_state.waiting_since is not None
             and now - job_state.waiting_since >= preempt_after
-            and job_state.claims_room
+            and job_state.may_claim_room
             and self._may_start_job(job_state)
         ]
 
@@ -191,8 +191,8 @@
         """Return for how many tasks of the job room is still to be made, beyond the pending preemptions for it."""
         spec = job_state.job.spec
         promised = sum(preemption.claimant == spec.job_id for preemption in self.pending.values())
-        used = share_used.get(spec.team, NOTHING)
-        share = self._state.quota_shares.get(spec.team, NOTHING)
+        used = share_used.get(spec.team, ZERO_AMOUNTS)
+        share = self._state.quota_shares.get(spec.team, ZERO_AMOUNTS)
         return min(job_state.waiting - promised, task_headroom(spec, used, share, self._state.limits))
 
     def _make_room(self, job_state: JobState, wanted: int, claims: _Claims) -> bool:
@@ -209,7 +209,7 @@
             return claimable_by_key[key]
 
         def cheapest_victims(host: str) -> tuple[float, list[RunningTask]] | None:
-            return victims(spec, claims.rooms[host], claims.tasks[host], is_claimable, job_state.zones)
+            return choose_victims(spec, claims.rooms[host], claims.tasks[host], is_claimable, job_state.placed_by_zone)
 
         heap = []
         for host in self._admitting_hosts(spec, claims):
@@ -250,9 +250,9 @@
             self.pending[victim.key] = PendingPreemption(claimant.job_id, claims.now, grace_s)
             self.stop_task(victim.key, timedelta(seconds=grace_s))
             tasks.remove(victim)
-            room.take(spec, -1)
+            room.allocate(spec, -1)
             add_amounts(claims.used, spec.team, amounts_of(spec).times(-1))
-        room.take(claimant)
+        room.allocate(claimant)
         add_amounts(claims.used, claimant.team, amounts_of(claimant))
         self._state.counters["preemptions"] += len(preempted)
 
--- a/src/ramptide/scheduling/results.py
+++ b/src/ramptide/scheduling/results.py
@@ -52,7 +52,7 @@
         self._next_write: dict[str, timedelta] = {}
         self._in_flight: set[str] = set()
 
-    def forget(self, job_id: str) -> None:
+    def forget_job(self, job_id: str) -> None:
         """Discard the state that is kept of a job that is over."""
         self._next_write.pop(job_id, None)
 
@@ -64,10 +64,10 @@
             job_state = scheduler.jobs.get(job_id)
             if job_state is None or not job_state.has_unrecorded_results:
                 scheduler.jobs_with_new_results.discard(job_id)
-            elif not job_state.frozen and job_id not in self._in_flight:
-                if job_state.complete and now >= self._next_write.get(job_id, now):
+            elif not job_state.is_frozen and job_id not in self._in_flight:
+                if job_state.is_complete and now >= self._next_write.get(job_id, now):
                     self._write_completion(job_state, now)
-                elif not job_state.complete and now >= self._next_write.setdefault(job_id, now + PROGRESS_INTERVAL):
+                elif not job_state.is_complete and now >= self._next_write.setdefault(job_id, now + PROGRESS_INTERVAL):
                     self._write_progress(job_state, now)
 
     def _write_completion(self, job_state: JobState, now: timedelta) -> None:
--- a/src/ramptide/scheduling/rooms.py
+++ b/src/ramptide/scheduling/rooms.py
@@ -7,7 +7,7 @@
 from ramptide.agents.shard import Shard
 from ramptide.cluster.machine_index import MachineIndex
 from ramptide.cluster.view import View
-from ramptide.placement.bin_packing import ROUNDING, Room, fill
+from ramptide.placement.bin_packing import ROUNDING_TOLERANCE, Room, fill_rooms
 from ramptide.protocol.jobs import JobSpec
 
 __all__ = ["RoomFinder"]
@@ -50,7 +50,7 @@
         shard = self._state.shard
         self._machine_index.refresh(shard.machines if own_only and shard is not None else None)
 
-    def rooms(self, own_only: bool = False) -> list[Room]:
+    def free_rooms(self, own_only: bool = False) -> list[Room]:
         """Return the free rooms as of the last refresh.
 
         With `own_only` these are the rooms on the machines that this controller owns, otherwise those on the machines
@@ -73,11 +73,11 @@
         leader = self._state.require_view().leader
         self.refresh()
         by_owner: dict[str, list[Room]] = {}
-        for room in self.rooms():
-            if room.cpus + ROUNDING >= spec.cpus:
+        for room in self.free_rooms():
+            if room.cpus + ROUNDING_TOLERANCE >= spec.cpus:
                 by_owner.setdefault(self._state.owner_of(room.host), []).append(room)
         free_cpus = {member: sum(room.cpus for room in rooms) for member, rooms in by_owner.items()}
         for member in sorted(free_cpus, key=lambda name: (-free_cpus[name], name)):
-            if fill(spec, spec.task_count, by_owner[member], Counter(), allocate=False) == spec.task_count:
+            if fill_rooms(spec, spec.task_count, by_owner[member], Counter(), allocate=False) == spec.task_count:
                 return member
         return leader
--- a/src/ramptide/scheduling/urgency_order.py
+++ b/src/ramptide/scheduling/urgency_order.py
@@ -26,7 +26,7 @@
 class GuaranteeUsage(Protocol):
     """The quota feature, which knows what each team uses over all controllers."""
 
-    def within_guarantee(self, spec: JobSpec) -> bool:
+    def is_within_guarantee(self, spec: JobSpec) -> bool:
         """Return whether one more task of the job keeps its team within its guarantee."""
 
 
@@ -41,6 +41,6 @@
         """Return the sort key of a job that has been idle for the given time, the most urgent lowest."""
         tuning = self._state.tuning
         guarantees_first = self._quota is not None and bool(tuning.guarantees_first)
-        guaranteed = guarantees_first and self._quota is not None and self._quota.within_guarantee(job.spec)
+        guaranteed = guarantees_first and self._quota is not None and self._quota.is_within_guarantee(job.spec)
         prompt_classes = self._state.prompt_classes
         return urgency(job, idle, wall, prompt_classes, tuning.patience, tuning.begin_within, guaranteed)
--- a/src/ramptide/scheduling/victims.py
+++ b/src/ramptide/scheduling/victims.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from ramptide.placement.bin_packing import Room, admits, zone_room
+from ramptide.placement.bin_packing import Room, admits, zone_headroom
 from ramptide.protocol.jobs import PRIORITIES, SERVICE, JobSpec
-from ramptide.state.amounts import NOTHING, Amounts, amounts_of
+from ramptide.state.amounts import ZERO_AMOUNTS, Amounts, amounts_of
 from ramptide.state.task_state import TaskKey
 
 #: Far above the cost of other tasks: a replica of a service is stopped last, as people wait for its answers.
@@ -44,23 +44,23 @@
         return True
     if victim.team == spec.team or spec.team not in guarantees:
         return False
-    if not within_guarantee(spec, usage, guarantees):
+    if not is_within_guarantee(spec, usage, guarantees):
         return False
-    used, released = usage.get(victim.team, NOTHING), amounts_of(victim)
-    guaranteed = guarantees.get(victim.team, NOTHING)
+    used, released = usage.get(victim.team, ZERO_AMOUNTS), amounts_of(victim)
+    guaranteed = guarantees.get(victim.team, ZERO_AMOUNTS)
     return used[0] - released[0] >= guaranteed[0] and used[1] - released[1] >= guaranteed[1]
 
 
-def within_guarantee(spec: JobSpec, usage: Mapping[str, Amounts], guarantees: Mapping[str, Amounts]) -> bool:
+def is_within_guarantee(spec: JobSpec, usage: Mapping[str, Amounts], guarantees: Mapping[str, Amounts]) -> bool:
     """Return whether one more task of the job keeps its team within its guarantee."""
     guaranteed = guarantees.get(spec.team)
     if guaranteed is None:
         return False
-    used, task = usage.get(spec.team, NOTHING), amounts_of(spec)
+    used, task = usage.get(spec.team, ZERO_AMOUNTS), amounts_of(spec)
     return used[0] + task[0] <= guaranteed[0] and used[1] + task[1] <= guaranteed[1]
 
 
-def victims(
+def choose_victims(
     spec: JobSpec,
     room: Room,
     tasks: Iterable[RunningTask],
@@ -71,16 +71,16 @@
 
     The result is None when no room can be made, or when a task fits without stopping any.
     """
-    if not admits(spec, room) or not zone_room(spec, room.zone, placed_by_zone):
+    if not admits(spec, room) or not zone_headroom(spec, room.zone, placed_by_zone):
         return None
     trial, cost, chosen = room.copy(), 0.0, []
     for task in sorted((task for task in tasks if is_claimable(task.spec)), key=_stop_cost):
-        if trial.fits(spec):
+        if trial.count_fitting_tasks(spec):
             break
-        trial.take(task.spec, -1)
+        trial.allocate(task.spec, -1)
         chosen.append(task)
         cost += _stop_cost(task)[0]
-    return (cost, chosen) if chosen and trial.fits(spec) else None
+    return (cost, chosen) if chosen and trial.count_fitting_tasks(spec) else None
 
 
 def _stop_cost(task: RunningTask) -> tuple[float, str, int]:
--- a/src/ramptide/service/client_routes.py
+++ b/src/ramptide/service/client_routes.py
@@ -73,7 +73,7 @@
             refuse_method(exchange, "POST")
             return
         # Heartbeats renew the leases of tasks, so they are handled before the requests of users.
-        exchange.prefer()
+        exchange.prioritize()
         self._counters["reports"] += 1
         reply = _json_reply(exchange)
         self._measure(WorkKind.HEARTBEATS, lambda: self._heartbeats.receive_heartbeat(request.body, reply))
@@ -82,7 +82,7 @@
         if exchange.request.method not in ("GET", "HEAD"):
             refuse_method(exchange, "GET, HEAD")
             return
-        exchange.prefer()
+        exchange.prioritize()
         health = self._health()
         status = HTTPStatus.OK if health.healthy else HTTPStatus.SERVICE_UNAVAILABLE
         exchange.respond(status, encode_json(health), JSON)
@@ -98,14 +98,14 @@
             case [job_id, action] if action == CANCEL_ACTION:
                 self._call_job_api(exchange, "POST", lambda: job_api.cancel(job_id, reply))
             case _:
-                self._telemetry.answered(Route.OTHER, HTTPStatus.NOT_FOUND)
+                self._telemetry.record_answer(Route.OTHER, HTTPStatus.NOT_FOUND)
                 reply(HTTPStatus.NOT_FOUND, encode_error("no such path"))
 
     def _call_job_api(self, exchange: Exchange, allowed_method: str, call: Callable[[], None]) -> None:
         if exchange.request.method == allowed_method:
             call()
             return
-        self._telemetry.answered(Route.OTHER, HTTPStatus.METHOD_NOT_ALLOWED)
+        self._telemetry.record_answer(Route.OTHER, HTTPStatus.METHOD_NOT_ALLOWED)
         refuse_method(exchange, allowed_method)
 
 
--- a/src/ramptide/state/amounts.py
+++ b/src/ramptide/state/amounts.py
@@ -9,9 +9,9 @@
 from ramptide.protocol.settings_file import Team
 
 __all__ = [
-    "NOTHING",
     "NO_LIMIT",
-    "UNITS",
+    "UNITS_PER_WHOLE",
+    "ZERO_AMOUNTS",
     "Amounts",
     "TeamAmounts",
     "WireAmounts",
@@ -23,14 +23,14 @@
     "shares_to_wire",
     "tasks_within",
     "team_limits",
-    "to_number",
     "units_allowed",
     "units_needed",
+    "units_to_number",
     "usage_from_wire",
 ]
 
 #: Units in one CPU or GPU. Decimal numbers from the interfaces are converted to units where they are received.
-UNITS = 1_000_000
+UNITS_PER_WHOLE = 1_000_000
 #: A decimal number counts as a whole number of units if it differs from it by no more than this, as by the rounding
 #: error of its binary form.
 ROUNDING_TOLERANCE_UNITS = 1e-3
@@ -55,17 +55,17 @@
 TeamAmounts = dict[str, Amounts]
 #: CPUs and GPUs as decimal numbers, as in the messages between controllers; infinite where there is no limit.
 WireAmounts = tuple[float, float]
-NOTHING = Amounts(0, 0)
+ZERO_AMOUNTS = Amounts(0, 0)
 
 
 def units_needed(value: float) -> int:
     """Return a decimal number of CPUs or GPUs in units, rounded up."""
-    return math.ceil(value * UNITS - ROUNDING_TOLERANCE_UNITS)
+    return math.ceil(value * UNITS_PER_WHOLE - ROUNDING_TOLERANCE_UNITS)
 
 
 def units_allowed(value: float) -> int:
     """Return a decimal number of CPUs or GPUs in units, rounded down; `NO_LIMIT` for an infinite one."""
-    return NO_LIMIT if math.isinf(value) else math.floor(value * UNITS + ROUNDING_TOLERANCE_UNITS)
+    return NO_LIMIT if math.isinf(value) else math.floor(value * UNITS_PER_WHOLE + ROUNDING_TOLERANCE_UNITS)
 
 
 @lru_cache(maxsize=4096)
@@ -98,7 +98,7 @@
 
 def add_amounts(total: TeamAmounts, team: str, amounts: Amounts) -> None:
     """Add amounts to the entry of a team in `total`, in place."""
-    before = total.get(team, NOTHING)
+    before = total.get(team, ZERO_AMOUNTS)
     total[team] = Amounts(before.cpus + amounts.cpus, before.gpus + amounts.gpus)
 
 
@@ -109,14 +109,14 @@
     return max(0, min(counts)) if counts else None
 
 
-def to_number(units: int) -> float:
+def units_to_number(units: int) -> float:
     """Return units as a decimal number of CPUs or GPUs; infinite for `NO_LIMIT`."""
-    return math.inf if units == NO_LIMIT else units / UNITS
+    return math.inf if units == NO_LIMIT else units / UNITS_PER_WHOLE
 
 
 def shares_to_wire(shares: Mapping[str, Amounts]) -> dict[str, WireAmounts]:
     """Return amounts by team as decimal numbers for messages."""
-    return {team: (to_number(share.cpus), to_number(share.gpus)) for team, share in shares.items()}
+    return {team: (units_to_number(share.cpus), units_to_number(share.gpus)) for team, share in shares.items()}
 
 
 def shares_from_wire(shares: Mapping[str, WireAmounts]) -> TeamAmounts:
--- a/src/ramptide/state/commit_batcher.py
+++ b/src/ramptide/state/commit_batcher.py
@@ -109,7 +109,7 @@
         self._queue.append(_PendingChange(transaction, encoded_size, deadline, on_result))
         self._schedule_send()
 
-    def delay(self) -> timedelta:
+    def expected_delay(self) -> timedelta:
         """Return how long a change that is added now is expected to wait before it is sent."""
         queued_writes = sum(change.transaction.size for change in self._queue)
         queue_delay = timedelta(seconds=queued_writes / self._store.write_rate)
--- a/src/ramptide/state/delete_log.py
+++ b/src/ramptide/state/delete_log.py
@@ -6,7 +6,7 @@
 __all__ = ["DeleteLog"]
 
 #: The number of deletions kept, well above those that occur during any outage of the store for a single controller.
-DELETES_KEPT = 5000
+MAX_DELETIONS = 5000
 
 
 class DeleteLog:
@@ -27,7 +27,7 @@
         """Add a deletion, and remove the oldest ones beyond `MAX_DELETIONS`."""
         self._revisions.pop(key, None)
         self._revisions[key] = mod_revision
-        while len(self._revisions) > DELETES_KEPT and self._complete_since is not None:
+        while len(self._revisions) > MAX_DELETIONS and self._complete_since is not None:
             oldest_key = next(iter(self._revisions))
             self._complete_since = max(self._complete_since, self._revisions.pop(oldest_key))
 
--- a/src/ramptide/state/records.py
+++ b/src/ramptide/state/records.py
@@ -18,7 +18,7 @@
     "JOB_PREFIX",
     "LIMIT_PREFIX",
     "MACHINE_TYPES_KEY",
-    "PROGRESS_WINDOW",
+    "PROGRESS_WINDOW_TASKS",
     "RENTAL_PREFIX",
     "SETTINGS_KEY",
     "FinishedJobRecord",
@@ -44,7 +44,7 @@
 
 #: Only tasks less than this many beyond the lowest task that is not completed may start, which bounds the size of a
 #: job's record.
-PROGRESS_WINDOW = 8192
+PROGRESS_WINDOW_TASKS = 8192
 
 
 class RecordError(ValueError):
@@ -112,7 +112,7 @@
             raw = base64.b64decode(bits, validate=True)
         except (msgspec.ValidationError, ValueError) as error:
             raise RecordError(str(error)) from error
-        if low > MAX_TASKS or len(raw) > PROGRESS_WINDOW // 8:
+        if low > MAX_TASKS or len(raw) > PROGRESS_WINDOW_TASKS // 8:
             raise RecordError("more done tasks than a job can have")
         return cls(low, int.from_bytes(raw, "little"))
 
--- a/src/ramptide/team_limits/cluster_usage.py
+++ b/src/ramptide/team_limits/cluster_usage.py
@@ -5,7 +5,7 @@
 
 from ramptide.cluster.peers import Peers
 from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.amounts import NOTHING, TeamAmounts, add_amounts, usage_from_wire
+from ramptide.state.amounts import ZERO_AMOUNTS, TeamAmounts, add_amounts, usage_from_wire
 
 __all__ = ["ClusterUsage"]
 
@@ -34,11 +34,11 @@
 
     def usage_of(self, teams: Iterable[str]) -> TeamAmounts:
         """Return the amounts that the attempts of all schedulers hold, for the given teams only."""
-        own_usage = self._state.require_scheduler().index.usage
+        own_usage = self._state.require_scheduler().attempt_index.usage
         messages = self._peers.last_messages()
         usage: TeamAmounts = {}
         for team in teams:
-            usage[team] = own_usage.get(team, NOTHING)
+            usage[team] = own_usage.get(team, ZERO_AMOUNTS)
             for message in messages:
                 if team in message.usage:
                     add_amounts(usage, team, usage_from_wire({team: message.usage[team]})[team])
--- a/src/ramptide/team_limits/share_allocator.py
+++ b/src/ramptide/team_limits/share_allocator.py
@@ -3,7 +3,7 @@
 from collections import deque
 from collections.abc import Hashable, Mapping
 
-from ramptide.state.amounts import NO_LIMIT, NOTHING, Amounts, TeamAmounts
+from ramptide.state.amounts import NO_LIMIT, ZERO_AMOUNTS, Amounts, TeamAmounts
 from ramptide.team_limits.split_policy import SplitPolicy
 
 __all__ = ["Offsets", "ShareAllocator"]
@@ -36,14 +36,14 @@
 
     def largest_share(self, member: str, team: str, offsets: Offsets) -> Amounts:
         """Return the largest share of a team that the member may still act on."""
-        offset = offsets.get(member, {}).get(team, NOTHING)
-        shares = [sent.get(team, NOTHING) for _, sent in self._sent[member]]
+        offset = offsets.get(member, {}).get(team, ZERO_AMOUNTS)
+        shares = [sent.get(team, ZERO_AMOUNTS) for _, sent in self._sent[member]]
         return Amounts(
             max(share.cpus for share in shares) + offset.cpus,
             max(share.gpus for share in shares) + offset.gpus,
         )
 
-    def acknowledged(self, member: str, sequence_number: int) -> None:
+    def record_acknowledgement(self, member: str, sequence_number: int) -> None:
         """Record that the member acts on the shares of message `sequence_number` and on no older ones."""
         sent = self._sent[member]
         while len(sent) > 1 and sent[1][0] <= sequence_number:
@@ -65,8 +65,8 @@
         shares: dict[str, TeamAmounts] = {member: dict(self.last_sent(member)) for member in self._sent}
         unacknowledged = tuple((len(sent), sent[0][0]) for sent in self._sent.values())
         for team, limit in self._limits.items():
-            used = {member: usage.get(member, {}).get(team, NOTHING) for member in self._sent}
-            team_offsets = {member: offsets_by_member.get(member, {}).get(team, NOTHING) for member in self._sent}
+            used = {member: usage.get(member, {}).get(team, ZERO_AMOUNTS) for member in self._sent}
+            team_offsets = {member: offsets_by_member.get(member, {}).get(team, ZERO_AMOUNTS) for member in self._sent}
             inputs = (limit, tuple(used.values()), tuple(team_offsets.values()), unacknowledged, policy.basis(team))
             if self._inputs_without_change.get(team) == inputs:
                 continue
--- a/src/ramptide/team_limits/share_split.py
+++ b/src/ramptide/team_limits/share_split.py
@@ -82,7 +82,7 @@
         self.handovers_taken: list[str] = []
         self._split_at = timedelta(0)
 
-    def new_view(self, view: View | None) -> None:
+    def on_new_view(self, view: View | None) -> None:
         """Reset the split for a new view; `view` is None when this controller has no place in it."""
         self._shares, self.handovers_taken = {}, []
         self._allocator = ShareAllocator(self._state.limits, sorted(view.members)) if view is not None else None
@@ -94,14 +94,14 @@
     def record_acknowledgement(self, member: str, sequence_number: int) -> None:
         """Record that a member acts on the shares of this controller's message `sequence_number`."""
         if self._allocator is not None and sequence_number:
-            self._allocator.acknowledged(member, sequence_number)
+            self._allocator.record_acknowledgement(member, sequence_number)
 
-    def limits_changed(self) -> None:
+    def apply_limits(self) -> None:
         """Split by the current limits of the controller's state from now on."""
         if self._allocator is not None:
             self._allocator.change_limits(self._state.limits)
 
-    def within(self, team: str, limit: Amounts) -> bool:
+    def is_within(self, team: str, limit: Amounts) -> bool:
         """Return whether the sum of the shares that members may still act on is within a limit."""
         if self._allocator is None or not self._shares:
             return False
@@ -152,7 +152,7 @@
         shares = self._allocator.divide(
             scheduler.sequence_number + 1, usage, self._policy(scheduler, others, now), self._state.member, offsets
         )
-        self._allocator.acknowledged(self._state.member, scheduler.sequence_number + 1)
+        self._allocator.record_acknowledgement(self._state.member, scheduler.sequence_number + 1)
         self._on_own_share(shares[self._state.member])
         return shares
 
--- a/src/ramptide/team_limits/split_policy.py
+++ b/src/ramptide/team_limits/split_policy.py
@@ -3,7 +3,7 @@
 from collections.abc import Hashable, Mapping
 from typing import Protocol
 
-from ramptide.state.amounts import NOTHING, Amounts, TeamAmounts
+from ramptide.state.amounts import ZERO_AMOUNTS, Amounts, TeamAmounts
 
 __all__ = ["ProportionalSplit", "SplitPolicy"]
 
@@ -41,7 +41,7 @@
 
     def _resource_targets(self, team: str, resource: int, limit: int, usage: Mapping[str, Amounts]) -> dict[str, int]:
         unused = max(0, limit - sum(used[resource] for used in usage.values()))
-        waiting = {member: self._waiting.get(member, {}).get(team, NOTHING)[resource] for member in usage}
+        waiting = {member: self._waiting.get(member, {}).get(team, ZERO_AMOUNTS)[resource] for member in usage}
         total_waiting = sum(waiting.values())
         available = min(unused, total_waiting)
         return {
--- a/src/ramptide/team_limits/usage.py
+++ b/src/ramptide/team_limits/usage.py
@@ -8,7 +8,15 @@
 from ramptide.protocol.settings_file import Team
 from ramptide.scheduling.headroom import task_headroom
 from ramptide.scheduling.job_scheduler import JobScheduler
-from ramptide.state.amounts import NO_LIMIT, NOTHING, TeamAmounts, add_amounts, amounts_of, limits_of, to_number
+from ramptide.state.amounts import (
+    NO_LIMIT,
+    ZERO_AMOUNTS,
+    TeamAmounts,
+    add_amounts,
+    amounts_of,
+    limits_of,
+    units_to_number,
+)
 from ramptide.team_limits.cluster_usage import ClusterUsage
 from ramptide.transport.runtime import Runtime
 
@@ -87,16 +95,16 @@
 
     def _usage_of(self, team: str, totals: _Totals) -> TeamUsage:
         limit = limits_of(self._state.teams[team])
-        share = self._state.quota_shares.get(team, NOTHING)
+        share = self._state.quota_shares.get(team, ZERO_AMOUNTS)
 
         def resource_usage(resource: int) -> ResourceUsage:
             is_limited = limit[resource] != NO_LIMIT
             return ResourceUsage(
-                limit=to_number(limit[resource]) if is_limited else None,
-                used=to_number(totals.used.get(team, NOTHING)[resource]),
-                share=to_number(share[resource]) if is_limited else None,
-                share_used=to_number(totals.share_used.get(team, NOTHING)[resource]),
-                waiting_for_limit=to_number(totals.waiting.get(team, NOTHING)[resource]),
+                limit=units_to_number(limit[resource]) if is_limited else None,
+                used=units_to_number(totals.used.get(team, ZERO_AMOUNTS)[resource]),
+                share=units_to_number(share[resource]) if is_limited else None,
+                share_used=units_to_number(totals.share_used.get(team, ZERO_AMOUNTS)[resource]),
+                waiting_for_limit=units_to_number(totals.waiting.get(team, ZERO_AMOUNTS)[resource]),
             )
 
         return TeamUsage(cpus=resource_usage(0), gpus=resource_usage(1))
@@ -105,11 +113,11 @@
         """Return, by team, the demand of the waiting tasks of jobs of which the team's share lets no task run."""
         now, share_used = self._runtime.now, scheduler.usage_with_transfers()
         waiting: TeamAmounts = {}
-        for job_state in scheduler.with_pending_tasks.values():
+        for job_state in scheduler.jobs_with_pending_tasks.values():
             spec = job_state.job.spec
             if job_state.retry_at > now or not job_state.startable:
                 continue
-            share = self._state.quota_shares.get(spec.team, NOTHING)
-            if task_headroom(spec, share_used.get(spec.team, NOTHING), share, self._state.limits) == 0:
+            share = self._state.quota_shares.get(spec.team, ZERO_AMOUNTS)
+            if task_headroom(spec, share_used.get(spec.team, ZERO_AMOUNTS), share, self._state.limits) == 0:
                 add_amounts(waiting, spec.team, amounts_of(spec).times(job_state.startable))
         return waiting
--- a/src/ramptide/transport/event_loop.py
+++ b/src/ramptide/transport/event_loop.py
@@ -151,7 +151,7 @@
             action, timer.action = timer.action, None
             if action is not None:
                 self._read_clock()
-                self.statistics.timer_ran(self.now, self.now - due_at)
+                self.statistics.record_timer(self.now, self.now - due_at)
                 self._run_guarded(WorkKind.TIMERS, action)
 
     def _run_guarded(self, work: WorkKind, action: Callable[[], None]) -> None:
--- a/src/ramptide/transport/http/client.py
+++ b/src/ramptide/transport/http/client.py
@@ -34,7 +34,7 @@
         super().__init__(client.loop, sock)
         self.client = client
         self.address = address
-        self.parser = Parser(response=True, max_body_bytes=MAX_RESPONSE_BODY_BYTES)
+        self.parser = Parser(is_response=True, max_body_bytes=MAX_RESPONSE_BODY_BYTES)
         self.on_response: ResponseCallback | None = None
         self.timeout_timer: Timer | None = None
         self.is_connected = False
@@ -71,9 +71,9 @@
         try:
             if data:
                 self.parser.feed(data)
-                message = self.parser.next()
+                message = self.parser.next_message()
             else:
-                message = self.parser.closed()
+                message = self.parser.end_stream()
         except HttpError as error:
             log.error("broken response: address=%s error=%r", self.address, str(error))
             self.close()
--- a/src/ramptide/transport/http/parser.py
+++ b/src/ramptide/transport/http/parser.py
@@ -89,8 +89,8 @@
         The size of the largest body that is accepted.
     """
 
-    def __init__(self, response: bool = False, max_body_bytes: int = MAX_REQUEST_BODY_BYTES) -> None:
-        self._is_response = response
+    def __init__(self, is_response: bool = False, max_body_bytes: int = MAX_REQUEST_BODY_BYTES) -> None:
+        self._is_response = is_response
         self._max_body_bytes = max_body_bytes
         self._buffer = bytearray()
         self._state = _State.HEAD
@@ -117,7 +117,7 @@
         """Append received bytes to the buffer."""
         self._buffer += data
 
-    def next(self) -> Message | None:
+    def next_message(self) -> Message | None:
         """Return the next whole message, or None if more bytes are needed.
 
         Raises
@@ -132,7 +132,7 @@
             if result is _Progress.NEEDS_DATA:
                 return None
 
-    def closed(self) -> Message | None:
+    def end_stream(self) -> Message | None:
         """Return the response that the end of the stream completes, as it has no length; None if there is none."""
         if self._state is _State.UNTIL_CLOSE:
             self._body += self._buffer
--- a/src/ramptide/transport/http/server.py
+++ b/src/ramptide/transport/http/server.py
@@ -27,7 +27,7 @@
 SWEEPS_PER_IDLE_TIMEOUT = 6
 #: While more than this ratio of the connections is in use, each is closed after its response: more clients than
 #: connections then take turns, and the free connections remain available to new clients.
-CROWDED_SHARE = 0.75
+CROWDED_RATIO = 0.75
 
 
 class Exchange:
@@ -38,7 +38,7 @@
         self._connection: _ServerConnection | None = connection
         self.request = request
 
-    def prefer(self) -> None:
+    def prioritize(self) -> None:
         """Handle later requests on the same connection before those of deferrable connections."""
         if self._connection is not None:
             self._connection.deferrable = False
@@ -94,7 +94,7 @@
         if self.is_handling or not self.is_open:
             return
         try:
-            request = self.parser.next()
+            request = self.parser.next_message()
         except HttpError as error:
             body = _encode_error(str(error))
             self._send_last(encode_response(error.status, body, JSON, {}, keep_alive=False))
@@ -202,7 +202,7 @@
     @property
     def is_crowded(self) -> bool:
         """Whether so many connections are open that each is closed after its response."""
-        return len(self.connections) > self.max_connections * CROWDED_SHARE
+        return len(self.connections) > self.max_connections * CROWDED_RATIO
 
     def _accept(self, _mask: int) -> None:
         for _ in range(MAX_ACCEPTS_PER_EVENT):
--- a/src/ramptide/transport/process_statistics.py
+++ b/src/ramptide/transport/process_statistics.py
@@ -7,11 +7,11 @@
 from enum import Enum
 from typing import NamedTuple
 
-__all__ = ["WORST_DELAY_KEPT", "ProcessStatistics", "WorkKind"]
+__all__ = ["WORST_DELAY_WINDOW", "ProcessStatistics", "WorkKind"]
 
 NO_TIME = timedelta(0)
 #: The reported worst delay covers the timers that were called within this window.
-WORST_DELAY_KEPT = timedelta(minutes=1)
+WORST_DELAY_WINDOW = timedelta(minutes=1)
 #: The label of the processor time that the transport itself takes.
 TRANSPORT_LABEL = "transport"
 
@@ -55,8 +55,8 @@
 
     def __init__(self) -> None:
         self._processor_time = dict.fromkeys(WorkKind, NO_TIME)
-        self.timers = 0
-        self.delays = NO_TIME
+        self.timer_count = 0
+        self.total_timer_delay = NO_TIME
         #: The delays within the window that no later one reaches, the longest first.
         self._worst_delays: deque[_TimerDelay] = deque()
 
@@ -68,16 +68,16 @@
         finally:
             self._processor_time[work] += timedelta(seconds=time.process_time() - started_at)
 
-    def by_kind(self) -> dict[str, timedelta]:
+    def processor_time_by_kind(self) -> dict[str, timedelta]:
         """Return the processor time by label: each kind of handler, the timers, and the transport itself."""
         spent = {work.value: self._processor_time[work] for work in (WorkKind.TIMERS, *HANDLERS)}
         handler_time = sum((self._processor_time[work] for work in HANDLERS), NO_TIME)
         return spent | {TRANSPORT_LABEL: max(self._processor_time[WorkKind.SOCKETS] - handler_time, NO_TIME)}
 
-    def timer_ran(self, now: timedelta, delay: timedelta) -> None:
+    def record_timer(self, now: timedelta, delay: timedelta) -> None:
         """Record a timer that is called `delay` after it was due."""
-        self.timers += 1
-        self.delays += delay
+        self.timer_count += 1
+        self.total_timer_delay += delay
         while self._worst_delays and self._worst_delays[-1].delay <= delay:
             self._worst_delays.pop()
         self._worst_delays.append(_TimerDelay(now, delay))
@@ -89,5 +89,5 @@
         return self._worst_delays[0].delay if self._worst_delays else NO_TIME
 
     def _drop_old_delays(self, now: timedelta) -> None:
-        while self._worst_delays and now - self._worst_delays[0].called_at > WORST_DELAY_KEPT:
+        while self._worst_delays and now - self._worst_delays[0].called_at > WORST_DELAY_WINDOW:
             self._worst_delays.popleft()
--- a/tests/compatibility/codecs.py
+++ b/tests/compatibility/codecs.py
@@ -214,7 +214,7 @@
 
 
 def _quota_message(body: bytes) -> bytes:
-    return cbor2.dumps(msgspec.to_builtins(quota_messages.decode(cbor2.loads(body))))
+    return cbor2.dumps(msgspec.to_builtins(quota_messages.decode_quota_message(cbor2.loads(body))))
 
 
 PEERS: dict[str, Codec] = {"message": _peer_message, "answer": _peer_answer, "quota": _quota_message}
@@ -232,12 +232,12 @@
 @contextmanager
 def small_messages(machines: int) -> Iterator[None]:
     """Controllers tell of no more than so many machines in one message."""
-    kept = syncing.MACHINES_PER_MESSAGE, syncing.MACHINES_PER_NUMBER
-    syncing.MACHINES_PER_MESSAGE, syncing.MACHINES_PER_NUMBER = machines, 1
+    kept = syncing.MACHINES_PER_MESSAGE, syncing.MACHINES_PER_SEQUENCE_NUMBER
+    syncing.MACHINES_PER_MESSAGE, syncing.MACHINES_PER_SEQUENCE_NUMBER = machines, 1
     try:
         yield
     finally:
-        syncing.MACHINES_PER_MESSAGE, syncing.MACHINES_PER_NUMBER = kept
+        syncing.MACHINES_PER_MESSAGE, syncing.MACHINES_PER_SEQUENCE_NUMBER = kept
 
 
 # Operators: settings, the files and the command line.
@@ -247,18 +247,18 @@
     """An operator's change of a team's limit: the record that is written. `platform`: the team in the settings."""
     before = None if record is None else overrides.decode_record(record)
     known = None if platform is None else msgspec.convert(platform, settings_file.Team)
-    return msgspec.to_builtins(overrides.change(team, changes, before, known))
+    return msgspec.to_builtins(overrides.with_pending_change(team, changes, before, known))
 
 
 def change_settings(changes: Any) -> dict[str, float | int]:
     """The operators' settings after a change of the defaults."""
-    return tuning.Tuning().changed(changes).to_value()
+    return tuning.Tuning().with_changes(changes).to_value()
 
 
 def setting_bounds() -> dict[str, list[Any]]:
     """Each setting with its default, its bounds and its text."""
     defaults = tuning.Tuning().to_value()
-    return {name: [defaults[name], bound.low, bound.high, bound.text] for name, bound in tuning.BOUNDS.items()}
+    return {name: [defaults[name], bound.low, bound.high, bound.description] for name, bound in tuning.BOUNDS.items()}
 
 
 def load_parts(path: Path) -> Any:
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -175,8 +175,8 @@
         decode_heartbeat(report(host, controller.state.shard.view, tenure, tally + 1))
     )
     following = decode_heartbeat(report(host, controller.state.shard.view, tenure, tally + 2))
-    assert controller.state.shard.heartbeats.take(following, world.now)
+    assert controller.state.shard.heartbeats.apply(following, world.now)
     assert not machine.is_unreachable
     astray = decode_heartbeat(report(host, controller.state.shard.view, tenure, tally + 4))
-    assert controller.state.shard.heartbeats.take(astray, world.now)
+    assert controller.state.shard.heartbeats.apply(astray, world.now)
     assert machine.is_unreachable
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -185,7 +185,7 @@
     world = started_world(3)
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller.store_events.take_machine_types([{"name": "m", "cores": 8, "ramGb": 32, "yards": ["a"]}])
+        node.controller.store_events.apply_machine_types([{"name": "m", "cores": 8, "ramGb": 32, "yards": ["a"]}])
     assert answers(world, "c0", json.dumps(job_spec("j-1", spread=True)).encode())[0][0] == 422
 
 
@@ -672,7 +672,7 @@
 @pytest.mark.parametrize("value", [True, "1", None, [], {}, float("nan"), float("inf"), -1, 0, 10**400, -(10**400)])
 def test_no_setting_is_changed_to_what_is_out_of_bounds(value: Any) -> None:
     with pytest.raises(SettingsError, match=r"^window|^step"):
-        Tuning().changed({"step": value})
+        Tuning().with_changes({"step": value})
     assert Tuning.from_value({"step": value, "window": 3.0}).window == 3 * S
 
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -11,7 +11,7 @@
 from ramptide.clients.transactions import Put, Transaction, TransactionOutcome, TransactionResult
 from ramptide.protocol.key_value_store import KeyValue
 from ramptide.protocol.settings_file import CloudLimits, KeyValueStoreLimits
-from ramptide.state.delete_log import DELETES_KEPT, DeleteLog
+from ramptide.state.delete_log import MAX_DELETIONS, DeleteLog
 from ramptide.transport.runtime import Request, Response
 from virtual import VirtualRuntime, World
 from virtual.network import Response as VirtualResponse
@@ -156,7 +156,7 @@
     log.restart(10)
     assert log.since(9) is None
     assert log.since(10) == []
-    for number in range(DELETES_KEPT + 1):
+    for number in range(MAX_DELETIONS + 1):
         log.add(f"k{number}", 11 + number)
     assert log.since(10) is None, "the first deletion was dropped"
-    assert log.since(11) == [f"k{number}" for number in range(1, DELETES_KEPT + 1)]
+    assert log.since(11) == [f"k{number}" for number in range(1, MAX_DELETIONS + 1)]
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -46,7 +46,7 @@
         self.whole.pop(key, None)
         if kind == "set":
             self.whole[key] = self.seq
-        self.ledger.mark(key, self.seq)
+        self.ledger.record_change(key, self.seq)
 
 
 def take_changes(copy: dict[int, int], changes: dict[int, int | None]) -> None:
@@ -255,7 +255,7 @@
     """Within a tenure, over tenures, from before the view, and after the lease has certainly run out."""
     part, plain = a_part(), dict[tuple[int, int], Heartbeat]()
     machine = part.machines["vm-1"]
-    assert part.heartbeats.take(new_heartbeat(1, 1, 4, 1, 2), 0 * S)
+    assert part.heartbeats.apply(new_heartbeat(1, 1, 4, 1, 2), 0 * S)
     assert not machine.is_reconciled, "it may be from before the token was seen"
     assert not machine.entries
     rng, now = random.Random(4), 0 * S
@@ -263,13 +263,13 @@
         now += 1 * S
         tenure = 1 + tally // 10
         report = new_heartbeat(tenure, tally, 5, *rng.sample(range(8), 3))
-        assert part.heartbeats.take(report, now)
+        assert part.heartbeats.apply(report, now)
         machine.last_reply_at = now
         shown = {key: entry.phase for key, entry in machine.entries.items()}
         heard, answered = machine.last_heartbeat_at, machine.last_reply_at
         plain[tenure, tally] = report
         for copy in rng.sample(sorted(plain), min(3, len(plain))):
-            assert not part.heartbeats.take(plain[copy], now + 0.3 * S)
+            assert not part.heartbeats.apply(plain[copy], now + 0.3 * S)
         assert shown == {key: entry.phase for key, entry in machine.entries.items()}
         assert (machine.last_heartbeat_at, machine.last_reply_at) == (heard, answered), (
             "they extend no lease in our reckoning"
@@ -277,30 +277,30 @@
     assert machine.is_reconciled
     part.leases.expire(now + 9.2 * S, 0 * S)
     assert all(entry.phase is Phase.GONE for entry in machine.entries.values())
-    assert not part.heartbeats.take(new_heartbeat(4, 99, 5, 1, 2, 3), now + 10 * S), (
+    assert not part.heartbeats.apply(new_heartbeat(4, 99, 5, 1, 2, 3), now + 10 * S), (
         "a late one of the tenure that ended revives nothing"
     )
-    assert part.heartbeats.take(new_heartbeat(5, 100, 5), now + 11 * S)
+    assert part.heartbeats.apply(new_heartbeat(5, 100, 5), now + 11 * S)
 
 
 def test_without_the_later_epoch_a_late_heartbeat_revives_what_is_gone() -> None:
     part = a_part()
     machine = part.machines["vm-1"]
-    assert part.heartbeats.take(new_heartbeat(1, 1, 5, 1), 0 * S)
+    assert part.heartbeats.apply(new_heartbeat(1, 1, 5, 1), 0 * S)
     machine.last_reply_at = 0 * S
     part.leases.expire(10 * S, 0 * S)
     machine.last_heartbeat_id = HeartbeatId(1, 1)
-    assert part.heartbeats.take(new_heartbeat(1, 2, 5, 1), 11 * S)
+    assert part.heartbeats.apply(new_heartbeat(1, 2, 5, 1), 11 * S)
     assert any(entry.phase is Phase.RUNNING for entry in machine.entries.values())
 
 
 def test_a_late_heartbeat_of_a_returned_machine_brings_nothing_back() -> None:
     part = a_part()
-    assert part.heartbeats.take(new_heartbeat(1, 1, 5), 0 * S)
+    assert part.heartbeats.apply(new_heartbeat(1, 1, 5), 0 * S)
     part.remove_machine("vm-1")
-    assert part.heartbeats.take(new_heartbeat(1, 1, 4), 20 * S)
+    assert part.heartbeats.apply(new_heartbeat(1, 1, 4), 20 * S)
     assert not part.unrecorded_machines(), "from before this view"
-    assert part.heartbeats.take(new_heartbeat(1, 2, 5), 21 * S)
+    assert part.heartbeats.apply(new_heartbeat(1, 2, 5), 21 * S)
     assert part.unrecorded_machines(), "the leader knows what it returned"
     world = started_world(5)
     controller = world.nodes[leader_of(world)].controller
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -267,7 +267,7 @@
 
 
 def test_when_that_machine_counts_as_room_it_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(JobState, "avoids", property(lambda self: set()))
+    monkeypatch.setattr(JobState, "avoided_hosts", property(lambda self: set()))
     assert not done_off_the_only_machine(started_world(2, members=1))
 
 
@@ -350,7 +350,9 @@
         if agent.host in two:
             agent._finish(task, "error")
     job_state = work_of(world, "j-1")
-    assert world.run_until(lambda: bool(job_state.failing), 10), "two machines are the least that speaks against a job"
+    assert world.run_until(lambda: bool(job_state.is_failing), 10), (
+        "two machines are the least that speaks against a job"
+    )
     return world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 12)
 
 
@@ -376,10 +378,10 @@
     for controller in controllers(world):
         controller.state.machines[one.host] = replace(controller.state.machines[one.host], drain_reason=QUARANTINED)
         if controller.state.scheduler is not None:
-            controller.state.scheduler.machine_faulty(one.host)
+            controller.state.scheduler.discard_failures_on(one.host)
     other._finish(second, "error")
     world.run(3)
-    return job_state.failing
+    return job_state.is_failing
 
 
 def test_a_job_is_not_blamed_for_a_faulty_machine() -> None:
@@ -387,7 +389,7 @@
 
 
 def test_without_that_it_is(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(JobScheduler, "machine_faulty", lambda self, host: None)
+    monkeypatch.setattr(JobScheduler, "discard_failures_on", lambda self, host: None)
     assert blamed_for_machines(started_world(3))
 
 
@@ -429,7 +431,7 @@
 
 
 def test_without_that_guard_it_claims_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(JobState, "claims_room", property(lambda self: True))
+    monkeypatch.setattr(JobState, "may_claim_room", property(lambda self: True))
     assert preemptions_for_a_bad_job() > 0
 
 
@@ -451,7 +453,7 @@
 
 
 def test_when_a_bad_job_asks_for_all_its_tasks_they_are(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(JobState, "failing", property(lambda self: False))
+    monkeypatch.setattr(JobState, "is_failing", property(lambda self: False))
     assert not others_done()
 
 
@@ -461,7 +463,7 @@
     world.run(30)
     job_state, controller = work_of(world, job_id), controllers(world)[0]
     later = world.now + 500 * S
-    assert job_state.failing
+    assert job_state.is_failing
     assert job_state.idle_for(later, controller.runtime.wall() + 500 * S) == 0 * S
     job_state.failed_on.clear()
     assert job_state.idle_for(later, controller.runtime.wall() + 500 * S) > controller.state.tuning.patience
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -43,7 +43,7 @@
     def recorded_just_now(of: CloudList, host: str) -> None:
         of._recorded_since[host] = of._runtime.now + 1000 * S
 
-    monkeypatch.setattr(CloudList, "note_recorded", recorded_just_now)
+    monkeypatch.setattr(CloudList, "track_machine", recorded_just_now)
     world, lost = machines_lost_with_their_leader()
     assert not world.run_until(lambda: lost.isdisjoint(recorded(world)), 15)
 
--- a/tests/test_hang_restart.py
+++ b/tests/test_hang_restart.py
@@ -116,8 +116,8 @@
 
 
 def test_without_the_guards_a_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ramptide.controller.timings.CONFIRM_TIMEOUT_SHARE", 0.75)
-    monkeypatch.setattr("ramptide.controller.fencing.SurvivingPeers.new_view", lambda survivors, view: None)
+    monkeypatch.setattr("ramptide.controller.timings.CONFIRM_TIMEOUT_RATIO", 0.75)
+    monkeypatch.setattr("ramptide.controller.fencing.SurvivingPeers.on_new_view", lambda survivors, view: None)
     world = full_world()
     hang_and_cancel(world, 6)
     run_with_checks(world, 12)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -36,7 +36,7 @@
     edges = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
     for start, end in pairwise(edges):
         parser.feed(data[start:end])
-        while (message := parser.next()) is not None:
+        while (message := parser.next_message()) is not None:
             found.append(message)
     return found
 
@@ -57,7 +57,7 @@
 @given(BODIES, st.lists(st.integers(0, 500)))
 def test_responses_split_anywhere(body: bytes, cuts: list[int]) -> None:
     data = encode_response(409, body, "application/json", {"Retry-After": "1"}, True)
-    (message,) = parse(Parser(response=True), b"HTTP/1.1 100 Continue\r\n\r\n" + data, cuts)
+    (message,) = parse(Parser(is_response=True), b"HTTP/1.1 100 Continue\r\n\r\n" + data, cuts)
     assert (message.status, message.body, message.keep_alive) == (409, body, True)
     assert message.headers["retry-after"] == "1"
 
@@ -81,17 +81,17 @@
     parser = Parser()
     parser.feed(data)
     with pytest.raises(HttpError) as caught:
-        parser.next()
+        parser.next_message()
     assert caught.value.status == status
 
 
 def test_a_response_without_length_ends_with_the_connection() -> None:
-    parser = Parser(response=True)
+    parser = Parser(is_response=True)
     parser.feed(b"HTTP/1.1 200 OK\r\n\r\npart")
-    assert parser.next() is None
+    assert parser.next_message() is None
     parser.feed(b" and rest")
-    assert parser.next() is None
-    message = parser.closed()
+    assert parser.next_message() is None
+    message = parser.end_stream()
     assert message is not None
     assert message.body == b"part and rest"
 
@@ -170,7 +170,7 @@
 
 
 def test_when_all_are_kept_clients_beyond_the_limit_are_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ramptide.transport.http.server.CROWDED_SHARE", 10.0)
+    monkeypatch.setattr("ramptide.transport.http.server.CROWDED_RATIO", 10.0)
     assert answers_to(clients=40, connections=16, rounds=3)[1] > 0
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -184,7 +184,7 @@
     small.run(5)
     c = next(c for c in controllers(small) if c.membership.is_leading)
     assert c.state.scheduler is not None
-    assert len(c.state.scheduler.with_pending_tasks) >= 20
+    assert len(c.state.scheduler.jobs_with_pending_tasks) >= 20
     ordered = counted(monkeypatch, UrgencyOrder, "urgency_of")
     c.placement_round.run(c.state.scheduler, c.runtime.now)
     assert ordered == []
@@ -220,9 +220,9 @@
     world.longest_body = 0
     world.heal()
     told = len(one.state.shard.machines)
-    base = other.peers.by_name[one.state.member].inbox.sequence_number
+    base = other.peers.by_name[one.state.member].received_sequence.sequence_number
     world.run(2)
-    assert other.peers.by_name[one.state.member].inbox.sequence_number > base
+    assert other.peers.by_name[one.state.member].received_sequence.sequence_number > base
     assert one.peers.by_name[other.state.member].acknowledged > base
     assert told > LARGE / 4
     assert world.longest_body < LONGEST_MESSAGE_BYTES
@@ -269,14 +269,14 @@
         assert world.submit_until_accepted(f"j-9{number}", world.controller_names[number])
     world.run(2)
     controller = next(
-        c for c in controllers(world) if c.state.scheduler is not None and c.state.scheduler.with_pending_tasks
+        c for c in controllers(world) if c.state.scheduler is not None and c.state.scheduler.jobs_with_pending_tasks
     )
     quota, scheduler = controller.quota, controller.state.scheduler
     assert quota is not None
     assert scheduler is not None
-    assert quota.ready
+    assert quota.is_ready
     peer = next(iter(controller.peers.by_name.values()))
-    round_calls = python_calls(lambda: quota.review(scheduler, controller.runtime.now))
+    round_calls = python_calls(lambda: quota.run_round(scheduler, controller.runtime.now))
     message_calls = python_calls(lambda: quota.message_for(peer))
     assert world.invariants.violations == []
     return round_calls, message_calls
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -231,7 +231,7 @@
 
 
 def test_without_that_return_the_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ramptide.controller.timings.CONFIRM_TIMEOUT_SHARE", 10.0)
+    monkeypatch.setattr("ramptide.controller.timings.CONFIRM_TIMEOUT_RATIO", 10.0)
     world = busy_world(guessS=500.0)
     hung_and_cancelled(world)
     assert any("ran_cancelled" in rule for rule in world.invariants.violations)
@@ -245,9 +245,9 @@
             {name: ObservedMachine(images=host.images) for name, host in machine_index.machines.items()}
         )
         machine_index._tasks.clear()
-        machine_index._free_rooms.new_view()
+        machine_index._free_rooms.on_new_view()
 
-    monkeypatch.setattr(MachineIndex, "new_view", forgetful)
+    monkeypatch.setattr(MachineIndex, "on_new_view", forgetful)
     world = full_world()
     hung_and_cancelled(world, "elections", machines=6)
     assert any("ran_cancelled" in rule for rule in world.invariants.violations)
@@ -440,7 +440,7 @@
 
 
 def test_without_that_a_new_scheduler_would_miss_a_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    mark = Replication.mark
+    mark = Replication.record_changes
 
     def late(syncing: Replication, scheduler: JobScheduler, part: Shard, changed: set[str]) -> None:
         mark(syncing, scheduler, part, changed)
@@ -449,7 +449,7 @@
         } - changed:
             del syncing._status_changes._last_change[host]
 
-    monkeypatch.setattr(Replication, "mark", late)
+    monkeypatch.setattr(Replication, "record_changes", late)
     assert unsent_desired_tasks(started_world(5))
 
 
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -21,9 +21,9 @@
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import decode_job_spec
 from ramptide.scheduling.job_state import JobState
-from ramptide.state.amounts import UNITS, Amounts
+from ramptide.state.amounts import UNITS_PER_WHOLE, Amounts
 from ramptide.state.jobs import Job
-from ramptide.state.records import PROGRESS_WINDOW, JobRecord, MachineRecord, Progress, to_value
+from ramptide.state.records import PROGRESS_WINDOW_TASKS, JobRecord, MachineRecord, Progress, to_value
 from ramptide.team_limits.share_allocator import ShareAllocator
 from ramptide.team_limits.split_policy import ProportionalSplit
 from virtual import S, job_spec
@@ -55,25 +55,25 @@
             record = JobRecord(run, "c0", 1, 0.0, job_state.done.encode())
             largest = max(largest, len(msgspec.json.encode(to_value(record))))
     assert job_state.next_task() is None
-    assert job_state.complete
-    holes = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW, 2)))
+    assert job_state.is_complete
+    holes = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW_TASKS, 2)))
     assert len(msgspec.json.encode(to_value(JobRecord(run, "c0", 1, 0.0, holes.encode())))) < 2.5 * 1024 > largest
 
 
 def test_tasks_past_the_window_wait_for_the_oldest() -> None:
     run = decode_job_spec(json.dumps(job_spec("j-1", pieces=100_000)).encode())
-    done = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW)))
+    done = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW_TASKS)))
     job_state = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, done.encode()), 1), done, timedelta(0))
     assert job_state.next_task() == 0
     job_state.placed[0] = None  # type: ignore[assignment]
     assert job_state.next_task() is None
     del job_state.placed[0]
     done.add(0)
-    assert job_state.next_task() == PROGRESS_WINDOW
+    assert job_state.next_task() == PROGRESS_WINDOW_TASKS
 
 
 MEMBERS = ["a", "b", "c"]
-LIMIT = 20 * UNITS
+LIMIT = 20 * UNITS_PER_WHOLE
 LIMITS = {"t": Amounts(LIMIT, 0)}
 
 
@@ -90,17 +90,17 @@
     seen = dict.fromkeys(MEMBERS, 0)
     for seq, (member, event) in enumerate(events, 1):
         if event == "ask":
-            waiting[member] += 7 * UNITS
-        elif event == "start" and held[member] - using[member] >= UNITS:
-            using[member] += UNITS
-            waiting[member] = max(0, waiting[member] - UNITS)
+            waiting[member] += 7 * UNITS_PER_WHOLE
+        elif event == "start" and held[member] - using[member] >= UNITS_PER_WHOLE:
+            using[member] += UNITS_PER_WHOLE
+            waiting[member] = max(0, waiting[member] - UNITS_PER_WHOLE)
         elif event == "end":
-            using[member] = max(0, using[member] - UNITS)
+            using[member] = max(0, using[member] - UNITS_PER_WHOLE)
         elif event == "deliver":
             seen[member], held[member] = latest[member]
         elif event == "ack":
             told[member] = (using[member], seen[member])
-            leader.acknowledged(member, seen[member])
+            leader.record_acknowledgement(member, seen[member])
         grants = leader.divide(
             seq,
             {m: {"t": Amounts(told[m][0], 0)} for m in MEMBERS},
@@ -114,12 +114,12 @@
 
 def raised_while_the_old_share_may_be_in_use(leader: ShareAllocator) -> tuple[int, int]:
     """A may still act on the whole limit while b asks; what b gets before and after a says that it knows better."""
-    free, hungry = {m: {"t": Amounts(0, 0)} for m in MEMBERS}, {"t": Amounts(50 * UNITS, 0)}
+    free, hungry = {m: {"t": Amounts(0, 0)} for m in MEMBERS}, {"t": Amounts(50 * UNITS_PER_WHOLE, 0)}
     asks = {member: ProportionalSplit({member: hungry}) for member in MEMBERS}
     assert leader.divide(1, free, asks["a"], "a")["a"]["t"][0] == LIMIT
-    leader.acknowledged("a", 1)
+    leader.record_acknowledgement("a", 1)
     before = leader.divide(2, free, asks["b"], "a")["b"]["t"][0]
-    leader.acknowledged("a", 2)
+    leader.record_acknowledgement("a", 2)
     return before, leader.divide(3, free, asks["b"], "a")["b"]["t"][0]
 
 
@@ -148,7 +148,7 @@
     for pause, amount in events:
         now += timedelta(milliseconds=pause)
         if not bucket.wait_time(now, amount):
-            bucket.take(amount)
+            bucket.consume(amount)
             taken.append((now, amount))
     for start, (begin, _) in enumerate(taken):
         total = 0
@@ -172,8 +172,13 @@
 def machine(host: str, up: bool = True, tasks: int = 0, age: float = 100.0, **fields: object) -> FleetMachine:
     record = MachineRecord("m", "a", False, 1, 0.0, registered=up)
     room = Room(host, "m", "a", False, 8.0, 0.0, 32.0) if up else None
-    known = {"silent_for": timedelta(0), "preempted_in": None, "accusing_jobs": 0, "is_drained": False} | fields
-    return FleetMachine(host, record, FLAVOR, up, age * S, tasks=tasks, room=room, **known)  # type: ignore[arg-type]
+    known = {
+        "silent_for": timedelta(0),
+        "preempted_in": None,
+        "fault_indicating_job_count": 0,
+        "is_drained": False,
+    } | fields
+    return FleetMachine(host, record, FLAVOR, up, age * S, task_count=tasks, room=room, **known)  # type: ignore[arg-type]
 
 
 def steps(
@@ -210,7 +215,7 @@
 def test_refused_kinds_back_off() -> None:
     fleet = Autoscaler(Tuning(pool_size=0, window=0 * S), DURATIONS)
     fleet.step(timedelta(0), [demand(2)], [], [FLAVOR], True)
-    fleet.note_refusal(("m", "a", False), timedelta(0))
+    fleet.record_refusal(("m", "a", False), timedelta(0))
     assert steps(fleet, [demand(2)], [], 6, 0.5) == 0
     assert steps(fleet, [demand(2)], [], 4, 5.0) == 4
 
@@ -261,7 +266,7 @@
         ]
         found = machine(host, tasks=services, services=runs, **fields)
         for run in runs if found.room is not None else ():
-            found.room.take(run)
+            found.room.allocate(run)
             found.room.service_cpus += run.cpus
         return found
 
@@ -284,7 +289,7 @@
 def test_machines_that_are_no_good_leave() -> None:
     fleet = Autoscaler(Tuning(), DURATIONS)
     machines = [
-        machine("vm-sick", accusing_jobs=2),
+        machine("vm-sick", fault_indicating_job_count=2),
         machine("vm-silent", silent_for=31 * S),
         machine("vm-hangs", silent_for=29 * S),
         machine("vm-dead", silent_for=12 * S, cloud_status="failed"),
@@ -298,7 +303,7 @@
     assert plan.drain == others
     assert fleet.step(9.5 * S, [], machines, [FLAVOR], False).drain == others
     assert fleet.step(10 * S, [], machines, [FLAVOR], False).drain == others | {"vm-sick": "sick"}
-    machines[0].accusing_jobs = 1
+    machines[0].fault_indicating_job_count = 1
     assert fleet.step(11 * S, [], machines, [FLAVOR], False).drain == others
-    machines[0].accusing_jobs = 2
+    machines[0].fault_indicating_job_count = 2
     assert fleet.step(12 * S, [], machines, [FLAVOR], False).drain == others, "counted anew"
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -14,7 +14,7 @@
 from ramptide.agents.lease_expiry import ExpiredLease
 from ramptide.api.administration import METRICS_PATH, STATUS_PATH
 from ramptide.api.telemetry import Telemetry
-from ramptide.autoscaling.machine_decisions import MachineDecision, log_decisions, written
+from ramptide.autoscaling.machine_decisions import MachineDecision, log_decisions, written_decisions
 from ramptide.cluster.membership import Membership
 from ramptide.controller.administration import build_admin_api
 from ramptide.controller.controller import Controller
@@ -363,7 +363,7 @@
     assert counts(of(world, "c1")) == ({("submit", 503): 1}, {"machine_types": 1})
     world.cloud.is_down = False
     world.run(8)
-    of(world, "c1").commit_batcher.delay = lambda: 9 * S  # type: ignore[method-assign]
+    of(world, "c1").commit_batcher.expected_delay = lambda: 9 * S  # type: ignore[method-assign]
     submit("c1")
     assert counts(of(world, "c1"))[1] == {"machine_types": 1, "overloaded": 1}
     world.store.is_down = True
@@ -431,7 +431,7 @@
 def test_many_that_are_lost_together_are_one_line(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     telemetry = Telemetry()
-    telemetry.take_expired_leases([ExpiredLease(f"vm-{n}", 3, n < 5) for n in range(300)], confirmed=True)
+    telemetry.record_expired_leases([ExpiredLease(f"vm-{n}", 3, n < 5) for n in range(300)], confirmed=True)
     assert len(caplog.records) == 1
     line = caplog.records[0].getMessage()
     assert "tasks_lost=900 reconciled=5" in line
@@ -524,7 +524,7 @@
 
 def test_decisions_whose_records_did_not_fit_are_not_logged() -> None:
     decisions = [MachineDecision(f"vm-{n}", "m", "a", f"r-{n}", "silent", "silent") for n in range(4)]
-    assert written(decisions, {"r-1", "r-3"}) == [decisions[1], decisions[3]]
+    assert written_decisions(decisions, {"r-1", "r-3"}) == [decisions[1], decisions[3]]
 
 
 def test_what_is_decided_of_many_machines_is_a_line_for_each_kind(caplog: pytest.LogCaptureFixture) -> None:
@@ -677,7 +677,7 @@
     for node in world.nodes.values():
         node.start()
     world.run(4)
-    of(world, "c0").commit_batcher.delay = lambda: 0 * S  # type: ignore[method-assign]
+    of(world, "c0").commit_batcher.expected_delay = lambda: 0 * S  # type: ignore[method-assign]
     answers: list[int] = []
     for number in range(60):
         world.define_job(f"j-{number}", pieces=1)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,12 +8,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ramptide.placement.bin_packing import ReserveAccess, Room, can_ever_run, choose, fill, may_use, zone_room
+from ramptide.placement.bin_packing import (
+    ReserveAccess,
+    Room,
+    can_ever_run,
+    choose_room,
+    fill_rooms,
+    may_use,
+    zone_headroom,
+)
 from ramptide.protocol.cloud import MachineType
 from ramptide.protocol.jobs import JobSpec, decode_job_spec
 from ramptide.scheduling.urgency import urgency
-from ramptide.scheduling.victims import RunningTask, may_claim, victims
-from ramptide.state.amounts import UNITS, Amounts
+from ramptide.scheduling.victims import RunningTask, choose_victims, may_claim
+from ramptide.state.amounts import UNITS_PER_WHOLE, Amounts
 from ramptide.state.jobs import Job
 from ramptide.state.records import JobRecord, Progress
 from virtual import job_spec
@@ -72,8 +80,8 @@
 def greedy(run: JobSpec, rooms: list[Room]) -> list[int]:
     where: list[int] = []
     placed: dict[str, int] = {}
-    while len(where) < run.task_count and (room := choose(run, rooms, placed)) is not None:
-        room.take(run)
+    while len(where) < run.task_count and (room := choose_room(run, rooms, placed)) is not None:
+        room.allocate(run)
         placed[room.zone] = placed.get(room.zone, 0) + 1
         where.append(rooms.index(room))
     return where
@@ -99,12 +107,12 @@
 def test_counting_finds_no_more_room_than_there_is(run: JobSpec, rooms: list[Room]) -> None:
     before = named(rooms)
     copies = [Room(r.host, r.machine_type, r.zone, r.spot, r.cpus, r.gpus, r.ram_gb) for r in before]
-    found = fill(run, run.task_count, copies, Counter())
+    found = fill_rooms(run, run.task_count, copies, Counter())
     assert found <= run.task_count
     for room, copy in zip(before, copies, strict=True):
         used = round((room.cpus - copy.cpus) / run.cpus)
         assert used == 0 or may_use(run, room.machine_type, room.zone, room.spot)
-        assert used <= zone_room(run, room.zone, {})
+        assert used <= zone_headroom(run, room.zone, {})
         assert copy.cpus >= -1e-6
 
 
@@ -131,22 +139,22 @@
     warm = room("vm-1", heartbeat_held=True, service_cpus=1.0, service_reserve=(7.0, 0.0), images=frozenset(["img"]))
     mixed = room("vm-2", images=frozenset(["img"]))
     pool = room("vm-3", heartbeat_held=True, in_pool=True, idle=True, images=frozenset(["img"]))
-    assert choose(run_of(shape="service"), [cold, warm, mixed, pool], {}) is warm
-    assert choose(run_of(shape="service"), [cold, mixed, pool], {}) is cold, "services go together"
-    assert choose(run_of(shape="service"), [mixed, pool], {}) is pool
-    assert choose(run_of(), [cold, warm, mixed, pool], {}) is mixed
-    assert choose(run_of(), [cold, warm, pool], {}) is None
-    assert choose(run_of(), [cold, warm, pool], {}, ReserveAccess.POOL) is pool, "after a long wait"
-    assert choose(run_of(), [cold, warm], {}, ReserveAccess.POOL) is None
-    assert choose(run_of(), [cold, warm], {}, ReserveAccess.ALL) is warm, "what waited out its patience"
-    assert choose(run_of(cores=1.0), [cold, warm], {}) is warm, "beyond their share the rest is free for all"
+    assert choose_room(run_of(shape="service"), [cold, warm, mixed, pool], {}) is warm
+    assert choose_room(run_of(shape="service"), [cold, mixed, pool], {}) is cold, "services go together"
+    assert choose_room(run_of(shape="service"), [mixed, pool], {}) is pool
+    assert choose_room(run_of(), [cold, warm, mixed, pool], {}) is mixed
+    assert choose_room(run_of(), [cold, warm, pool], {}) is None
+    assert choose_room(run_of(), [cold, warm, pool], {}, ReserveAccess.POOL) is pool, "after a long wait"
+    assert choose_room(run_of(), [cold, warm], {}, ReserveAccess.POOL) is None
+    assert choose_room(run_of(), [cold, warm], {}, ReserveAccess.ALL) is warm, "what waited out its patience"
+    assert choose_room(run_of(cores=1.0), [cold, warm], {}) is warm, "beyond their share the rest is free for all"
     small, large = room("vm-4", images=frozenset(["img"])), room("vm-5")
     small.cpus = 2.0
-    assert choose(run_of(shape="service"), [small, large], {}) is large, "opened for several"
+    assert choose_room(run_of(shape="service"), [small, large], {}) is large, "opened for several"
 
 
 def cores(count: int) -> Amounts:
-    return Amounts(count * UNITS, 0)
+    return Amounts(count * UNITS_PER_WHOLE, 0)
 
 
 def test_who_gives_way() -> None:
@@ -165,14 +173,14 @@
     room = Room("vm-0", "m", "a", False, 0.0, 0.0, 32.0)
     long, short, saves = run_of(guessS=60.0), run_of(guessS=5.0), run_of(guessS=60.0, markEveryS=10.0, markCostS=1.0)
     tasks = [RunningTask(long, 0, 1), RunningTask(short, 1, 2)]
-    found = victims(run_of(rank="high"), room, tasks, lambda run: True, {})
+    found = choose_victims(run_of(rank="high"), room, tasks, lambda run: True, {})
     assert found is not None
     assert [task.attempt for task in found[1]] == [2]
-    cheaper = victims(run_of(rank="high"), room, [*tasks, RunningTask(saves, 3, 4)], lambda run: True, {})
+    cheaper = choose_victims(run_of(rank="high"), room, [*tasks, RunningTask(saves, 3, 4)], lambda run: True, {})
     assert cheaper is not None
     assert [task.attempt for task in cheaper[1]] == [4]
     assert cheaper[0] < found[0]
-    assert victims(run_of(rank="high"), room, tasks, lambda run: False, {}) is None
+    assert choose_victims(run_of(rank="high"), room, tasks, lambda run: False, {}) is None
 
 
 def test_room_goes_first_to_what_can_still_be_in_time() -> None:
