--- a/tests/test_process_statistics.py
+++ b/tests/test_process_statistics.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from ramptide.transport.event_loop import EventLoop
-from ramptide.transport.process_statistics import WORST_DELAY_KEPT, ProcessStatistics, WorkKind
+from ramptide.transport.process_statistics import WORST_DELAY_WINDOW, ProcessStatistics, WorkKind
 
 MS = timedelta(milliseconds=1)
 
@@ -43,7 +43,7 @@
 
     statistics.measure(WorkKind.SOCKETS, socket_event)
     statistics.measure(WorkKind.TIMERS, lambda: clock.passes(2.0))
-    found = {kind: spent.total_seconds() for kind, spent in statistics.by_kind().items()}
+    found = {kind: spent.total_seconds() for kind, spent in statistics.processor_time_by_kind().items()}
     assert found == {"timers": 2.0, "reports": 1.0, "users": 0.5, "peers": 0.0, "responses": 0.0, "transport": 0.25}
 
 
@@ -56,7 +56,7 @@
 
     with pytest.raises(ValueError, match="the work fails"):
         statistics.measure(WorkKind.PEERS, fails)
-    assert statistics.by_kind()["peers"] == timedelta(seconds=3)
+    assert statistics.processor_time_by_kind()["peers"] == timedelta(seconds=3)
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -66,12 +66,12 @@
     ran: list[tuple[timedelta, timedelta]] = []
     for pause, delay in timers:
         now += timedelta(seconds=pause)
-        statistics.timer_ran(now, delay * MS)
+        statistics.record_timer(now, delay * MS)
         ran.append((now, delay * MS))
-        assert statistics.worst_delay(now) == max(late for at, late in ran if now - at <= WORST_DELAY_KEPT)
-    assert statistics.timers == len(timers)
-    assert statistics.delays == sum((late for _, late in ran), timedelta(0))
-    assert statistics.worst_delay(now + WORST_DELAY_KEPT + MS) == timedelta(0)
+        assert statistics.worst_delay(now) == max(late for at, late in ran if now - at <= WORST_DELAY_WINDOW)
+    assert statistics.timer_count == len(timers)
+    assert statistics.total_timer_delay == sum((late for _, late in ran), timedelta(0))
+    assert statistics.worst_delay(now + WORST_DELAY_WINDOW + MS) == timedelta(0)
 
 
 def test_the_loop_counts_how_late_a_timer_is(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -19,7 +19,7 @@
 from ramptide.quota.messages import TransferRow
 from ramptide.quota.share_exchange import QuotaExchange
 from ramptide.quota.share_waits import ShareWaits
-from ramptide.state.amounts import UNITS, Amounts, add_amounts
+from ramptide.state.amounts import UNITS_PER_WHOLE, Amounts, add_amounts
 from virtual import Agent, S, Task, World, leader_of, running_attempts, started_world
 
 ON = Features(QuotaFeature(True))
@@ -177,7 +177,7 @@
 
 def begin_at_transfer(world: World, monkeypatch: pytest.MonkeyPatch, trouble: Trouble, number: int) -> list[str]:
     """The trouble begins with the transfer of this number; returned is the giver's name once it has."""
-    give, begun, count = Ledger.give, [], [0]
+    give, begun, count = Ledger.issue_transfer, [], [0]
 
     def giving(self: Ledger, *rest: Any) -> Any:
         transfer = give(self, *rest)
@@ -193,7 +193,7 @@
             trouble(world, name)
         return transfer
 
-    monkeypatch.setattr(Ledger, "give", giving)
+    monkeypatch.setattr(Ledger, "issue_transfer", giving)
     return begun
 
 
@@ -221,7 +221,7 @@
         assert node.controller is not None
         share = node.controller.state.quota_shares["tight"]
         held = Amounts(held.cpus + share.cpus, held.gpus)
-    assert held.cpus == LIMIT * UNITS
+    assert held.cpus == LIMIT * UNITS_PER_WHOLE
 
 
 # What happens without the guards.
@@ -237,14 +237,14 @@
 
 
 def test_without_deducting_first_a_limit_is_passed(monkeypatch: pytest.MonkeyPatch) -> None:
-    give = Ledger.give
+    give = Ledger.issue_transfer
 
     def careless(self: Ledger, receiver: str, team: str, amounts: Amounts, spare: Amounts) -> Any:
         transfer = give(self, receiver, team, amounts, spare)
         add_amounts(self._balance, team, amounts)
         return transfer
 
-    monkeypatch.setattr(Ledger, "give", careless)
+    monkeypatch.setattr(Ledger, "issue_transfer", careless)
     assert broken_without_a_guard()
 
 
@@ -255,12 +255,12 @@
             self._accounts[giver].last_received = row.number
         return list(rows)
 
-    monkeypatch.setattr(Ledger, "take", forgetful)
+    monkeypatch.setattr(Ledger, "receive_transfers", forgetful)
     assert broken_without_a_guard()
 
 
 def test_without_the_leaders_account_book_a_limit_is_passed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(AccountBook, "take", lambda self, member, rows: None)
+    monkeypatch.setattr(AccountBook, "apply_account", lambda self, member, rows: None)
     assert broken_without_a_guard()
 
 
@@ -295,11 +295,11 @@
         {"sender": "c9"},
         {"receiver": "c9"},
         {"version": 7},
-        {"transfers": [[1, "nobody", UNITS, 0]]},
-        {"transfers": [[1, "tight", -UNITS, 0]]},
+        {"transfers": [[1, "nobody", UNITS_PER_WHOLE, 0]]},
+        {"transfers": [[1, "tight", -UNITS_PER_WHOLE, 0]]},
         {"transfers": [[1, "tight", 10**15, 0]]},
-        {"transfers": [[5, "tight", UNITS, 0]]},
-        {"transfers": [[1, "tight", UNITS, 0], [2, "tight", 0, 0]]},
+        {"transfers": [[5, "tight", UNITS_PER_WHOLE, 0]]},
+        {"transfers": [[1, "tight", UNITS_PER_WHOLE, 0], [2, "tight", 0, 0]]},
         {"transfers": "all"},
         {"confirmed": 12},
     ],
@@ -316,18 +316,20 @@
     good = late_message(world, {})
     before = dict(controller.state.quota_shares)
     caplog.clear()
-    controller.quota.take(msgspec.structs.replace(sync, quota=good | change), controller.state.scheduler)
+    controller.quota.apply_message(msgspec.structs.replace(sync, quota=good | change), controller.state.scheduler)
     assert controller.state.quota_shares == before
     assert controller.quota.counters["refused"] == 1
     assert len([one for one in caplog.records if "refused" in one.message]) == 1
-    row = [1, "tight", UNITS, 0]
-    controller.quota.take(msgspec.structs.replace(sync, quota=good | {"transfers": [row]}), controller.state.scheduler)
-    assert controller.state.quota_shares["tight"].cpus == before["tight"].cpus + UNITS
+    row = [1, "tight", UNITS_PER_WHOLE, 0]
+    controller.quota.apply_message(
+        msgspec.structs.replace(sync, quota=good | {"transfers": [row]}), controller.state.scheduler
+    )
+    assert controller.state.quota_shares["tight"].cpus == before["tight"].cpus + UNITS_PER_WHOLE
 
 
 def test_without_the_check_of_the_view_a_late_transfer_counts(monkeypatch: pytest.MonkeyPatch) -> None:
-    late = {"view": 99, "transfers": [[1, "tight", UNITS, 0]]}
-    for guarded, gained in ((True, 0), (False, UNITS)):
+    late = {"view": 99, "transfers": [[1, "tight", UNITS_PER_WHOLE, 0]]}
+    for guarded, gained in ((True, 0), (False, UNITS_PER_WHOLE)):
         if not guarded:
             monkeypatch.setattr(QuotaExchange, "_check_sender", lambda self, quota_message, message: None)
         world = started_world(1, teams=TEAMS, parts=ON)
@@ -337,7 +339,7 @@
         assert controller.quota is not None
         assert controller.state.scheduler is not None
         before = controller.state.quota_shares["tight"].cpus
-        controller.quota.take(
+        controller.quota.apply_message(
             msgspec.structs.replace(sync_of(world, "c0"), quota=late_message(world, late)), controller.state.scheduler
         )
         assert controller.state.quota_shares["tight"].cpus - before == gained
@@ -380,7 +382,7 @@
     assert controller.quota is not None
     assert controller.state.scheduler is not None
     sync = sync_of(world, "c0")
-    controller.quota.take(msgspec.structs.replace(sync, quota=None), controller.state.scheduler)
+    controller.quota.apply_message(msgspec.structs.replace(sync, quota=None), controller.state.scheduler)
     assert controller.quota.counters["refused"] == 0
     body = cbor2.loads(cbor2.dumps(msgspec.to_builtins(sync)))
     assert {"member", "view", "seq", "wire"} <= body.keys()
@@ -419,7 +421,7 @@
     for node in world.nodes.values():
         assert node.controller is not None
         # Without preemption, so that the order alone decides.
-        node.controller.state.tuning = node.controller.state.tuning.changed(
+        node.controller.state.tuning = node.controller.state.tuning.with_changes(
             {"guarantees_first": first, "preempt_after": 600}
         )
     world.define_job("j-2", owner="poor", pieces=6, cores=2.0, guessS=2.0)
@@ -480,7 +482,7 @@
     assert told["members_without"] == []
     assert told["transfers"]["given"] == controller.quota.counters["given"]
     share = told["teams"]["tight"]["cores"]
-    assert share["held"] * UNITS == controller.state.quota_shares["tight"].cpus
+    assert share["held"] * UNITS_PER_WHOLE == controller.state.quota_shares["tight"].cpus
     assert share["borrowed"] > 0
     assert set(share) == {"held", "used", "borrowed", "in_transfer"}
     assert told["teams"]["tight"]["pending"] is False
@@ -496,15 +498,15 @@
 
 def test_waits_for_share_are_measured_from_begin_to_end() -> None:
     waits = ShareWaits()
-    waits.review({"j-1", "j-2"}, 1 * S)
-    waits.review({"j-2"}, 1.5 * S)
+    waits.update({"j-1", "j-2"}, 1 * S)
+    waits.update({"j-2"}, 1.5 * S)
     assert waits.count == 1
     assert waits.percentiles()[50.0] == pytest.approx(0.5, rel=0.02)
-    waits.review(set(), 4 * S)
+    waits.update(set(), 4 * S)
     assert waits.count == 2
     assert waits.total == 3.5 * S
     assert waits.percentiles()[99.0] == pytest.approx(3, rel=0.02)
-    waits.review({"j-3"}, 5 * S)
-    waits.forget()
-    waits.review(set(), 9000 * S)
+    waits.update({"j-3"}, 5 * S)
+    waits.discard_current()
+    waits.update(set(), 9000 * S)
     assert waits.count == 2
--- a/tests/test_quota_ledger.py
+++ b/tests/test_quota_ledger.py
@@ -9,16 +9,16 @@
 
 from ramptide.quota.fitting import FittingSplit
 from ramptide.quota.ledger import AccountBook, Ledger, LedgerError, TransferState
-from ramptide.quota.messages import AccountRow, QuotaMessageError, TaskDemand, TransferRow, decode
-from ramptide.quota.planner import most_used
-from ramptide.state.amounts import NO_LIMIT, NOTHING, UNITS, Amounts, add_amounts, tasks_within
+from ramptide.quota.messages import AccountRow, QuotaMessageError, TaskDemand, TransferRow, decode_quota_message
+from ramptide.quota.planner import max_usable
+from ramptide.state.amounts import NO_LIMIT, UNITS_PER_WHOLE, ZERO_AMOUNTS, Amounts, add_amounts, tasks_within
 from ramptide.team_limits.share_allocator import ShareAllocator
 from ramptide.team_limits.split_policy import ProportionalSplit, SplitPolicy
 
 MEMBERS = ["a", "b", "c"]
-LIMIT = Amounts(20 * UNITS, 6 * UNITS)
+LIMIT = Amounts(20 * UNITS_PER_WHOLE, 6 * UNITS_PER_WHOLE)
 TEAM = "t"
-TASK = Amounts(2 * UNITS, UNITS)
+TASK = Amounts(2 * UNITS_PER_WHOLE, UNITS_PER_WHOLE)
 
 
 class Member:
@@ -27,14 +27,14 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.ledger = Ledger([other for other in MEMBERS if other != name], {TEAM: LIMIT})
-        self.granted, self.seen = NOTHING, 0
-        self.using = NOTHING
+        self.granted, self.seen = ZERO_AMOUNTS, 0
+        self.using = ZERO_AMOUNTS
         self.waiting = 0
-        self.told = (NOTHING, 0, 0)
+        self.told = (ZERO_AMOUNTS, 0, 0)
 
     @property
     def permit(self) -> Amounts:
-        return self.ledger.permit(TEAM, self.granted)
+        return self.ledger.permitted_share(TEAM, self.granted)
 
     @property
     def spare(self) -> Amounts:
@@ -90,18 +90,18 @@
     def report(self, member: Member) -> None:
         """The leader hears of use, grants and accounts at once, as one message carries them."""
         member.told = (member.using, member.waiting, member.seen)
-        self.leader.acknowledged(member.name, member.seen)
-        self.book.take(member.name, member.rows())
+        self.leader.record_acknowledgement(member.name, member.seen)
+        self.book.apply_account(member.name, member.rows())
 
     def give(self, member: Member) -> None:
         receiver = self.rng.choice([name for name in MEMBERS if name != member.name])
         fits = tasks_within(member.spare, TASK) or 0
         if fits:
-            member.ledger.give(receiver, TEAM, TASK.times(self.rng.randint(1, fits)), member.spare)
+            member.ledger.issue_transfer(receiver, TEAM, TASK.times(self.rng.randint(1, fits)), member.spare)
 
     def send(self, member: Member) -> None:
         receiver = self.rng.choice([name for name in MEMBERS if name != member.name])
-        self.transfers.append((member.name, receiver, member.ledger.offered(receiver)))
+        self.transfers.append((member.name, receiver, member.ledger.rows_to_send(receiver)))
 
     def deliver(self, member: Member) -> None:
         """Any message that was ever sent to the member, an old one and a repeated one too."""
@@ -109,18 +109,18 @@
         if mine:
             giver, _, rows = self.rng.choice(mine)
             try:
-                member.ledger.take(giver, rows)
+                member.ledger.receive_transfers(giver, rows)
             except QuotaMessageError:
-                assert rows[0].number > member.ledger.last_taken(giver) + 1
+                assert rows[0].number > member.ledger.last_received(giver) + 1
 
     def confirm(self, member: Member) -> None:
         for other in MEMBERS:
             if other != member.name:
-                self.members[other].ledger.confirm(member.name, member.ledger.last_taken(other))
+                self.members[other].ledger.confirm(member.name, member.ledger.last_received(other))
 
     def under_way(self) -> dict[str, Amounts]:
         """What was given to each member and not taken yet, from all ledgers at once."""
-        total = dict.fromkeys(MEMBERS, NOTHING)
+        total = dict.fromkeys(MEMBERS, ZERO_AMOUNTS)
         for member in self.members.values():
             for row in member.rows():
                 add_amounts(total, row.member, row.given)
@@ -142,7 +142,9 @@
             for member in self.members.values():
                 for receiver in MEMBERS:
                     if receiver != member.name:
-                        self.members[receiver].ledger.take(member.name, member.ledger.offered(receiver))
+                        self.members[receiver].ledger.receive_transfers(
+                            member.name, member.ledger.rows_to_send(receiver)
+                        )
             for member in self.members.values():
                 self.confirm(member)
                 self.report(member)
@@ -201,7 +203,7 @@
 
 
 def test_without_the_deduction_before_sending_the_limit_is_passed(monkeypatch: pytest.MonkeyPatch) -> None:
-    give = Ledger.give
+    give = Ledger.issue_transfer
 
     def careless(self: Ledger, receiver: str, team: str, amounts: Amounts, spare: Amounts) -> Any:
         transfer = give(self, receiver, team, amounts, spare)
@@ -209,7 +211,7 @@
         return transfer
 
     play_seeds(20)
-    monkeypatch.setattr(Ledger, "give", careless)
+    monkeypatch.setattr(Ledger, "issue_transfer", careless)
     with pytest.raises(AssertionError):
         play_seeds(20)
 
@@ -223,7 +225,7 @@
                 *(taken - given for taken, given in zip(row.taken, row.given, strict=True))
             )
 
-    monkeypatch.setattr(AccountBook, "take", forgetful)
+    monkeypatch.setattr(AccountBook, "apply_account", forgetful)
     with pytest.raises(AssertionError):
         play_seeds(20)
 
@@ -234,44 +236,44 @@
 
 def test_a_transfer_counts_once_however_often_it_arrives() -> None:
     giver, receiver = pair()
-    transfer = giver.give("b", TEAM, TASK, LIMIT)
+    transfer = giver.issue_transfer("b", TEAM, TASK, LIMIT)
     assert transfer.state is TransferState.DEDUCTED
     assert giver.balance(TEAM) == TASK.times(-1)
-    rows = giver.offered("b")
+    rows = giver.rows_to_send("b")
     assert transfer.state is TransferState.SENT
-    assert giver.awaits("b", TEAM)
+    assert giver.has_unconfirmed("b", TEAM)
     assert giver.in_transfer(TEAM) == TASK
-    assert receiver.take("a", rows) == rows
-    assert receiver.take("a", rows) == []
+    assert receiver.receive_transfers("a", rows) == rows
+    assert receiver.receive_transfers("a", rows) == []
     assert receiver.balance(TEAM) == TASK
-    assert [one.state for one in giver.confirm("b", receiver.last_taken("a"))] == [TransferState.TAKEN]
-    assert not giver.awaits("b", TEAM)
-    assert giver.offered("b") == []
+    assert [one.state for one in giver.confirm("b", receiver.last_received("a"))] == [TransferState.TAKEN]
+    assert not giver.has_unconfirmed("b", TEAM)
+    assert giver.rows_to_send("b") == []
     assert giver.confirm("b", 1) == []
     with pytest.raises(LedgerError):
-        giver.give("b", TEAM, TASK, NOTHING)
+        giver.issue_transfer("b", TEAM, TASK, ZERO_AMOUNTS)
     with pytest.raises(LedgerError):
-        giver.give("b", TEAM, NOTHING, LIMIT)
+        giver.issue_transfer("b", TEAM, ZERO_AMOUNTS, LIMIT)
 
 
 @pytest.mark.parametrize(
     "row",
     [
-        TransferRow(1, "nobody", UNITS, 0),
+        TransferRow(1, "nobody", UNITS_PER_WHOLE, 0),
         TransferRow(1, TEAM, LIMIT.cpus + 1, 0),
         TransferRow(1, TEAM, 0, 0),
-        TransferRow(2, TEAM, UNITS, 0),
-        TransferRow(1, "cores only", UNITS, 1),
+        TransferRow(2, TEAM, UNITS_PER_WHOLE, 0),
+        TransferRow(1, "cores only", UNITS_PER_WHOLE, 1),
     ],
     ids=["unknown team", "above the limit", "empty", "one before it is missing", "of what has no limit"],
 )
 def test_transfers_that_cannot_be_are_refused_as_a_whole(row: TransferRow) -> None:
-    ledger = Ledger(["a"], {TEAM: LIMIT, "cores only": Amounts(5 * UNITS, NO_LIMIT)})
-    good = TransferRow(row.number + 1, TEAM, UNITS, 0)
+    ledger = Ledger(["a"], {TEAM: LIMIT, "cores only": Amounts(5 * UNITS_PER_WHOLE, NO_LIMIT)})
+    good = TransferRow(row.number + 1, TEAM, UNITS_PER_WHOLE, 0)
     with pytest.raises(QuotaMessageError):
-        ledger.take("a", [row, good])
-    assert ledger.balance(TEAM) == NOTHING
-    assert ledger.last_taken("a") == 0
+        ledger.receive_transfers("a", [row, good])
+    assert ledger.balance(TEAM) == ZERO_AMOUNTS
+    assert ledger.last_received("a") == 0
     with pytest.raises(QuotaMessageError):
         ledger.confirm("a", 1)
 
@@ -290,15 +292,15 @@
     ids=str,
 )  # fmt: skip
 def test_messages_that_cannot_be_are_refused(change: dict[str, Any]) -> None:
-    assert decode(MESSAGE).sender == "a"
+    assert decode_quota_message(MESSAGE).sender == "a"
     with pytest.raises(QuotaMessageError):
-        decode(MESSAGE | change)
+        decode_quota_message(MESSAGE | change)
 
 
 @pytest.mark.parametrize("value", [None, [], 5, "x", {}])
 def test_what_is_no_message_is_refused(value: Any) -> None:
     with pytest.raises(QuotaMessageError):
-        decode(value)
+        decode_quota_message(value)
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
@@ -312,7 +314,7 @@
     waiting: dict[str, TaskDemand], limit: Amounts
 ) -> None:
     policy = FittingSplit({name: {TEAM: [demand]} for name, demand in waiting.items()})
-    targets = policy.targets(TEAM, limit, dict.fromkeys(MEMBERS, NOTHING))
+    targets = policy.targets(TEAM, limit, dict.fromkeys(MEMBERS, ZERO_AMOUNTS))
     given = Amounts(sum(one.cpus for one in targets.values()), sum(one.gpus for one in targets.values()))
     assert given.cpus <= limit.cpus
     assert given.gpus <= limit.gpus
@@ -322,4 +324,4 @@
         assert targets[name] == demand.size.times(tasks)
         assert tasks <= demand.count
         assert tasks == demand.count or not tasks_within(left, demand.size)
-    assert sum(given) <= sum(most_used(limit, list(waiting.values()))), "the oracle is the best there is"
+    assert sum(given) <= sum(max_usable(limit, list(waiting.values()))), "the oracle is the best there is"
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -13,14 +13,14 @@
     LimitError,
     LimitRecord,
     TeamLimit,
-    change,
     decode_record,
-    effective,
+    effective_limits,
     key_of,
     promote,
     team_of,
+    with_pending_change,
 )
-from ramptide.state.amounts import NO_LIMIT, UNITS, Amounts
+from ramptide.state.amounts import NO_LIMIT, UNITS_PER_WHOLE, Amounts
 from virtual import World, leader_of, started_world
 
 ON = Features(QuotaFeature(True))
@@ -28,30 +28,30 @@
 
 
 def cores(count: int) -> Amounts:
-    return Amounts(count * UNITS, NO_LIMIT)
+    return Amounts(count * UNITS_PER_WHOLE, NO_LIMIT)
 
 
 def test_while_a_change_is_pending_the_stricter_limit_counts() -> None:
-    lowered = change("tight", {"cpus_max": 6}, None, PLATFORM)
-    assert effective({"tight": PLATFORM}, {"tight": lowered}).limits["tight"] == cores(6)
+    lowered = with_pending_change("tight", {"cpus_max": 6}, None, PLATFORM)
+    assert effective_limits({"tight": PLATFORM}, {"tight": lowered}).limits["tight"] == cores(6)
     in_force = promote(lowered, PLATFORM)
     assert in_force == LimitRecord(1, TeamLimit(4.0, 6.0))
-    raised = change("tight", None, in_force, PLATFORM)
-    now = effective({"tight": PLATFORM}, {"tight": raised})
+    raised = with_pending_change("tight", None, in_force, PLATFORM)
+    now = effective_limits({"tight": PLATFORM}, {"tight": raised})
     assert now.limits["tight"] == cores(6)
     assert now.teams["tight"].cpus_max == 6.0
     assert promote(raised, PLATFORM) is None, "the platform's limit needs no record"
 
 
 def test_a_removed_team_starts_nothing_and_an_added_one_counts_once_in_force() -> None:
-    removed = change("tight", {"removed": True}, None, PLATFORM)
-    now = effective({"tight": PLATFORM}, {"tight": removed})
+    removed = with_pending_change("tight", {"removed": True}, None, PLATFORM)
+    now = effective_limits({"tight": PLATFORM}, {"tight": removed})
     assert now.limits["tight"] == (0, 0)
     assert "tight" not in now.teams
     assert "tight" not in now.guarantees
-    added = change("new", {"cpus_max": 8}, None, None)
-    assert "new" not in effective({}, {"new": added}).teams
-    now = effective({}, {"new": promote(added, None)})  # type: ignore[dict-item]
+    added = with_pending_change("new", {"cpus_max": 8}, None, None)
+    assert "new" not in effective_limits({}, {"new": added}).teams
+    now = effective_limits({}, {"new": promote(added, None)})  # type: ignore[dict-item]
     assert now.teams["new"].cpus_max == 8.0
     assert now.limits["new"] == cores(8)
 
@@ -71,7 +71,7 @@
 )
 def test_changes_that_make_no_sense_are_refused_in_one_line(changes: Any, named: str) -> None:
     with pytest.raises(LimitError, match=named) as raised:
-        change("tight", changes, None, PLATFORM)
+        with_pending_change("tight", changes, None, PLATFORM)
     assert "\n" not in str(raised.value)
     assert str(raised.value).startswith("tight")
 
@@ -136,7 +136,7 @@
         assert node.controller.state.scheduler is not None
         use[name] = node.controller.state.scheduler.usage().get("tight", (0, 0))[0]
     name = max((name for name in world.controller_names if name != leader_of(world)), key=lambda one: use[one])
-    assert use[name] > UNITS
+    assert use[name] > UNITS_PER_WHOLE
     return name
 
 
@@ -264,7 +264,7 @@
     assert controller.limit_table is not None
     results: list[TransactionResult] = []
     for most in (5, 6):
-        controller.limit_table.request({"tight": {"cpus_max": most}}, results.append)
+        controller.limit_table.request_changes({"tight": {"cpus_max": most}}, results.append)
     world.run(2)
     assert [one.is_applied for one in results] == [True, False]
     assert results[1].conflicting_keys == (key_of("tight"),)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -80,7 +80,9 @@
     defaults = Tuning().to_value()
     assert set(defaults) == set(BOUNDS)
     assert all(BOUNDS[name].low <= value <= BOUNDS[name].high for name, value in defaults.items())
-    assert Tuning.from_value(Tuning().changed({"cooldown": 3}).to_value()) == Tuning().changed({"cooldown": 3})
+    assert Tuning.from_value(Tuning().with_changes({"cooldown": 3}).to_value()) == Tuning().with_changes(
+        {"cooldown": 3}
+    )
     assert Tuning.from_value({"cooldown": -1, "of_a_later_version": 1}) == Tuning()
 
 
@@ -89,7 +91,7 @@
 )
 def test_bad_changes_name_the_setting(changes: Any) -> None:
     with pytest.raises(SettingsError) as caught:
-        Tuning().changed(changes)
+        Tuning().with_changes(changes)
     assert (next(iter(changes)) if isinstance(changes, dict) else "settings") in str(caught.value)
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -684,9 +684,9 @@
 
 
 def test_when_agreement_counts_like_a_living_lease_tasks_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    agreement = Peers.unavailable_agreed_since
+    agreement = Peers.store_unavailable_agreed_at
     later = lambda peers: at + LEASE_TIMEOUT if (at := agreement(peers)) is not None else None  # noqa: E731
-    monkeypatch.setattr(Peers, "unavailable_agreed_since", later)
+    monkeypatch.setattr(Peers, "store_unavailable_agreed_at", later)
     world = busy_world(guessS=500.0)
     refuse_all_then_serve_two(world)
     assert any("ran_twice" in rule for rule in world.invariants.violations)
--- a/tests/virtual/indexes.py
+++ b/tests/virtual/indexes.py
@@ -60,16 +60,18 @@
 
 
 def _check_jobs(scheduler: JobScheduler) -> None:
-    assert scheduler.failing_jobs.by_id == {job_id: job for job_id, job in scheduler.jobs.items() if job.failing}
-    assert scheduler.with_pending_tasks == {job_id: job for job_id, job in scheduler.jobs.items() if job.waiting > 0}
+    assert scheduler.failing_jobs.by_id == {job_id: job for job_id, job in scheduler.jobs.items() if job.is_failing}
+    assert scheduler.jobs_with_pending_tasks == {
+        job_id: job for job_id, job in scheduler.jobs.items() if job.waiting > 0
+    }
 
 
 def _check_attempts(machine_index: MachineIndex, scheduler: JobScheduler) -> None:
-    attempts = [attempt for entries in scheduler.attempts.values() for attempt in entries.values()]
+    attempts = [attempt for entries in scheduler.attempts_by_host.values() for attempt in entries.values()]
     usage = sum_amounts(attempts)
     for team in usage | scheduler.usage():
         assert scheduler.usage().get(team, (0.0, 0.0)) == pytest.approx(usage.get(team, (0.0, 0.0)))
-    indexed = [attempt for entries in scheduler.index.by_job.values() for attempt in entries.values()]
+    indexed = [attempt for entries in scheduler.attempt_index.by_job.values() for attempt in entries.values()]
     assert sorted(attempt.key for attempt in indexed) == sorted(attempt.key for attempt in attempts)
     shown = {tuple(row[:3]) for host in machine_index.machines.values() if host.is_reconciled for row in host.tasks}
-    assert all(attempt.key in scheduler.index.unshown or attempt.key in shown for attempt in attempts)
+    assert all(attempt.key in scheduler.attempt_index.unreported or attempt.key in shown for attempt in attempts)
--- a/tools/measure_quota.py
+++ b/tools/measure_quota.py
@@ -16,8 +16,8 @@
 from ramptide.config.features import Features, QuotaFeature
 from ramptide.quota.fitting import FittingSplit
 from ramptide.quota.messages import TaskDemand
-from ramptide.quota.planner import most_used
-from ramptide.state.amounts import NO_LIMIT, NOTHING, UNITS, Amounts
+from ramptide.quota.planner import max_usable
+from ramptide.state.amounts import NO_LIMIT, UNITS_PER_WHOLE, ZERO_AMOUNTS, Amounts
 from ramptide.team_limits.split_policy import ProportionalSplit, SplitPolicy
 from test_quota import send
 from virtual import Agent, S, Task, World, started_world
@@ -118,8 +118,10 @@
     homes = [one.state.scheduler for one in controllers if one.state.scheduler is not None]
     for team, limit in TEAMS.items():
         used = sum(home.usage_with_transfers().get(team, (0, 0))[0] for home in homes)
-        left = limit - used / UNITS
-        sizes = [w.job.spec.cpus for home in homes for w in home.with_pending_tasks.values() if w.job.spec.team == team]
+        left = limit - used / UNITS_PER_WHOLE
+        sizes = [
+            w.job.spec.cpus for home in homes for w in home.jobs_with_pending_tasks.values() if w.job.spec.team == team
+        ]
         if not sizes:
             continue
         result.samples += 1
@@ -129,21 +131,21 @@
 
 def compare_splits(rounds: int = 400) -> None:
     """Print how much of a limit whole tasks can use under each split, against the best that a solver finds."""
-    rng, limit = random.Random(1), Amounts(20 * UNITS, NO_LIMIT)
+    rng, limit = random.Random(1), Amounts(20 * UNITS_PER_WHOLE, NO_LIMIT)
     used = Counter[str]()
     for _ in range(rounds):
         demands = {
-            member: TaskDemand(round(rng.choice([0.7, 1.0, 1.5, 3.0, 6.0]) * UNITS), 0, rng.randint(1, 8))
+            member: TaskDemand(round(rng.choice([0.7, 1.0, 1.5, 3.0, 6.0]) * UNITS_PER_WHOLE), 0, rng.randint(1, 8))
             for member in ("a", "b", "c")
         }
-        nothing = dict.fromkeys(demands, NOTHING)
+        nothing = dict.fromkeys(demands, ZERO_AMOUNTS)
         asking = {member: {"t": demand.size.times(demand.count)} for member, demand in demands.items()}
         waiting = {member: {"t": [demand]} for member, demand in demands.items()}
         policies: dict[str, SplitPolicy] = {"in proportion": ProportionalSplit(asking), "whole": FittingSplit(waiting)}
         for name, policy in policies.items():
             shares = policy.targets("t", limit, nothing)
             used[name] += sum(shares[m].cpus // demand.cpus * demand.cpus for m, demand in demands.items())
-        used["best"] += most_used(Amounts(limit.cpus, 0), list(demands.values())).cpus
+        used["best"] += max_usable(Amounts(limit.cpus, 0), list(demands.values())).cpus
     for name, units in used.items():
         print(f"split {name}: whole tasks use {100 * units / rounds / limit.cpus:.1f} % of the limit")
 
