--- a/src/ramptide/cluster/change_log.py
+++ b/src/ramptide/cluster/change_log.py
@@ -1,6 +1,7 @@
 """Incremental replication of a table.
 
-The sender records at which sequence number each key changed, the receiver up to which number it has the changes.
+The sender records the sequence number at which each key changed. The receiver records the sequence number up to which
+it has the changes.
 """
 
 from collections.abc import Container, Hashable
--- a/src/ramptide/cluster/failure_attribution.py
+++ b/src/ramptide/cluster/failure_attribution.py
@@ -93,7 +93,7 @@
                 self.record_job_success(row[0])
 
     def record_job_success(self, job_id: str) -> None:
-        """Record that a task of the job succeeded, so that the machines on which the job failed may be at fault."""
+        """Record that a task of the job succeeded, so the failures of the job may be the fault of the machines."""
         if job_id in self._hosts_by_failed_job and job_id not in self._succeeded_jobs:
             self._succeeded_jobs.add(job_id)
             self._on_change(self._hosts_by_failed_job[job_id])
--- a/src/ramptide/cluster/free_rooms.py
+++ b/src/ramptide/cluster/free_rooms.py
@@ -144,7 +144,7 @@
         room.images = frozenset(machine.images)
         room.idle = not task_counts
         room.heartbeat_held = machine.heartbeat_held
-        # Users wait for services: the idle pool is kept for them, and a part of each machine that runs some.
+        # Users wait for services, so the idle pool and a part of each machine that runs services are reserved for them.
         room.in_pool = not record.spot and host in self.idle_pool
         room.service_cpus = sum((spec.cpus * count for spec, count in task_counts if spec.kind == SERVICE), 0.0)
         service_share = self.tuning.service_share
--- a/src/ramptide/cluster/machine_index.py
+++ b/src/ramptide/cluster/machine_index.py
@@ -61,7 +61,7 @@
 
     @property
     def tuning(self) -> Tuning:
-        """The operators' settings; the caller invalidates all rooms after a change."""
+        """The operators' settings; the caller must invalidate all rooms after a change."""
         return self._free_rooms.tuning
 
     @tuning.setter
@@ -85,7 +85,7 @@
 
     # Updates
 
-    def add(self, name: str, unconfirmed_since: timedelta | None) -> None:
+    def add(self, host: str, unconfirmed_since: timedelta | None) -> None:
         """Add a machine of the fleet record.
 
         Parameters
@@ -96,19 +96,19 @@
         """
         is_assumed = unconfirmed_since is not None
         self.machines.setdefault(
-            name, ObservedMachine(unconfirmed_since=unconfirmed_since, is_unconfirmed_since_assumed=is_assumed)
+            host, ObservedMachine(unconfirmed_since=unconfirmed_since, is_unconfirmed_since_assumed=is_assumed)
         )
-        self.invalidate(name)
+        self.invalidate(host)
 
-    def remove(self, name: str) -> None:
+    def remove(self, host: str) -> None:
         """Remove a machine that has left the fleet record, with everything derived from its status."""
-        machine = self.machines.get(name)
+        machine = self.machines.get(host)
         if machine is not None:
-            self._replace_tasks(name, machine, [])
-            self._replace_failures(name, machine, [], 0)
-            del self.machines[name]
-        self._terminations.remove(name)
-        self.invalidate(name)
+            self._replace_tasks(host, machine, [])
+            self._replace_failures(host, machine, [], 0)
+            del self.machines[host]
+        self._terminations.remove(host)
+        self.invalidate(host)
 
     def on_new_view(self) -> None:
         """Clear the status of all machines, which is rebuilt from heartbeats in the new view.
@@ -116,42 +116,42 @@
         The images and the unconfirmed terminations are kept.
         """
         self._terminations.on_new_view()
-        for name, machine in self.machines.items():
-            self.machines[name] = machine.without_status()
+        for host, machine in self.machines.items():
+            self.machines[host] = machine.without_status()
         self._tasks.clear()
         self._failures.clear()
         self._free_rooms.on_new_view()
 
-    def apply_status(self, name: str, status: MachineStatus | None, now: timedelta) -> None:
+    def apply_status(self, host: str, status: MachineStatus | None, now: timedelta) -> None:
         """Apply the status of a machine from its owner; None when the owner has no such machine."""
-        machine = self.machines.get(name)
+        machine = self.machines.get(host)
         if machine is None:
             return
-        self.invalidate(name)
+        self.invalidate(host)
         if status is None:
-            self._replace_tasks(name, machine, [])
-            self._replace_failures(name, machine, [], 0)
-            self.machines[name] = machine.without_status()
+            self._replace_tasks(host, machine, [])
+            self._replace_failures(host, machine, [], 0)
+            self.machines[host] = machine.without_status()
             return
         machine.apply_status(status, now)
-        self._replace_failures(name, machine, status.failed_jobs, status.consecutive_failures)
-        self._replace_tasks(name, machine, status.tasks)
-        self._terminations.apply_status(name, machine, now)
+        self._replace_failures(host, machine, status.failed_jobs, status.consecutive_failures)
+        self._replace_tasks(host, machine, status.tasks)
+        self._terminations.apply_status(host, machine, now)
         self.check_all_tasks_known(machine)
 
-    def _replace_tasks(self, name: str, machine: ObservedMachine, tasks: list[TaskRow]) -> None:
+    def _replace_tasks(self, host: str, machine: ObservedMachine, tasks: list[TaskRow]) -> None:
         if tasks == machine.tasks:
             return
-        job_ids = self._tasks.replace_tasks(name, machine.tasks, tasks)
+        job_ids = self._tasks.replace_tasks(host, machine.tasks, tasks)
         machine.set_tasks(tasks)
         self._failures.apply_task_change(job_ids, tasks)
 
     def _replace_failures(
-        self, name: str, machine: ObservedMachine, failed_jobs: list[str], consecutive_failures: int
+        self, host: str, machine: ObservedMachine, failed_jobs: list[str], consecutive_failures: int
     ) -> None:
         before = machine.failed_jobs
         machine.failed_jobs, machine.consecutive_failures = failed_jobs, consecutive_failures
-        self._failures.replace_failed_jobs(name, before, failed_jobs)
+        self._failures.replace_failed_jobs(host, before, failed_jobs)
 
     def record_job_finished(self, job_id: str, spec: JobSpec, now: timedelta) -> None:
         """Record that a job has left the live jobs, so that the end of its tasks has yet to be confirmed."""
@@ -159,7 +159,7 @@
         self._terminations.record_job_finished(job_id, self._tasks.hosts_of(job_id), now)
 
     def record_job_success(self, job_id: str) -> None:
-        """Record that a task of the job succeeded, so that the machines on which the job failed may be at fault."""
+        """Record that a task of the job succeeded, so the failures of the job may be the fault of the machines."""
         self._failures.record_job_success(job_id)
 
     def set_idle_pool(self, hosts: list[str]) -> None:
@@ -175,9 +175,9 @@
     def check_all_tasks_known(self, machine: ObservedMachine) -> bool:
         """Return whether every task that runs on a machine is counted by some scheduler; keep a positive result.
 
-        This holds from the moment, after the machine was reconciled, at which all its tasks are of jobs in the live
-        jobs, as the schedulers of these jobs count them from then on. A task of a job that had finished earlier has no
-        scheduler. A job cancelled later does not matter, as its scheduler counts its tasks until they are gone.
+        The result is positive once all tasks of the reconciled machine belong to unfinished jobs, as the schedulers of
+        these jobs count the tasks from then on. A task of a job that had finished before has no scheduler. A job that
+        is cancelled afterwards does not matter, as its scheduler counts its tasks until they are gone.
         """
         if not machine.all_tasks_known and machine.is_reconciled:
             machine.all_tasks_known = all(job_id in self._jobs for job_id in active_job_ids(machine.tasks))
@@ -186,16 +186,16 @@
     def silent_hosts(self) -> list[str]:
         """Return the machines that have come up and whose heartbeats have stopped."""
         return [
-            name
-            for name, machine in self.machines.items()
-            if machine.is_reported and machine.missed_heartbeats and (machine.is_up or self._records[name].registered)
+            host
+            for host, machine in self.machines.items()
+            if machine.is_reported and machine.missed_heartbeats and (machine.is_up or self._records[host].registered)
         ]
 
-    def out_of_use_reason(self, name: str) -> str | None:
+    def out_of_use_reason(self, host: str) -> str | None:
         """Return why the machine takes no tasks, as a text for operators; None when it takes tasks."""
-        record, machine = self._records[name], self.machines.get(name, ObservedMachine())
-        # A machine that is drained as silent or unreachable has its reason below again, under the same key: whether it
-        # holds then follows from its owner's latest status.
+        record, machine = self._records[host], self.machines.get(host, ObservedMachine())
+        # The drain reasons of silent and of unreachable machines are keys below as well, and a later entry replaces an
+        # earlier one with the same key. So these reasons hold only as far as the owner's latest status confirms them.
         reasons = {
             record.drain_reason or "": record.drain_reason is not None,
             "booting": not record.registered and not machine.is_up,
@@ -204,7 +204,7 @@
             MISSED_HEARTBEATS: machine.missed_heartbeats,
             "deaf": machine.unreachable_since is not None,
             "about to be taken": machine.preempted_at is not None,
-            "fails what others run": name in self.machines and self._is_quarantined(name),
+            "fails what others run": host in self.machines and self._is_quarantined(host),
         }
         return next((reason for reason, holds in reasons.items() if holds), None)
 
@@ -218,18 +218,18 @@
         """Return the jobs that failed on several machines and succeeded on none, each with the number of machines."""
         return self._failures.failing_jobs()
 
-    def count_jobs_indicating_fault(self, name: str) -> int:
+    def count_jobs_indicating_fault(self, host: str) -> int:
         """Return how many different jobs indicate that the machine is faulty; see `FailureAttribution`."""
-        return self._failures.count_jobs_indicating_fault(name)
+        return self._failures.count_jobs_indicating_fault(host)
 
-    def _is_quarantined(self, name: str) -> bool:
-        return self.count_jobs_indicating_fault(name) >= self.tuning.sick_jobs
+    def _is_quarantined(self, host: str) -> bool:
+        return self.count_jobs_indicating_fault(host) >= self.tuning.sick_jobs
 
     # Unconfirmed terminations
 
-    def unconfirmed_duration(self, name: str, now: timedelta) -> timedelta:
+    def unconfirmed_duration(self, host: str, now: timedelta) -> timedelta:
         """Return for how long a silent machine may have run a task of a finished job; zero when it cannot have."""
-        return self._terminations.duration(name, now)
+        return self._terminations.duration(host, now)
 
     def unconfirmed_seconds_by_machine(self, now: timedelta) -> dict[str, float]:
         """Return for how many seconds each silent machine may have run a task of a finished job."""
@@ -240,23 +240,23 @@
         self._terminations.merge(seconds_by_machine, now)
 
     def backdate_unconfirmed(self, started: timedelta, since: timedelta) -> None:
-        """Move `unconfirmed_since` back to `since`, if it is later, on each machine where it is not after `started`."""
+        """Limit `unconfirmed_since` to at most `since` on each machine on which it is not after `started`."""
         self._terminations.backdate(started, since)
 
     # Free room
 
-    def invalidate(self, name: str) -> None:
+    def invalidate(self, host: str) -> None:
         """Have the room of a machine recomputed, as something on which it depends has changed."""
-        self._free_rooms.invalidate(name)
+        self._free_rooms.invalidate(host)
 
     def invalidate_all(self) -> None:
         """Have the rooms of all machines in the fleet record recomputed."""
         self._free_rooms.invalidate_all()
 
-    def refresh(self, names: Collection[str] | None = None) -> None:
-        """Recompute the rooms of machines that have changed, of all or only of `names`."""
-        self._free_rooms.refresh(names)
+    def refresh(self, hosts: Collection[str] | None = None) -> None:
+        """Recompute the rooms of machines that have changed, of all or only of `hosts`."""
+        self._free_rooms.refresh(hosts)
 
-    def free_rooms(self, names: Iterable[str] | None = None) -> Iterator[Room]:
-        """Yield the rooms of some machines, or of all when `names` is None."""
-        return self._free_rooms.of_hosts(names)
+    def free_rooms(self, hosts: Iterable[str] | None = None) -> Iterator[Room]:
+        """Yield the rooms of some machines, or of all when `hosts` is None."""
+        return self._free_rooms.of_hosts(hosts)
--- a/src/ramptide/cluster/membership.py
+++ b/src/ramptide/cluster/membership.py
@@ -24,7 +24,7 @@
 VIEW_KEY = "live/view"
 LEADER_KEY = "live/leader"
 MEMBER_PREFIX = "live/member/"
-#: How long a leader waits for all configured controllers to register while none of the last view's members has.
+#: How long a leader waits for all configured controllers to register while no member of the last view has.
 REGISTRATION_TIMEOUT = timedelta(seconds=1)
 
 
--- a/src/ramptide/cluster/messages.py
+++ b/src/ramptide/cluster/messages.py
@@ -104,7 +104,7 @@
     """A message from one controller to another.
 
     The fields `machine_status` and `desired_tasks` hold the changes since the sequence number `base`, which the
-    receiver has acknowledged, or everything when `base` is 0. All other fields are complete.
+    receiver has acknowledged, or everything when `base` is 0. All other fields are complete, unless `more` is set.
 
     Attributes
     ----------
@@ -210,13 +210,13 @@
     incarnation
         The incarnation of the replying controller.
     view
-        The number of the view in which it acts; 0 without one.
+        The number of the view in which the replying controller acts; 0 without one.
     store_unavailable
-        Whether the key-value store did not answer its last request.
+        Whether the key-value store did not answer the replying controller's last request.
     newest_view
-        The newest view that it knows of; it no longer renews leases of tasks under an older one.
+        The newest view that the replying controller knows of; it no longer renews leases of tasks under an older view.
     received
-        The sequence number up to which it has accepted the sender's messages.
+        The sequence number up to which the replying controller has accepted the sender's messages.
     finished_jobs
         For a sender that does not reach the key-value store: every job whose cancellation may have been confirmed to a
         user since the sender's revision, and other finished jobs. None when this is not known, for instance because the
--- a/src/ramptide/cluster/observed_machine.py
+++ b/src/ramptide/cluster/observed_machine.py
@@ -9,7 +9,7 @@
 
 __all__ = ["ObservedMachine", "active_job_ids"]
 
-ZERO = timedelta(0)
+NO_TIME = timedelta(0)
 
 
 def active_job_ids(tasks: Iterable[TaskRow]) -> list[str]:
@@ -27,7 +27,7 @@
         Whether its owner has reported its status in this view.
     is_reconciled, is_up, is_draining, failed_jobs, consecutive_failures, heartbeat_held, images, tasks
         See `MachineStatus`.
-    missed_heartbeats
+    has_missed_heartbeats
         Whether heartbeats are missing.
     heard_at
         When its owner received the last heartbeat; the time of the status when no heartbeat is missing.
@@ -40,8 +40,8 @@
     all_tasks_known
         Whether every task that runs there is counted by some scheduler, see `MachineIndex.check_all_tasks_known`.
     unconfirmed_since
-        Since when a task of a finished job may be there, with no heartbeat since that shows it gone; None when none may
-        be there.
+        Since when a task of a finished job may be there without a later heartbeat that shows it gone; None when no such
+        task can be there.
     is_unconfirmed_since_assumed
         Whether `unconfirmed_since` is an assumption about the time before this process started, rather than observed.
     """
@@ -50,7 +50,7 @@
     is_up: bool = False
     is_draining: bool = False
     missed_heartbeats: bool = False
-    heard_at: timedelta = ZERO
+    heard_at: timedelta = NO_TIME
     preempted_at: timedelta | None = None
     failed_jobs: list[str] = field(default_factory=list)
     consecutive_failures: int = 0
@@ -89,7 +89,7 @@
         return self.failed_jobs[len(self.failed_jobs) - self.consecutive_failures :]
 
     def apply_status(self, status: MachineStatus, now: timedelta) -> None:
-        """Apply a status except for its failed jobs and tasks, which the index replaces with its own entries."""
+        """Apply a status except for its failed jobs and tasks, which `MachineIndex` sets and indexes."""
         self.is_reported = True
         self.is_reconciled = status.is_reconciled
         self.is_up = status.is_up
--- a/src/ramptide/cluster/peers.py
+++ b/src/ramptide/cluster/peers.py
@@ -32,7 +32,7 @@
 #: The minimum time between two messages to a peer. Changes are collected meanwhile, as the cost of a message to both
 #: sides hardly depends on its content.
 MIN_SEND_INTERVAL = timedelta(milliseconds=100)
-ZERO = timedelta(0)
+NO_TIME = timedelta(0)
 
 
 @dataclass(slots=True)
@@ -73,7 +73,7 @@
     sent_at: timedelta | None = None
     received_sequence: ReceivedSequence = field(default_factory=ReceivedSequence)
     acknowledged: int = 0
-    due_at: timedelta = ZERO
+    due_at: timedelta = NO_TIME
     heard_at: timedelta | None = None
     last_message: PeerMessage | None = None
     store_unavailable_agreed_at: timedelta | None = None
@@ -113,7 +113,8 @@
         self._on_finished_jobs = on_finished_jobs
         #: The newest view that any message has named.
         self.newest_view = 0
-        #: The number of views so far; a reply to a message sent before the last one acknowledges nothing.
+        #: The number of view changes so far; a reply to a message that was sent before the last change acknowledges
+        #: nothing.
         self._view_count = 0
         self.by_name = {name: Peer(name, address) for name, address in addresses.items()}
 
@@ -124,7 +125,7 @@
             peer.last_message = None
             peer.received_sequence = ReceivedSequence()
             peer.acknowledged = 0
-            peer.due_at = ZERO
+            peer.due_at = NO_TIME
 
     def last_message(self, member: str) -> PeerMessage | None:
         """Return the last complete message of a member in this view; None when there is none."""
@@ -151,7 +152,7 @@
     def send_all_soon(self) -> None:
         """Make a message to every other controller due now."""
         for peer in self.by_name.values():
-            self.send_within(peer, ZERO)
+            self.send_within(peer, NO_TIME)
 
     def send_within(self, peer: Peer, within: timedelta) -> None:
         """Make the next message to a controller due after the given time at the latest."""
@@ -196,10 +197,10 @@
         peer.incarnation = reply.incarnation
         peer.newest_view = reply.newest_view
         if is_current:
-            # A peer that lacks an earlier message cannot accept this one. It names how far it has got, and the changes
-            # after that are sent again.
-            same_view = reply.view == message.view
-            peer.acknowledged = min(max(reply.received, 0), message.sequence_number) if same_view else 0
+            # A peer that lacks an earlier message cannot accept this one. Its reply names the sequence number up to
+            # which it has accepted messages, and the changes after that number are sent again.
+            is_same_view = reply.view == message.view
+            peer.acknowledged = min(max(reply.received, 0), message.sequence_number) if is_same_view else 0
         if reply.finished_jobs:
             self._on_finished_jobs(reply.finished_jobs)
         if _confirms_store_unavailable(message, reply):
@@ -226,7 +227,7 @@
         ------
         PeerMessageError
             If the message cannot be decoded, its sender is unknown, or its version differs from this controller's.
-            Nothing of it has been applied.
+            No part of the message has been applied.
         """
         message = decode_message(body)
         peer = self.by_name.get(message.member)
