--- a/src/ramptide/controller/agent_connectivity.py
+++ b/src/ramptide/controller/agent_connectivity.py
@@ -2,8 +2,8 @@
 
 Such a controller would keep its machines until their leases end, and the fleet would return them as silent. So it steps
 down when all of its machines are silent while other controllers receive heartbeats from theirs; when no controller
-receives any, the fault is not in the network link of this one. After stepping down, it probes agents one by one and
-applies for a place again when they answer.
+receives any, the fault is not in this controller's network link. After stepping down, this controller probes agents one
+by one and applies for a place again when they answer.
 """
 
 import logging
@@ -33,8 +33,8 @@
 REQUIRED_PROBE_REPLIES = 3
 #: The controller applies again after this time at the latest, as the machines that it knows may all be gone.
 MAX_PROBE_TIME = timedelta(minutes=3)
-#: The other controllers elect a leader soon after this one steps down; when there is none after this many probes, this
-#: controller is the only one.
+#: The other controllers elect a leader soon after this controller steps down; when there is no leader after this many
+#: probes, this controller is the only one.
 MAX_PROBES_WITHOUT_LEADER = 2
 
 
--- a/src/ramptide/controller/assignments.py
+++ b/src/ramptide/controller/assignments.py
@@ -58,7 +58,7 @@
     def drop_finished(self, job_ids: list[str]) -> None:
         """Drop jobs that another controller reports as finished and that the local watch cache still shows.
 
-        Their users may have been told so already.
+        The users of these jobs may have been told already that they are finished.
         """
         known = [job_id for job_id in job_ids if job_id in self._state.jobs]
         self._finished_elsewhere.update(known)
--- a/src/ramptide/controller/authority.py
+++ b/src/ramptide/controller/authority.py
@@ -14,9 +14,11 @@
 
 #: The maximum age of the proof that the view is the current one, when a task is started.
 MAX_START_PROOF_AGE = timedelta(seconds=2.5)
-#: The maximum age of the agreement that no controller reaches the key-value store, for this one to count as healthy.
+#: The maximum age of the agreement that no controller reaches the key-value store, at which this controller counts as
+#: healthy.
 MAX_HEALTHY_AGREEMENT_AGE = timedelta(seconds=3)
-#: How long the key-value store may be unreachable for this controller alone before it counts as unhealthy.
+#: How long the key-value store may be unreachable for this controller alone before this controller counts as
+#: unhealthy.
 MAX_HEALTHY_STORE_OUTAGE = timedelta(seconds=4)
 
 
@@ -69,7 +71,7 @@
         """Return whether agents may be replied to: this controller serves in the newest known view, and may renew."""
         if not self._membership.is_serving or not self.may_renew():
             return False
-        # When another controller acts in a newer view, agents must find their new owners there instead of this one.
+        # When another controller acts in a newer view, agents must find their new owners instead of this controller.
         view = self._state.view
         return view is not None and self._peers.newest_view <= view.number
 
@@ -87,8 +89,8 @@
             return False
         if not self._watch_cache.is_unavailable:
             return True
-        now, agreed_since = self._runtime.now, self._peers.store_unavailable_agreed_at()
-        is_outage_local = agreed_since is None or now - agreed_since > MAX_HEALTHY_AGREEMENT_AGE
+        now, agreed_at = self._runtime.now, self._peers.store_unavailable_agreed_at()
+        is_outage_local = agreed_at is None or now - agreed_at > MAX_HEALTHY_AGREEMENT_AGE
         return not is_outage_local or now - current_as_of < MAX_HEALTHY_STORE_OUTAGE
 
     def _is_proven_within(self, max_age: timedelta, proof: timedelta | None) -> bool:
@@ -100,8 +102,8 @@
         The proof is an answer of the key-value store, or the replies of all other controllers that they cannot reach it
         either, so that none of them can have written a newer view.
         """
-        agreed_since = self._peers.store_unavailable_agreed_at() if self._watch_cache.is_unavailable else None
-        return _latest(self._watch_cache.current_as_of, agreed_since)
+        agreed_at = self._peers.store_unavailable_agreed_at() if self._watch_cache.is_unavailable else None
+        return _latest(self._watch_cache.current_as_of, agreed_at)
 
     def _lease_proof(self) -> timedelta | None:
         """Return the latest time from which, for `LEASE_TIMEOUT`, no leader can have removed this member from the view.
@@ -109,10 +111,10 @@
         This controller's lease in the key-value store was alive at that time. While no controller reaches the store, it
         is not known whether the lease is alive, only that this controller has not been removed yet.
         """
-        agreed_since = self._peers.store_unavailable_agreed_at()
+        agreed_at = self._peers.store_unavailable_agreed_at()
         current, lease_proof = self._watch_cache.current_as_of, self._membership.lease_confirmed_at
         proof = min(current, lease_proof) if current is not None and lease_proof is not None else None
-        return _latest(proof, agreed_since - LEASE_TIMEOUT if agreed_since is not None else None)
+        return _latest(proof, agreed_at - LEASE_TIMEOUT if agreed_at is not None else None)
 
 
 def _latest(*times: timedelta | None) -> timedelta | None:
--- a/src/ramptide/controller/availability.py
+++ b/src/ramptide/controller/availability.py
@@ -45,7 +45,7 @@
         self._max_silence = heartbeat_interval * MISSED_HEARTBEAT_LIMIT
 
     def fresh_members(self) -> set[str]:
-        """Return the members that were heard recently, this one included.
+        """Return the members that were heard recently, this controller included.
 
         What is known of the remaining members' machines is too old to be used.
         """
@@ -79,7 +79,7 @@
         self._logged_dependencies: list[str] = []
 
     def start(self) -> None:
-        """Start to log changes, until the process ends."""
+        """Start logging changes, which continues until the process ends."""
         self._runtime.after(LOG_INTERVAL, self._log_changes)
 
     def unavailable_dependencies(self) -> list[str]:
--- a/src/ramptide/controller/controller.py
+++ b/src/ramptide/controller/controller.py
@@ -349,7 +349,7 @@
         )
 
     def start(self) -> None:
-        """Start to follow the key-value store, to apply for membership and to run the decision loop."""
+        """Start following the key-value store, applying for membership and running the decision loop."""
         log.info("starting: member=%s incarnation=%s", self.state.member, self.membership.incarnation)
         self.watch_cache.start()
         self.membership.start()
--- a/src/ramptide/controller/decision_loop.py
+++ b/src/ramptide/controller/decision_loop.py
@@ -29,7 +29,7 @@
 ROUND_INTERVAL = timedelta(milliseconds=50)
 #: The pause between two rounds while there are none.
 IDLE_ROUND_INTERVAL = timedelta(milliseconds=100)
-#: How often a round also processes what changes only with time, such as leases that run out.
+#: How often a round also processes what changes only with time, such as the expiry of leases.
 SLOW_ROUND_INTERVAL = timedelta(milliseconds=300)
 
 
@@ -48,7 +48,7 @@
 
 
 class DecisionLoop:
-    """Runs one round after another; without a place in the view, it only shows others that it is alive."""
+    """Runs one round after another; without a place in the view, it only shows peers that the process is alive."""
 
     def __init__(
         self,
--- a/src/ramptide/controller/fencing.py
+++ b/src/ramptide/controller/fencing.py
@@ -32,23 +32,23 @@
 
 
 class Fencing:
-    """Tracks when each other member has certainly stopped to act in an earlier view."""
+    """Tracks when each other member has certainly stopped acting in an earlier view."""
 
     def __init__(self, runtime: Runtime, state: FencingState, peers: Peers, max_renewal_proof_age: timedelta) -> None:
         self._runtime = runtime
         self._state = state
         self._peers = peers
-        # How long a member that was left out of the view may still renew leases, counted from when it was left out. Its
-        # lease had run out by then, so it was last found alive `LEASE_TIMEOUT` before.
+        # How long a member that was left out of the view may still renew leases, counted from when it was left out. The
+        # member's own lease had expired by then, so that lease was last found alive at least `LEASE_TIMEOUT` before.
         self._max_remaining_authority = max_renewal_proof_age - LEASE_TIMEOUT / MAX_CLOCK_DRIFT_RATIO
         self._first_message_at: dict[str, timedelta] = {}
         self._unfenced_since: dict[tuple[str, str], timedelta] = {}
 
     def on_new_view(self, view: View, is_direct_successor: bool) -> None:
-        """Start to track the members of a new view.
+        """Start tracking the members of a new view.
 
-        `is_direct_successor`: whether it directly follows the view known before, so that what is known of that still
-        holds.
+        `is_direct_successor`: whether `view` directly follows the last known view, so that what is known of the
+        unfenced members of that view still holds.
         """
         known = self._unfenced_since if is_direct_successor else {}
         now = self._runtime.now
@@ -96,7 +96,7 @@
         self._machine_index = machine_index
         self._timings = timings
         self._started_at = runtime.now
-        #: Incarnations by member; None before the first view.
+        #: The incarnations of the processes that are left, by member; None before the first view.
         self._survivors: dict[str, str] | None = None
 
     def on_new_view(self, view: View) -> None:
--- a/src/ramptide/controller/reconciliation.py
+++ b/src/ramptide/controller/reconciliation.py
@@ -89,7 +89,7 @@
         )
 
     def may_start_job(self, job_state: JobState) -> bool:
-        """Return whether the job's tasks may be started: none can be on a machine unknown to this controller."""
+        """Return whether the job's tasks may be started: none can run without this controller's knowledge."""
         view = self._state.require_view()
         record = job_state.job.record
         is_new = record.created_in_view == view.number
--- a/src/ramptide/controller/replication.py
+++ b/src/ramptide/controller/replication.py
@@ -33,7 +33,8 @@
 
 #: How soon a message is sent to a peer that waits for its contents.
 AT_ONCE = timedelta(0)
-#: How soon changed statuses are sent to the leader, which decides by them; before the view is reconciled, to all peers.
+#: How soon changed statuses are sent to the leader, which bases its decisions on them; before the view is reconciled,
+#: to all peers.
 MAX_STATUS_DELAY = timedelta(milliseconds=150)
 #: The interval of messages to peers that wait for nothing from this controller: they only need to know that it is
 #: alive, and roughly what room its machines have.
@@ -102,7 +103,8 @@
         self._quota = quota
         self._status_changes: ChangeLog[str] = ChangeLog()
         self._desired_changes: dict[str, ChangeLog[str]] = {}
-        #: The sequence number from which on the change logs are pruned next. A round may use several sequence numbers.
+        #: The change logs are pruned next at or after this sequence number; a round may use several sequence numbers,
+        #: and so pass over this one.
         self._prune_at_number = PRUNE_INTERVAL_SEQUENCE_NUMBERS
 
     def on_new_view(self, _view: View | None) -> None:
@@ -120,8 +122,8 @@
         shard.desired_states.apply(
             self._state.member, scheduler.sequence_number, own_desired, self._gate.may_start_tasks
         )
-        # The next message acknowledges this controller's own desired states, so it has to show their effects on its
-        # machines: a controller that takes over one of its jobs relies on that.
+        # The next message acknowledges this controller's own desired states, so that message has to show their effects
+        # on the owned machines: a controller that takes over one of this controller's jobs relies on that.
         for count, host in enumerate([*own_desired, *changed], 1):
             self._status_changes.record_change(host, scheduler.sequence_number)
             if count % MACHINES_PER_SEQUENCE_NUMBER == 0:
@@ -194,7 +196,7 @@
             self._peers.send(peer, message, IDLE_SEND_INTERVAL if is_idle else SEND_INTERVAL)
 
     def send_without_place(self) -> None:
-        """Send messages without a place in a view, which only show the others that this process is alive."""
+        """Send messages without a place in a view, which only show the other controllers that this process is alive."""
         for peer in self._peers.due_peers():
             message = PeerMessage(
                 member=self._state.member,
@@ -208,7 +210,7 @@
             self._peers.send(peer, message)
 
     def _prune(self, scheduler: JobScheduler, shard: Shard, view: View) -> None:
-        """At intervals, forget the removed entries of the change logs whose removal the receivers have acknowledged."""
+        """At intervals, delete the change log entries of removed keys whose removal the receivers have acknowledged."""
         if scheduler.sequence_number < self._prune_at_number:
             return
         self._prune_at_number = scheduler.sequence_number + PRUNE_INTERVAL_SEQUENCE_NUMBERS
@@ -258,7 +260,7 @@
     ) -> "_Changes":
         """Return what has changed for a controller since its acknowledgement, up to the number `split` if there is one.
 
-        Controllers outside the view get messages too, so that they stop to act in an older one, but no machines'
+        Controllers outside the view get messages too, so that they stop acting in an older view, but no machines'
         statuses.
         """
         base = peer.acknowledged
--- a/src/ramptide/controller/state.py
+++ b/src/ramptide/controller/state.py
@@ -34,7 +34,7 @@
 
 
 def _prompt_classes(objectives: Iterable[Objective]) -> frozenset[str]:
-    """Return the job classes that the platform's settings set start objectives for: people wait for their starts."""
+    """Return the job classes with a start objective in the platform's settings: users wait for these jobs to start."""
     return frozenset(
         objective.job_class
         for objective in objectives
@@ -49,7 +49,7 @@
     Attributes
     ----------
     teams, limits, guarantees
-        The teams whose jobs are accepted, and the quotas of those that have one. Changed in place.
+        The teams whose jobs are accepted, and the limits and guarantees of those that have some. Changed in place.
     tuning
         The operators' settings.
     jobs, machines, rentals, machine_types
@@ -157,18 +157,18 @@
     def scheduler_of(self, job: Job) -> str | None:
         """Return the member that schedules a job; None without a view.
 
-        It is the recorded one, or the leader when that is no member of the view.
+        The scheduler is the recorded one, or the leader when the recorded one is not a member of the view.
         """
         if self.view is None:
             return None
         return job.record.scheduler if job.record.scheduler in self.view.members else self.view.leader
 
     def find_spec(self, job_id: str) -> JobSpec | None:
-        """Return the specification of a job that is not over; None for any other."""
+        """Return the spec of an unfinished job; None for any other job."""
         job = self.jobs.get(job_id)
         return job.spec if job is not None else None
 
     def is_quarantined(self, host: str) -> bool:
-        """Return whether a machine drains because jobs fail there that run elsewhere."""
+        """Return whether a machine is being drained because jobs fail there that run elsewhere."""
         record = self.machines.get(host)
         return record is not None and record.drain_reason == QUARANTINED
--- a/src/ramptide/controller/timings.py
+++ b/src/ramptide/controller/timings.py
@@ -10,8 +10,8 @@
 
 #: The part of the cancellation timeout that is left for the replies that are in flight when renewals end.
 RENEWAL_MARGIN = timedelta(seconds=2)
-#: Long enough to span the restart of a controller that has to agree that the key-value store is unavailable; short, as
-#: a new view waits until it has passed.
+#: The upper bound of `max_renewal_proof_age`: long enough to span the restart of a controller that has to agree that
+#: the key-value store is unavailable, and short because a new view waits until this time has passed.
 MAX_RENEWAL_PROOF_AGE = timedelta(seconds=6)
 #: The part of the cancellation timeout after which a machine that cannot be proven free of a cancelled task is
 #: returned. The rest has to suffice when a new leader takes over just before: for its election, three missed
@@ -28,7 +28,7 @@
     heartbeat_interval, lease_duration
         How often agents send heartbeats, and how long an agent runs its tasks on after its last answered heartbeat.
     cancel_timeout
-        The longest time that a task of a cancelled job may run after the confirmation.
+        The longest time that a task of a cancelled job may run after the cancellation was confirmed.
     confirm_timeout
         How long a cancelled task may possibly be on a silent machine before the machine is returned.
     max_renewal_proof_age
@@ -46,7 +46,7 @@
         """Derive the durations from the settings."""
         lease_duration = timedelta(seconds=agents.lease_s)
         cancel_timeout = timedelta(seconds=agents.cancel_timeout_s)
-        # A member without proof of membership may renew leases only while they still run out in time for any
+        # A member without proof of membership may renew leases only while they still expire in time for any
         # cancellation that other controllers may have confirmed since, and only briefly, as other controllers wait for
         # the renewals to end.
         max_age_before_cancellation = cancel_timeout - lease_duration * MAX_CLOCK_DRIFT_RATIO - RENEWAL_MARGIN
--- a/src/ramptide/controller/view_change.py
+++ b/src/ramptide/controller/view_change.py
@@ -151,8 +151,8 @@
     def _announce_token(self, shard: Shard, silent_before: set[str]) -> None:
         """Announce the view's fencing token to the agents of the owned machines whose addresses are known.
 
-        Machines that were silent before come last: each may take the whole time limit of a call, so with hundreds of
-        them the others would wait for as many seconds.
+        Machines that were silent before come last: each may take the whole time limit of a call, so that hundreds of
+        them would delay the remaining machines by as many seconds.
         """
         unreconciled = [host for host, machine in shard.machines.items() if not machine.is_reconciled]
         unreconciled.sort(key=lambda host: host in silent_before)
