--- a/src/ramptide/team_limits/share_allocator.py
+++ b/src/ramptide/team_limits/share_allocator.py
@@ -71,12 +71,12 @@
             if self._inputs_without_change.get(team) == inputs:
                 continue
             new_shares = self._divide_team(team, limit, used, policy, remainder_member, offsets_by_member)
-            unchanged = True
+            is_unchanged = True
             for member, share in new_shares.items():
                 sent_share = _share_to_send(limit, share, team_offsets[member])
-                unchanged = unchanged and shares[member].get(team) == sent_share
+                is_unchanged = is_unchanged and shares[member].get(team) == sent_share
                 shares[member][team] = sent_share
-            if unchanged:
+            if is_unchanged:
                 self._inputs_without_change[team] = inputs
         for member, member_shares in shares.items():
             if member_shares != self.last_sent(member):
--- a/src/ramptide/team_limits/split_policy.py
+++ b/src/ramptide/team_limits/split_policy.py
@@ -18,13 +18,13 @@
         """
 
     def basis(self, team: str) -> Hashable:
-        """Return all other inputs that the targets of a team depend on, besides its limit and usage."""
+        """Return all inputs that the targets of a team depend on besides its limit and usage."""
 
 
 class ProportionalSplit:
-    """Gives each member what it uses, and divides the rest in proportion to what waits at each member.
+    """Gives each member what it uses, and divides the rest in proportion to the members' waiting demand.
 
-    No member gets more of the rest than what waits there.
+    No member gets more of the rest than its waiting demand.
     """
 
     def __init__(self, waiting: Mapping[str, TeamAmounts]) -> None:
--- a/src/ramptide/team_limits/usage.py
+++ b/src/ramptide/team_limits/usage.py
@@ -33,7 +33,7 @@
     share: float | None
     #: What this controller counts against its share.
     share_used: float
-    #: The demand of this controller's waiting tasks of jobs of which the share lets no task run.
+    #: The demand of this controller's waiting tasks whose job cannot start even one more task within the share.
     waiting_for_limit: float
 
 
@@ -110,7 +110,7 @@
         return TeamUsage(cpus=resource_usage(0), gpus=resource_usage(1))
 
     def waiting_for_limits(self, scheduler: JobScheduler) -> TeamAmounts:
-        """Return, by team, the demand of the waiting tasks of jobs of which the team's share lets no task run."""
+        """Return, by team, the demand of waiting tasks whose job cannot start one more task within the team's share."""
         now, share_used = self._runtime.now, scheduler.usage_with_transfers()
         waiting: TeamAmounts = {}
         for job_state in scheduler.jobs_with_pending_tasks.values():
