--- a/src/ramptide/config/features.py
+++ b/src/ramptide/config/features.py
@@ -8,7 +8,7 @@
 
 
 class QuotaFeature(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The quota feature: transfers of shares of team limits between controllers (`ramptide.quota`)."""
+    """The quota feature (`ramptide.quota`): transfers of team limit shares, and limits that operators change."""
 
     enabled: bool
 
