--- a/src/ramptide/state/amounts.py
+++ b/src/ramptide/state/amounts.py
@@ -31,13 +31,13 @@
 
 #: Units in one CPU or GPU. Decimal numbers from the interfaces are converted to units where they are received.
 UNITS_PER_WHOLE = 1_000_000
-#: A decimal number counts as a whole number of units if it differs from it by no more than this, as by the rounding
-#: error of its binary form.
+#: A decimal number counts as a whole number of units if the two differ by no more than this, as by the rounding error
+#: of the binary form of the decimal number.
 ROUNDING_TOLERANCE_UNITS = 1e-3
 #: Represents the absence of a limit, in units; larger than any sum of amounts.
 NO_LIMIT = 2**62
-#: What remains of an absent limit after any sum of amounts is subtracted from it is not below this.
-ABSENT_LIMIT_THRESHOLD = NO_LIMIT // 2
+#: An absent limit stays at or above this number of units after any sum of amounts is subtracted from `NO_LIMIT`.
+ABSENT_LIMIT_THRESHOLD_UNITS = NO_LIMIT // 2
 
 
 class Amounts(NamedTuple):
@@ -105,7 +105,7 @@
 def tasks_within(remaining: Amounts, task: Amounts) -> int | None:
     """Return how many tasks of the given size fit into the remainder of a limit; None when no limit applies."""
     pairs = ((remaining.cpus, task.cpus), (remaining.gpus, task.gpus))
-    counts = [left // needed for left, needed in pairs if needed > 0 and left < ABSENT_LIMIT_THRESHOLD]
+    counts = [left // needed for left, needed in pairs if needed > 0 and left < ABSENT_LIMIT_THRESHOLD_UNITS]
     return max(0, min(counts)) if counts else None
 
 
--- a/src/ramptide/state/commit_batcher.py
+++ b/src/ramptide/state/commit_batcher.py
@@ -160,7 +160,7 @@
         self._store.commit(batch.transaction, on_result, self._priority)
 
     def _dispatch_result(self, batch: _Batch, result: TransactionResult) -> None:
-        """Report the result to the changes that it concerns, and put the others back at the head of the queue."""
+        """Report the result to the changes that it concerns, and put the rest back at the head of the queue."""
         conflicting_keys = set(result.conflicting_keys)
         changes_to_retry = []
         now = self._store.runtime.now
--- a/src/ramptide/state/delete_log.py
+++ b/src/ramptide/state/delete_log.py
@@ -1,6 +1,6 @@
 """A log of the latest deletions of keys.
 
-Controllers that do not get an answer from the key-value store learn from it which keys were deleted meanwhile.
+Controllers that get no answer from the key-value store learn from this log which keys were deleted meanwhile.
 """
 
 __all__ = ["DeleteLog"]
--- a/src/ramptide/state/records.py
+++ b/src/ramptide/state/records.py
@@ -253,7 +253,7 @@
     requested_timestamp
         When it was requested, in seconds since the Unix epoch.
     created_in_view
-        The number of the view that recorded the machines; 0 before.
+        The number of the view that recorded the machines; 0 before they are recorded.
     machines
         The rented machines by host; None before the cloud has answered.
     """
