--- a/src/ramptide/scheduling/attempts.py
+++ b/src/ramptide/scheduling/attempts.py
@@ -38,7 +38,7 @@
 class AttemptIndex:
     """Attempts by machine and by job, those that the machines' owners do not report, and what the teams use.
 
-    The indexes change only in `add` and `remove`, and `usage` changes only in `update_usage`.
+    `by_host` and `by_job` change only in `add` and `remove`, and `usage` changes only in `update_usage`.
     """
 
     def __init__(self) -> None:
@@ -72,7 +72,7 @@
         self.update_usage(attempt, is_gone=True)
 
     def update_usage(self, attempt: Attempt, is_gone: bool = False) -> None:
-        """Count an attempt against its team while it may be on a machine, and no longer."""
+        """Count an attempt in its team's usage exactly while it may be on a machine."""
         should_count = not is_gone and attempt.phase not in FINISHED_PHASES
         if should_count is not attempt.is_counted:
             attempt.is_counted = should_count
--- a/src/ramptide/scheduling/draining.py
+++ b/src/ramptide/scheduling/draining.py
@@ -11,7 +11,8 @@
 __all__ = ["stop_on_draining_machines"]
 
 NO_TIME = timedelta(0)
-#: The drain reason of a machine that is to be returned because it is idle; a task started there meanwhile may stay.
+#: The drain reason of a machine that is to be returned because it is idle; a task started there meanwhile is not
+#: stopped.
 IDLE_DRAIN_REASON = "idle"
 
 
@@ -27,7 +28,7 @@
             continue
         for attempt in list(scheduler.attempts_by_host[host].values()):
             has_checkpoints = attempt.spec.checkpoint_interval_s > 0
-            # After a preemption notice, a batch task without checkpoints is not stopped, as it may finish in time.
+            # After a preemption notice, a batch task without checkpoints may still finish before the machine is gone.
             if is_draining or has_checkpoints or attempt.spec.kind == SERVICE:
                 scheduler.stop(
                     attempt, timedelta(seconds=attempt.spec.checkpoint_cost_s) if has_checkpoints else NO_TIME
--- a/src/ramptide/scheduling/failing_jobs.py
+++ b/src/ramptide/scheduling/failing_jobs.py
@@ -16,7 +16,7 @@
 
 
 class FailingJobs:
-    """Records failures of tasks, tells those of jobs from those of machines, and backs off the starts of failing jobs.
+    """Attributes failures of tasks to jobs or to faulty machines, and backs off the starts of failing jobs.
 
     Parameters
     ----------
@@ -55,7 +55,7 @@
         return self.by_id.pop(job_state.job.job_id, None) is not None
 
     def clear_recovered(self, now: timedelta) -> bool:
-        """Clear the failures of jobs of which a task has run for well over the time that others took to fail.
+        """Clear the failures of jobs of which a task has run for well over the time that other tasks took to fail.
 
         Returns whether there were such jobs.
         """
--- a/src/ramptide/scheduling/handover.py
+++ b/src/ramptide/scheduling/handover.py
@@ -91,7 +91,7 @@
         self._in_flight = 0
 
     def on_new_view(self) -> None:
-        """Reset the count of the handovers in flight, as those of the previous view no longer count."""
+        """Reset the count of handovers in flight, as the results of those of the previous view do not change it."""
         self._in_flight = 0
 
     def run(self, scheduler: JobScheduler, now: timedelta) -> None:
@@ -127,7 +127,8 @@
         """Write the handover of a job, and repeat the write until its result is known.
 
         The new scheduler relies on no task of the job being started here after the handover. `may_be_applied`: an
-        earlier write of this transaction had no answer, and may have been applied or may still be.
+        earlier write of this transaction had no answer, and may have been applied already, or may
+        still be applied.
         """
 
         def on_result(result: TransactionResult) -> None:
--- a/src/ramptide/scheduling/job_scheduler.py
+++ b/src/ramptide/scheduling/job_scheduler.py
@@ -1,4 +1,4 @@
-"""The jobs for which this controller alone decides about starts, and the attempts of their tasks."""
+"""The jobs whose tasks only this controller may start, and the attempts of these tasks."""
 
 import heapq
 from collections.abc import Callable, Collection
@@ -25,12 +25,12 @@
 
 __all__ = ["JobScheduler"]
 
-#: How long a job is not started on a machine that refused a task of it; the reason of a refusal may be gone soon.
+#: How long a job is not started on a machine that refused a task of it; the reason for a refusal may pass at once.
 EXCLUDED_AFTER_REFUSAL = timedelta(milliseconds=300)
 
 
 class JobScheduler:
-    """The jobs that this controller schedules in one view, and every attempt of theirs that may be on a machine.
+    """The jobs that this controller schedules in one view, and every attempt of their tasks that may be on a machine.
 
     Parameters
     ----------
@@ -85,7 +85,7 @@
     def adopt_job(self, job: Job, now: timedelta, failed_on: Collection[str] = ()) -> JobState:
         """Add a job to those that this controller schedules, or apply the changed record of one of them.
 
-        `failed_on`: the machines on which it failed under its previous scheduler, if it had one.
+        `failed_on`: the machines on which the job failed under its previous scheduler, if there was one.
         """
         job_state = self.jobs.get(job.job_id)
         if job_state is None:
@@ -117,7 +117,7 @@
         self._in_transfer.remove_job(job_id)
 
     def finish_job(self, job_id: str) -> None:
-        """Remove a job that is over, and stop its attempts, which count until they are gone from their machines."""
+        """Remove a finished job, and stop its attempts, which count until they are gone from their machines."""
         job_state = self.jobs.pop(job_id, None)
         if job_state is None:
             return
@@ -137,15 +137,15 @@
 
     # Starting and stopping of tasks.
 
-    def start(self, job_state: JobState, task: int, host: str, zone: str, now: timedelta) -> Attempt:
+    def start(self, job_state: JobState, task_index: int, host: str, zone: str, now: timedelta) -> Attempt:
         """Start a task on a machine."""
         self._last_attempt_number += 1
         job_state.last_started_at = now
         if job_state.is_failing:
-            job_state.probe = task
+            job_state.probe = task_index
         spec = job_state.job.spec
         attempt = Attempt(
-            spec, task, self._last_attempt_number, host, zone, DesiredState.RUN, self.sequence_number + 1, now
+            spec, task_index, self._last_attempt_number, host, zone, DesiredState.RUN, self.sequence_number + 1, now
         )
         self._place_attempt(job_state, attempt)
         return attempt
@@ -196,13 +196,13 @@
         """Apply the owner's list of the tasks on a machine."""
         reported: set[TaskKey] = set()
         entries = self.attempts_by_host.get(host, {})
-        for job_id, task, number, name, cause in tasks:
-            key = (job_id, task, number)
+        for job_id, task_index, number, phase_name, cause in tasks:
+            key = (job_id, task_index, number)
             attempt = entries.get(key)
-            if attempt is None and (job_id not in self.jobs or task >= self.jobs[job_id].job.spec.task_count):
+            if attempt is None and (job_id not in self.jobs or task_index >= self.jobs[job_id].job.spec.task_count):
                 continue
             reported.add(key)
-            phase = PHASE_BY_NAME[name]
+            phase = PHASE_BY_NAME[phase_name]
             if attempt is None:
                 attempt = self._adopt_attempt(host, zone, key, phase, now)
             self.attempt_index.unreported.pop(key, None)
@@ -233,14 +233,14 @@
         self._in_transfer.prune(acknowledged_number, confirmed_tasks)
 
     def _adopt_attempt(self, host: str, zone: str, key: TaskKey, phase: Phase, now: timedelta) -> Attempt:
-        """Add an attempt that an earlier scheduler started of a job that this controller schedules now."""
-        job_id, task, number = key
+        """Add an attempt that the previous scheduler of one of this controller's jobs started."""
+        job_id, task_index, number = key
         job_state = self.jobs[job_id]
         attempt = Attempt(
-            job_state.job.spec, task, number, host, zone, DesiredState.RUN, self.sequence_number + 1, now, phase
+            job_state.job.spec, task_index, number, host, zone, DesiredState.RUN, self.sequence_number + 1, now, phase
         )
         attempt.running_since = now if phase is Phase.RUNNING else None
-        if phase not in FINISHED_PHASES and (task in job_state.done or task in job_state.placed):
+        if phase not in FINISHED_PHASES and (task_index in job_state.done or task_index in job_state.placed):
             self._add_attempt(attempt)
             self._set_desired(attempt, DesiredState.STOP)
         elif phase not in FINISHED_PHASES:
@@ -251,14 +251,14 @@
         return attempt
 
     def _change_phase(self, attempt: Attempt, phase: Phase, cause: str | None, now: timedelta) -> None:
-        before, attempt.phase = attempt.phase, phase
+        previous_phase, attempt.phase = attempt.phase, phase
         self.attempt_index.update_usage(attempt)
         if phase is Phase.RUNNING:
             attempt.running_since = now
         if phase not in FINISHED_PHASES:
             return
         job_state = self.jobs.get(attempt.spec.job_id)
-        if before not in FINISHED_PHASES and job_state is not None:
+        if previous_phase not in FINISHED_PHASES and job_state is not None:
             self._apply_outcome(job_state, attempt, cause, now)
         # A successful attempt is reaped only once its result is in the key-value store. Until then the agent keeps the
         # result.
@@ -294,7 +294,7 @@
             self.needs_round = True
 
     def clear_recovered(self, now: timedelta) -> None:
-        """Clear the failures of jobs of which a task has run for well over the time that others took to fail."""
+        """Clear the failures of jobs of which a task has run for well over the time that other tasks took to fail."""
         if self.failing_jobs.clear_recovered(now):
             self.needs_round = True
 
@@ -322,7 +322,7 @@
         ]
 
     def usage(self) -> dict[str, Amounts]:
-        """Return the amounts that each team's attempts hold; every attempt that may be on a machine counts."""
+        """Return the CPUs and GPUs that each team's attempts hold; every attempt that may be on a machine counts."""
         return dict(self.attempt_index.usage)
 
     def amounts_in_transfer(self) -> dict[str, dict[str, Amounts]]:
@@ -332,7 +332,7 @@
     def usage_with_transfers(self) -> dict[str, Amounts]:
         """Return the usage together with the amounts in transfer, which this controller's quota share has to cover."""
         total = self.usage()
-        for held in self.amounts_in_transfer().values():
-            for team, amounts in held.items():
+        for amounts_by_team in self.amounts_in_transfer().values():
+            for team, amounts in amounts_by_team.items():
                 add_amounts(total, team, amounts)
         return total
--- a/src/ramptide/scheduling/job_state.py
+++ b/src/ramptide/scheduling/job_state.py
@@ -14,9 +14,9 @@
 
 BACKOFF_FIRST = timedelta(seconds=2)
 BACKOFF_MAX = timedelta(seconds=60)
-#: A job has recovered when a task has run for longer than this, and for more than twice as long as others took to fail.
+#: A job has recovered when a task has run for longer than this, and for more than twice the longest failed run.
 RECOVERED_AFTER = timedelta(seconds=5)
-#: A service has recovered when a replica has run for longer than this, as no replica ever ends in success.
+#: A service has recovered at the latest when a replica has run for longer than this, as no replica ends in success.
 SERVICE_RECOVERED_AFTER = timedelta(seconds=60)
 
 
@@ -73,7 +73,7 @@
 
     @property
     def avoided_hosts(self) -> set[str]:
-        """The machines whose room does not count for the job, so that another machine is rented.
+        """The machines whose room does not count for the job, so that another machine is rented for it.
 
         These are the machines on which it failed, while they are so few that they may all be faulty.
         """
@@ -114,7 +114,10 @@
         self.without_room_since = (self.without_room_since or now) if is_without_room else None
 
     def next_task(self) -> int | None:
-        """Return the next waiting task, or None when no task may be started; the same one until it is placed."""
+        """Return the next waiting task, or None when no task may be started.
+
+        The result stays the same until that task is placed or done.
+        """
         while self.retry_tasks:
             if self._is_done_or_placed(self.retry_tasks[0]):
                 heapq.heappop(self.retry_tasks)
@@ -138,12 +141,12 @@
             self.retry_at = now + self.backoff
 
     def clear_failures(self) -> None:
-        """Clear the machines on which the job failed, and start its tasks without delay again."""
+        """Clear the machines on which the job failed, and let its tasks start without delay again."""
         self.failed_on.clear()
         self.backoff = self.retry_at = NO_TIME
 
     def has_recovered(self, now: timedelta) -> bool:
-        """Return whether a task has run for well over the time that others took to fail."""
+        """Return whether a task has run for well over the time that other tasks took to fail."""
         min_run_time = max(self.longest_failed_run * 2, RECOVERED_AFTER)
         if self.job.spec.kind == SERVICE:
             min_run_time = min(min_run_time, SERVICE_RECOVERED_AFTER)
--- a/src/ramptide/scheduling/placement_round.py
+++ b/src/ramptide/scheduling/placement_round.py
@@ -52,7 +52,7 @@
 
     @property
     def counters(self) -> Counter[str]:
-        """Counts for the metrics."""
+        """The counters of the metrics, by name."""
 
 
 class LeadershipInfo(Protocol):
@@ -88,7 +88,8 @@
     Parameters
     ----------
     may_start_job
-        Returns whether a job's tasks may be started, as none can be on a machine without this controller's knowledge.
+        Returns whether a job's tasks may be started, which is so when none can be on a machine without this
+        controller's knowledge.
     quota
         The quota feature, or None where it is off.
     """
@@ -151,9 +152,10 @@
         ]
 
     def _filter_by_size(self, job_states: list[JobState], placement: _Round) -> list[JobState]:
-        """Return the jobs of which a task may fit into the largest room, and record that the others wait.
+        """Return the jobs whose tasks need no more CPUs and memory than the largest rooms have.
 
-        On a full fleet this saves the sorting, and the search through the rooms, for all but a few jobs.
+        The other jobs are recorded as waiting. On a full fleet this saves the sorting, and the search through the
+        rooms, for all but a few jobs.
         """
         rooms = placement.rooms
         max_cpus = max((room.cpus for room in rooms), default=0.0) + ROUNDING_TOLERANCE
@@ -179,9 +181,9 @@
     def _reserve_access(self, job_state: JobState, now: timedelta, wall: datetime) -> ReserveAccess:
         """Return how much of the room that is reserved for services the job may use.
 
-        After a long wait the job may use the idle machines of the pool: with no capacity to be rented, an idle pool
-        helps nobody. The reserve on machines that run services is used last, but no job waits for long beside room that
-        nobody uses.
+        After a long wait the job may use the idle machines of the pool: when the cloud has no capacity to rent, a pool
+        that stays idle has no benefit. The reserve on machines that run services is used last, but a job does not wait
+        for long while room is unused.
         """
         tuning = self._state.tuning
         idle = job_state.idle_for(now, wall)
@@ -195,7 +197,10 @@
         return ReserveAccess.NONE
 
     def _may_claim(self, job_state: JobState, waited: timedelta) -> bool:
-        """Return whether tasks are about to be preempted for the job, as an idle machine of the pool costs less."""
+        """Return whether running tasks may soon be preempted for the job, within its team's guarantee.
+
+        The job may use an idle machine of the pool instead, which costs less than a preemption.
+        """
         if self._quota is None or waited < self._state.tuning.preempt_after:
             return False
         return self._quota.is_within_guarantee(job_state.job.spec)
@@ -290,6 +295,6 @@
 
 
 def _is_representative(job_state: JobState) -> bool:
-    """Return whether every job of the same needs finds room exactly when this one does."""
+    """Return whether every job of equal needs finds room exactly when this job does."""
     spec = job_state.job.spec
     return not job_state.excluded_until and not spec.single_zone and not spec.spread_zones
--- a/src/ramptide/scheduling/preemption.py
+++ b/src/ramptide/scheduling/preemption.py
@@ -33,7 +33,7 @@
 PREEMPTION_INTERVAL = timedelta(milliseconds=500)
 #: How long a preemption counts as pending, and how long the preempted job is not started on that machine again.
 PREEMPTION_TIMEOUT = timedelta(seconds=5)
-#: At most so many preemptions are pending at a time; on a large fleet, one for each so many machines.
+#: The highest number of pending preemptions; a large fleet may have one for this number of machines if that is more.
 MAX_PENDING_PREEMPTIONS, MACHINES_PER_PREEMPTION = 40, 50
 PREEMPTIBLE_STATUSES = (TaskStatus.FETCHING, TaskStatus.RUNNING)
 
@@ -47,11 +47,11 @@
 
     @property
     def jobs(self) -> dict[str, Job]:
-        """The jobs that are not over."""
+        """The jobs that are not finished, by id."""
 
     @property
     def machines(self) -> dict[str, MachineRecord]:
-        """The fleet record."""
+        """The fleet record, by machine."""
 
     @property
     def limits(self) -> TeamAmounts:
@@ -67,19 +67,19 @@
 
     @property
     def reconciled(self) -> bool:
-        """Whether it is known what earlier views left on each machine."""
+        """Whether all machines are reconciled: it is known what earlier views left on them."""
 
     @property
     def counters(self) -> Counter[str]:
-        """Counts for the metrics."""
+        """The counters of the metrics, by name."""
 
     def require_scheduler(self) -> JobScheduler:
-        """Return the scheduler of this controller's jobs; raise an error when it is no member of the view."""
+        """Return the scheduler of this controller's jobs; raise an error when this controller is not in the view."""
 
 
 @dataclass(slots=True)
 class PendingPreemption:
-    """A preempted task: the job that it is stopped for, when that was decided, and its grace period in seconds."""
+    """A preempted task: the job that it is stopped for, when that was decided, and the seconds to save a checkpoint."""
 
     claimant: str
     decided_at: timedelta
@@ -132,10 +132,10 @@
         self.pending.clear()
 
     def run(self, scheduler: JobScheduler, now: timedelta) -> None:
-        """Make room for jobs that may claim it, by priority or within their team's guarantee. Only the leader does so.
+        """Make room for jobs that may claim it, by priority or within their team's guarantee.
 
-        Room is made only for jobs that have waited for `preempt_after`, the most urgent first. The schedulers of the
-        preempted tasks are told to stop them.
+        Only the leader makes room, and only for jobs that have waited for `preempt_after`, the most urgent first. The
+        schedulers of the preempted tasks are told to stop them.
         """
         if self.pending:
             self.pending = {
@@ -262,7 +262,7 @@
         Raises
         ------
         NoPlaceInViewError
-            If this controller is no member of the view, and so schedules no jobs.
+            If this controller is not in the view, and so schedules no jobs.
         """
         scheduler = self._state.require_scheduler()
         job_id, task_index, number = key
--- a/src/ramptide/scheduling/results.py
+++ b/src/ramptide/scheduling/results.py
@@ -53,7 +53,7 @@
         self._in_flight: set[str] = set()
 
     def forget_job(self, job_id: str) -> None:
-        """Discard the state that is kept of a job that is over."""
+        """Discard the state that is kept of a finished job."""
         self._next_write.pop(job_id, None)
 
     def flush(self, scheduler: JobScheduler, now: timedelta) -> None:
--- a/src/ramptide/scheduling/rooms.py
+++ b/src/ramptide/scheduling/rooms.py
@@ -22,7 +22,7 @@
 
     @property
     def shard(self) -> Shard | None:
-        """The machines that this controller owns; None while it is no member of the view."""
+        """The machines that this controller owns; None while this controller is not in the view."""
 
     def require_view(self) -> View:
         """Return the current view; raise an error when there is none."""
@@ -46,7 +46,7 @@
         self._fresh_members = fresh_members
 
     def refresh(self, own_only: bool = False) -> None:
-        """Recompute the room of the changed machines, with `own_only` just of those that this controller owns."""
+        """Recompute the room of the changed machines; with `own_only`, only of those that this controller owns."""
         shard = self._state.shard
         self._machine_index.refresh(shard.machines if own_only and shard is not None else None)
 
--- a/src/ramptide/scheduling/urgency.py
+++ b/src/ramptide/scheduling/urgency.py
@@ -24,7 +24,7 @@
     IN_TIME = 1
     #: The job can end after its deadline by at most half of the time from its submission to the deadline.
     LATE = 2
-    #: The job can only end later than that.
+    #: The job can only end even later after its deadline.
     TOO_LATE = 3
 
 
@@ -65,7 +65,7 @@
     Jobs of which no task was started for `begin_within` come first, whatever their priority, with one task each: a
     steady flow of more urgent work would otherwise keep them waiting for ever. The other criteria follow in this order:
     the priority, whether the team is within its guarantee where that is told, the classes that are to start promptly,
-    services before arrays, the deadline outlook, the deadline, and the time of submission.
+    services before arrays, the deadline outlook, the deadline, the time of submission, and the job id.
     """
     spec = job.spec
     return (
