--- a/src/ramptide/autoscaling/autoscaler.py
+++ b/src/ramptide/autoscaling/autoscaler.py
@@ -45,7 +45,7 @@
 
     @property
     def long_waiting(self) -> int:
-        """The number of those waiting tasks that have waited for longer than `Tuning.long_wait`."""
+        """The number of waiting tasks without room that have waited for longer than `Tuning.long_wait`."""
         return self._signal.long_waiting
 
     @property
@@ -101,7 +101,10 @@
         machines: list[FleetMachine],
         machine_types: Iterable[MachineType],
     ) -> None:
-        """Plan rentals for waiting tasks while the trigger is high; while it is low, one for a too small pool."""
+        """Plan rentals for waiting tasks while the trigger is high.
+
+        While the trigger is low, one rental is planned if the idle pool is too small.
+        """
         if self.trigger is Trigger.HIGH:
             plan.rent = self._choice.choose_cheapest(now, uncovered, machine_types, self.tuning)
             plan.count = self._choice.rental_count(plan.rent, uncovered, machine_types, self.tuning.step_most)
@@ -111,7 +114,7 @@
     def _scale_in(
         self, plan: ScalingPlan, now: timedelta, uncovered: list[Demand], machines: list[FleetMachine]
     ) -> None:
-        """Plan to drain machines that were idle for the cooldown, once the trigger has been low for as long.
+        """Plan to drain machines that were idle for the cooldown, once the trigger has been low for the cooldown too.
 
         While the trigger is not low, only idle machines that no waiting task can use are drained: a job that cannot be
         placed must not keep all idle machines rented.
--- a/src/ramptide/autoscaling/cloud_list.py
+++ b/src/ramptide/autoscaling/cloud_list.py
@@ -64,7 +64,7 @@
         return self._read_at is not None
 
     def track_machine(self, host: str) -> None:
-        """Record since when a machine is in the fleet record, which every controller follows."""
+        """Record since when a machine has been in the fleet record, which every controller follows."""
         self._recorded_since.setdefault(host, self._runtime.now)
 
     def forget(self, host: str) -> None:
--- a/src/ramptide/autoscaling/consolidation.py
+++ b/src/ramptide/autoscaling/consolidation.py
@@ -1,4 +1,4 @@
-"""The choice of machines with few services to empty, one by one, when others have room for the services. No I/O."""
+"""The choice of machines with few services to empty, one by one, when other machines have room. No I/O."""
 
 from collections import Counter
 from datetime import timedelta
@@ -16,18 +16,19 @@
     """Chooses one machine at a time to empty.
 
     Services end one by one and leave machines that run a few each and never become idle. A machine is emptied if its
-    services fit on machines of the same owner whose services hold as many CPUs or more. A replica is down while it
-    moves, so a machine is not emptied if its services use more than `Tuning.thin_share` of its CPUs, or if a service
-    was started there less than `Tuning.started` ago.
+    services fit on machines of the same owner whose services hold as many CPUs or more. Machines with a high price for
+    the CPUs that their services hold are emptied first. A replica is down while it moves, so a machine is not emptied
+    if its services use more than `Tuning.thin_share` of its CPUs, or if a service was started there less than
+    `Tuning.started` ago.
     """
 
     def __init__(self) -> None:
-        #: By host, the ids of the jobs of its services, and since when none was added.
+        #: The ids of the jobs whose services run on each machine, and since when no id was added.
         self._unchanged_since: dict[str, tuple[set[str], timedelta]] = {}
         self._last_chosen_at = NO_TIME
 
     def track_services(self, now: timedelta, machines: list[FleetMachine]) -> None:
-        """Record since when no job was added on each machine that runs services only."""
+        """Record, for each machine that runs only services, since when no job was added there."""
         previous, self._unchanged_since = self._unchanged_since, {}
         for machine in machines:
             if machine.services:
--- a/src/ramptide/autoscaling/demand.py
+++ b/src/ramptide/autoscaling/demand.py
@@ -33,7 +33,7 @@
         """The limits of the teams that have one."""
 
     def require_scheduler(self) -> JobScheduler:
-        """Return the scheduler of this controller's jobs; raises if this controller is not in the view."""
+        """Return the scheduler of this controller's jobs; raise an error when this controller is not in the view."""
 
 
 class ClusterDemand:
--- a/src/ramptide/autoscaling/demand_signal.py
+++ b/src/ramptide/autoscaling/demand_signal.py
@@ -41,7 +41,7 @@
         self.waiting = 0
         self.long_waiting = 0
         self.trigger = Trigger.LOW
-        self._since = NO_TIME
+        self._trigger_since = NO_TIME
         self._low_since = NO_TIME
 
     def has_been_low_for(self, span: timedelta, now: timedelta) -> bool:
@@ -49,7 +49,7 @@
         return self.trigger is Trigger.LOW and now - self._low_since >= span
 
     def update_counts(self, demands: list[Demand], machines: list[FleetMachine], tuning: Tuning) -> list[Demand]:
-        """Count the waiting tasks that fit neither free room nor booting machines, and the long-waiting ones of them.
+        """Count the waiting tasks that fit neither free room nor booting machines, and how many of them wait long.
 
         Returns the demands, reduced to the tasks that are not covered.
         """
@@ -58,10 +58,10 @@
         uncovered = []
         for group in _group_alike(demands):
             spec, avoided = group[0].spec, group[0].avoided_hosts
-            open_rooms = [room for room in rooms if room.host not in avoided] if avoided else rooms
+            allowed_rooms = [room for room in rooms if room.host not in avoided] if avoided else rooms
             # Tasks assigned to booting machines count for the zone rules, or all machines would be rented in one zone.
             placed = Counter(group[0].placed)
-            covered = fill_rooms(spec, sum(demand.task_count for demand in group), open_rooms, placed)
+            covered = fill_rooms(spec, sum(demand.task_count for demand in group), allowed_rooms, placed)
             uncovered_count = self._count_group(group, covered, tuning.long_wait)
             if uncovered_count:
                 self.waiting += uncovered_count
@@ -88,14 +88,14 @@
                 self._low_since = now
         elif self.trigger is Trigger.LOW:
             self._set_trigger(Trigger.RISING, now)
-        if self.trigger is Trigger.RISING and now - self._since >= tuning.window:
+        if self.trigger is Trigger.RISING and now - self._trigger_since >= tuning.window:
             self._set_trigger(Trigger.HIGH, now)
 
     def _set_trigger(self, trigger: Trigger, now: timedelta) -> None:
         counts = (self.waiting, self.long_waiting)
         log.debug("trigger changed: trigger=%s waiting=%d long_waiting=%d", trigger.value, *counts)
         self.trigger = trigger
-        self._since = now
+        self._trigger_since = now
 
 
 def _free_and_booting(machines: list[FleetMachine]) -> list[Room]:
--- a/src/ramptide/autoscaling/faulty_machines.py
+++ b/src/ramptide/autoscaling/faulty_machines.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentDurations:
-    """The durations configured for a cluster that decide when a machine counts as faulty.
+    """The configured durations of a cluster that decide when a machine counts as faulty.
 
     Attributes
     ----------
@@ -89,7 +89,7 @@
         return UNREACHABLE if machine.unreachable_for > max_silence else None
 
     def _review_draining(self, machine: FleetMachine, reason: str, plan: ScalingPlan, tuning: Tuning) -> None:
-        """Return a draining machine once nothing on it is waited for; keep an idle one that is used again."""
+        """Plan to return a draining machine that need not be waited for, or to keep an idle one that is used again."""
         durations = self._durations
         is_overdue = (
             machine.unconfirmed_for > durations.confirm_timeout
--- a/src/ramptide/autoscaling/fleet_edits.py
+++ b/src/ramptide/autoscaling/fleet_edits.py
@@ -42,7 +42,7 @@
         self.records[rental_id] = rental
 
     def adopt(self, host: str, rental: RentalRecord) -> None:
-        """Record a machine that is in no record, such as a delayed request creates; it is used like any other."""
+        """Record a machine that is in no record, as delayed requests may create; it is used like any other machine."""
         rental_id = f"adopted-{host}"
         decision = MachineDecision(host, rental.machine_type, rental.zone, rental_id, None, ADOPTED)
         self.decisions.append(decision)
--- a/src/ramptide/autoscaling/fleet_manager.py
+++ b/src/ramptide/autoscaling/fleet_manager.py
@@ -78,7 +78,7 @@
         """The counters of the metrics, by name."""
 
     def require_view(self) -> View:
-        """Return the current view; raises when there is none."""
+        """Return the current view; raise an error when there is none."""
 
 
 class FleetManager:
@@ -87,7 +87,7 @@
     Parameters
     ----------
     demand, observation
-        The waiting tasks and the knowledge of machines on which the leader bases its decisions.
+        The waiting tasks and the state of the machines, on which the leader bases its decisions.
     may_start
         Returns whether the authority of this controller in the view is proven.
     list_lag
@@ -140,7 +140,7 @@
         self._unconfirmed_decisions = []
 
     def track_machine(self, host: str) -> None:
-        """Record since when a machine is in the fleet record, which every controller follows."""
+        """Record since when a machine has been in the fleet record, which every controller follows."""
         self._cloud_list.track_machine(host)
 
     def forget(self, host: str) -> None:
@@ -255,7 +255,7 @@
         return host not in self._requests.rented_hosts() and not self._requests.has_requests_in_flight
 
     def _add_records(self, transaction: Transaction, records: dict[str, RentalRecord | None]) -> set[str]:
-        """Add the records that fit into the transaction and return their ids; the next step finds the others again."""
+        """Add the records that fit into the transaction and return their ids; the next step adds the other changes."""
         fitting_ids: set[str] = set()
         for rental_id, record in records.items():
             if transaction.size >= self._store.limits.max_transaction_operations:
@@ -281,7 +281,7 @@
             self._watch_cache.apply_commit(transaction, result.commit_revision)
             self._requests.send_recorded()
 
-        # The fleet's few writes per second do not queue behind the users' commits, as all else waits for them.
+        # The fleet's few writes per second do not queue behind the users' commits, as all other work waits for them.
         self._store.commit(transaction, on_result, CallPriority.LEASE)
 
     def _log_unconfirmed(self) -> None:
--- a/src/ramptide/autoscaling/fleet_observation.py
+++ b/src/ramptide/autoscaling/fleet_observation.py
@@ -25,9 +25,9 @@
 #: Up to this number of silent machines, or this part of the fleet if that is more, are returned at once, so that a new
 #: view does not wait for the end of their leases.
 MAX_RETURNED_SILENT, MAX_RETURNED_SILENT_RATIO = 3, 0.05
-#: Machines that have not seen the view's fencing token may be healthy. They are returned only if no more machines than
-#: this part of the fleet, or `MAX_RETURNED_SILENT`, are unreconciled more than this number of heartbeat intervals after
-#: earlier views were fenced.
+#: Machines that have not seen the view's fencing token may be healthy, so fewer of them are returned: only when all
+#: unreconciled machines together are at most this part of the fleet, or `MAX_RETURNED_SILENT` if that is more. They are
+#: waited for during this number of heartbeat intervals after earlier views were fenced.
 MAX_RETURNED_UNSEEN_RATIO, MAX_UNSEEN_HEARTBEATS = 0.01, 2
 
 
@@ -74,7 +74,7 @@
     unreconciled_machines
         Returns the machines that are not reconciled in this view yet, each with the reason.
     others_fenced_at
-        Returns the moment after which no member of an earlier view can reply to agents; None while it is not known.
+        Returns the time from which no member of an earlier view can reply to agents; None while that time is not known.
     """
 
     def __init__(
@@ -121,7 +121,7 @@
         now = self._runtime.now
         observed = self._machine_index.machines.get(host) or ObservedMachine()
         is_indexed = host in self._machine_index.machines
-        # Only its owner's messages show that a machine is silent; silence of the owner says nothing about the machine.
+        # Only messages of its owner prove that a machine is silent: a silent owner says nothing about the machine.
         is_silent = observed.is_reported and observed.missed_heartbeats
         unreachable_since, preempted_at = observed.unreachable_since, observed.preempted_at
         return FleetMachine(
@@ -151,7 +151,7 @@
         """Return the machines that a new view would wait for and that are returned instead, as they are few.
 
         These are silent machines, and the last ones whose agents have not seen the fencing token in time. On a large
-        fleet some machine has nearly always just failed.
+        fleet a new view would nearly always wait, as some machine has nearly always just failed.
         """
         unreconciled = {} if self._state.reconciled else self._unreconciled_machines()
         fleet_size = len(self._state.machines)
@@ -162,7 +162,7 @@
         )
         fenced_at = self._others_fenced_at() if are_few else None
         if fenced_at is not None and now - fenced_at > self._heartbeat_interval * MAX_UNSEEN_HEARTBEATS:
-            # No other controller replies to them any more, so a healthy machine would have found its owner.
+            # No other controller replies to agents any more, so a healthy machine would have found its owner.
             found |= {host for host, reason in unreconciled.items() if reason == TOKEN_NOT_SEEN}
         return found
 
--- a/src/ramptide/autoscaling/fleet_types.py
+++ b/src/ramptide/autoscaling/fleet_types.py
@@ -60,8 +60,7 @@
     age
         How long ago it was requested.
     silent_for, unreachable_for
-        For how long its owner has received no heartbeat from it, or its owner's replies have not reached it; zero if
-        that is not so.
+        For how long its owner has received no heartbeat from it, or its owner's replies have not reached it; else zero.
     preempted_in
         The time until the cloud preempts it; None without a preemption notice.
     fault_indicating_job_count
@@ -72,9 +71,9 @@
         The number of different jobs that failed there with no success since, whether the machine or the jobs are at
         fault.
     unconfirmed_for
-        How long a task of a finished job may have been there with no heartbeat to show it gone.
+        How long a task of a finished job may have been there without a heartbeat that shows it gone.
     room
-        What is free there; None if it accepts no tasks.
+        Its free room; None if it accepts no tasks.
     is_drained
         Whether it is draining and runs nothing any more.
     cloud_status
@@ -158,9 +157,9 @@
     Attributes
     ----------
     rent, count
-        The kind of machine to rent, or None, and how many of it.
+        The kind of machine to rent, or None, and the number of machines.
     drain
-        Machines to drain, with the reasons.
+        Machines to drain, each with the reason.
     keep
         Machines that were draining as idle and are kept after all.
     return_now
--- a/src/ramptide/autoscaling/idle_pool.py
+++ b/src/ramptide/autoscaling/idle_pool.py
@@ -17,7 +17,7 @@
 class IdlePool:
     """Keeps a few idle machines ready that have cached the images used most recently.
 
-    `hosts`: the machines that are kept, as of the last step; `wanted_size`: how many are to be kept.
+    `hosts` are the machines that are kept, as of the last step; `wanted_size` is the number of machines to keep.
     """
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
     def _preference(self, machine: FleetMachine, tuning: Tuning) -> tuple[bool, int, float, str]:
         """Return the sort key of an idle machine, lowest for the best one to keep."""
         image_uses = sum(self._image_uses[image] for image in machine.room.images) if machine.room is not None else 0
-        # The failures may be the jobs' fault, but a machine without them is the better one to keep.
+        # The failures may be the jobs' fault, but a machine with few failures is the better one to keep.
         has_many_failures = machine.consecutive_failures >= tuning.sick_jobs
         return (has_many_failures, -image_uses, machine.price, machine.host)
 
@@ -58,7 +58,7 @@
     ) -> Iterator[str]:
         """Yield the machines outside the pool that have been idle for the cooldown.
 
-        `usable_by`: machines that one of these demands could use are left out; None to yield all.
+        Machines that one of the demands in `usable_by` could use are left out; with None, no machine is left out.
         """
         for machine in machines:
             since = self._idle_since.get(machine.host)
@@ -73,7 +73,7 @@
 
 
 def _is_usable(machine: FleetMachine, demands: list[Demand]) -> bool:
-    """Return whether a waiting task would fit on the empty machine, whatever its room is kept for."""
+    """Return whether a waiting task would fit on the empty machine, even if its room is reserved for services."""
     machine_type, record = machine.machine_type, machine.record
     if machine_type is None:
         return False
--- a/src/ramptide/autoscaling/machine_choice.py
+++ b/src/ramptide/autoscaling/machine_choice.py
@@ -1,4 +1,4 @@
-"""The choice of the kind of machine to rent, and of how many. No I/O."""
+"""The choice of the kind of machine to rent, and of the number of machines. No I/O."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
--- a/src/ramptide/autoscaling/machine_decisions.py
+++ b/src/ramptide/autoscaling/machine_decisions.py
@@ -31,9 +31,9 @@
         return record is not None and record.rental_id == self.rental_id and record.drain_reason == self.drain_reason
 
 
-def written_decisions(decisions: Iterable[MachineDecision], rentals: Collection[str]) -> list[MachineDecision]:
-    """Return the decisions whose records are those of `rentals`."""
-    return [decision for decision in decisions if decision.rental_id in rentals]
+def written_decisions(decisions: Iterable[MachineDecision], rental_ids: Collection[str]) -> list[MachineDecision]:
+    """Return the decisions about machines of the given rentals."""
+    return [decision for decision in decisions if decision.rental_id in rental_ids]
 
 
 def log_decisions(decisions: Iterable[MachineDecision]) -> None:
--- a/src/ramptide/autoscaling/machine_returns.py
+++ b/src/ramptide/autoscaling/machine_returns.py
@@ -52,11 +52,11 @@
         self._in_flight.discard(host)
 
     def was_returned(self, host: str) -> bool:
-        """Return whether a machine was returned, so that late heartbeats and old lists that show it mean nothing."""
+        """Return whether a machine was returned, so that late heartbeats and old lists that show it prove nothing."""
         return host in self._returned_at
 
     def return_machines(self, wanted: Iterable[str]) -> None:
-        """Return machines, up to the limit of one call; those that are being returned or gone are left out."""
+        """Return machines to the cloud, up to the limit of one call; leave out those in flight and those gone."""
         hosts = [host for host in wanted if host not in self._in_flight and host not in self.gone]
         hosts = hosts[:MAX_RETURNS_PER_CALL]
         if not hosts:
--- a/src/ramptide/autoscaling/rental_requests.py
+++ b/src/ramptide/autoscaling/rental_requests.py
@@ -63,7 +63,7 @@
         return {host for hosts in self.rented.values() for host in hosts}
 
     def keep_only(self, rentals: dict[str, RentalRecord]) -> None:
-        """Drop the results of all rentals but these, as those results are recorded."""
+        """Drop the results of all other rentals than these, as the dropped results are recorded already."""
         self.rented = {rental_id: hosts for rental_id, hosts in self.rented.items() if rental_id in rentals}
         self.refused &= rentals.keys()
 
--- a/src/ramptide/placement/bin_packing.py
+++ b/src/ramptide/placement/bin_packing.py
@@ -17,11 +17,11 @@
 ROUNDING_TOLERANCE = 1e-6
 #: When a service needs a machine that runs no services yet, one that fits at least this number of its replicas is
 #: preferred, as more are likely to follow.
-MIN_REPLICAS_TO_OPEN = 4
+MIN_FITTING_REPLICAS = 4
 
 
 class ReserveAccess(IntEnum):
-    """How much of the room that is reserved for services an array may use; more after a long wait."""
+    """How much of the room that is reserved for services an array may use, which increases as the array waits."""
 
     #: None of it.
     NONE = 0
@@ -62,9 +62,9 @@
             reserved_cpus, reserved_ram = self.service_reserve
             cpus, ram = cpus - reserved_cpus, ram - reserved_ram
         counts = [
-            int((free + ROUNDING_TOLERANCE) / each)
-            for free, each in ((cpus, spec.cpus), (self.gpus, spec.gpus), (ram, spec.ram_gb))
-            if each > 0
+            int((free + ROUNDING_TOLERANCE) / needed)
+            for free, needed in ((cpus, spec.cpus), (self.gpus, spec.gpus), (ram, spec.ram_gb))
+            if needed > 0
         ]
         return max(0, min(counts)) if counts else spec.task_count
 
@@ -100,9 +100,9 @@
 
 def admits(spec: JobSpec, room: Room, access: ReserveAccess = ReserveAccess.NONE) -> bool:
     """Return whether the job may use the machine, without regard to how much room is left there."""
-    closed = room.in_pool and spec.kind != SERVICE
+    is_reserved = room.in_pool and spec.kind != SERVICE
     return may_use(spec, room.machine_type, room.zone, room.spot) and (
-        not closed or access is ReserveAccess.ALL or (room.idle and access is ReserveAccess.POOL)
+        not is_reserved or access is ReserveAccess.ALL or (room.idle and access is ReserveAccess.POOL)
     )
 
 
@@ -216,16 +216,16 @@
 
     Services share machines, on which their images are soon all cached, and which become empty one after the other when
     services end. Among these a machine that has the image is preferred, then one with a held heartbeat, then an
-    on-demand machine, then the one with the most CPUs in use by services, so that the others become empty. When a
+    on-demand machine, then the one whose services hold the most CPUs, so that the other machines become empty. When a
     service needs another machine, one that fits several more replicas is preferred.
 
-    Arrays prefer spot machines where the job allows them, avoid busy machines with a held heartbeat, and fill machines
-    in a fixed order, so that the last ones become empty.
+    Arrays prefer spot machines where the job allows them, avoid busy machines with a held heartbeat, prefer machines
+    that have the image, and fill machines in a fixed order, so that the last ones become empty.
     """
     lacks_image = spec.image not in room.images
     if spec.kind == SERVICE:
         is_first_service = not room.service_cpus
-        is_small = is_first_service and room.count_fitting_tasks(spec) < MIN_REPLICAS_TO_OPEN
+        is_small = is_first_service and room.count_fitting_tasks(spec) < MIN_FITTING_REPLICAS
         return (
             is_first_service, is_small, lacks_image, not room.heartbeat_held, room.spot, room.idle, -room.service_cpus,
             room.cpus, room.host,
@@ -236,7 +236,7 @@
 def fill_rooms(
     spec: JobSpec, tasks: int, rooms: Iterable[Room], placed_by_zone: Counter[str], allocate: bool = True
 ) -> int:
-    """Return how many of `tasks` tasks of the job find room. This is for estimates and starts nothing.
+    """Return how many of `tasks` tasks of the job find room. The result is an estimate; no task is started.
 
     With `allocate` the room of these tasks is allocated. The tasks are added to `placed_by_zone`, as the zone rules
     depend on it.
