--- a/src/ramptide/api/administration.py
+++ b/src/ramptide/api/administration.py
@@ -24,7 +24,7 @@
 
 
 class TuningSource(Protocol):
-    """The part of the controller's state that has the operators' settings in force."""
+    """The part of the controller's state that holds the operators' current settings."""
 
     @property
     def tuning(self) -> Tuning:
--- a/src/ramptide/api/job_lookup.py
+++ b/src/ramptide/api/job_lookup.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-#: The number of final states that are kept in memory; the oldest are dropped first.
+#: The highest number of final states that are kept in memory; the oldest are dropped first.
 MAX_FINISHED_KEPT = 5000
 
 
@@ -29,7 +29,7 @@
     UNAVAILABLE = auto()
 
 
-#: Called with a job that is not over, the final record of one that is, or the reason why none was found.
+#: Called with a job that is not finished, the final record of a finished one, or the reason why no job was found.
 LookupCallback = Callable[[Job | FinishedJobRecord | LookupFailure], None]
 
 
@@ -43,8 +43,8 @@
 class JobLookup:
     """Looks up jobs by reads of the key-value store that begin after the request.
 
-    The watch cache has the jobs that are not over, so one read of the changes serves all lookups that come before it is
-    sent. A final state never changes, so one that was read or committed here need not be read again.
+    The watch cache has the jobs that are not finished, so one read of the changes serves all lookups that come before
+    the read is sent. A final state never changes, so one that was read or committed here need not be read again.
 
     `on_cancelled` is called with each cancelled job that was read. A controller that tells a user of a cancellation
     also tells the other controllers, as the controller that committed the cancellation may have ended since.
@@ -83,7 +83,7 @@
                 on_found(self._jobs[job_id])
             else:
                 # One transaction moves a job from the live to the finished jobs, and none moves it back. So a job that
-                # was accepted and is not live any more is found among the finished jobs.
+                # was accepted and is no longer live is found among the finished jobs.
                 self._read_finished(job_id, on_found)
 
         self._watch_cache.catch_up(on_caught_up)
--- a/src/ramptide/api/jobs.py
+++ b/src/ramptide/api/jobs.py
@@ -41,7 +41,7 @@
 MAX_COMMIT_DELAY = timedelta(seconds=1)
 RETRY_DELAY = timedelta(milliseconds=120)
 MAX_RETRY_AFTER_S = 30
-#: The part of the largest value of the key-value store that is left for what a record holds beside the job's
+#: The part of the largest value of the key-value store that is left for the fields of a record other than the job's
 #: description, in KiB.
 RECORD_OVERHEAD_KB = 2
 NO_SUCH_JOB = "no such job"
@@ -59,7 +59,7 @@
     running_count
         Returns how many tasks of a job are running.
     on_cancelled
-        Called with each job of which a user is told that it is cancelled.
+        Called with the id of each job before a user is first told that the job is cancelled.
     """
 
     def __init__(
@@ -130,12 +130,12 @@
             return f"the job needs more than the limit of team {spec.team!r}"
         return None
 
-    def _accept(self, spec: JobSpec, answer: Answer, attempts: int) -> None:
+    def _accept(self, spec: JobSpec, answer: Answer, remaining_attempts: int) -> None:
         view = self._membership.view
         if view is None:
             self._answer_unavailable(answer, Unavailable.VIEW)
             return
-        if self._is_overloaded(answer):
+        if self._refuse_if_overloaded(answer):
             return
         value = to_value(self._new_record(spec, view))
         if len(msgspec.json.encode(value)) > self._max_record_bytes:
@@ -150,10 +150,10 @@
                 answer(HTTPStatus.CREATED, encode_job_status(spec.job_id, JobStatus.PENDING), {})
             elif live_key in result.conflicting_keys or finished_key in result.conflicting_keys:
                 self._answer_existing(spec.job_id, answer, None)
-            elif result.is_conflict and attempts > 1:
+            elif result.is_conflict and remaining_attempts > 1:
                 # Only the view has changed, and the watch cache will have the new view soon.
-                self._runtime.after(RETRY_DELAY, lambda: self._accept(spec, answer, attempts - 1))
-            elif result.is_unknown and attempts > 1 and not self._watch_cache.is_unavailable:
+                self._runtime.after(RETRY_DELAY, lambda: self._accept(spec, answer, remaining_attempts - 1))
+            elif result.is_unknown and remaining_attempts > 1 and not self._watch_cache.is_unavailable:
                 self._accept(spec, answer, 1)
             else:
                 self._answer_not_committed(result, answer)
@@ -221,7 +221,7 @@
         else:
             _answer_no_such_job(answer)
 
-    def _cancel(self, job_id: str, answer: Answer, attempts: int) -> None:
+    def _cancel(self, job_id: str, answer: Answer, remaining_attempts: int) -> None:
         reason = self._commit_obstacle()
         if reason is not None:
             self._answer_unavailable(answer, reason)
@@ -233,19 +233,19 @@
             elif isinstance(found, FinishedJobRecord):
                 answer(HTTPStatus.OK, encode_job_status(job_id, found.status), {})
             elif isinstance(found, Job):
-                self._write_cancellation(found, answer, attempts)
+                self._write_cancellation(found, answer, remaining_attempts)
             else:
                 _answer_no_such_job(answer)
 
         job = self._jobs.get(job_id)
         if job is not None:
             # The transaction is conditional on the revision of the record, so no read is needed before it.
-            self._write_cancellation(job, answer, attempts)
+            self._write_cancellation(job, answer, remaining_attempts)
         else:
             self._lookup.find(job_id, on_found)
 
-    def _write_cancellation(self, job: Job, answer: Answer, attempts: int) -> None:
-        if self._is_overloaded(answer):
+    def _write_cancellation(self, job: Job, answer: Answer, remaining_attempts: int) -> None:
+        if self._refuse_if_overloaded(answer):
             return
         job_id = job.job_id
         record = FinishedJobRecord(JobStatus.CANCELLED, job.spec.task_count, job.progress.count)
@@ -256,7 +256,7 @@
         )
 
         def on_result(result: TransactionResult) -> None:
-            may_retry = attempts > 1 and not self._watch_cache.is_unavailable
+            may_retry = remaining_attempts > 1 and not self._watch_cache.is_unavailable
             if result.is_applied:
                 self.remember_finished(job_id, record)
                 self._watch_cache.apply_commit(transaction, result.commit_revision)
@@ -265,7 +265,7 @@
             elif may_retry and (result.is_conflict or result.is_unknown):
                 # The record or the view has changed, or the result is unknown: try again once the watch cache has read
                 # the changes.
-                self._watch_cache.catch_up(lambda _is_fresh: self._cancel(job_id, answer, attempts - 1))
+                self._watch_cache.catch_up(lambda _is_fresh: self._cancel(job_id, answer, remaining_attempts - 1))
             else:
                 self._answer_not_committed(result, answer)
 
@@ -284,7 +284,7 @@
             return Unavailable.STATE_SERVICE
         return Unavailable.VIEW if self._membership.view is None else None
 
-    def _is_overloaded(self, answer: Answer) -> bool:
+    def _refuse_if_overloaded(self, answer: Answer) -> bool:
         """Refuse the request if the queue of commits is too long; return whether it was refused.
 
         The key-value store cannot commit as much as is requested, so the user is told at once when to retry.
--- a/src/ramptide/api/status.py
+++ b/src/ramptide/api/status.py
@@ -35,11 +35,11 @@
 
     @property
     def reconciled(self) -> bool:
-        """Whether it is known what earlier views left on each machine."""
+        """Whether all machines are reconciled: it is known what earlier views left on them."""
 
     @property
     def jobs(self) -> dict[str, Job]:
-        """The jobs that are not over."""
+        """The jobs that are not finished, by id."""
 
     @property
     def machines(self) -> dict[str, MachineRecord]:
@@ -47,7 +47,7 @@
 
     @property
     def counters(self) -> Counter[str]:
-        """Counts for the metrics."""
+        """The counters of the metrics, by name."""
 
 
 class StatusReport:
--- a/src/ramptide/api/telemetry.py
+++ b/src/ramptide/api/telemetry.py
@@ -31,7 +31,7 @@
 
 
 class Unavailable(Enum):
-    """The reason of an answer with status 503. The value is the label in the metrics."""
+    """The reason for an answer with status 503. The value is the label in the metrics."""
 
     STATE_SERVICE = "state_service"
     OVERLOADED = "overloaded"
@@ -57,7 +57,7 @@
 class ViewChange(msgspec.Struct):
     """A change of the view.
 
-    `settled_s` is the time in seconds until all machines were reconciled. It is None while they are not, and when the
+    `settled_s` is the time in seconds until all machines were reconciled. It is None while they are not, and if the
     next view change came first.
     """
 
@@ -123,7 +123,7 @@
         self.last_changes.append(ViewChange(number))
 
     def record_reconciliation(self, spent: timedelta) -> None:
-        """Record that all machines are reconciled in the current view, `spent` after it was received."""
+        """Record that all machines are reconciled in the current view, `duration` after its adoption."""
         self.reconciled_changes += 1
         self.reconciliation_total += spent
         self.reconciliation_last = spent
@@ -153,8 +153,9 @@
     def record_expired_leases(self, expired: Sequence[ExpiredLease], confirmed: bool) -> None:
         """Count and log leases that expired.
 
-        Without `confirmed` this controller may have been removed from the view, while the machines go on under another
-        controller. These leases are then kept until a later call confirms them, and dropped when the view changes.
+        Without `is_confirmed` this controller may have been removed from the view, while the machines continue under
+        another controller. These leases are then kept until a later call confirms them, and dropped when the view
+        changes.
         """
         self._unconfirmed += expired
         if not confirmed or not self._unconfirmed:
--- a/src/ramptide/cli.py
+++ b/src/ramptide/cli.py
@@ -184,7 +184,7 @@
 
 
 def _send_request(address: str, method: str, target: str, body: bytes) -> Response | None:
-    """Send one request and return the response; None when there is none."""
+    """Send one request and return the response; None when the controller does not answer."""
     loop = EventLoop()
     replies: list[Response | None] = []
 
--- a/src/ramptide/service/client_routes.py
+++ b/src/ramptide/service/client_routes.py
@@ -72,7 +72,7 @@
         if request.method != "POST":
             refuse_method(exchange, "POST")
             return
-        # Heartbeats renew the leases of tasks, so they are handled before the requests of users.
+        # Heartbeats renew the agents' leases, so they are handled before the requests of users.
         exchange.prioritize()
         self._counters["reports"] += 1
         reply = _json_reply(exchange)
--- a/src/ramptide/service/connection_limits.py
+++ b/src/ramptide/service/connection_limits.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """The maximum number of connections of each kind, so that no kind can use up the connections that others need.
+    """The maximum number of connections of each kind, so that no kind can use up those that another kind needs.
 
     Outbound calls and peers need a few connections for each controller, whatever the size of the fleet. The remaining
     ones are for agents and users, all of which a sole surviving controller has to serve.
