--- a/src/ramptide/quota/fitting.py
+++ b/src/ramptide/quota/fitting.py
@@ -84,7 +84,7 @@
 def _allocate_remainder(portions: list[_Portion], left: Amounts) -> None:
     """Allocate the remaining share to whole tasks, the largest first, as these fit in the fewest places."""
     for portion in sorted(portions, key=_largest_first):
-        fits = tasks_within(left, portion.demand.size)
-        tasks = min(UNLIMITED_TASKS if fits is None else fits, portion.demand.count - portion.tasks)
+        fitting_tasks = tasks_within(left, portion.demand.size)
+        tasks = min(UNLIMITED_TASKS if fitting_tasks is None else fitting_tasks, portion.demand.count - portion.tasks)
         if tasks > 0:
             left = _allocate(portion, tasks, left)
--- a/src/ramptide/quota/ledger.py
+++ b/src/ramptide/quota/ledger.py
@@ -26,7 +26,7 @@
 
 
 class LedgerError(Exception):
-    """Raised for a transfer of more than the spare share, or of nothing."""
+    """Raised for a transfer of negative or only zero amounts, or of more than the spare share."""
 
 
 @dataclass(slots=True)
@@ -160,7 +160,7 @@
         """
         account = self._accounts[sender]
         new: list[TransferRow] = []
-        for row in sorted(rows, key=lambda one: one.number):
+        for row in sorted(rows, key=lambda row: row.number):
             if row.number <= account.last_received:
                 continue
             if row.number != account.last_received + len(new) + 1:
@@ -235,5 +235,5 @@
         add_amounts(self._offsets.setdefault(receiver, {}), team, more)
 
     def offsets(self) -> Mapping[str, TeamAmounts]:
-        """Return how much transfers have changed each member's share; those on the way count for their receivers."""
+        """Return how much transfers have changed each member's share; one on its way counts for its receiver."""
         return self._offsets
--- a/src/ramptide/quota/limit_table.py
+++ b/src/ramptide/quota/limit_table.py
@@ -85,7 +85,7 @@
         self._platform_teams = dict(state.teams)
         self.records: dict[str, LimitRecord] = {}
         #: Whether a promotion of pending changes is being committed.
-        self._committing = False
+        self._is_committing = False
 
     def on_change(self, key: str, value: Any) -> None:
         """Apply a changed record, None when it was removed; a broken record leaves the limit unchanged."""
@@ -141,17 +141,17 @@
             transaction.puts.append(Put(key, msgspec.to_builtins(record)))
 
     def _commit(self, transaction: Transaction, on_result: Callable[[TransactionResult], None]) -> None:
-        def on_commit(outcome: TransactionResult) -> None:
-            if outcome.is_applied:
-                self._watch_cache.apply_commit(transaction, outcome.commit_revision)
-            on_result(outcome)
+        def on_commit(result: TransactionResult) -> None:
+            if result.is_applied:
+                self._watch_cache.apply_commit(transaction, result.commit_revision)
+            on_result(result)
 
         self._store.commit(transaction, on_commit)
 
     def activate_pending_limits(self) -> None:
         """As leader, put pending changes in force once every member acts on a share under the new limit."""
         may_decide = self._leadership.is_leading and self._state.reconciled
-        if self._committing or not may_decide or not self._is_exchange_ready():
+        if self._is_committing or not may_decide or not self._is_exchange_ready():
             return
         promotable = [
             team
@@ -160,14 +160,14 @@
         ]
         if not promotable:
             return
-        self._committing = True
+        self._is_committing = True
         transaction = Transaction(conditions=self._common_conditions())
         for team in promotable[: self._store.limits.max_transaction_operations]:
             self._put(transaction, key_of(team), promote(self.records[team], self._platform_teams.get(team)))
 
-        def on_result(outcome: TransactionResult) -> None:
-            self._committing = False
-            if outcome.is_applied:
+        def on_result(result: TransactionResult) -> None:
+            self._is_committing = False
+            if result.is_applied:
                 log.info("team limits in force: teams=%r", ", ".join(promotable))
 
         self._commit(transaction, on_result)
--- a/src/ramptide/quota/messages.py
+++ b/src/ramptide/quota/messages.py
@@ -34,7 +34,7 @@
 
 
 class TransferRow(msgspec.Struct, array_like=True, frozen=True):
-    """Share that the sender has deducted for the receiver; transfers between two members are numbered from 1."""
+    """Share that the sender has deducted for the receiver; transfers to one receiver are numbered from 1."""
 
     number: Number
     team: str
--- a/src/ramptide/quota/operators.py
+++ b/src/ramptide/quota/operators.py
@@ -33,7 +33,7 @@
 
 
 class ResourceShare(msgspec.Struct, frozen=True):
-    """One controller's share of one resource of a team's limit, and its use."""
+    """The share and the usage of one resource of a team's limit at one controller."""
 
     held: float
     used: float
--- a/src/ramptide/quota/overrides.py
+++ b/src/ramptide/quota/overrides.py
@@ -1,8 +1,8 @@
 """Team limits that operators change: records, checks of changes, and the limits in effect. This module does no I/O.
 
-A change is first *pending*: the stricter of the old and the new limit applies. It is put in force when every member has
-acknowledged a share under it. So from that commit on no task starts above the new limit, however late a member receives
-the change.
+A change is first *pending*: the stricter of the old and the new limit applies. A commit puts the change in force when
+every member has acknowledged a share under the new limit. So from that commit on no task starts above the new limit,
+however late a member receives the change.
 """
 
 from collections.abc import Iterable, Mapping
@@ -156,14 +156,14 @@
 
 def effective_limits(platform: Mapping[str, Team], records: Mapping[str, LimitRecord]) -> EffectiveLimits:
     """Return the limits in effect, given the platform's teams and the operators' records."""
-    limits = EffectiveLimits({}, {}, {})
+    in_effect = EffectiveLimits({}, {}, {})
     for name in platform.keys() | records.keys():
         record = records.get(name)
         in_force = record.in_force if record is not None else None
         current = in_force or TeamLimit.of_team(platform.get(name))
         pending = record.pending if record is not None and record.pending is not None else current
-        _add_team(limits, name, [current, pending])
-    return limits
+        _add_team(in_effect, name, [current, pending])
+    return in_effect
 
 
 def _add_team(in_effect: EffectiveLimits, name: str, current_and_pending: Iterable[TeamLimit]) -> None:
@@ -171,7 +171,7 @@
     if any(team_limit.removed for team_limit in current_and_pending):
         in_effect.limits[name] = ZERO_AMOUNTS
         return
-    # The pending guarantees, with the lower limits: an accepted job must be able to run under both.
+    # The team gets the pending guarantees and the lower limits, as an accepted job must be able to run under both.
     lower = [min((maximum for maximum in maximums if maximum), default=0.0) for maximums in _maximums(teams)]
     in_effect.teams[name] = Team(name, teams[-1].cpus, lower[0], teams[-1].gpus, lower[1])
     if any(lower):
--- a/src/ramptide/quota/plan_file.py
+++ b/src/ramptide/quota/plan_file.py
@@ -12,7 +12,10 @@
 
 
 class PlanError(Exception):
-    """Raised when a plan fails, mostly for a file that cannot be read or is invalid; the text is one line."""
+    """Raised for a plan file that cannot be read or is invalid, and for a solver that is missing or fails.
+
+    The text is one line; for a file, it names the place.
+    """
 
 
 class _Checked(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/src/ramptide/quota/planner.py
+++ b/src/ramptide/quota/planner.py
@@ -93,10 +93,10 @@
     placed = _maximize_placement(file, file.teams, wanted)
     packed = _pack_tasks(file, file.teams, placed)
     reports = []
-    for team, guaranteed, fits in zip(file.teams, wanted, packed, strict=True):
+    for team, guaranteed, packed_tasks in zip(file.teams, wanted, packed, strict=True):
         allowed = _tasks_covered(team.cpus_max, team.gpus_max, team)
         alone = _maximize_placement(file, [team], [allowed if allowed is not None else _fleet_capacity(file, team)])
-        reports.append(TeamReport(team, guaranteed, guaranteed - fits, allowed, sum(alone[0])))
+        reports.append(TeamReport(team, guaranteed, guaranteed - packed_tasks, allowed, sum(alone[0])))
     return PlanReport(reports)
 
 
@@ -194,7 +194,7 @@
 def _pack_tasks(file: PlanFile, teams: Sequence[TeamPlan], placed: list[list[int]]) -> list[int]:
     """Pack the tasks onto single machines, the largest first; return how many of each team find room."""
     packed = [0] * len(teams)
-    order = sorted(range(len(teams)), key=lambda team: -max(teams[team].task.cores, teams[team].task.gpus))
+    order = sorted(range(len(teams)), key=lambda index: -max(teams[index].task.cores, teams[index].task.gpus))
     for kind_index, kind in enumerate(file.machines):
         rooms = [[kind.cores, kind.gpus, kind.ram_gb] for _ in range(kind.count)]
         for team_index in order:
@@ -203,14 +203,14 @@
 
 
 def _first_fit(rooms: list[list[float]], team: TeamPlan, tasks: int) -> int:
-    """Place tasks in the first rooms that fit them, which are changed in place; return how many found room."""
+    """Place tasks in the first rooms that fit them, and reduce these rooms; return how many tasks were placed."""
     sizes = [team.task.cores, team.task.gpus, team.task.ram_gb]
     left = tasks
     for room in rooms:
-        fits = min(
+        fitting_tasks = min(
             math.floor(free / per_task + 1e-9) for free, per_task in zip(room, sizes, strict=True) if per_task > 0
         )
-        placed = min(fits, left)
+        placed = min(fitting_tasks, left)
         for resource, per_task in enumerate(sizes):
             room[resource] -= per_task * placed
         left -= placed
--- a/src/ramptide/quota/share_exchange.py
+++ b/src/ramptide/quota/share_exchange.py
@@ -191,7 +191,7 @@
         return job_ids
 
     def is_waiting_for_limit(self, job_state: JobState, usage: TeamAmounts) -> bool:
-        """Return whether the share of its team's limit, and not room, keeps a job from starting."""
+        """Return whether share, not room, keeps a job from starting: the share of its team's limit covers no task."""
         spec = job_state.job.spec
         share = self._state.quota_shares.get(spec.team, ZERO_AMOUNTS)
         return task_headroom(spec, usage.get(spec.team, ZERO_AMOUNTS), share, self._state.limits) == 0
@@ -240,7 +240,7 @@
         return job_ids
 
     def _pass_share_to(self, receiver: str, usage: TeamAmounts) -> None:
-        """Pass share to a member for whole tasks that it cannot cover, from what is neither used nor needed here."""
+        """Pass share that this controller neither uses nor needs to a member, for whole tasks that lack share there."""
         for team, demands in self._last_messages[receiver].short.items():
             if team not in self._state.quota_shares or self._ledger.has_unconfirmed(receiver, team):
                 # The receiver's message may be older than its receipt of the unconfirmed transfer.
--- a/src/ramptide/quota/share_waits.py
+++ b/src/ramptide/quota/share_waits.py
@@ -37,7 +37,7 @@
         return int(self._histogram.get_total_count())
 
     def percentiles(self) -> dict[float, float]:
-        """Return, by percentage, the seconds within which that part of the waits ended; empty before the first end."""
+        """Return, by percentage, the seconds within which that part of the waits ended; empty while none has ended."""
         if not self.count:
             return {}
         return {percent: self._histogram.get_value_at_percentile(percent) / 1000 for percent in PERCENTILES}
--- a/src/ramptide/quota/task_demands.py
+++ b/src/ramptide/quota/task_demands.py
@@ -13,7 +13,7 @@
 
 __all__ = ["subtract", "uncovered_demands", "waiting_demands", "whole_tasks_within"]
 
-#: Limits the sizes of waiting tasks that are sent for a team, the most numerous first; others follow once those run.
+#: The most sizes of waiting tasks that are sent for a team: the most numerous ones; others follow once those tasks run.
 MAX_SIZES_SENT = 8
 
 
@@ -36,8 +36,8 @@
 def _most_numerous(sizes: Counter[Amounts], limit: Amounts) -> list[TaskDemand]:
     demands = []
     for size, count in sizes.most_common(MAX_SIZES_SENT):
-        fits = tasks_within(limit, size)
-        tasks = count if fits is None else min(count, fits)
+        fitting_tasks = tasks_within(limit, size)
+        tasks = count if fitting_tasks is None else min(count, fitting_tasks)
         if tasks > 0:
             demands.append(TaskDemand(size.cpus, size.gpus, tasks))
     return demands
@@ -47,8 +47,8 @@
     """Return the waiting tasks of a team that the available share does not cover."""
     uncovered = []
     for demand in demands:
-        fits = tasks_within(available, demand.size)
-        covered = demand.count if fits is None else min(fits, demand.count)
+        fitting_tasks = tasks_within(available, demand.size)
+        covered = demand.count if fitting_tasks is None else min(fitting_tasks, demand.count)
         available = subtract(available, demand.size.times(covered))
         if covered < demand.count:
             uncovered.append(TaskDemand(demand.cpus, demand.gpus, demand.count - covered))
@@ -59,8 +59,8 @@
     """Return the amounts of the tasks that fit in the spare share; zero for a resource without a limit."""
     total = ZERO_AMOUNTS
     for demand in demands:
-        fits = tasks_within(subtract(spare, total), demand.size)
-        more = demand.size.times(min(fits or 0, demand.count))
+        fitting_tasks = tasks_within(subtract(spare, total), demand.size)
+        more = demand.size.times(min(fitting_tasks or 0, demand.count))
         total = Amounts(total.cpus + more.cpus, total.gpus + more.gpus)
     return Amounts(
         0 if limit.cpus == NO_LIMIT else total.cpus,
