--- a/src/ramptide/agents/commands.py
+++ b/src/ramptide/agents/commands.py
@@ -24,7 +24,7 @@
     def prepare_commands(self, host: str, now: timedelta, may_start: bool) -> list[Command]:
         """Return the commands for the reply to the latest heartbeat, and record them as sent.
 
-        Stops and reaps come before starts, since they free resources for them; starts are left out unless `may_start`.
+        Stops and reaps come first, since they free resources for the starts; starts are left out unless `may_start`.
         """
         machine = self._table.machines.get(host)
         if machine is None or not machine.has_current_token:
--- a/src/ramptide/agents/desired_states.py
+++ b/src/ramptide/agents/desired_states.py
@@ -49,7 +49,7 @@
         changes: Mapping[str, list[DesiredTaskRow] | None],
         accepts_tasks: MachineCheck,
     ) -> None:
-        """Apply the changed desired states of `sender`'s scheduler, which are the full lists of the changed machines.
+        """Apply the desired states that `sender`'s scheduler has changed; `changes` has the full list of each machine.
 
         A copy of a message that was applied before, or an older message, changes nothing.
         """
--- a/src/ramptide/agents/heartbeat_intake.py
+++ b/src/ramptide/agents/heartbeat_intake.py
@@ -139,7 +139,7 @@
             self._mark_changed(machine.host)
         notice_s = heartbeat.preemption_notice_s
         preempted_at = None if notice_s is None else now + timedelta(seconds=max(notice_s, 0.0))
-        if _has_moved(machine.preempted_at, preempted_at):
+        if _has_preemption_changed(machine.preempted_at, preempted_at):
             machine.preempted_at = preempted_at
             self._mark_changed(machine.host)
 
@@ -193,8 +193,8 @@
     return phase if phase in REPORTED_PHASES else Phase.RUNNING
 
 
-def _has_moved(before: timedelta | None, after: timedelta | None) -> bool:
-    """Return whether the announced preemption was added, was withdrawn or moved by more than the tolerance."""
+def _has_preemption_changed(before: timedelta | None, after: timedelta | None) -> bool:
+    """Return whether the preemption notice appeared, was withdrawn, or moved by more than the tolerance."""
     if before is None or after is None:
         return before is not after
     return abs(after - before) > PREEMPTION_TIME_TOLERANCE
--- a/src/ramptide/agents/heartbeats.py
+++ b/src/ramptide/agents/heartbeats.py
@@ -69,7 +69,7 @@
     """A heartbeat whose reply is delayed for a short time, in case a task is started on the machine."""
 
     reply: ReplyCallback
-    until: timedelta
+    due_at: timedelta
 
 
 class HeartbeatHandler:
@@ -190,13 +190,13 @@
         reply(HTTPStatus.OK, encode_heartbeat_reply(view.number, commands))
 
     def reply_to_held(self, now: timedelta) -> None:
-        """Reply to the held heartbeats that are due or for whose machines there are commands."""
+        """Reply to the held heartbeats whose reply is due or whose machines have unsent commands."""
         shard = self._state.shard
         for host, held in list(self._held.items()):
             has_commands = (
                 shard is not None and host in shard.hosts_to_notify and shard.commands.has_unsent_commands(host)
             )
-            if held.until <= now or has_commands:
+            if held.due_at <= now or has_commands:
                 del self._held[host]
                 self._reply(host, held.reply)
         if shard is not None:
--- a/src/ramptide/agents/lease_expiry.py
+++ b/src/ramptide/agents/lease_expiry.py
@@ -22,8 +22,8 @@
 class ExpiredLease:
     """A machine whose agent's lease has certainly expired.
 
-    `lost_tasks`: the number of tasks given up with it. `reconciled`: whether the expiry made the machine reconciled, as
-    no task of an earlier view can be left on it.
+    `lost_tasks`: the number of tasks given up with it. `is_newly_reconciled`: whether the expiry made the machine
+    reconciled, as no task of an earlier view can be left on it.
     """
 
     host: str
@@ -79,15 +79,15 @@
             self._table.mark_changed(machine.host)
 
     def _expire_machine(self, machine: OwnedMachine) -> ExpiredLease:
-        newly_reconciled = not machine.is_reconciled
-        if newly_reconciled:
+        is_newly_reconciled = not machine.is_reconciled
+        if is_newly_reconciled:
             machine.is_reconciled = True
             self._table.mark_changed(machine.host)
         if machine.last_heartbeat_at is not None and machine.raw_tasks is not None:
-            # The agent's next new heartbeat has a later epoch; a late one or a copy of this epoch must restore nothing.
+            # The agent's next new heartbeat has a later epoch; a late one or a copy of this epoch restores no attempt.
             machine.last_heartbeat_id = HeartbeatId(machine.last_heartbeat_id.agent_epoch + 1, 0)
             machine.raw_tasks = None
-        return ExpiredLease(machine.host, self._give_up_tasks(machine), newly_reconciled)
+        return ExpiredLease(machine.host, self._give_up_tasks(machine), is_newly_reconciled)
 
     def _give_up_tasks(self, machine: OwnedMachine) -> int:
         """Give up all attempts on a machine; return the number of those that may have been there."""
--- a/src/ramptide/agents/machine_table.py
+++ b/src/ramptide/agents/machine_table.py
@@ -38,7 +38,7 @@
         self.hosts_by_job: dict[str, set[str]] = {}
 
     def mark_changed(self, host: str) -> None:
-        """Mark a machine whose status has changed, so that it is sent to the other controllers."""
+        """Mark a machine as changed, so that its status is sent to the other controllers."""
         self.changed_hosts.add(host)
 
     def pop_changed(self) -> set[str]:
--- a/src/ramptide/agents/owned_machine.py
+++ b/src/ramptide/agents/owned_machine.py
@@ -17,7 +17,7 @@
 
 
 class HeartbeatId(NamedTuple):
-    """Identifies a heartbeat of one agent; a later heartbeat has a greater one.
+    """Identifies a heartbeat of one agent; a later heartbeat has a greater id.
 
     `agent_epoch` grows with each start of the agent, `sequence_number` with each heartbeat of that epoch.
     """
@@ -82,7 +82,7 @@
     has_current_token: bool = False
     #: The different jobs that failed here last, the latest one last.
     failed_jobs: list[str] = field(default_factory=list)
-    #: The number of last entries of `failed_jobs` that failed with no success here since.
+    #: The number of jobs at the end of `failed_jobs` that failed with no success here since.
     consecutive_failures: int = 0
     #: The address at which the agent accepts requests; None while it is not known.
     address: str | None = None
@@ -131,7 +131,10 @@
             self.images.pop(next(iter(self.images)))
 
     def request_reap(self, key: TaskKey, entry: TaskEntry) -> None:
-        """Mark an attempt to be stopped and dropped, whoever requested it; drop it at once if it is not here."""
+        """Mark an attempt to be stopped and dropped, whoever requested it.
+
+        An attempt that is not on the machine is dropped at once.
+        """
         entry.desired, entry.grace = DesiredState.REAP, NO_TIME
         if entry.phase in (Phase.QUEUED, Phase.REFUSED, Phase.GONE):
             del self.entries[key]
--- a/src/ramptide/agents/shard.py
+++ b/src/ramptide/agents/shard.py
@@ -73,7 +73,7 @@
                 host,
                 record,
                 machine_type,
-                # Earlier views can have started tasks only on a machine that is recorded as registered.
+                # No controller starts tasks on a machine that is not recorded as registered, so it is certainly empty.
                 is_reconciled=record.is_unused_before(self.view),
                 no_other_owner_since=now if last_possible_reply is None else last_possible_reply,
                 covers_earlier_views=last_possible_reply is not None,
--- a/src/ramptide/agents/token_announcer.py
+++ b/src/ramptide/agents/token_announcer.py
@@ -22,8 +22,8 @@
 #: The most requests at a time: enough to reach hundreds of agents within a second, few enough to leave sockets for
 #: other calls.
 MAX_IN_FLIGHT = 16
-#: An agent that does not respond in time learns the token from its next heartbeat: a hanging machine must not delay
-#: the announcement to others.
+#: An agent that does not respond in time learns the token from the reply to its next heartbeat: a hanging machine must
+#: not delay the announcement to others.
 RESPONSE_TIMEOUT = timedelta(seconds=1)
 #: The epoch of most agents. An agent with another epoch reports it in its response, and gets a second request.
 FIRST_AGENT_EPOCH = 1
@@ -35,7 +35,7 @@
     Parameters
     ----------
     runtime
-        The calls to agents.
+        Sends the requests to agents.
     on_heartbeat
         Called with the heartbeat of each agent that has seen the token.
     """
