--- a/src/ramptide/clients/cloud.py
+++ b/src/ramptide/clients/cloud.py
@@ -119,7 +119,7 @@
     def return_machines(self, hosts: list[str], on_returned: Callable[[bool], None]) -> None:
         """Return at most `MAX_RETURNS_PER_CALL` machines.
 
-        `on_returned(True)` proves that they and everything on them are gone; False proves nothing.
+        `on_returned(True)` proves that the machines and everything on them are gone; False proves nothing.
         """
 
         def on_response(response: Response | None) -> None:
--- a/src/ramptide/clients/key_value_store.py
+++ b/src/ramptide/clients/key_value_store.py
@@ -43,7 +43,7 @@
 }
 CALL_TIMEOUT = timedelta(seconds=2)
 KEEP_ALIVE_TIMEOUT = timedelta(seconds=1)
-#: Added to the time for which the store blocks a watch to get the timeout of its response.
+#: The timeout of a watch is longer by this than the time for which the store waits for an event.
 WATCH_TIMEOUT_MARGIN = timedelta(seconds=1)
 #: The most keys in one page of a list.
 PAGE_SIZE = 500
@@ -107,7 +107,7 @@
 
     ALIVE = auto()
     EXPIRED = auto()
-    #: The store gave no response, or one that shows neither.
+    #: There was no response, or one that shows neither of the two.
     UNKNOWN = auto()
 
 
--- a/src/ramptide/clients/transactions.py
+++ b/src/ramptide/clients/transactions.py
@@ -54,9 +54,10 @@
     APPLIED = auto()
     #: Nothing was applied: a condition did not hold.
     CONFLICT = auto()
-    #: Nothing was applied: the store rejected the rate, or the call waited too long for this controller's share of it.
+    #: Nothing was applied: the store's rate limit rejected the transaction, or it waited too long for this controller's
+    #: share of that limit.
     RATE_LIMITED = auto()
-    #: Nothing was applied: the store refused it.
+    #: Nothing was applied: the store refused the transaction.
     REFUSED = auto()
     #: There was no valid response: the operations may have been applied, or may still be applied.
     UNKNOWN = auto()
@@ -69,9 +70,9 @@
     Attributes
     ----------
     outcome
-        The outcome; each property checks for one of them.
+        The outcome; each property checks for one value.
     commit_revision
-        The revision at which it was applied; 0 if it was not.
+        The revision at which the transaction was applied; 0 if it was not.
     conflicting_keys
         The keys whose conditions did not hold, in the order of the response; empty for any other outcome.
     """
@@ -82,20 +83,20 @@
 
     @property
     def is_applied(self) -> bool:
-        """Whether it was applied, at `commit_revision`."""
+        """Whether the transaction was applied, at `commit_revision`."""
         return self.outcome is TransactionOutcome.APPLIED
 
     @property
     def is_conflict(self) -> bool:
-        """Whether it was not applied because a condition did not hold."""
+        """Whether the transaction was not applied because a condition did not hold."""
         return self.outcome is TransactionOutcome.CONFLICT
 
     @property
     def is_rate_limited(self) -> bool:
-        """Whether it was not applied because of the store's rate limit."""
+        """Whether the transaction was not applied because of the store's rate limit."""
         return self.outcome is TransactionOutcome.RATE_LIMITED
 
     @property
     def is_unknown(self) -> bool:
-        """Whether it is not known if it was, or still will be, applied."""
+        """Whether it is not known if the transaction was, or still will be, applied."""
         return self.outcome is TransactionOutcome.UNKNOWN
