--- a/src/ramptide/protocol/agents.py
+++ b/src/ramptide/protocol/agents.py
@@ -36,8 +36,8 @@
 COMMANDS_PATH = "/orders"
 INSPECT_PATH = "/inspect"
 
-#: Counts must be below this limit: a larger one would make all later heartbeats look old. The check is in code, as
-#: msgspec's own bounds end at 2^63.
+#: Counts must be below this limit: a larger one would make all later heartbeats look old. `_check_counts` checks
+#: this, as msgspec's own bounds end at 2^63.
 COUNT_LIMIT = 2**64
 TASK_ID_CACHE_ENTRIES = 16384
 
--- a/src/ramptide/protocol/key_value_store.py
+++ b/src/ramptide/protocol/key_value_store.py
@@ -163,7 +163,7 @@
 
 
 def decode_failed_keys(body: bytes) -> list[str]:
-    """Decode the keys whose conditions did not hold when a transaction was refused.
+    """Decode the keys whose conditions did not hold, from the response to a transaction with a conflict.
 
     Raises
     ------
@@ -195,7 +195,7 @@
     Parameters
     ----------
     conditions
-        By key, the modification revision that it must have; 0 for a key that must not exist.
+        The modification revision that each key must have, by key; 0 for a key that must not exist.
     puts
         Keys with their new value and, for a key that expires with a lease, the id of the lease.
     deletes
--- a/src/ramptide/protocol/types.py
+++ b/src/ramptide/protocol/types.py
@@ -21,9 +21,9 @@
 ]
 
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
-#: Seconds that may be negative, within the range of a timedelta.
+#: Seconds that may be negative; small enough for arithmetic with timedeltas.
 Seconds = Annotated[float, Meta(ge=-1e9, le=1e9)]
-#: Seconds since 1970, within the range of a datetime.
+#: Seconds since 1970, well within the range of a datetime.
 Timestamp = Annotated[float, Meta(ge=0, le=1e11)]
 Positive = Annotated[float, Meta(gt=0, le=1e9)]
 Count = Annotated[int, Meta(ge=0)]
