--- a/src/ramptide/transport/event_loop.py
+++ b/src/ramptide/transport/event_loop.py
@@ -40,7 +40,7 @@
     """The callback for the events of a socket, and whether other events may be handled before it."""
 
     on_ready: Callable[[int], None]
-    deferrable: bool
+    is_deferrable: bool
 
 
 class _ScheduledTimer(NamedTuple):
@@ -69,7 +69,7 @@
         self._selector = selectors.DefaultSelector()
         self._timers: list[_ScheduledTimer] = []
         self._timer_order = itertools.count()
-        self._running = False
+        self._is_running = False
         #: The file descriptors that were ready and not handled, the longest-waiting first.
         self._deferred: dict[int, None] = {}
         self._read_clock()
@@ -104,12 +104,12 @@
 
     def stop(self) -> None:
         """Make `run` return after the current turn."""
-        self._running = False
+        self._is_running = False
 
     def run(self) -> None:
         """Process events until `stop` is called."""
-        self._running = True
-        while self._running:
+        self._is_running = True
+        while self._is_running:
             self.turn()
 
     def turn(self) -> None:
@@ -119,7 +119,7 @@
         deferred: dict[int, Callable[[], None]] = {}
         for key, mask in ready:
             call = functools.partial(key.data.on_ready, mask)
-            if key.data.deferrable:
+            if key.data.is_deferrable:
                 deferred[key.fd] = call
             else:
                 self._run_guarded(WorkKind.SOCKETS, call)
@@ -156,7 +156,8 @@
 
     def _run_guarded(self, work: WorkKind, action: Callable[[], None]) -> None:
         self._read_clock()
-        # An exception in one event must not end the process: safety rests on leases and conditions that others check.
+        # An exception in one event must not end the process: safety rests on leases and conditions that other processes
+        # check.
         try:
             self.statistics.measure(work, action)
         except Exception:
--- a/src/ramptide/transport/http/client.py
+++ b/src/ramptide/transport/http/client.py
@@ -79,16 +79,16 @@
             self.close()
             return
         if message is not None and self.on_response is not None:
-            self._complete(message, reuse=message.keep_alive and data != b"" and self.parser.is_idle)
+            self._complete(message, is_reusable=message.keep_alive and data != b"" and self.parser.is_idle)
         elif data == b"" or (not self.parser.is_idle and self.on_response is None):
             self.close()
 
-    def _complete(self, message: Message, reuse: bool) -> None:
+    def _complete(self, message: Message, is_reusable: bool) -> None:
         """Release or close the connection, then pass the response to the caller."""
         on_response, self.on_response = self.on_response, None
         if self.timeout_timer is not None:
             self.timeout_timer.cancel()
-        if reuse:
+        if is_reusable:
             self.client.release(self)
         else:
             super().close()
--- a/src/ramptide/transport/http/connection.py
+++ b/src/ramptide/transport/http/connection.py
@@ -20,12 +20,12 @@
         self.output = bytearray()
         self.is_open = True
         #: Whether events of this connection may wait until other events are handled.
-        self.deferrable = False
+        self.is_deferrable = False
 
     def _watch(self) -> None:
         """Watch the socket for input and, while output is buffered, for room to write."""
         events = selectors.EVENT_READ | (selectors.EVENT_WRITE if self.output else 0)
-        self.loop.watch(self.sock, events, self.on_ready, self.deferrable)
+        self.loop.watch(self.sock, events, self.on_ready, self.is_deferrable)
 
     def write(self, data: bytes) -> None:
         """Send as much of the data as the socket accepts now, and the rest later."""
--- a/src/ramptide/transport/http/server.py
+++ b/src/ramptide/transport/http/server.py
@@ -41,7 +41,7 @@
     def prioritize(self) -> None:
         """Handle later requests on the same connection before those of deferrable connections."""
         if self._connection is not None:
-            self._connection.deferrable = False
+            self._connection.is_deferrable = False
 
     def respond(
         self, status: int, body: bytes, content_type: str = JSON, headers: dict[str, str] | None = None
@@ -58,7 +58,7 @@
     def __init__(self, server: "Server", sock: socket.socket) -> None:
         super().__init__(server.loop, sock)
         self.server = server
-        self.deferrable = server.deferrable
+        self.is_deferrable = server.is_deferrable
         self.parser = Parser(max_body_bytes=server.max_body_bytes)
         #: Whether the handler has a request to which it has not responded yet.
         self.is_handling = False
@@ -182,7 +182,7 @@
         deferrable: bool = False,
     ) -> None:
         self.loop = loop
-        self.deferrable = deferrable
+        self.is_deferrable = deferrable
         self.handler = handler
         self.max_connections = max_connections
         self.idle_timeout = idle_timeout
--- a/src/ramptide/transport/process_statistics.py
+++ b/src/ramptide/transport/process_statistics.py
@@ -19,8 +19,8 @@
 class WorkKind(Enum):
     """Kinds of work; the values are their labels in the metrics.
 
-    The time of `SOCKETS` includes that of the transport itself and of the four kinds after it. Only failures of calls
-    that a timer reports are part of `TIMERS` instead.
+    The time of `SOCKETS` includes that of the transport itself and of the four kinds after it. An exception is a failed
+    call that a timer reports: its `RESPONSES` time is part of that of `TIMERS`.
     """
 
     TIMERS = "timers"
