--- a/src/ramptide/agents/heartbeat_intake.py
+++ b/src/ramptide/agents/heartbeat_intake.py
@@ -134,8 +134,8 @@
         machine.last_heartbeat_id = heartbeat_id
         machine.last_heartbeat_at = now
         machine.address = heartbeat.address or machine.address
-        if not machine.is_up or machine.missed_heartbeats:
-            machine.is_up, machine.missed_heartbeats = True, False
+        if not machine.is_up or machine.has_missed_heartbeats:
+            machine.is_up, machine.has_missed_heartbeats = True, False
             self._mark_changed(machine.host)
         notice_s = heartbeat.preemption_notice_s
         preempted_at = None if notice_s is None else now + timedelta(seconds=max(notice_s, 0.0))
--- a/src/ramptide/agents/lease_expiry.py
+++ b/src/ramptide/agents/lease_expiry.py
@@ -28,7 +28,7 @@
 
     host: str
     lost_tasks: int
-    reconciled: bool
+    is_newly_reconciled: bool
 
 
 class LeaseExpiry:
@@ -67,15 +67,15 @@
                 latest_reply = max(latest_reply, others_fenced_at)
             if now - latest_reply > expires_after:
                 lease = self._expire_machine(machine)
-                if lease.reconciled or lease.lost_tasks:
+                if lease.is_newly_reconciled or lease.lost_tasks:
                     expired.append(lease)
         return expired
 
     def _check_heartbeats(self, machine: OwnedMachine, now: timedelta) -> None:
-        if machine.missed_heartbeats:
+        if machine.has_missed_heartbeats:
             return
         if now - (machine.last_heartbeat_at or machine.no_other_owner_since) > self._missed_heartbeats_after:
-            machine.missed_heartbeats = True
+            machine.has_missed_heartbeats = True
             self._table.mark_changed(machine.host)
 
     def _expire_machine(self, machine: OwnedMachine) -> ExpiredLease:
--- a/src/ramptide/agents/owned_machine.py
+++ b/src/ramptide/agents/owned_machine.py
@@ -68,7 +68,7 @@
     last_heartbeat_id: HeartbeatId = NO_HEARTBEAT
     #: Since when its heartbeats have shown that replies do not reach the agent; None while they do.
     unreachable_since: timedelta | None = None
-    missed_heartbeats: bool = False
+    has_missed_heartbeats: bool = False
     #: The encoded tasks of the last heartbeat from which the entries were updated.
     raw_tasks: bytes | None = None
     last_heartbeat_at: timedelta | None = None
--- a/src/ramptide/agents/shard.py
+++ b/src/ramptide/agents/shard.py
@@ -106,7 +106,7 @@
                 replies[host] = max(latest_reply, others_fenced_at)
         return replies
 
-    def job_finished(self, job_id: str) -> None:
+    def request_job_reap(self, job_id: str) -> None:
         """Request the stop of all attempts of a job that has finished, whoever requested them."""
         for host in self.hosts_by_job.pop(job_id, ()):
             machine = self.machines.get(host)
--- a/src/ramptide/agents/status.py
+++ b/src/ramptide/agents/status.py
@@ -31,6 +31,6 @@
 
 def _silent_for(machine: OwnedMachine, now: timedelta) -> timedelta:
     """Return how long the machine has been silent; zero if it does not miss heartbeats."""
-    if not machine.missed_heartbeats:
+    if not machine.has_missed_heartbeats:
         return timedelta(0)
     return now - (machine.last_heartbeat_at or machine.no_other_owner_since)
--- a/src/ramptide/api/metrics.py
+++ b/src/ramptide/api/metrics.py
@@ -109,7 +109,7 @@
 
     def _gauges(self) -> dict[str, tuple[int, str]]:
         state, index, autoscaler = self._state, self._machine_index, self._autoscaler
-        up = sum(machine.is_up and not machine.missed_heartbeats for machine in index.machines.values())
+        up = sum(machine.is_up and not machine.has_missed_heartbeats for machine in index.machines.values())
         out_of_use = sum(index.out_of_use_reason(host) is not None for host in state.machines)
         return {
             "view": (state.view.number if state.view is not None else 0, "number of the view"),
--- a/src/ramptide/api/status.py
+++ b/src/ramptide/api/status.py
@@ -142,7 +142,7 @@
             "yard": record.zone,
             "spot": record.spot,
             "leaving": record.drain_reason,
-            "up": observed is not None and observed.is_up and not observed.missed_heartbeats,
+            "up": observed is not None and observed.is_up and not observed.has_missed_heartbeats,
             "tasks": len(observed.tasks) if observed is not None else 0,
             "out_of_use": self._machine_index.out_of_use_reason(host),
         }
--- a/src/ramptide/api/telemetry.py
+++ b/src/ramptide/api/telemetry.py
@@ -122,13 +122,13 @@
         self._unconfirmed.clear()
         self.last_changes.append(ViewChange(number))
 
-    def record_reconciliation(self, spent: timedelta) -> None:
+    def record_reconciliation(self, duration: timedelta) -> None:
         """Record that all machines are reconciled in the current view, `duration` after its adoption."""
         self.reconciled_changes += 1
-        self.reconciliation_total += spent
-        self.reconciliation_last = spent
+        self.reconciliation_total += duration
+        self.reconciliation_last = duration
         if self.last_changes:
-            self.last_changes[-1].settled_s = round(spent.total_seconds(), 3)
+            self.last_changes[-1].settled_s = round(duration.total_seconds(), 3)
 
     def record_answer(self, route: Route, status: int) -> None:
         """Count an answer to a user."""
@@ -150,7 +150,7 @@
             counts.setdefault(route.value, {})[str(status)] = count
         return counts
 
-    def record_expired_leases(self, expired: Sequence[ExpiredLease], confirmed: bool) -> None:
+    def record_expired_leases(self, expired: Sequence[ExpiredLease], is_confirmed: bool) -> None:
         """Count and log leases that expired.
 
         Without `is_confirmed` this controller may have been removed from the view, while the machines continue under
@@ -158,7 +158,7 @@
         changes.
         """
         self._unconfirmed += expired
-        if not confirmed or not self._unconfirmed:
+        if not is_confirmed or not self._unconfirmed:
             return
         expired, self._unconfirmed = self._unconfirmed, []
         self.leases_expired += len(expired)
@@ -172,7 +172,7 @@
         "leases expired: hosts=%r tasks_lost=%d reconciled=%d",
         _format_hosts([lease.host for lease in expired]),
         sum(lease.lost_tasks for lease in expired),
-        sum(lease.reconciled for lease in expired),
+        sum(lease.is_newly_reconciled for lease in expired),
     )
 
 
--- a/src/ramptide/autoscaling/fleet_observation.py
+++ b/src/ramptide/autoscaling/fleet_observation.py
@@ -122,7 +122,7 @@
         observed = self._machine_index.machines.get(host) or ObservedMachine()
         is_indexed = host in self._machine_index.machines
         # Only messages of its owner prove that a machine is silent: a silent owner says nothing about the machine.
-        is_silent = observed.is_reported and observed.missed_heartbeats
+        is_silent = observed.is_reported and observed.has_missed_heartbeats
         unreachable_since, preempted_at = observed.unreachable_since, observed.preempted_at
         return FleetMachine(
             host=host,
--- a/src/ramptide/cluster/free_rooms.py
+++ b/src/ramptide/cluster/free_rooms.py
@@ -182,7 +182,7 @@
         and machine.is_reconciled
         and machine.is_up
         and not machine.is_draining
-        and not machine.missed_heartbeats
+        and not machine.has_missed_heartbeats
         and machine.preempted_at is None
         and machine.unreachable_since is None
     )
--- a/src/ramptide/cluster/machine_index.py
+++ b/src/ramptide/cluster/machine_index.py
@@ -188,7 +188,9 @@
         return [
             host
             for host, machine in self.machines.items()
-            if machine.is_reported and machine.missed_heartbeats and (machine.is_up or self._records[host].registered)
+            if machine.is_reported
+            and machine.has_missed_heartbeats
+            and (machine.is_up or self._records[host].registered)
         ]
 
     def out_of_use_reason(self, host: str) -> str | None:
@@ -201,7 +203,7 @@
             "booting": not record.registered and not machine.is_up,
             "its owner is not heard": not machine.is_reported,
             "not settled": not machine.is_reconciled,
-            MISSED_HEARTBEATS: machine.missed_heartbeats,
+            MISSED_HEARTBEATS: machine.has_missed_heartbeats,
             "deaf": machine.unreachable_since is not None,
             "about to be taken": machine.preempted_at is not None,
             "fails what others run": host in self.machines and self._is_quarantined(host),
--- a/src/ramptide/cluster/observed_machine.py
+++ b/src/ramptide/cluster/observed_machine.py
@@ -49,7 +49,7 @@
     is_reconciled: bool = False
     is_up: bool = False
     is_draining: bool = False
-    missed_heartbeats: bool = False
+    has_missed_heartbeats: bool = False
     heard_at: timedelta = NO_TIME
     preempted_at: timedelta | None = None
     failed_jobs: list[str] = field(default_factory=list)
@@ -80,7 +80,7 @@
         controller has observed the task, the wait for a heartbeat need not start anew under each owner.
         """
         return self.is_reported and (
-            self.missed_heartbeats or (not self.is_up and not self.is_unconfirmed_since_assumed)
+            self.has_missed_heartbeats or (not self.is_up and not self.is_unconfirmed_since_assumed)
         )
 
     @property
@@ -94,7 +94,7 @@
         self.is_reconciled = status.is_reconciled
         self.is_up = status.is_up
         self.is_draining = status.is_draining
-        self.missed_heartbeats = status.silent_s > 0
+        self.has_missed_heartbeats = status.silent_s > 0
         self.heard_at = now - timedelta(seconds=status.silent_s)
         notice_s, unreachable_s = status.preemption_notice_s, status.unreachable_s
         self.preempted_at = None if notice_s is None else now + timedelta(seconds=notice_s)
--- a/src/ramptide/cluster/unconfirmed_terminations.py
+++ b/src/ramptide/cluster/unconfirmed_terminations.py
@@ -47,7 +47,7 @@
         """Set or clear `unconfirmed_since` of a machine by the status that its owner has reported."""
         if any(job_id not in self._jobs for job_id in active_job_ids(machine.tasks)):
             machine.unconfirmed_since = machine.unconfirmed_since or now
-        elif machine.is_reconciled and machine.is_up and not machine.missed_heartbeats:
+        elif machine.is_reconciled and machine.is_up and not machine.has_missed_heartbeats:
             machine.unconfirmed_since = None
             machine.is_unconfirmed_since_assumed = False
             self._jobs_before_view.pop(host, None)
@@ -72,7 +72,7 @@
         return {
             host: self.duration(host, now).total_seconds()
             for host, machine in self._machines.items()
-            if machine.unconfirmed_since is not None and machine.missed_heartbeats
+            if machine.unconfirmed_since is not None and machine.has_missed_heartbeats
         }
 
     def merge(self, seconds_by_machine: Mapping[str, float], now: timedelta) -> None:
@@ -83,7 +83,7 @@
         for host, seconds in seconds_by_machine.items():
             since = now - timedelta(seconds=seconds)
             machine = self._machines.get(host)
-            if machine is not None and machine.missed_heartbeats and self.duration(host, now) < now - since:
+            if machine is not None and machine.has_missed_heartbeats and self.duration(host, now) < now - since:
                 machine.unconfirmed_since = since
 
     def backdate(self, started: timedelta, since: timedelta) -> None:
--- a/src/ramptide/controller/agent_connectivity.py
+++ b/src/ramptide/controller/agent_connectivity.py
@@ -76,7 +76,7 @@
         now = self._runtime.now
         registered_machines = [machine for machine in shard.machines.values() if machine.record.registered]
         if len(registered_machines) < MIN_UNREACHED_MACHINES or not all(
-            machine.missed_heartbeats for machine in registered_machines
+            machine.has_missed_heartbeats for machine in registered_machines
         ):
             self._unreached_since = None
             return
@@ -99,7 +99,7 @@
         peers = self._peers.by_name.items()
         heard_members = {name for name, peer in peers if peer.heard_at is not None and peer.heard_at > since}
         return any(
-            observed.is_reported and observed.is_up and not observed.missed_heartbeats
+            observed.is_reported and observed.is_up and not observed.has_missed_heartbeats
             for host, observed in self._machine_index.machines.items()
             if self._state.owner_of(host) in heard_members
         )
--- a/src/ramptide/controller/assignments.py
+++ b/src/ramptide/controller/assignments.py
@@ -74,7 +74,7 @@
         if self._state.scheduler is not None:
             self._state.scheduler.finish_job(job_id)
         if self._state.shard is not None:
-            self._state.shard.job_finished(job_id)
+            self._state.shard.request_job_reap(job_id)
 
     def add_owned_machine(
         self, host: str, record: MachineRecord, last_possible_replies: Mapping[str, timedelta] | None = None
--- a/src/ramptide/controller/availability.py
+++ b/src/ramptide/controller/availability.py
@@ -113,7 +113,7 @@
         return (
             bool(machines_up)
             and self._authority.may_reply()
-            and all(machine.missed_heartbeats for machine in machines_up)
+            and all(machine.has_missed_heartbeats for machine in machines_up)
         )
 
     def _log_changes(self) -> None:
--- a/src/ramptide/controller/decision_loop.py
+++ b/src/ramptide/controller/decision_loop.py
@@ -136,6 +136,6 @@
 
     def _process_passed_time(self, scheduler: JobScheduler, shard: Shard, now: timedelta) -> None:
         expired = shard.leases.expire(now, self._fencing.others_fenced_at())
-        self._telemetry.record_expired_leases(expired, confirmed=self._authority.may_reply())
+        self._telemetry.record_expired_leases(expired, is_confirmed=self._authority.may_reply())
         self._agent_connectivity.step_down_if_cut_off(shard)
         stop_on_draining_machines(scheduler, self._state.machines, self._machine_index.machines)
--- a/src/ramptide/controller/reconciliation.py
+++ b/src/ramptide/controller/reconciliation.py
@@ -59,7 +59,7 @@
         if observed is None or not observed.is_reported:
             return f"not heard of from {self._state.owner_of(host)}"
         if not observed.is_reconciled:
-            return MISSED_HEARTBEATS if observed.missed_heartbeats else TOKEN_NOT_SEEN
+            return MISSED_HEARTBEATS if observed.has_missed_heartbeats else TOKEN_NOT_SEEN
         return None if self._machine_index.check_all_tasks_known(observed) else UNKNOWN_JOB
 
     def update_reconciled(self) -> None:
--- a/src/ramptide/transport/event_loop.py
+++ b/src/ramptide/transport/event_loop.py
@@ -110,9 +110,9 @@
         """Process events until `stop` is called."""
         self._is_running = True
         while self._is_running:
-            self.turn()
+            self.run_turn()
 
-    def turn(self) -> None:
+    def run_turn(self) -> None:
         """Wait for sockets or the next timer, then process what is due, except for surplus deferrable events."""
         ready = self._selector.select(self._seconds_to_next_timer())
         self._read_clock()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -105,11 +105,11 @@
         # Nothing is read, so that all stay ready for good.
         loop.watch(near, selectors.EVENT_READ, lambda mask, number=number: handled.append(number), number < 40)
     loop.after(timedelta(0), lambda: handled.append("timer"))
-    loop.turn()
+    loop.run_turn()
     assert handled[:2] == [40, "timer"]
     assert 0 < len(handled) - 2 < 40
     for _ in range(20):
-        loop.turn()
+        loop.run_turn()
     assert set(handled) == {*range(41), "timer"}
     for near, far in pairs:
         near.close()
@@ -133,7 +133,7 @@
         answer = None
         for _ in range(20):
             loop.after(timedelta(0), lambda: None)
-            loop.turn()
+            loop.run_turn()
             try:
                 answer = client.recv(1000)
                 break
@@ -184,7 +184,7 @@
         for _ in range(200):
             if condition():
                 return
-            loop.turn()
+            loop.run_turn()
         raise AssertionError("it did not come to that")
 
     clients = []
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -431,7 +431,7 @@
 def test_many_that_are_lost_together_are_one_line(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     telemetry = Telemetry()
-    telemetry.record_expired_leases([ExpiredLease(f"vm-{n}", 3, n < 5) for n in range(300)], confirmed=True)
+    telemetry.record_expired_leases([ExpiredLease(f"vm-{n}", 3, n < 5) for n in range(300)], is_confirmed=True)
     assert len(caplog.records) == 1
     line = caplog.records[0].getMessage()
     assert "tasks_lost=900 reconciled=5" in line
--- a/tests/test_process_statistics.py
+++ b/tests/test_process_statistics.py
@@ -80,7 +80,7 @@
     loop = EventLoop()
     loop.after(timedelta(seconds=1), lambda: None)
     clock.passes(1.75)
-    loop.turn()
+    loop.run_turn()
     assert loop.statistics.worst_delay(loop.now) == timedelta(seconds=0.75)
 
 
@@ -99,7 +99,7 @@
     for near, far in pairs:
         far.send(b"x")
         loop.watch(near, selectors.EVENT_READ, event)
-    loop.turn()
+    loop.run_turn()
     assert seen == [timedelta(seconds=number) for number in (0, 2, 4)]
     for near, far in pairs:
         near.close()
@@ -120,5 +120,5 @@
 
     loop.after(timedelta(0), begin_round)
     loop.after(timedelta(0), begin_round)
-    loop.turn()
+    loop.run_turn()
     assert len(rounds) == 2, "each one once"
--- a/tests/virtual/loopback.py
+++ b/tests/virtual/loopback.py
@@ -110,7 +110,7 @@
         end = time.monotonic() + seconds
         while time.monotonic() < end and not condition():
             self.loop.after(timedelta(milliseconds=50), lambda: None)
-            self.loop.turn()
+            self.loop.run_turn()
         return condition()
 
     # The stand-ins.
