--- a/tests/virtual/agent.py
+++ b/tests/virtual/agent.py
@@ -1,4 +1,4 @@
-"""A stand-in for a machine and the agent that runs tasks on it."""
+"""A simulated machine with the agent that runs tasks on it."""
 
 import json
 from collections.abc import Callable
@@ -12,33 +12,34 @@
 if TYPE_CHECKING:
     from virtual.world import World
 
-#: The one machine type, and what each machine of it has.
+#: The only machine type, and the capacity of each machine.
 MACHINE_TYPE = "m"
 MACHINE_CPUS, MACHINE_RAM_GB = 8.0, 32.0
-#: Sums of amounts may be too large by so much.
-CAPACITY_TOLERANCE = 1e-6
+#: Allows for the rounding errors of sums of CPUs.
+CAPACITY_TOLERANCE_CPUS = 1e-6
 
 HEARTBEAT_TIMEOUT = 4 * S
 HEARTBEAT_INTERVAL_S = 1.0
-#: After a new fencing token, after a redirect, and after a controller that did not answer.
+#: The time to the next heartbeat after a new fencing token, after a redirect, and after a failed request.
 NEW_TOKEN_INTERVAL_S, REDIRECT_INTERVAL_S, RETRY_INTERVAL_S = 0.5, 0.2, 1.0
 LEASE_CHECK_INTERVAL = 100 * MS
-FETCH_TIME = 300 * MS
-#: How soon all tasks fail on a faulty machine.
+FETCH_DURATION = 300 * MS
+#: How long a task runs on a faulty machine before it fails.
 FAULTY_RUNTIME_S = 0.2
 
-# States of a task, and causes of its end.
+# The states of a task, the causes of its end, and the causes for which an agent refuses to run it, as agents report
+# them.
 FETCHING, RUNNING, ENDED = "fetching", "running", "ended"
-DONE, ERROR, STOPPED = "done", "error", "halted"
-UNKNOWN_JOB, ALREADY_HERE, NO_CAPACITY = "unknown", "busy", "no_room"
+SUCCEEDED, FAILED, STOPPED = "done", "error", "halted"
+UNKNOWN_JOB, TASK_ALREADY_PRESENT, NO_CAPACITY = "unknown", "busy", "no_room"
 
-#: A job, the index of a task in it, and the number of the attempt.
+#: Job id, task index and attempt number.
 AttemptKey = tuple[str, int, int]
 
 
 @dataclass
 class Task:
-    """An attempt of a task on a machine."""
+    """One attempt of a task on a machine."""
 
     job_id: str
     index: int
@@ -48,18 +49,18 @@
 
     @property
     def task_id(self) -> tuple[str, int]:
-        """The job and the index in it."""
+        """The job id and the index of the task in the job."""
         return self.job_id, self.index
 
     @property
     def key(self) -> AttemptKey:
-        """What tells the attempt from all others."""
+        """The unique key of the attempt."""
         return self.job_id, self.index, self.attempt
 
 
 @dataclass
 class Agent:
-    """A machine as the protocol describes it."""
+    """A rented machine and its agent, which implements the agents' side of the protocol."""
 
     world: "World"
     host: str
@@ -67,24 +68,24 @@
     spot: bool
     alive: bool = True
     booted: bool = False
-    #: All tasks fail here.
+    #: Whether all tasks fail on this machine.
     is_faulty: bool = False
     agent_epoch: int = 1
     sequence_number: int = 0
     fencing_token: int = 0
-    #: The controller that gets the next heartbeat.
+    #: The index in `World.controller_names` of the controller that gets the next heartbeat.
     controller_index: int = 0
     tasks: dict[AttemptKey, Task] = field(default_factory=dict)
-    #: When the latest heartbeat was sent that a controller answered.
+    #: The start of the lease: when the latest heartbeat with a valid reply was sent, or the last boot or expiry.
     lease_renewed_at: timedelta = timedelta(0)
     hung_until: timedelta = timedelta(0)
 
     LEASE_DURATION = 8 * S
 
-    # The machine.
+    # The state of the machine.
 
     def boot(self) -> None:
-        """Start the agent."""
+        """Start the agent, unless the machine was terminated before."""
         if self.alive:
             self.booted = True
             self.controller_index = self.world.rng.randrange(len(self.world.controller_names))
@@ -93,17 +94,17 @@
             self._send_heartbeat()
 
     def die(self) -> None:
-        """End the machine without a word."""
+        """Terminate the machine with all its tasks, without notice to any controller."""
         self.alive = False
         self.tasks.clear()
 
     def hang(self, seconds: float) -> None:
-        """Let nothing move here for a while; then it goes on with what it had, its lease first."""
+        """Suspend the machine for a while; when it resumes, it checks its lease before anything else."""
         self.hung_until = self.world.now + seconds * S
         self.world.after(seconds * S, self._check_lease)
 
-    def _is_deferred_by_hang(self, action: Callable[[], None]) -> bool:
-        """Tell whether the machine hangs; the action is then carried out when it goes on."""
+    def _defer_while_hung(self, action: Callable[[], None]) -> bool:
+        """Return whether the machine hangs; if so, the action is scheduled for when it resumes."""
         if self.world.now < self.hung_until:
             self.world.after(self.hung_until - self.world.now + MS, action)
             return True
@@ -117,7 +118,7 @@
 
     @property
     def may_run_tasks(self) -> bool:
-        """Whether its tasks may still run: a machine that hangs past its lease ends all when it goes on."""
+        """Whether its tasks may still run: a machine that hangs past its lease stops all tasks when it resumes."""
         return self.alive and (self.world.now >= self.hung_until or not self._is_lease_expired)
 
     def _check_lease(self) -> None:
@@ -127,7 +128,7 @@
             self.lease_renewed_at = self.world.now
 
     def _check_lease_repeatedly(self) -> None:
-        if not self.alive or self._is_deferred_by_hang(self._check_lease_repeatedly):
+        if not self.alive or self._defer_while_hung(self._check_lease_repeatedly):
             return
         self._check_lease()
         self.world.after(LEASE_CHECK_INTERVAL, self._check_lease_repeatedly)
@@ -135,7 +136,7 @@
     # Heartbeats.
 
     def _send_heartbeat(self) -> None:
-        if not self.alive or self._is_deferred_by_hang(self._send_heartbeat):
+        if not self.alive or self._defer_while_hung(self._send_heartbeat):
             return
         sent_at, agent_epoch = self.world.now, self.agent_epoch
         self.sequence_number += 1
@@ -151,7 +152,7 @@
         self.world.send(self.host, controller_name, request, HEARTBEAT_TIMEOUT, on_response)
 
     def encode_status(self) -> bytes:
-        """Return what a heartbeat tells, and the answer to a direct command."""
+        """Encode the status of the machine, the body of heartbeats and of responses to direct requests."""
         return json.dumps(
             {
                 "host": self.host, "addr": self.world.command_address(self.host), "rig": MACHINE_TYPE,
@@ -168,18 +169,18 @@
         ).encode()  # fmt: skip
 
     def _on_response(self, sent_at: timedelta, agent_epoch: int, response: Response | None) -> None:
-        if not self.alive or self._is_deferred_by_hang(lambda: self._on_response(sent_at, agent_epoch, response)):
+        if not self.alive or self._defer_while_hung(lambda: self._on_response(sent_at, agent_epoch, response)):
             return
         if self.world.now - sent_at > HEARTBEAT_TIMEOUT:
-            # It came while the machine hung, which has given it up by now.
+            # The response arrived while the machine hung, and the request has timed out since.
             response = None
         interval_s = HEARTBEAT_INTERVAL_S * self.world.rng.uniform(0.75, 1.25)
         redirect = self._redirect_target(response)
         if response is not None and response.status == 200:
-            message = json.loads(response.body)
-            if message["baton"] >= self.fencing_token and agent_epoch == self.agent_epoch:
-                interval_s = NEW_TOKEN_INTERVAL_S if message["baton"] > self.fencing_token else interval_s
-                self._accept(message, sent_at)
+            reply = json.loads(response.body)
+            if reply["baton"] >= self.fencing_token and agent_epoch == self.agent_epoch:
+                interval_s = NEW_TOKEN_INTERVAL_S if reply["baton"] > self.fencing_token else interval_s
+                self._apply_reply(reply, sent_at)
         elif redirect is not None:
             self.controller_index, interval_s = redirect, REDIRECT_INTERVAL_S
         else:
@@ -188,37 +189,40 @@
         self.world.after(interval_s * S, self._send_heartbeat)
 
     def _redirect_target(self, response: Response | None) -> int | None:
-        """Return the index of the controller to which a response redirects."""
+        """Return the index of the controller to which a response redirects, or None if it does not redirect."""
         if response is None or response.status != 421:
             return None
         owner = json.loads(response.body)["foreman"]
         return self.world.controller_names.index(owner) if owner in self.world.controller_names else None
 
-    def _accept(self, message: dict[str, Any], sent_at: timedelta) -> None:
-        """Renew the lease and carry out the commands of a response."""
-        self.fencing_token = message["baton"]
+    def _apply_reply(self, reply: dict[str, Any], sent_at: timedelta) -> None:
+        """Renew the lease and execute the commands in the reply to a heartbeat that was sent at `sent_at`."""
+        self.fencing_token = reply["baton"]
         self.lease_renewed_at = sent_at
-        for command in message["orders"]:
+        for command in reply["orders"]:
             self._execute(command)
 
-    # Direct requests of controllers.
+    # Direct requests from controllers.
 
     def inspect(self, respond: Respond) -> None:
-        """Answer with the present status."""
-        if self.alive and not self._is_deferred_by_hang(lambda: self.inspect(respond)):
+        """Respond with the current status."""
+        if self.alive and not self._defer_while_hung(lambda: self.inspect(respond)):
             self.sequence_number += 1
             respond(200, self.encode_status())
 
-    def handle_commands(self, message: dict[str, Any], respond: Respond) -> None:
-        """Carry out direct commands, which renew no lease; they are refused with an older token or of another epoch."""
+    def handle_commands(self, request: dict[str, Any], respond: Respond) -> None:
+        """Execute direct commands, which renew no lease.
+
+        They are refused if their fencing token is older than the latest one, or if they are for another agent epoch.
+        """
         if not self.alive or not self.booted:
             return
-        if self._is_deferred_by_hang(lambda: self.handle_commands(message, respond)):
+        if self._defer_while_hung(lambda: self.handle_commands(request, respond)):
             return
-        is_allowed = message["baton"] >= self.fencing_token and message["tenure"] == self.agent_epoch
+        is_allowed = request["baton"] >= self.fencing_token and request["tenure"] == self.agent_epoch
         if is_allowed:
-            self.fencing_token = message["baton"]
-            for command in message["orders"]:
+            self.fencing_token = request["baton"]
+            for command in request["orders"]:
                 self._execute(command)
         self.sequence_number += 1
         respond(200 if is_allowed else 409, self.encode_status())
@@ -237,17 +241,17 @@
             del self.tasks[key]
 
     def _fetch(self, task: Task) -> None:
-        """Fetch the task's image and run it, or end it at once with the reason why it cannot run here."""
+        """Fetch the task's image and run the task, or end it at once with the cause for which it is refused."""
         self.tasks[task.key] = task
         spec = self.world.job_specs.get(task.job_id)
         if spec is None:
             self._end(task, UNKNOWN_JOB)
         elif any(other is not task and other.task_id == task.task_id for other in self.tasks.values()):
-            self._end(task, ALREADY_HERE)
-        elif self._used_cpus() > MACHINE_CPUS + CAPACITY_TOLERANCE:
+            self._end(task, TASK_ALREADY_PRESENT)
+        elif self._used_cpus() > MACHINE_CPUS + CAPACITY_TOLERANCE_CPUS:
             self._end(task, NO_CAPACITY)
         else:
-            self.world.after(FETCH_TIME, lambda: self._run(task, spec))
+            self.world.after(FETCH_DURATION, lambda: self._run(task, spec))
 
     def _used_cpus(self) -> float:
         return sum(
@@ -255,7 +259,7 @@
         )
 
     def _run(self, task: Task, spec: dict[str, Any]) -> None:
-        if self._is_deferred_by_hang(lambda: self._run(task, spec)):
+        if self._defer_while_hung(lambda: self._run(task, spec)):
             return
         if self.tasks.get(task.key) is not task or task.status != FETCHING:
             return
@@ -263,15 +267,15 @@
         self.world.invariants.on_task_started(self, task)
         if self.is_faulty or task.job_id in self.world.failure_delays:
             runtime_s = FAULTY_RUNTIME_S if self.is_faulty else self.world.failure_delays[task.job_id]
-            self.world.after(runtime_s * S, lambda: self._finish(task, ERROR))
+            self.world.after(runtime_s * S, lambda: self._finish(task, FAILED))
         elif spec["shape"] == "batch":
-            self.world.after(spec["guessS"] * S, lambda: self._finish(task, DONE))
+            self.world.after(spec["guessS"] * S, lambda: self._finish(task, SUCCEEDED))
 
     def _finish(self, task: Task, cause: str) -> None:
-        if self._is_deferred_by_hang(lambda: self._finish(task, cause)):
+        if self._defer_while_hung(lambda: self._finish(task, cause)):
             return
         if self.tasks.get(task.key) is task and task.status == RUNNING:
-            if cause == DONE:
+            if cause == SUCCEEDED:
                 self.world.invariants.on_task_done(task)
             self._end(task, cause)
 
--- a/tests/virtual/clock.py
+++ b/tests/virtual/clock.py
@@ -1,4 +1,4 @@
-"""The virtual clock: a queue of events, and the units in which tests write durations."""
+"""The virtual clock, which executes a queue of events, and the units in which tests write durations."""
 
 import heapq
 import itertools
@@ -12,7 +12,7 @@
 
 
 class VirtualClock:
-    """Runs events in order of time, and in order of scheduling when they are due at the same moment."""
+    """Executes events in the order of their times; events of the same time in the order of their scheduling."""
 
     def __init__(self) -> None:
         self.now = timedelta(0)
@@ -20,12 +20,12 @@
         self._sequence_numbers = itertools.count()
 
     def after(self, delay: timedelta, action: Callable[[], None]) -> None:
-        """Schedule an event."""
+        """Schedule an event; a negative delay counts as zero."""
         due_at = self.now + max(delay, timedelta(0))
         heapq.heappush(self._events, (due_at, next(self._sequence_numbers), action))
 
     def run(self, seconds: float) -> None:
-        """Let the time pass, with all events that are due."""
+        """Advance the clock by a duration and execute all events that are due by its end."""
         end = self.now + seconds * S
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
@@ -33,7 +33,10 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], seconds: float) -> bool:
-        """Let the time pass until the condition holds, for so long at most; return whether it holds."""
+        """Advance the clock until the condition holds, by at most `seconds`; return whether it holds.
+
+        The condition is checked ten times a second.
+        """
         for _ in range(int(seconds * 10)):
             if condition():
                 return True
--- a/tests/virtual/cloud.py
+++ b/tests/virtual/cloud.py
@@ -1,4 +1,4 @@
-"""A stand-in for the cloud that rents machines."""
+"""A simulated cloud that rents out machines."""
 
 import itertools
 import json
@@ -13,28 +13,31 @@
 if TYPE_CHECKING:
     from virtual.world import World
 
-#: A machine is on the cloud's list so long after it was rented.
+#: The time from the rental of a machine until it appears in the cloud's list.
 LIST_LAG = 2 * S
 
 
 class Cloud:
-    """Rents agents of one machine type in two zones."""
+    """Rents out machines of one type in two zones.
+
+    `capacity`: how many machines can be rented at the same time.
+    """
 
     def __init__(self, world: "World", capacity: int) -> None:
         self.world = world
         self.capacity = capacity
-        #: How many machines there are at most of one zone, of the on-demand and of the spot ones each.
+        #: How many on-demand machines, and how many spot machines, each zone has; None for no such limit.
         self.pool_capacity: int | None = None
-        #: The least and the most that the boot of a machine takes.
+        #: The shortest and the longest time that a machine takes to boot.
         self.boot_seconds = (1.0, 6.0)
         self.is_down = False
-        #: The hosts that each rental gave, by its idempotency key.
-        self.hosts_by_request: dict[str, list[str]] = {}
+        #: The hosts that were rented out for each request, by its idempotency key.
+        self.hosts_by_request_id: dict[str, list[str]] = {}
         self.listing: dict[str, dict[str, Any]] = {}
         self._host_numbers = itertools.count()
 
     def handle(self, method: str, target: str, body: bytes, respond: Respond) -> None:
-        """Carry out a request."""
+        """Handle a request."""
         path = urlsplit(target).path
         if self.is_down:
             respond(503, {"error": "trouble"})
@@ -65,8 +68,8 @@
 
     def _rent(self, request: dict[str, Any], respond: Respond) -> None:
         request_id = request["hire"]
-        if request_id in self.hosts_by_request:
-            respond(200, {"hosts": self.hosts_by_request[request_id]})
+        if request_id in self.hosts_by_request_id:
+            respond(200, {"hosts": self.hosts_by_request_id[request_id]})
             return
         zone, spot = request["yard"], request["loaners"]
         free = self._free_capacity(zone, spot)
@@ -74,7 +77,7 @@
             respond(503, {"error": "no capacity"})
             return
         hosts = [self._create_agent(zone, spot) for _ in range(min(request["howMany"], free))]
-        self.hosts_by_request[request_id] = hosts
+        self.hosts_by_request_id[request_id] = hosts
         respond(200, {"hosts": hosts})
 
     def _free_capacity(self, zone: str, spot: bool) -> int:
--- a/tests/virtual/indexes.py
+++ b/tests/virtual/indexes.py
@@ -1,4 +1,4 @@
-"""The controllers' indexes compared with a walk of everything that they index."""
+"""Compares the controllers' indexes with the same values computed from all the indexed objects."""
 
 from collections import Counter
 
@@ -8,12 +8,12 @@
 from ramptide.controller.controller import Controller
 from ramptide.scheduling.attempts import sum_amounts
 from ramptide.scheduling.job_scheduler import JobScheduler
-from virtual.agent import DONE, RUNNING
+from virtual.agent import RUNNING, SUCCEEDED
 from virtual.world import World
 
 
 def check_indexes(world: World) -> None:
-    """Check the indexes of all controllers that have a shard."""
+    """Check the indexes of all controllers that have a scheduler, as they do while they are in a view."""
     for node in world.nodes.values():
         controller = node.controller
         if controller is None or controller.state.scheduler is None:
@@ -46,14 +46,14 @@
 
 def _check_failures(controller: Controller) -> None:
     machine_index, jobs = controller.machine_index, controller.state.jobs
-    failed = {(job_id, name) for name, host in machine_index.machines.items() for job_id in host.failed_jobs}
+    failures = {(job_id, name) for name, host in machine_index.machines.items() for job_id in host.failed_jobs}
     assert {
         (job_id, name) for job_id, names in machine_index._failures._hosts_by_failed_job.items() for name in names
-    } == failed
-    passed = {job_id for job_id, _ in failed if job_id in jobs and jobs[job_id].progress.count}
-    passed |= {row[0] for host in machine_index.machines.values() for row in host.tasks if row[4] == DONE}
+    } == failures
+    succeeded = {job_id for job_id, _ in failures if job_id in jobs and jobs[job_id].progress.count}
+    succeeded |= {row[0] for host in machine_index.machines.values() for row in host.tasks if row[4] == SUCCEEDED}
     assert (
-        passed & machine_index._failures._hosts_by_failed_job.keys()
+        succeeded & machine_index._failures._hosts_by_failed_job.keys()
         <= machine_index._failures._succeeded_jobs
         <= machine_index._failures._hosts_by_failed_job.keys()
     )
@@ -73,5 +73,5 @@
         assert scheduler.usage().get(team, (0.0, 0.0)) == pytest.approx(usage.get(team, (0.0, 0.0)))
     indexed = [attempt for entries in scheduler.attempt_index.by_job.values() for attempt in entries.values()]
     assert sorted(attempt.key for attempt in indexed) == sorted(attempt.key for attempt in attempts)
-    shown = {tuple(row[:3]) for host in machine_index.machines.values() if host.is_reconciled for row in host.tasks}
-    assert all(attempt.key in scheduler.attempt_index.unreported or attempt.key in shown for attempt in attempts)
+    reported = {tuple(row[:3]) for host in machine_index.machines.values() if host.is_reconciled for row in host.tasks}
+    assert all(attempt.key in scheduler.attempt_index.unreported or attempt.key in reported for attempt in attempts)
--- a/tests/virtual/settings.py
+++ b/tests/virtual/settings.py
@@ -1,11 +1,11 @@
-"""Settings of controllers: a file for tests of its reading, and the cluster's part for controllers that run."""
+"""Settings for controllers: an example of a settings file, and the cluster settings of the controllers of a world."""
 
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
     from virtual.world import World
 
-#: All that is required, and one field that nobody knows.
+#: A settings file with all required fields and one unknown field.
 SETTINGS_FILE: dict[str, Any] = {
     "member": "c0", "area": "a", "client_listen": "127.0.0.1:1", "peer_bind": "127.0.0.1:2", "siblings": [],
     "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"}, "unheard_of": 1,
@@ -19,7 +19,7 @@
 
 
 def cluster_settings(world: "World", fd_limit: int) -> dict[str, Any]:
-    """Return the settings that all controllers of a world have in common."""
+    """Return the cluster settings, which all controllers of a world share."""
     return {
         "nodes": len(world.controller_names), "zones": ["a", "b"], "objectives": [],
         "teams": [
