--- a/tests/virtual/__init__.py
+++ b/tests/virtual/__init__.py
@@ -1,8 +1,9 @@
-"""The tests' virtual world: whole controllers on a virtual clock among stand-ins that speak the protocol.
+"""A simulation for tests: whole controllers on a virtual clock and network, with simulated external services.
 
-Read `world` first, then `node` (a controller's process) and the stand-ins `key_value_store`, `cloud` and `agent`.
-`invariants` judges what happens; `users`, `faults` and `histories` make it happen. `loopback`, which is imported by
-itself, runs real controller processes against the same stand-ins.
+Read `world` first, then `node` (a controller's process) and the simulated services `key_value_store`, `cloud` and
+`agent`. `users`, `faults` and `histories` generate the load and the faults; `invariants` checks what happens on the
+machines. `loopback` runs real controller processes against the same simulated services; it is not re-exported here, so
+tests import it by its own name.
 """
 
 from virtual.agent import MACHINE_CPUS, MACHINE_RAM_GB, Agent, AttemptKey, Task
@@ -21,7 +22,7 @@
     slow_service_links,
     store_refuses_controller,
 )
-from virtual.histories import QUOTA_ON, SECONDS, longest_starvation, play, starved_jobs
+from virtual.histories import DEFAULT_HISTORY_S, QUOTA_ON, longest_starvation, play, starved_jobs
 from virtual.indexes import check_indexes
 from virtual.invariants import InvariantChecker
 from virtual.jobs import job_spec
@@ -36,13 +37,13 @@
 
 __all__ = [
     "CLOUD",
+    "DEFAULT_HISTORY_S",
     "EPOCH",
     "MACHINE_CPUS",
     "MACHINE_RAM_GB",
     "MS",
     "OVERLAPPING_FAULTS",
     "QUOTA_ON",
-    "SECONDS",
     "SETTINGS_FILE",
     "SINGLE_FAULTS",
     "SLOW_LINK_FAULTS",
--- a/tests/virtual/faults.py
+++ b/tests/virtual/faults.py
@@ -1,4 +1,4 @@
-"""The faults of generated histories: small functions that each inject one, and tables of them by name."""
+"""The faults of generated histories: functions that each inject one fault, and tables of these functions by name."""
 
 import random
 from collections.abc import Callable
@@ -15,70 +15,74 @@
 
 @dataclass(frozen=True)
 class FaultContext:
-    """Where a fault is injected. A fault draws all that it needs from `rng`, so that a seed gives it again."""
+    """The world and the target of a fault.
+
+    A fault draws all its random values from `rng`, so that a seed reproduces it.
+    """
 
     world: World
     rng: random.Random
     duration: timedelta
-    #: The controller that the fault is about, when it is about one.
+    #: The controller that the fault affects, if it affects a single one.
     controller_name: str
+    #: The machines that the fault may affect.
     machines: list[Agent]
 
     def random_job_id(self) -> str:
-        """Draw a job."""
+        """Return a random job."""
         return self.rng.choice(sorted(self.world.job_specs))
 
-    def schedule(self, least_s: float, most_s: float, action: Callable[[], None]) -> None:
-        """Carry an action out at a moment that is drawn."""
-        self.world.after(self.rng.uniform(least_s, most_s) * S, action)
+    def schedule(self, min_delay_s: float, max_delay_s: float, action: Callable[[], None]) -> None:
+        """Schedule an action after a random delay."""
+        self.world.after(self.rng.uniform(min_delay_s, max_delay_s) * S, action)
 
-    def schedule_restart(self, at_seconds: float, name: str, seconds: float) -> None:
-        """Restart a controller later; it is away for so many seconds."""
-        self.world.after(at_seconds * S, lambda: restart_controller(self.world, name, seconds))
+    def schedule_restart(self, delay_s: float, name: str, downtime_s: float) -> None:
+        """Schedule a restart of a controller, which does not run for `downtime_s` seconds."""
+        self.world.after(delay_s * S, lambda: restart_controller(self.world, name, downtime_s))
 
     def at_end(self, action: Callable[[], None], factor: int = 1) -> None:
-        """Take the fault back once its duration, or a multiple of it, is over."""
+        """Schedule the action that ends the fault after the fault's duration times `factor`."""
         self.world.after(self.duration * factor, action)
 
     def cancel_random_job(self) -> None:
-        """Cancel a job that is drawn."""
+        """Cancel a random job."""
         cancel_job(self.world, self.rng, self.random_job_id())
 
     def draw_in_order(self) -> bool:
-        """Draw whether messages stay in order on slow links."""
+        """Return a random choice of whether slow links keep messages in order."""
         return self.rng.random() < 0.5
 
 
 Fault = Callable[[FaultContext], None]
 
 
-# Processes.
+# Faults of controller processes.
 
 
-def crash(context: FaultContext) -> None:
-    """End a controller's process; it is back after some seconds."""
+def crash_controller(context: FaultContext) -> None:
+    """Kill a controller; it is restarted after 2 to 6 seconds."""
     restart_controller(context.world, context.controller_name, context.rng.uniform(2, 6))
 
 
 def quick_restart(context: FaultContext) -> None:
-    """End a controller's process; it is back within half a second."""
+    """Kill a controller; it is restarted within half a second."""
     restart_controller(context.world, context.controller_name, context.rng.uniform(0.1, 0.5))
 
 
-def crash_all(context: FaultContext) -> None:
-    """End all controllers' processes at once."""
+def crash_all_controllers(context: FaultContext) -> None:
+    """Kill all controllers at once; each is restarted within 4 seconds."""
     for name in context.world.controller_names:
         restart_controller(context.world, name, context.rng.uniform(0.2, 4))
 
 
 def rolling_restart(context: FaultContext) -> None:
-    """Restart one controller after the other, as in an update."""
+    """Restart one controller after the other, as in a rolling update."""
     for number, name in enumerate(context.world.controller_names):
         context.schedule_restart(number * 6, name, 2)
 
 
-def restart_all_in_election(context: FaultContext) -> None:
-    """End the leader; those that run for its place end, too, and are back within a fraction of a second."""
+def restart_all_at_random_times(context: FaultContext) -> None:
+    """Restart each controller quickly at a random time within 5 seconds, so that candidates fail during elections."""
 
     def restart_later(name: str) -> None:
         context.schedule(0, 5, lambda: restart_controller(context.world, name, context.rng.uniform(0.1, 0.6)))
@@ -88,27 +92,27 @@
 
 
 def freeze_controller(context: FaultContext) -> None:
-    """Let a controller's process stand still."""
+    """Freeze the process of a controller."""
     context.world.nodes[context.controller_name].freeze(context.rng.uniform(4, 20))
 
 
-# The services.
+# Faults of the key-value store and the cloud.
 
 
 def store_outage(context: FaultContext) -> None:
-    """Let the key-value store refuse all requests."""
+    """Make the key-value store refuse all requests."""
     context.world.store.start_outage(context.duration / S)
 
 
 def store_refuses_controller(context: FaultContext) -> None:
-    """Let the key-value store refuse one controller alone."""
+    """Make the key-value store refuse the requests of one controller only."""
     refused_callers = context.world.store.refused_callers
     refused_callers.add(context.controller_name)
     context.at_end(lambda: refused_callers.discard(context.controller_name))
 
 
 def store_refuses_controller_then_all(context: FaultContext) -> None:
-    """Cancel a job while the key-value store refuses one controller; then it refuses all."""
+    """Make the key-value store refuse one controller, and soon after all of them, and cancel a job meanwhile."""
     store = context.world.store
     store.refused_callers.add(context.controller_name)
     context.world.after(1 * S, context.cancel_random_job)
@@ -117,28 +121,28 @@
 
 
 def late_writes(context: FaultContext) -> None:
-    """Let some writes to the key-value store come well after later ones."""
+    """Delay some writes to the key-value store until well after later ones."""
     context.world.late_write_rate = context.rng.choice([0.2, 0.5])
     context.at_end(lambda: setattr(context.world, "late_write_rate", 0.0))
 
 
 def slow_store(context: FaultContext) -> None:
-    """Let the key-value store take its time."""
+    """Make the key-value store slow to handle requests."""
     context.world.max_store_delay_s = context.rng.choice([0.3, 1.0, 2.5])
     context.at_end(lambda: setattr(context.world, "max_store_delay_s", 0.0))
 
 
 def cloud_outage(context: FaultContext) -> None:
-    """Let the cloud refuse all requests."""
+    """Make the cloud refuse all requests."""
     context.world.cloud.is_down = True
     context.at_end(lambda: setattr(context.world.cloud, "is_down", False))
 
 
-# The network.
+# Faults of the network.
 
 
 def isolate_controller(context: FaultContext) -> None:
-    """Leave a controller with half of the machines."""
+    """Cut a controller off from everything except half of the machines."""
     kept = context.rng.sample([agent.host for agent in context.machines], len(context.machines) // 2)
     context.world.isolate(context.controller_name, *kept)
     context.at_end(context.world.heal)
@@ -151,7 +155,7 @@
 
 
 def lose_store_and_peers(context: FaultContext) -> None:
-    """Cut a controller off from the key-value store and its peers, not its agents or users, and cancel a job."""
+    """Cut a controller off from the key-value store and its peers, but not from agents and users; cancel a job."""
     world = context.world
     peers = [name for name in world.controller_names if name != context.controller_name]
     for other in (STORE, *peers):
@@ -161,7 +165,7 @@
 
 
 def lose_all_but_agents(context: FaultContext) -> None:
-    """Leave a controller with its agents alone."""
+    """Cut a controller off from everything except the agents."""
     context.world.isolate(context.controller_name, *context.world.agents)
     context.at_end(context.world.heal)
 
@@ -175,7 +179,7 @@
 
 
 def isolate_zone(context: FaultContext) -> None:
-    """Cut a zone with its machines and a controller off from all others; inside, it goes on working."""
+    """Cut off the machines of zone `a` together with a controller; they still reach each other."""
     hosts = [agent.host for agent in context.machines if agent.zone == "a"]
     context.world.isolate_with(context.controller_name, hosts)
     context.schedule(5, 25, context.world.heal)
@@ -198,7 +202,7 @@
 
 
 def lose_responses_to_agent(context: FaultContext) -> None:
-    """Let the heartbeats of a machine arrive, and the responses be lost."""
+    """Deliver the heartbeats of a machine, but lose the responses to them."""
     if context.machines:
         host = context.rng.choice(context.machines).host
         hosts_without_responses = context.world.hosts_without_responses
@@ -207,26 +211,26 @@
 
 
 def message_loss(context: FaultContext) -> None:
-    """Lose some messages everywhere."""
+    """Lose one in twenty messages on all links."""
     context.world.loss_rate = 0.05
     context.at_end(lambda: setattr(context.world, "loss_rate", 0.0))
 
 
 def late_heartbeats(context: FaultContext) -> None:
-    """Deliver copies of heartbeats late."""
+    """Deliver second copies of some heartbeats late."""
     context.world.late_heartbeat_rate = 0.1
     context.at_end(lambda: setattr(context.world, "late_heartbeat_rate", 0.0), factor=2)
 
 
 def slow_agent_links(context: FaultContext) -> None:
-    """Delay messages between a controller and all machines that there are."""
+    """Delay the messages between a controller and all machines that exist now."""
     agents = sorted(context.world.agents)
     context.world.slow_down_links(context.controller_name, agents, context.draw_in_order())
     context.at_end(context.world.restore_link_speed)
 
 
 def slow_peer_links(context: FaultContext) -> None:
-    """Delay messages between all controllers."""
+    """Delay the messages between all controllers."""
     in_order = context.draw_in_order()
     names = context.world.controller_names
     for name in names:
@@ -235,13 +239,13 @@
 
 
 def slow_service_links(context: FaultContext) -> None:
-    """Delay messages between a controller and the key-value store and the cloud."""
+    """Delay the messages between a controller and both the key-value store and the cloud."""
     context.world.slow_down_links(context.controller_name, [STORE, CLOUD], context.draw_in_order())
     context.at_end(context.world.restore_link_speed)
 
 
 def slow_links_of_agent(context: FaultContext) -> None:
-    """Delay messages between one machine and all controllers."""
+    """Delay the messages between one machine and all controllers."""
     in_order = context.draw_in_order()
     if context.world.agents:
         host = context.rng.choice(sorted(context.world.agents))
@@ -249,29 +253,29 @@
     context.at_end(context.world.restore_link_speed)
 
 
-# Machines.
+# Faults of machines.
 
 
-def end_machine(context: FaultContext) -> None:
-    """End a machine."""
+def terminate_machine(context: FaultContext) -> None:
+    """Terminate a machine."""
     if context.machines:
         context.rng.choice(context.machines).die()
 
 
-def break_machine(context: FaultContext) -> None:
-    """Let all tasks fail on a machine from now on."""
+def make_machine_faulty(context: FaultContext) -> None:
+    """Make all tasks fail on a machine from now on."""
     if context.machines:
         context.rng.choice(context.machines).is_faulty = True
 
 
 def hang_machines(context: FaultContext) -> None:
-    """Let half of the machines hang."""
+    """Make half of the machines hang."""
     for agent in context.rng.sample(context.machines, len(context.machines) // 2):
         agent.hang(context.rng.uniform(4, 20))
 
 
 def hang_machines_of_cancelled_job(context: FaultContext) -> None:
-    """Let all machines with tasks of a job hang, and cancel it."""
+    """Make all machines with tasks of a job hang, and cancel the job."""
     job_id = context.random_job_id()
     for agent in context.machines:
         if any(task.job_id == job_id for task in agent.tasks.values()):
@@ -279,16 +283,16 @@
     cancel_job(context.world, context.rng, job_id)
 
 
-# Users.
+# Cancellations by users.
 
 
 def cancel_any_job(context: FaultContext) -> None:
-    """Cancel a job."""
+    """Cancel a random job."""
     context.cancel_random_job()
 
 
-def cancel_jobs_at_end(context: FaultContext) -> None:
-    """Cancel jobs in the moment in which their last task ends, or just after it."""
+def cancel_jobs_when_done(context: FaultContext) -> None:
+    """Cancel some jobs at the moment when their last task succeeds, or just after it."""
     world, rng = context.world, context.rng
 
     def on_job_done(job_id: str) -> None:
@@ -299,15 +303,16 @@
     context.at_end(lambda: setattr(world.invariants, "on_job_done", lambda job_id: None), factor=2)
 
 
-def by_name(*faults: Fault) -> dict[str, Fault]:
-    """Return a table of faults by the names of their functions."""
+def faults_by_name(*faults: Fault) -> dict[str, Fault]:
+    """Return the faults by the names of their functions."""
     return {fault.__name__: fault for fault in faults}
 
 
-#: Their order is part of what a seed means: new ones belong into the other table.
-SINGLE_FAULTS = by_name(
-    crash,
-    crash_all,
+#: The faults of histories with single faults. Faults are drawn by their positions, so that any change of this table
+#: changes the histories of all seeds: new faults belong in the other table, which only overlapping histories use.
+SINGLE_FAULTS = faults_by_name(
+    crash_controller,
+    crash_all_controllers,
     rolling_restart,
     store_outage,
     store_refuses_controller,
@@ -315,34 +320,34 @@
     cut_store_link,
     cut_agent_from_controllers,
     cut_agent_from_controller,
-    end_machine,
+    terminate_machine,
     cloud_outage,
-    break_machine,
+    make_machine_faulty,
     cancel_any_job,
     message_loss,
     quick_restart,
     lose_responses_to_agent,
     late_heartbeats,
-    restart_all_in_election,
+    restart_all_at_random_times,
     lose_all_but_agents,
     freeze_controller,
     hang_machines,
     isolate_zone,
     cut_peer_links,
     late_writes,
-    cancel_jobs_at_end,
+    cancel_jobs_when_done,
     lose_store_and_peers,
     store_refuses_controller_then_all,
     hang_machines_of_cancelled_job,
     slow_store,
 )
-SLOW_LINK_FAULTS = by_name(slow_agent_links, slow_peer_links, slow_service_links, slow_links_of_agent)
-#: What histories are made of in which faults overlap.
+SLOW_LINK_FAULTS = faults_by_name(slow_agent_links, slow_peer_links, slow_service_links, slow_links_of_agent)
+#: The faults of histories in which faults overlap.
 OVERLAPPING_FAULTS = SINGLE_FAULTS | SLOW_LINK_FAULTS
 
 
 def inject_fault(world: World, rng: random.Random, name: str) -> None:
-    """Inject the fault of that name."""
+    """Inject the fault of the given name, with a random duration and controller."""
     duration = rng.uniform(2, 20) * S
     controller_name = rng.choice(world.controller_names)
     machines = [agent for agent in world.agents.values() if agent.alive]
--- a/tests/virtual/histories.py
+++ b/tests/virtual/histories.py
@@ -1,4 +1,4 @@
-"""Generated histories: jobs and faults drawn from a seed, played in the virtual world."""
+"""Generated histories: random jobs and faults, drawn from a seed and played in a virtual world."""
 
 import random
 from collections.abc import Callable
@@ -13,29 +13,37 @@
 from virtual.users import Users, submit_job
 from virtual.world import World, started_world
 
-#: How long a history is, unless told.
-SECONDS = 60.0
-#: For `parts`.
+#: The length of a history by default.
+DEFAULT_HISTORY_S = 60.0
+#: The features of controllers on which the quota feature is switched on.
 QUOTA_ON = Features(QuotaFeature(True))
-#: Keys of jobs that are not over, in the key-value store.
+#: The prefix of the keys under which the key-value store has the unfinished jobs.
 JOB_PREFIX = "live/job/"
-#: Where a job's tasks may be placed, drawn for each job.
-PLACEMENTS: list[dict[str, Any]] = [{}, {}, {}, {"oneZone": True}, {"spread": True}, {"yard": "a"}]
+#: Fields that restrict where the tasks of a job may be placed; one of the entries is drawn for each job.
+PLACEMENT_FIELDS: list[dict[str, Any]] = [{}, {}, {}, {"oneZone": True}, {"spread": True}, {"yard": "a"}]
 
 
 def play(
     seed: int,
-    seconds: float = SECONDS,
+    seconds: float = DEFAULT_HISTORY_S,
     look: Callable[[World], None] | None = None,
     overlapping: bool = False,
     parts: Features | None = None,
     observer: Observer | None = None,
 ) -> World:
-    """Play one history, and return its world for judging.
-
-    `look` is called every half second. With `overlapping`, faults come in pairs, slow links are among them, and a
-    process is back within half a second in the middle of each pair. `parts` are switched on at the controllers;
-    `observer` is told of all that they send.
+    """Play one history and return its world, in which all violations of the invariants are recorded.
+
+    Parameters
+    ----------
+    periodic_check
+        Called every half second.
+    overlapping
+        Whether faults come in overlapping pairs, which include slow links. During some pairs a controller is restarted
+        within half a second, or copies of heartbeats arrive late.
+    features
+        The features that are on at the controllers; None when all are off.
+    observer
+        Notified of everything that the controllers send.
     """
     rng = random.Random(seed)
     world = started_world(seed, teams={"team": 0.0, "tight": 24.0}, capacity=10, parts=parts, observer=observer)
@@ -47,24 +55,24 @@
         schedule_fault_pairs(world, rng, seconds)
     else:
         schedule_faults(world, rng, seconds)
-    for tenth in range(int(seconds * 10)):
-        world.after(tenth * 0.1 * S, world.invariants.check)
+    for tenth_of_second in range(int(seconds * 10)):
+        world.after(tenth_of_second * 0.1 * S, world.invariants.check)
     for second in range(int(seconds)):
         world.after((second + rng.random()) * S, users.send_random_request)
     if look is not None:
-        schedule_looks(world, look, seconds)
+        schedule_periodic_check(world, look, seconds)
     world.run(seconds)
     return world
 
 
-def schedule_looks(world: World, look: Callable[[World], None], seconds: float) -> None:
-    """Call a function every half second."""
-    for half in range(int(seconds * 2)):
-        world.after(half * 0.5 * S, lambda: look(world))
+def schedule_periodic_check(world: World, check: Callable[[World], None], seconds: float) -> None:
+    """Schedule a call of `check` every half second."""
+    for half_second in range(int(seconds * 2)):
+        world.after(half_second * 0.5 * S, lambda: check(world))
 
 
 def schedule_jobs(world: World, rng: random.Random, seconds: float) -> None:
-    """Draw some jobs, and when they are submitted."""
+    """Define random jobs, and schedule their submissions at random times."""
     for number in range(rng.randint(4, 10)):
         job_id = f"j-{number}"
         world.define_job(
@@ -75,45 +83,47 @@
             cores=rng.choice([1.0, 2.0, 3.0]),
             loaners=rng.random() < 0.5,
             guessS=rng.choice([2.0, 5.0, 12.0]),
-            **rng.choice(PLACEMENTS),
+            **rng.choice(PLACEMENT_FIELDS),
         )
         _schedule_submission(world, rng, rng.uniform(0, seconds * 0.7), job_id)
 
 
-def _schedule_submission(world: World, rng: random.Random, at_seconds: float, job_id: str) -> None:
-    world.after(at_seconds * S, lambda: submit_job(world, rng, job_id))
+def _schedule_submission(world: World, rng: random.Random, delay_s: float, job_id: str) -> None:
+    world.after(delay_s * S, lambda: submit_job(world, rng, job_id))
 
 
-def _schedule_fault(world: World, rng: random.Random, at_seconds: float, name: str) -> None:
-    world.after(at_seconds * S, lambda: inject_fault(world, rng, name))
+def _schedule_fault(world: World, rng: random.Random, delay_s: float, name: str) -> None:
+    world.after(delay_s * S, lambda: inject_fault(world, rng, name))
 
 
 def schedule_faults(world: World, rng: random.Random, seconds: float) -> None:
-    """Draw some faults, each by itself."""
+    """Schedule random faults at independent random times."""
     for _ in range(rng.randint(2, 6)):
         name = rng.choice(list(SINGLE_FAULTS))
         _schedule_fault(world, rng, rng.uniform(3, seconds * 0.8), name)
 
 
 def schedule_fault_pairs(world: World, rng: random.Random, seconds: float) -> None:
-    """Draw pairs of faults.
+    """Schedule random pairs of faults.
 
-    The second of a pair begins within two seconds of the first, and a process is restarted meanwhile.
+    Both faults of a pair begin within the same two seconds. In half of the pairs a controller is restarted quickly, and
+    in three of ten copies of heartbeats arrive late, beginning at most 4 s after the pair.
     """
     for _ in range(rng.randint(1, 3)):
-        begin = rng.uniform(3, seconds * 0.7)
+        begin_s = rng.uniform(3, seconds * 0.7)
         for name in rng.sample(list(OVERLAPPING_FAULTS), 2):
-            _schedule_fault(world, rng, begin + rng.uniform(0, 2), name)
+            _schedule_fault(world, rng, begin_s + rng.uniform(0, 2), name)
         if rng.random() < 0.5:
-            _schedule_fault(world, rng, begin + rng.uniform(0, 4), "quick_restart")
+            _schedule_fault(world, rng, begin_s + rng.uniform(0, 4), "quick_restart")
         if rng.random() < 0.3:
-            _schedule_fault(world, rng, begin + rng.uniform(0, 4), "late_heartbeats")
+            _schedule_fault(world, rng, begin_s + rng.uniform(0, 4), "late_heartbeats")
 
 
 def starved_jobs(world: World) -> set[str]:
-    """Return the jobs that wait without need.
+    """Return the unfinished jobs that wait although they could start a task.
 
-    These have a task that waits although a machine that it may use has room and its team is under its limit.
+    Such a job has a task that is on no machine, although a machine where it may run has room and its team is below its
+    limit.
     """
     present = [(agent, task) for agent in world.agents.values() if agent.alive for task in agent.tasks.values()]
     job_ids = [key.removeprefix(JOB_PREFIX) for key in world.store.entries if key.startswith(JOB_PREFIX)]
@@ -122,36 +132,40 @@
 
 def _is_starved(world: World, job_id: str, present: list[tuple[Agent, Task]]) -> bool:
     spec = world.job_specs[job_id]
-    held = [(agent, task) for agent, task in present if task.status != ENDED]
+    unfinished = [(agent, task) for agent, task in present if task.status != ENDED]
     agent_by_index = {task.index: agent for agent, task in present if task.job_id == job_id}
-    finished = {index for finished_job_id, index in world.invariants.finished_tasks if finished_job_id == job_id}
-    waiting_count = spec["pieces"] - len(agent_by_index.keys() | finished)
-    if not waiting_count or not _is_under_team_limit(world, spec, held):
+    succeeded = {index for other_job_id, index in world.invariants.finished_tasks if other_job_id == job_id}
+    waiting_count = spec["pieces"] - len(agent_by_index.keys() | succeeded)
+    if not waiting_count or not _is_below_team_limit(world, spec, unfinished):
         return False
-    zones = [agent.zone for index, agent in agent_by_index.items() if index not in finished]
-    return any(_fits(world, spec, agent, zones, held) for agent in world.agents.values() if agent.booted)
+    zones = [agent.zone for index, agent in agent_by_index.items() if index not in succeeded]
+    return any(_may_start_on(world, spec, agent, zones, unfinished) for agent in world.agents.values() if agent.booted)
 
 
-def _is_under_team_limit(world: World, spec: dict[str, Any], held: list[tuple[Agent, Task]]) -> bool:
+def _is_below_team_limit(world: World, spec: dict[str, Any], unfinished: list[tuple[Agent, Task]]) -> bool:
     limit = world.teams[spec["owner"]]
-    specs = [world.job_specs[task.job_id] for _, task in held]
+    specs = [world.job_specs[task.job_id] for _, task in unfinished]
     used = sum(other["cores"] for other in specs if other["owner"] == spec["owner"])
     return not limit or used + spec["cores"] <= limit
 
 
-def _fits(world: World, spec: dict[str, Any], agent: Agent, zones: list[str], held: list[tuple[Agent, Task]]) -> bool:
-    """Tell whether one more task of a job that has tasks in these zones may start on the machine."""
-    free = MACHINE_CPUS - sum(world.job_specs[task.job_id]["cores"] for holder, task in held if holder is agent)
+def _may_start_on(
+    world: World, spec: dict[str, Any], agent: Agent, zones: list[str], unfinished: list[tuple[Agent, Task]]
+) -> bool:
+    """Return whether one more task of a job whose tasks are in the given zones may start on the machine."""
+    free_cpus = MACHINE_CPUS - sum(
+        world.job_specs[task.job_id]["cores"] for other, task in unfinished if other is agent
+    )
     is_allowed = spec.get("yard") in (None, agent.zone) and (spec["loaners"] or not agent.spot)
     if spec["oneZone"]:
         is_allowed = is_allowed and set(zones) <= {agent.zone}
     if spec["spread"]:
         is_allowed = is_allowed and zones.count(agent.zone) < (spec["pieces"] + 1) // 2
-    return agent.alive and not agent.is_faulty and is_allowed and free >= spec["cores"]
+    return agent.alive and not agent.is_faulty and is_allowed and free_cpus >= spec["cores"]
 
 
 def longest_starvation(world: World, seconds: int) -> tuple[timedelta, str]:
-    """Return how long a job was starved at the most, with none of its tasks started meanwhile, and which."""
+    """Run the world; return the longest time for which a job was starved without a start of its tasks, and its id."""
     starved_since: dict[tuple[str, int], timedelta] = {}
     longest = (timedelta(0), "")
     for _ in range(seconds):
--- a/tests/virtual/scenarios.py
+++ b/tests/virtual/scenarios.py
@@ -1,4 +1,4 @@
-"""Worlds in a known state, and steps that several tests take in them."""
+"""Worlds in known states, and steps that several tests have in common."""
 
 from virtual.agent import AttemptKey
 from virtual.clock import S
@@ -6,7 +6,10 @@
 
 
 def busy_world(seed: int = 3, members: int = 3, **fields: object) -> World:
-    """Return a world with a long job running on several machines."""
+    """Return a world with the job `j-1`, whose six tasks run on several machines.
+
+    `fields`: fields of the job specification.
+    """
     world = started_world(seed, members=members)
     world.define_job("j-1", **({"pieces": 6, "cores": 4.0, "guessS": 40.0} | fields))
     assert world.submit_until_accepted("j-1", "c0")
@@ -15,7 +18,10 @@
 
 
 def full_world() -> World:
-    """Return a world with more machines than a new view returns rather than waits for."""
+    """Return a world with sixteen running tasks on at least eight machines.
+
+    When all of them are silent, a new view waits for them; it would return a few silent machines at once instead.
+    """
     world = started_world(3)
     world.define_job("j-1", pieces=16, cores=4.0, guessS=500.0)
     assert world.submit_until_accepted("j-1", "c0")
@@ -24,19 +30,19 @@
 
 
 def run_with_checks(world: World, seconds: float) -> None:
-    """Let the time pass, and check the invariants ten times a second."""
+    """Advance the clock, and check the invariants ten times a second."""
     for _ in range(int(seconds * 10)):
         world.run(0.1)
         world.invariants.check()
 
 
 def running_attempts(world: World, job_id: str) -> set[AttemptKey]:
-    """Return the attempts of a job that run."""
+    """Return the running attempts of a job."""
     return {task.key for _, task in world.invariants.running_tasks() if task.job_id == job_id}
 
 
 def restart_controller(world: World, name: str, seconds: float = 2.0) -> None:
-    """End the process; a new one starts so many seconds later, unless one has started by then."""
+    """Kill the process; start a new one after `seconds`, unless another one was started by then."""
     node = world.nodes[name]
 
     def start() -> None:
@@ -48,7 +54,7 @@
 
 
 def end_faults(world: World) -> None:
-    """Take all faults back, start all controllers, and let them come to rest."""
+    """End the faults of the network, the store and the cloud, start all controllers, and run for 15 seconds."""
     world.store.is_down = world.cloud.is_down = False
     world.store.refused_callers.clear()
     world.loss_rate = world.duplication_rate = 0.0
--- a/tests/virtual/users.py
+++ b/tests/virtual/users.py
@@ -1,4 +1,4 @@
-"""What users do in the virtual world: they submit, poll and cancel, again until they are answered."""
+"""The users of the virtual world, who submit, poll and cancel jobs and retry until their requests succeed."""
 
 import json
 import random
@@ -8,21 +8,21 @@
 from virtual.world import World
 
 RETRY_INTERVAL = 1 * S
-#: A job that nobody has submitted.
+#: A job that no user submits.
 UNKNOWN_JOB_ID = "j-999999"
 
 
 class Users:
-    """They poll, and submit again, at any controller, and hold later answers against earlier ones."""
+    """Users who poll and resubmit jobs at random controllers, and compare each response with earlier ones."""
 
     def __init__(self, world: World, rng: random.Random) -> None:
         self.world = world
         self.rng = rng
-        #: What users were told of jobs that are done or cancelled.
+        #: The reported status of jobs that are done or cancelled, by job id.
         self.final_statuses: dict[str, str] = {}
 
     def send_random_request(self) -> None:
-        """Poll a job, or submit it again."""
+        """Poll a random job, or submit it again if it was accepted."""
         job_id = self.rng.choice([*sorted(self.world.job_specs), UNKNOWN_JOB_ID])
         controller_name = self.rng.choice(self.world.controller_names)
         was_accepted = job_id in self.world.accepted_jobs
@@ -41,7 +41,7 @@
     def _check_response(
         self, job_id: str, was_accepted: bool, known_status: str | None, http_status: int, body: dict[str, Any]
     ) -> None:
-        """Compare an answer with what was known before it was asked for."""
+        """Compare a response with what users knew when they sent the request."""
         violations = self.world.invariants.violations
         if was_accepted and http_status not in (200, 201, 503):
             violations.append(f"forgotten {job_id}: {http_status}")
@@ -50,7 +50,7 @@
         if job_id not in self.world.job_specs:
             violations.append(f"invented {job_id}")
         status = body["status"]
-        # What somebody was told before this question was asked, or a cancellation confirmed, is never taken back.
+        # A final status that a user had received before this request was sent never changes.
         if known_status is not None and status != known_status:
             violations.append(f"went_back {job_id}: {known_status} -> {status}")
         if status in ("done", "withdrawn"):
@@ -62,7 +62,7 @@
 
 
 def submit_job(world: World, rng: random.Random, job_id: str, tries: int = 20) -> None:
-    """Submit a job at any controller, again until it is accepted."""
+    """Submit a job at a random controller, and retry up to `tries` times until it is accepted."""
     body = json.dumps(world.job_specs[job_id]).encode()
 
     def on_response(status: int, *_rest: object) -> None:
@@ -79,7 +79,7 @@
 
 
 def cancel_job(world: World, rng: random.Random, job_id: str) -> None:
-    """Cancel a job at any controller, again until that is confirmed."""
+    """Cancel a job at a random controller, and retry while controllers are unavailable."""
     world.cancel_requested.add(job_id)
 
     def retry_later() -> None:
--- a/tools/behavior_digest.py
+++ b/tools/behavior_digest.py
@@ -1,11 +1,11 @@
-"""Digests of all that controllers send in generated histories, to compare the behaviour of two versions.
+"""Prints digests of everything that controllers send in generated histories, to compare the behaviour of two versions.
 
     python3 tools/behavior_digest.py FIRST LAST [--jobs N] [--seconds S]
 
-Each seed is played four times: with single and with overlapping faults, each with the quota part off and on. Printed
-are one line for each seed (seed, calls that controllers sent, SHA-256 over these calls and over all answers that
-controllers gave), and one for all seeds. Only times and what is on the wire is hashed: two versions that differ in
-names alone print the same.
+Each seed is played four times: with single and with overlapping faults, each with the quota feature off and on. The
+output has one line for each seed (the seed, the number of requests that controllers sent, and the SHA-256 digest of
+these requests and of all responses of the controllers), and one line for all seeds. Only times, hosts and the contents
+of messages are hashed, so that two versions that differ only in names print the same.
 """
 
 import argparse
@@ -21,15 +21,15 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-#: Where the sources, the generated histories and the libraries are; the latter may also come from the environment.
+#: The sources, the generated histories and the libraries, which may also be installed in the environment.
 SOURCE_FOLDERS = [ROOT / "src", ROOT / "tests", ROOT / "target" / "ci"]
 MICROSECOND = timedelta(microseconds=1)
-#: The hash seed of all runs, as the order in sets of strings depends on it.
+#: The hash seed of all runs, as the order of the elements of sets of strings depends on it.
 HASH_SEED = "0"
 
 
 class DigestObserver:
-    """Hashes what controllers send, as the virtual world shows it."""
+    """Computes a digest of what controllers send; implements `virtual.Observer`."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -46,18 +46,18 @@
         body: bytes,
         timeout: timedelta,
     ) -> None:
-        """Add a call to another host; `kind` is the content type of its body."""
+        """Add a request to another host."""
         self.calls += 1
         self._add("call", now, sender, address, method, target, kind, body, timeout)
 
     def answered(self, now: timedelta, sender: str, status: int, body: bytes, headers: dict[str, str]) -> None:
-        """Add an answer to a user, an agent or a peer."""
+        """Add a response to a user, an agent or a peer."""
         self._add("answer", now, sender, status, body, len(headers))
         for name, value in headers.items():
             self._add(name, value)
 
     def begin_history(self, number: int) -> None:
-        """Separate the events of one history from those of the one before."""
+        """Add a separator before the events of a history."""
         self._add("history", number)
 
     def hexdigest(self) -> str:
@@ -66,13 +66,19 @@
 
     def _add(self, *values: str | bytes | int | timedelta) -> None:
         for value in values:
-            kind, raw = _encode(value)
-            self._hash.update(b"%s%d:" % (kind, len(raw)))
-            self._hash.update(raw)
+            type_tag, encoded = _encode(value)
+            self._hash.update(b"%s%d:" % (type_tag, len(encoded)))
+            self._hash.update(encoded)
 
 
 def _encode(value: str | bytes | int | timedelta) -> tuple[bytes, bytes]:
-    """Return a letter for the type, and the bytes of the value; anything but plain values is refused."""
+    """Return a letter for the type, and the value as bytes.
+
+    Raises
+    ------
+    TypeError
+        If the value is of a type whose text may differ between two versions with the same behaviour.
+    """
     if isinstance(value, bytes):
         return b"b", value
     if isinstance(value, timedelta):
@@ -81,66 +87,72 @@
         return b"i", str(int(value)).encode()
     if type(value) is str:
         return b"s", value.encode()
-    raise TypeError(f"not on the wire: {type(value)}")
+    raise TypeError(f"cannot hash a value of type {type(value)}: expected str, bytes, int or timedelta")
 
 
 @dataclass(frozen=True)
 class SeedDigest:
-    """The result of the four histories of one seed."""
+    """The number of requests, and the digest, of the four histories of one seed."""
 
     seed: int
     calls: int
     sha256: str
 
     def line(self) -> str:
-        """Return what is printed of it."""
+        """Return the line to print."""
         return f"{self.seed} {self.calls} {self.sha256}"
 
 
 def digest_of_seed(seed: int, seconds: float | None = None) -> SeedDigest:
-    """Play the four histories of a seed, each as long as `play` does by default unless `seconds` is given."""
-    from virtual import QUOTA_ON, SECONDS, play
+    """Play the four histories of a seed; each has the length `seconds` if that is given, or the default length."""
+    from virtual import DEFAULT_HISTORY_S, QUOTA_ON, play
 
     observer = DigestObserver()
-    variants = [(overlapping, parts) for overlapping in (False, True) for parts in (None, QUOTA_ON)]
-    for number, (overlapping, parts) in enumerate(variants):
+    variants = [(overlapping, features) for overlapping in (False, True) for features in (None, QUOTA_ON)]
+    for number, (overlapping, features) in enumerate(variants):
         observer.begin_history(number)
-        play(seed, SECONDS if seconds is None else seconds, overlapping=overlapping, parts=parts, observer=observer)
+        play(
+            seed,
+            DEFAULT_HISTORY_S if seconds is None else seconds,
+            overlapping=overlapping,
+            parts=features,
+            observer=observer,
+        )
     return SeedDigest(seed, observer.calls, observer.hexdigest())
 
 
-def digests_of_seeds(seeds: Iterable[int], seconds: float | None, jobs: int) -> Iterator[SeedDigest]:
-    """Yield the digests in the order of the seeds, from so many processes."""
+def digests_of_seeds(seeds: Iterable[int], seconds: float | None, process_count: int) -> Iterator[SeedDigest]:
+    """Yield the digests in the order of the seeds, computed by the given number of processes."""
     digest = partial(digest_of_seed, seconds=seconds)
-    if jobs == 1:
+    if process_count == 1:
         yield from map(digest, seeds)
         return
-    with multiprocessing.Pool(jobs) as pool:
+    with multiprocessing.Pool(process_count) as pool:
         yield from pool.imap(digest, seeds)
 
 
 def print_digests(digests: Iterable[SeedDigest]) -> None:
-    """Print a line for each seed, and the one for the whole range: its calls, and a digest of the lines before."""
-    calls = 0
-    whole = hashlib.sha256()
+    """Print a line for each seed, and one for all seeds with the total of requests and a digest of the lines before."""
+    total_calls = 0
+    total_digest = hashlib.sha256()
     for digest in digests:
         print(digest.line(), flush=True)
-        calls += digest.calls
-        whole.update(f"{digest.line()}\n".encode())
-    print(f"all {calls} {whole.hexdigest()}")
+        total_calls += digest.calls
+        total_digest.update(f"{digest.line()}\n".encode())
+    print(f"all {total_calls} {total_digest.hexdigest()}")
 
 
 def _arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("first", type=int, metavar="FIRST", help="the first seed")
-    parser.add_argument("last", type=int, metavar="LAST", help="the last seed, included")
-    parser.add_argument("--jobs", type=int, default=1, help="how many processes play (default: 1)")
-    parser.add_argument("--seconds", type=float, help="virtual length of a history (default: that of the tests)")
+    parser.add_argument("last", type=int, metavar="LAST", help="the last seed (inclusive)")
+    parser.add_argument("--jobs", type=int, default=1, help="number of parallel processes (default: 1)")
+    parser.add_argument("--seconds", type=float, help="virtual length of each history (default: as in the tests)")
     return parser.parse_args()
 
 
 def main() -> None:
-    """Play the seeds of the command line, in a process with the fixed hash seed."""
+    """Print the digests of the seeds on the command line; restart with the fixed hash seed first where necessary."""
     arguments = _arguments()
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
         environment = os.environ | {"PYTHONHASHSEED": HASH_SEED}
