--- a/tests/virtual/loopback.py
+++ b/tests/virtual/loopback.py
@@ -1,6 +1,7 @@
-"""Several real controllers on loopback against stand-ins, whose own records judge what really ran.
+"""Real controller processes on the loopback interface, with simulated external services in the process of the test.
 
-The harness serves every test that needs real processes: it starts, freezes, resumes and kills its own children.
+The simulated machines record what actually ran. The world starts, freezes, resumes and kills the processes, which are
+all its own children.
 """
 
 import json
@@ -36,19 +37,19 @@
 
 
 def free_port() -> int:
-    """Return a port on which nobody listens."""
+    """Return a TCP port that was free a moment ago."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
 def free_address() -> str:
-    """Return an address on which nobody listens."""
+    """Return a loopback address with a port that was free a moment ago."""
     return f"127.0.0.1:{free_port()}"
 
 
 class RemoteNode(Node):
-    """A controller in a process of its own, to which agents send their heartbeats over a socket."""
+    """A controller in a process of its own, which receives heartbeats over a socket."""
 
     def __init__(self, world: "LoopWorld", name: str) -> None:
         super().__init__(world, name)
@@ -56,7 +57,7 @@
         self._client = world.client
 
     def deliver_heartbeat(self, body: bytes, respond: Respond) -> None:
-        """Send a heartbeat, and pass the response on."""
+        """Send a heartbeat to the process and pass the response on; 503 if there is none."""
 
         def on_response(response: Response | None) -> None:
             if response is None:
@@ -68,7 +69,7 @@
 
 
 class LoopWorld(World):
-    """The stand-ins in real time, reached over sockets; the controllers are processes of their own."""
+    """A world in real time: the simulated services are reached over sockets, and each controller is a process."""
 
     def __init__(
         self, folder: Path, teams: dict[str, float] | None = None, capacity: int = 12, parts: Path | None = None
@@ -77,10 +78,10 @@
         super().__init__(1, teams=teams, capacity=capacity)
         self.folder = folder
         self.log_level = "info"
-        #: The file that switches parts on at controllers that start from now on.
+        #: The features file of controllers that are started from now on; None for no file.
         self.parts_file = parts
         self.client = Client(self.loop, MAX_CONNECTIONS)
-        #: The ports for users and for peers.
+        #: By controller, the port for users and agents, and the port for peers and operators.
         self.ports = {name: (free_port(), free_port()) for name in self.controller_names}
         self.outside = {STORE: free_address(), CLOUD: free_address()}
         self._serve(self.outside[STORE], self._handle_store_request)
@@ -94,26 +95,26 @@
 
     @property
     def now(self) -> timedelta:
-        """The monotonic time, of the loop."""
+        """The monotonic time of the event loop."""
         return self.loop.now
 
     @now.setter
     def now(self, value: timedelta) -> None:
-        """Ignore the virtual clock's own time."""
+        """Ignore the time that the virtual clock sets."""
 
     def after(self, delay: timedelta, action: Callable[[], None]) -> None:
-        """Schedule an event on the loop."""
+        """Schedule an event on the event loop."""
         self.loop.after(delay, action)
 
     def until(self, condition: Callable[[], bool], seconds: float) -> bool:
-        """Serve until the condition holds, for so long at most; return whether it holds."""
+        """Run the event loop until the condition holds, for at most `seconds`; return whether it holds."""
         end = time.monotonic() + seconds
         while time.monotonic() < end and not condition():
             self.loop.after(timedelta(milliseconds=50), lambda: None)
             self.loop.turn()
         return condition()
 
-    # The stand-ins.
+    # The simulated services.
 
     def _serve(self, address: str, handle: Callable[[Message, Respond], None]) -> None:
         def on_exchange(exchange: Exchange) -> None:
@@ -128,7 +129,7 @@
         self.cloud.handle(request.method, request.target, request.body, respond)
 
     def command_address(self, host: str) -> str:
-        """Return where an agent takes direct commands: each listens on a port of its own."""
+        """Return the address for direct commands to an agent; each agent listens on a port of its own."""
         if host not in self.agent_addresses:
             self.agent_addresses[host] = address = free_address()
             self._serve(address, self._agent_handler(host))
@@ -143,30 +144,30 @@
 
         return handle
 
-    # The processes.
+    # The controller processes.
 
     def users_address(self, name: str) -> str:
-        """Return where a controller takes requests of users and agents."""
+        """Return the address of a controller for users and agents."""
         return f"127.0.0.1:{self.ports[name][0]}"
 
     def peer_address(self, name: str) -> str:
-        """Return where a controller takes requests of peers and operators."""
+        """Return the address of a controller for peers and operators."""
         return f"127.0.0.1:{self.ports[name][1]}"
 
     def start(self, name: str) -> None:
-        """Start a controller's process."""
+        """Start the process of a controller."""
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(self._settings(name)))
-        parts = ["--parts", str(self.parts_file)] if self.parts_file is not None else []
-        command = [sys.executable, str(ROOT / "run.py"), *parts, "--config", str(path)]
+        features = ["--parts", str(self.parts_file)] if self.parts_file is not None else []
+        command = [sys.executable, str(ROOT / "run.py"), *features, "--config", str(path)]
         self.processes[name] = subprocess.Popen(command, env=self._environment() | {"LOG_LEVEL": self.log_level})
 
     def _settings(self, name: str) -> dict[str, Any]:
-        siblings = [other for other in self.controller_names if other != name]
+        peers = [other for other in self.controller_names if other != name]
         return {
             "member": name, "area": "a", "client_listen": self.users_address(name),
             "peer_bind": self.peer_address(name), "outside": self.outside,
-            "siblings": [{"member": other, "area": "a", "addr": self.peer_address(other)} for other in siblings],
+            "siblings": [{"member": other, "area": "a", "addr": self.peer_address(other)} for other in peers],
             "cluster": cluster_settings(self, FD_LIMIT),
         }  # fmt: skip
 
@@ -175,27 +176,27 @@
         return os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
 
     def freeze(self, name: str) -> None:
-        """Let the process stand still until it is resumed; its clocks run on."""
+        """Suspend the process until it is resumed; its clocks continue to run."""
         self.processes[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process."""
         self.processes[name].send_signal(signal.SIGCONT)
 
     def kill(self, name: str) -> None:
-        """End the process."""
+        """Kill the process and wait for its end."""
         self.processes[name].kill()
         self.processes[name].wait()
 
     def close(self) -> None:
-        """End the processes, which are all of this world's own."""
+        """Kill all processes that this world has started."""
         for name in self.processes:
             self.kill(name)
 
-    # Requests to the controllers.
+    # Requests to controllers.
 
     def operator(self, name: str, *arguments: str) -> tuple[int, str]:
-        """Run a command of the administration API; return its exit status and output."""
+        """Run an `admin` command of the command line; return its exit status and output."""
         command = subprocess.Popen(
             [sys.executable, str(ROOT / "run.py"), "admin", "--address", self.peer_address(name), *arguments],
             env=self._environment(),
@@ -206,20 +207,20 @@
         return command.returncode, command.communicate()[0]
 
     def is_healthy(self, name: str) -> bool:
-        """Tell whether the controller says that it is healthy."""
+        """Return whether the controller reports that it is healthy."""
         return self.status(name, "GET", HEALTH_PATH) == 200
 
     def http(self, name: str, method: str, path: str, body: bytes = b"") -> Response | None:
-        """Return a controller's response to a user, or None when none came in time."""
+        """Send a user's request to a controller; return the response, or None if there was none in time."""
         return self._call(self.users_address(name), method, path, body)
 
     def status(self, name: str, method: str, path: str, body: bytes = b"") -> int:
-        """Return the status of a controller's response to a user, or 0 when none came in time."""
+        """Send a user's request to a controller; return the status of the response, or 0 if there was none in time."""
         response = self.http(name, method, path, body)
         return 0 if response is None else response.status
 
     def metrics(self, name: str) -> str:
-        """Return a controller's metrics."""
+        """Return the metrics of a controller in the text format."""
         response = self._call(self.peer_address(name), "GET", "/metrics", b"")
         assert response is not None
         assert response.status == 200
@@ -232,11 +233,11 @@
         return responses[0]
 
     def raw(self, name: str, data: bytes) -> bytes:
-        """Send bytes to a controller; return all that it sends until it closes the connection."""
+        """Send bytes to a controller; return everything that it sends until it closes the connection."""
         with socket.create_connection(("127.0.0.1", self.ports[name][0]), 5) as sock:
             sock.sendall(data)
             sock.settimeout(5)
             received = b""
-            while (part := sock.recv(4096)) != b"":
-                received += part
+            while (chunk := sock.recv(4096)) != b"":
+                received += chunk
             return received
--- a/tests/virtual/network.py
+++ b/tests/virtual/network.py
@@ -1,4 +1,4 @@
-"""The virtual network, with the faults that tests inject: cut links, loss, duplication, delay."""
+"""The virtual network, with the faults that tests inject: cut links, lost, duplicated and delayed messages."""
 
 import json
 import random
@@ -13,42 +13,45 @@
     from virtual.agent import Agent
     from virtual.node import Node
 
-#: The addresses of the key-value store and of the cloud.
+#: The addresses of the key-value store and the cloud.
 STORE, CLOUD = "state", "cloud"
-#: Takes the status of a response, and its body: bytes, or what is to be encoded as JSON.
+#: Sends a response, given its status and its body: bytes, or a value that is encoded as JSON.
 Respond = Callable[[int, Any], None]
 
 
 @dataclass
 class Response:
-    """An HTTP response as callers see it."""
+    """An HTTP response as the caller receives it."""
 
     status: int
     body: bytes
 
 
 def ignore_response(status: int, body: Any) -> None:
-    """Take the response to a request for which nobody waits."""
+    """Discard the response to a request whose caller does not wait for it."""
 
 
 def encode_body(body: Any) -> bytes:
-    """Return the body of a response as bytes."""
+    """Return the body of a response as bytes, encoded as JSON unless it is bytes already."""
     return body if isinstance(body, bytes) else json.dumps(body).encode()
 
 
 @dataclass
 class SlowLink:
-    """Each message between two hosts takes from a fifth of a second to two seconds."""
+    """A link between two hosts that delays each message by a random time.
+
+    `in_order`: whether messages of the same sender arrive in the order in which they were sent.
+    """
 
     in_order: bool
-    #: When the latest message of each direction arrives, by its sender.
+    #: The arrival of the latest message in each direction, by its sender.
     latest_arrival: dict[str, timedelta] = field(default_factory=dict)
 
-    FASTEST_S, SLOWEST_S = 0.2, 2.0
+    MIN_DELAY_S, MAX_DELAY_S = 0.2, 2.0
 
     def delay(self, rng: random.Random, sender: str, now: timedelta) -> timedelta:
-        """Draw how long a message that is sent now is under way."""
-        arrival = now + rng.uniform(self.FASTEST_S, self.SLOWEST_S) * S
+        """Return the random delay of a message that is sent now."""
+        arrival = now + rng.uniform(self.MIN_DELAY_S, self.MAX_DELAY_S) * S
         if self.in_order:
             arrival = max(arrival, self.latest_arrival.get(sender, arrival))
         self.latest_arrival[sender] = arrival
@@ -56,7 +59,7 @@
 
 
 class VirtualNetwork(VirtualClock):
-    """Carries requests between hosts by name; each fault stays until it is taken back."""
+    """Carries requests between hosts, which are addressed by name; each fault lasts until it is ended."""
 
     controller_names: list[str]
     nodes: dict[str, "Node"]
@@ -66,34 +69,34 @@
         super().__init__()
         self.rng = rng
         self.cut_links: set[frozenset[str]] = set()
-        #: Whether requests over a cut link are delivered once it is healed; otherwise they are lost.
+        #: Whether requests over a cut link are delivered when it is healed; otherwise they are lost.
         self.holds_requests_on_cut_links = False
         self.held_requests: list[Callable[[], None]] = []
-        #: Hosts whose requests arrive while the responses are lost.
+        #: Hosts whose requests arrive, while the responses to these requests are lost.
         self.hosts_without_responses: set[str] = set()
         self.slow_links: dict[frozenset[str], SlowLink] = {}
-        # Probabilities, of each message or request.
+        # The probabilities of faults, for each message or request.
         self.loss_rate = 0.0
         self.duplication_rate = 0.0
         self.late_heartbeat_rate = 0.0
         self.late_write_rate = 0.0
-        #: The key-value store carries a request out after so many seconds at most.
+        #: The longest time that the key-value store takes before it handles a request.
         self.max_store_delay_s = 0.0
 
     # Faults of links.
 
     def cut_link(self, one: str, other: str) -> None:
-        """Let nothing pass between two hosts."""
+        """Stop all messages between two hosts."""
         self.cut_links.add(frozenset((one, other)))
 
     def isolate(self, name: str, *kept: str) -> None:
-        """Cut a host off from all others but those that are kept."""
+        """Cut the links of a host to all other hosts except those in `kept`."""
         for other in [STORE, CLOUD, *self.controller_names, *self.agents]:
             if other != name and other not in kept:
                 self.cut_link(name, other)
 
     def isolate_with(self, name: str, hosts: Collection[str]) -> None:
-        """Let a controller and some machines reach only each other."""
+        """Cut a controller and some machines off from everything else; the controller still reaches these machines."""
         self.isolate(name, *hosts)
         for host in hosts:
             for other in self.controller_names:
@@ -101,7 +104,7 @@
                     self.cut_link(host, other)
 
     def heal(self) -> None:
-        """End all cuts and losses of responses, and deliver what was held."""
+        """Restore all cut links and lost responses, and deliver the held requests."""
         self.cut_links.clear()
         self.hosts_without_responses.clear()
         held, self.held_requests = self.held_requests, []
@@ -109,7 +112,7 @@
             self.after(5 * MS, deliver)
 
     def slow_down_links(self, one: str, others: Collection[str], in_order: bool) -> None:
-        """Delay messages between the host and each of the others, in both directions."""
+        """Delay the messages between a host and each of the others, in both directions."""
         for other in others:
             self.slow_links[frozenset((one, other))] = SlowLink(in_order)
 
@@ -130,9 +133,9 @@
         timeout: timedelta,
         on_response: Callable[[Response | None], None],
     ) -> None:
-        """Carry a request and its response; either may be lost, late or duplicated.
+        """Carry a request and its response, which may be lost or late; the request may also be duplicated.
 
-        `on_response` is called once, with None when no response came in time.
+        `on_response` is called once, with None if there was no response in time.
         """
         is_finished = False
 
@@ -143,7 +146,7 @@
                 on_response(response)
 
         def respond(status: int, body: Any) -> None:
-            # The body as it is now: what it is made of may change while the response is under way.
+            # The body is encoded now, as its parts may change before the response arrives.
             response = Response(status, encode_body(body))
             if self._may_respond(source, target) and self.rng.random() >= self.loss_rate:
                 self.after(self._delay(target, source), lambda: finish(response))
@@ -152,7 +155,7 @@
             if self._is_link_up(source, target):
                 request(respond)
             elif self.holds_requests_on_cut_links:
-                # Carried out once the cut ends, though nobody waits for it any more.
+                # The request is handled when the link is healed, although its caller no longer waits for it.
                 self.held_requests.append(lambda: request(ignore_response))
 
         if self.rng.random() >= self.loss_rate:
@@ -164,15 +167,15 @@
         return self._is_link_up(source, target) and source not in self.hosts_without_responses
 
     def _schedule_duplicates(self, source: str, request: Callable[[Respond], None]) -> None:
-        """Deliver copies of the request later, for whose responses nobody waits."""
+        """Schedule second deliveries of the request, whose responses are discarded."""
         if source in self.agents and self.rng.random() < self.late_heartbeat_rate:
-            # From seconds to well over a lease late.
+            # The copy is between a second and several times the duration of an agent's lease late.
             self.after(self.rng.uniform(1, 40) * S, lambda: request(ignore_response))
         if self.rng.random() < self.duplication_rate:
             self.after(self.rng.random() * 20 * S, lambda: request(ignore_response))
 
     def after_store_delay(self, action: Callable[[], None]) -> None:
-        """Let the key-value store carry a request out, at once or up to `max_store_delay_s` later."""
+        """Execute a request to the key-value store, at once or after a random delay of up to `max_store_delay_s`."""
         if self.max_store_delay_s:
             self.after(self.rng.random() * self.max_store_delay_s * S, action)
         else:
--- a/tests/virtual/node.py
+++ b/tests/virtual/node.py
@@ -1,4 +1,4 @@
-"""A controller's process in the virtual world, and what it sees of that world."""
+"""A controller's process in the virtual world, and the runtime that connects it to that world."""
 
 import json
 import random
@@ -24,7 +24,7 @@
 
 
 class VirtualTimerHandle:
-    """A scheduled call of a process."""
+    """A scheduled call in a process."""
 
     def __init__(self) -> None:
         self.is_pending = True
@@ -35,7 +35,7 @@
 
 
 class VirtualRuntime:
-    """What one process sees of the world; a dead process sees nothing any more."""
+    """The runtime of one process in the virtual world; once the process has ended, none of its callbacks is called."""
 
     def __init__(self, node: "Node") -> None:
         self.node = node
@@ -53,7 +53,7 @@
         return EPOCH + self.world.now
 
     def after(self, delay: timedelta, action: Callable[[], None]) -> VirtualTimerHandle:
-        """Schedule a call, which is not made if the process ends before."""
+        """Schedule a call, which is not made if the process ends first."""
         handle = VirtualTimerHandle()
 
         def fire() -> None:
@@ -64,14 +64,14 @@
         return handle
 
     def call(self, request: Request, on_response: Callable[[Response | None], None]) -> None:
-        """Send a request; `on_response` gets the response, or None when none came in time."""
+        """Send a request; `on_response` gets the response, or None if there was none in time."""
         address, target = request.address, request.target
 
         def finish(response: Response | None) -> None:
             if self.alive:
                 self.node.dispatch(self, lambda: on_response(response))
 
-        self._show_call(request)
+        self._notify_observer(request)
         if address == STORE and target == TRANSACTION_PATH and self.rng.random() < self.world.late_write_rate:
             self._write_late(request)
             self.world.after(request.timeout, lambda: finish(None))
@@ -83,7 +83,7 @@
             self.node.name, address, lambda respond: self._deliver(request, respond), request.timeout, finish
         )
 
-    def _show_call(self, request: Request) -> None:
+    def _notify_observer(self, request: Request) -> None:
         observer = self.world.observer
         if observer is not None:
             observer.called(
@@ -98,7 +98,7 @@
             )
 
     def _write_late(self, request: Request) -> None:
-        """Carry a write out well after newer ones of the same controller; nobody gets its response."""
+        """Schedule a write for well after newer writes of the same controller; its response is discarded."""
         delay = self.world.rng.uniform(2, 12) * S
         name, store = self.node.name, self.world.store
         self.world.after(
@@ -106,7 +106,7 @@
         )
 
     def _deliver(self, request: Request, respond: Respond) -> None:
-        """Hand a request that has arrived to the stand-in or the controller at the address."""
+        """Pass a request that has arrived to the simulated service or the controller at its address."""
         world = self.world
         address, method, target, body = request.address, request.method, request.target, request.body
         if address == STORE:
@@ -125,7 +125,7 @@
 
 
 class Node:
-    """The place of a controller, whose process can be killed and started again."""
+    """A host for a controller, whose process can be killed and started again."""
 
     def __init__(self, world: "World", name: str) -> None:
         self.world = world
@@ -134,16 +134,16 @@
         self._runtime: VirtualRuntime | None = None
         self._start_count = 0
         self._frozen_until = timedelta(0)
-        #: The time that a slow processor takes for each event. What comes meanwhile is queued, users' requests last.
+        #: The processing time of each event; events that arrive meanwhile are queued, and deferrable ones handled last.
         self.event_cost = timedelta(0)
         self._urgent_events: deque[Callable[[], object]] = deque()
         self._deferrable_events: deque[Callable[[], object]] = deque()
-        self._is_serving = False
+        self._is_handling_events = False
 
     # The process.
 
     def start(self) -> None:
-        """Start a process."""
+        """Start a new process of the controller."""
         self._start_count += 1
         self._runtime = VirtualRuntime(self)
         settings = decode_settings(json.dumps(self._settings()).encode())
@@ -152,23 +152,23 @@
         self.controller.start()
 
     def _settings(self) -> dict[str, object]:
-        siblings = [name for name in self.world.controller_names if name != self.name]
+        peers = [name for name in self.world.controller_names if name != self.name]
         return {
             "member": self.name, "area": "a", "client_listen": "h:1", "peer_bind": "h:2",
-            "siblings": [{"member": name, "area": "a", "addr": name} for name in siblings],
+            "siblings": [{"member": name, "area": "a", "addr": name} for name in peers],
             "outside": {"cloud": CLOUD, "state": STORE},
             "cluster": cluster_settings(self.world, FD_LIMIT),
         }  # fmt: skip
 
     def kill(self) -> None:
-        """End the process without a word."""
+        """Kill the process, without notice to other hosts."""
         if self._runtime is not None:
             self._runtime.alive = False
         self.controller = None
         self._frozen_until = timedelta(0)
 
     def freeze(self, seconds: float) -> None:
-        """Let the process stand still while its clocks run on; all that came in meanwhile is due at once then."""
+        """Suspend the process while its clocks continue to run; then all pending events are due at once."""
         self._frozen_until = self.world.now + seconds * S
 
     # Events.
@@ -179,7 +179,10 @@
         on_dead: Callable[[], None] = lambda: None,
         deferrable: bool = False,
     ) -> None:
-        """Let a request reach the process; `on_dead` is called when there is none."""
+        """Deliver a request to the process; `on_not_running` is called if there is no process.
+
+        `deferrable`: whether a slow process may handle it after all other events.
+        """
         controller, runtime = self.controller, self._runtime
         if controller is None or runtime is None:
             on_dead()
@@ -187,7 +190,7 @@
             self.dispatch(runtime, lambda: call(controller), deferrable)
 
     def deliver_heartbeat(self, body: bytes, respond: Respond) -> None:
-        """Let an agent's heartbeat reach the process."""
+        """Deliver an agent's heartbeat to the process."""
         observed_respond = self.world.observed(self.name, respond)
 
         def handle(controller: Controller) -> None:
@@ -196,7 +199,7 @@
         self.request(handle, lambda: respond(503, {}))
 
     def deliver_peer_message(self, body: bytes, respond: Respond) -> None:
-        """Let another controller's message reach the process."""
+        """Deliver a message from another controller to the process."""
         observed_respond = self.world.observed(self.name, respond)
 
         def handle(controller: Controller) -> None:
@@ -206,7 +209,7 @@
         self.request(handle, lambda: respond(503, b""))
 
     def dispatch(self, runtime: VirtualRuntime, action: Callable[[], None], deferrable: bool = False) -> None:
-        """Carry an event out, now or when the process goes on, unless that has ended by then."""
+        """Handle an event, now or when the process has time for it, unless the process has ended by then."""
         if self.world.now < self._frozen_until:
             remaining = self._frozen_until - self.world.now
             self.world.after(remaining, lambda: self._dispatch_if_alive(runtime, action, deferrable))
@@ -216,23 +219,23 @@
             return
         queue = self._deferrable_events if deferrable else self._urgent_events
         queue.append(lambda: action() if runtime.alive else None)
-        if not self._is_serving:
-            self._is_serving = True
-            self._serve_next_event()
+        if not self._is_handling_events:
+            self._is_handling_events = True
+            self._handle_next_event()
 
     def _dispatch_if_alive(self, runtime: VirtualRuntime, action: Callable[[], None], deferrable: bool) -> None:
         if runtime.alive:
             self.dispatch(runtime, action, deferrable)
 
-    def _serve_next_event(self) -> None:
+    def _handle_next_event(self) -> None:
         queue = self._urgent_events or self._deferrable_events
         if not queue:
-            self._is_serving = False
+            self._is_handling_events = False
             return
         queue.popleft()()
-        self.world.after(self.event_cost, self._serve_next_event)
+        self.world.after(self.event_cost, self._handle_next_event)
 
     @property
     def backlog(self) -> int:
-        """How many events wait for their turn."""
+        """The number of queued events."""
         return len(self._urgent_events) + len(self._deferrable_events)
--- a/tests/virtual/observer.py
+++ b/tests/virtual/observer.py
@@ -1,11 +1,11 @@
-"""What is told of all that controllers send, to record or to compare it."""
+"""The interface of observers, which record everything that the controllers of a world send."""
 
 from datetime import timedelta
 from typing import Protocol
 
 
 class Observer(Protocol):
-    """Told of all that controllers send, in the order in which they send it."""
+    """Is notified of everything that controllers send, in the order of sending."""
 
     def called(
         self,
@@ -18,7 +18,7 @@
         body: bytes,
         timeout: timedelta,
     ) -> None:
-        """Take a call to another host; `kind` is the content type of its body."""
+        """Record a request to another host."""
 
     def answered(self, now: timedelta, sender: str, status: int, body: bytes, headers: dict[str, str]) -> None:
-        """Take a response to a user, an agent or a peer."""
+        """Record a response to a user, an agent or a peer."""
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -1,6 +1,7 @@
-"""A virtual world for whole controllers: a clock, a faulty network, and stand-ins that speak the protocol.
+"""The virtual world for whole controllers: a clock, a faulty network, and simulated services, agents and users.
 
-The stand-ins are plain and slow on purpose, and `InvariantChecker` watches what really happens on the machines.
+The simulated services are written for simplicity rather than speed. `InvariantChecker` checks what actually happens on
+the machines.
 """
 
 import json
@@ -23,7 +24,7 @@
 
 
 class World(VirtualNetwork):
-    """All hosts, and what users have asked of them; the same seed gives the same history again."""
+    """All hosts, and the jobs of the users; the same seed reproduces the same history."""
 
     def __init__(
         self,
@@ -36,15 +37,16 @@
     ) -> None:
         super().__init__(random.Random(seed))
         self.observer = observer
-        # What the controllers have sent.
+        # What the controllers have sent: requests by method and path, bytes by receiver, and the longest body in bytes.
         self.call_counts: Counter[str] = Counter()
         self.sent_bytes: Counter[str] = Counter()
         self.longest_body = 0
-        # Settings of controllers that start from now on.
+        # The settings of controllers that are started from now on.
         self.cancel_s = 20.0
         self.store_limits = {"rps": 300.0, "write_rps": 150.0, "value_kb": 16.0, "txn_ops": 12}
-        #: The processors that each team may use at most; 0: no limit.
+        #: The limit of each team in CPUs; 0 for no limit.
         self.teams = teams or {"team": 0.0}
+        #: The guarantees of teams in CPUs.
         self.guarantees: dict[str, float] = {}
         self.parts = parts
         # The hosts.
@@ -54,38 +56,38 @@
         self.controller_names = [f"c{n}" for n in range(members)]
         self.nodes: dict[str, Node] = {name: Node(self, name) for name in self.controller_names}
         self.agents: dict[str, Agent] = {}
-        # What users know.
+        # The jobs, as users know them.
         self.job_specs: dict[str, dict[str, Any]] = {}
         self.accepted_jobs: set[str] = set()
         self.cancel_requested: set[str] = set()
-        #: When the cancellation of a job was confirmed.
+        #: When the cancellation of each cancelled job was confirmed.
         self.cancelled_at: dict[str, timedelta] = {}
-        #: Jobs submitted with a mistake: their tasks fail on every machine, after so many seconds.
+        #: Jobs that are at fault themselves, with the seconds after which their tasks fail on every machine.
         self.failure_delays: dict[str, float] = {}
 
     def command_address(self, host: str) -> str:
-        """Return where an agent takes direct commands."""
+        """Return the address for direct commands to an agent."""
         return host
 
     def observed(self, controller_name: str, respond: Callable[..., None]) -> Callable[..., None]:
-        """Return what shows a controller's response to the observer before it is passed on."""
+        """Return a callback that reports a controller's response to the observer before it passes the response on."""
         observer = self.observer
         if observer is None:
             return respond
 
-        def show(status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
+        def observe_and_respond(status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
             observer.answered(self.now, controller_name, status, body, headers or {})
             if headers is None:
                 respond(status, body)
             else:
                 respond(status, body, headers)
 
-        return show
+        return observe_and_respond
 
     # Users.
 
     def define_job(self, job_id: str, **fields: Any) -> None:
-        """Note the specification of a job that is to be submitted."""
+        """Define a job that may be submitted later; `fields` override those of `job_spec`."""
         self.job_specs[job_id] = job_spec(job_id, **fields)
 
     def request(self, controller_name: str, call: Callable[[Controller], None]) -> None:
@@ -93,7 +95,7 @@
         self.nodes[controller_name].request(call, deferrable=True)
 
     def submit_until_accepted(self, job_id: str, controller_name: str, tries: int = 20) -> bool:
-        """Submit a job to the controller, then to any, until it is accepted."""
+        """Submit a job to the controller, then to random ones, until it is accepted; return whether it was."""
         statuses: list[int] = []
         body = json.dumps(self.job_specs[job_id]).encode()
 
@@ -113,7 +115,7 @@
         self.request(controller_name, lambda controller: controller.job_api.submit(body, respond))
 
     def poll_job(self, job_id: str, controller_name: str) -> tuple[int, dict[str, Any]] | None:
-        """Return the status and the decoded body of the answer, or None when none came in time."""
+        """Poll a job; return the status and the decoded body of the response, or None if there was none in time."""
         responses: list[tuple[int, dict[str, Any]]] = []
 
         def on_response(status: int, body: bytes, _headers: dict[str, str]) -> None:
@@ -125,7 +127,7 @@
         return responses[0] if responses else None
 
     def cancel_job(self, job_id: str, controller_name: str) -> bool:
-        """Cancel a job; return whether that was confirmed in time."""
+        """Cancel a job; return whether the cancellation was confirmed in time."""
         statuses: list[int] = []
 
         def on_response(status: int, _body: bytes, _headers: dict[str, str]) -> None:
@@ -140,13 +142,13 @@
         return False
 
     def is_done(self, job_id: str) -> bool:
-        """Tell whether the key-value store has the job as done."""
+        """Return whether the job is recorded as done in the key-value store."""
         entry = self.store.entries.get(f"ended/{job_id}")
         return entry is not None and entry.value["status"] == "done"
 
 
 def started_world(seed: int = 1, **options: Any) -> World:
-    """Return a world whose controllers have formed their first view."""
+    """Start the controllers of a new world; return it once the first view is reconciled at all of them."""
     world = World(seed, **options)
     for node in world.nodes.values():
         node.start()
@@ -158,7 +160,7 @@
 
 
 def owner_of(world: World, host: str) -> str:
-    """Return the controller whose shard has the machine."""
+    """Return the controller that owns the machine."""
     for name, node in world.nodes.items():
         if (
             node.controller is not None
@@ -166,12 +168,12 @@
             and host in node.controller.state.shard.machines
         ):
             return name
-    raise AssertionError("nobody's machine")
+    raise AssertionError("no controller owns the machine")
 
 
 def leader_of(world: World) -> str:
-    """Return the controller that leads."""
+    """Return the controller that is the leader."""
     for name, node in world.nodes.items():
         if node.controller is not None and node.controller.membership.is_leading:
             return name
-    raise AssertionError("no leader")
+    raise AssertionError("no controller is the leader")
