--- a/tools/measure_quota.py
+++ b/tools/measure_quota.py
@@ -1,9 +1,11 @@
-"""Measures the quota part against the leader's split alone, on the virtual clock of the tests.
+"""Compares the quota feature with the leader's proportional split alone, on the virtual clock of the tests.
 
     PYTHONPATH=src:tests:target/ci python3 tools/measure_quota.py
 
-Printed for each load, summed over seeds: how much of a limit nobody used while a waiting task fitted in it, how long
-jobs waited from their acceptance to their first start, and messages between controllers and transactions per start.
+For each load, the output has these figures over all seeds: the part of a limit that is unused although a waiting task
+of the team fits in it, on average over the samples in which tasks of the team wait; the time from the acceptance of
+jobs to their first start, or to the end of the run; messages between controllers and transactions per start; transfers
+of share; starts; and violations of the invariants.
 """
 
 import random
@@ -22,20 +24,21 @@
 from test_quota import send
 from virtual import Agent, S, Task, World, started_world
 
-SECONDS = 60
-SAMPLE_S = 0.05
+RUN_S = 60
+SAMPLE_INTERVAL_S = 0.05
 SEEDS = range(1, 7)
-TEAMS = {"tight": 12.0, "other": 10.0, "third": 9.0, "fourth": 7.0}
+#: The limit of each team in CPUs.
+TEAM_LIMITS = {"tight": 12.0, "other": 10.0, "third": 9.0, "fourth": 7.0}
 
 
 @dataclass(frozen=True)
 class Load:
-    """Bursts of jobs, each burst of one team and within a fifth of a second."""
+    """Bursts of jobs; the jobs of a burst are of one team and are submitted within a fifth of a second."""
 
     name: str
-    bursts: int
-    jobs_each: int
-    run_s: float
+    burst_count: int
+    jobs_per_burst: int
+    task_runtime_s: float
 
 
 LOADS = [
@@ -47,121 +50,137 @@
 
 @dataclass
 class Result:
-    """Sums over seeds."""
+    """The figures of a load, summed over seeds; waits are in milliseconds."""
 
     samples: int = 0
-    unused: float = 0.0
-    waits: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 600_000, 2))
+    unused_ratio_sum: float = 0.0
+    waits_ms: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 600_000, 2))
     starts: int = 0
-    syncs: int = 0
+    peer_messages: int = 0
     transactions: int = 0
     transfers: int = 0
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
     def line(self) -> str:
         """Return the figures as a row of a table."""
-        waits = [self.waits.get_value_at_percentile(one) / 1000 for one in (50, 90, 99)]
+        waits_s = [self.waits_ms.get_value_at_percentile(percentile) / 1000 for percentile in (50, 90, 99)]
         return (
-            f"{100 * self.unused / max(self.samples, 1):.1f} % | {waits[0]:.2f} / {waits[1]:.2f} / {waits[2]:.2f} s | "
-            f"{self.syncs / self.starts:.2f} | {self.transactions / self.starts:.2f} | {self.transfers} | "
-            f"{self.starts} | {len(self.broken)}"
+            f"{100 * self.unused_ratio_sum / max(self.samples, 1):.1f} % | "
+            f"{waits_s[0]:.2f} / {waits_s[1]:.2f} / {waits_s[2]:.2f} s | "
+            f"{self.peer_messages / self.starts:.2f} | {self.transactions / self.starts:.2f} | {self.transfers} | "
+            f"{self.starts} | {len(self.violations)}"
         )
 
 
-def play(load: Load, seed: int, parts: Features | None, result: Result) -> None:
-    """Play one seed and add its figures."""
-    world = started_world(seed, teams=TEAMS, capacity=16, parts=parts)
-    plan(world, load, random.Random(seed))
+def play_load(load: Load, seed: int, features: Features | None, result: Result) -> None:
+    """Run a load with one seed and add the figures to the result."""
+    world = started_world(seed, teams=TEAM_LIMITS, capacity=16, parts=features)
+    schedule_load(world, load, random.Random(seed))
     accepted_at: dict[str, timedelta] = {}
-    first_start: dict[str, timedelta] = {}
-    begun = world.invariants.on_task_started
-
-    def starting(agent: Agent, task: Task) -> None:
-        first_start.setdefault(task.job_id, world.now)
-        begun(agent, task)
-
-    world.invariants.on_task_started = starting  # type: ignore[method-assign]
-    before = Counter(world.call_counts)
-    for _ in range(int(SECONDS / SAMPLE_S)):
-        world.run(SAMPLE_S)
-        for ref in world.accepted_jobs - accepted_at.keys():
-            accepted_at[ref] = world.now
-        sample(world, result)
-    for ref, at in accepted_at.items():
-        result.waits.record_value(max(1, round((first_start.get(ref, world.now) - at) / timedelta(milliseconds=1))))
+    first_started_at: dict[str, timedelta] = {}
+    on_task_started = world.invariants.on_task_started
+
+    def record_start(agent: Agent, task: Task) -> None:
+        first_started_at.setdefault(task.job_id, world.now)
+        on_task_started(agent, task)
+
+    world.invariants.on_task_started = record_start  # type: ignore[method-assign]
+    counts_before = Counter(world.call_counts)
+    for _ in range(int(RUN_S / SAMPLE_INTERVAL_S)):
+        world.run(SAMPLE_INTERVAL_S)
+        for job_id in world.accepted_jobs - accepted_at.keys():
+            accepted_at[job_id] = world.now
+        sample_usage(world, result)
+    for job_id, since in accepted_at.items():
+        result.waits_ms.record_value(
+            max(1, round((first_started_at.get(job_id, world.now) - since) / timedelta(milliseconds=1)))
+        )
     result.starts += world.invariants.start_count
-    result.syncs += world.call_counts["POST sync"] - before["POST sync"]
-    result.transactions += world.call_counts["POST txn"] - before["POST txn"]
-    result.broken += world.invariants.violations
+    result.peer_messages += world.call_counts["POST sync"] - counts_before["POST sync"]
+    result.transactions += world.call_counts["POST txn"] - counts_before["POST txn"]
+    result.violations += world.invariants.violations
     for node in world.nodes.values():
         if node.controller is not None and node.controller.quota is not None:
             result.transfers += node.controller.quota.counters["given"]
 
 
-def plan(world: World, load: Load, rng: random.Random) -> None:
-    """Plan the bursts; machines are there before the first one."""
-    for burst in range(load.bursts):
-        team, at = rng.choice(list(TEAMS)), rng.uniform(12, SECONDS * 0.8)
-        for number in range(load.jobs_each):
-            ref = f"j-{burst * load.jobs_each + number}"
+def schedule_load(world: World, load: Load, rng: random.Random) -> None:
+    """Schedule the bursts, and before them a job that has machines rented."""
+    for burst in range(load.burst_count):
+        team, begin_s = rng.choice(list(TEAM_LIMITS)), rng.uniform(12, RUN_S * 0.8)
+        for number in range(load.jobs_per_burst):
+            job_id = f"j-{burst * load.jobs_per_burst + number}"
             world.define_job(
-                ref, owner=team, pieces=rng.randint(1, 3), cores=rng.choice([0.7, 1.0, 2.0, 3.0]), guessS=load.run_s
+                job_id,
+                owner=team,
+                pieces=rng.randint(1, 3),
+                cores=rng.choice([0.7, 1.0, 2.0, 3.0]),
+                guessS=load.task_runtime_s,
             )
-            world.after((at + rng.uniform(0, 0.2)) * S, lambda ref=ref: send(world, rng, ref))  # type: ignore[misc]
-    world.define_job("j-9999", owner=next(iter(TEAMS)), pieces=12, cores=1.0, guessS=2.0)
+            world.after((begin_s + rng.uniform(0, 0.2)) * S, lambda job_id=job_id: send(world, rng, job_id))  # type: ignore[misc]
+    world.define_job("j-9999", owner=next(iter(TEAM_LIMITS)), pieces=12, cores=1.0, guessS=2.0)
     world.after(0.5 * S, lambda: send(world, rng, "j-9999"))
 
 
-def sample(world: World, result: Result) -> None:
-    """Look at what all controllers together use of each limit, while one of their waiting tasks would fit."""
+def sample_usage(world: World, result: Result) -> None:
+    """Add a sample for each team with waiting tasks: the unused part of its limit, or 0 if no waiting task fits."""
     controllers = [node.controller for node in world.nodes.values() if node.controller is not None]
-    homes = [one.state.scheduler for one in controllers if one.state.scheduler is not None]
-    for team, limit in TEAMS.items():
-        used = sum(home.usage_with_transfers().get(team, (0, 0))[0] for home in homes)
-        left = limit - used / UNITS_PER_WHOLE
-        sizes = [
-            w.job.spec.cpus for home in homes for w in home.jobs_with_pending_tasks.values() if w.job.spec.team == team
+    schedulers = [controller.state.scheduler for controller in controllers if controller.state.scheduler is not None]
+    for team, limit in TEAM_LIMITS.items():
+        used_units = sum(scheduler.usage_with_transfers().get(team, (0, 0))[0] for scheduler in schedulers)
+        unused_cpus = limit - used_units / UNITS_PER_WHOLE
+        waiting_cpus = [
+            job_state.job.spec.cpus
+            for scheduler in schedulers
+            for job_state in scheduler.jobs_with_pending_tasks.values()
+            if job_state.job.spec.team == team
         ]
-        if not sizes:
+        if not waiting_cpus:
             continue
         result.samples += 1
-        if min(sizes) <= left + 1e-6:
-            result.unused += left / limit
+        if min(waiting_cpus) <= unused_cpus + 1e-6:
+            result.unused_ratio_sum += unused_cpus / limit
 
 
 def compare_splits(rounds: int = 400) -> None:
-    """Print how much of a limit whole tasks can use under each split, against the best that a solver finds."""
+    """Print how much of a limit whole tasks can use with each split policy, and the optimum that a solver finds."""
     rng, limit = random.Random(1), Amounts(20 * UNITS_PER_WHOLE, NO_LIMIT)
-    used = Counter[str]()
+    used_units = Counter[str]()
     for _ in range(rounds):
         demands = {
             member: TaskDemand(round(rng.choice([0.7, 1.0, 1.5, 3.0, 6.0]) * UNITS_PER_WHOLE), 0, rng.randint(1, 8))
             for member in ("a", "b", "c")
         }
-        nothing = dict.fromkeys(demands, ZERO_AMOUNTS)
-        asking = {member: {"t": demand.size.times(demand.count)} for member, demand in demands.items()}
-        waiting = {member: {"t": [demand]} for member, demand in demands.items()}
-        policies: dict[str, SplitPolicy] = {"in proportion": ProportionalSplit(asking), "whole": FittingSplit(waiting)}
+        no_usage = dict.fromkeys(demands, ZERO_AMOUNTS)
+        waiting_amounts = {member: {"t": demand.size.times(demand.count)} for member, demand in demands.items()}
+        waiting_tasks = {member: {"t": [demand]} for member, demand in demands.items()}
+        policies: dict[str, SplitPolicy] = {
+            "proportional": ProportionalSplit(waiting_amounts),
+            "fitting": FittingSplit(waiting_tasks),
+        }
         for name, policy in policies.items():
-            shares = policy.targets("t", limit, nothing)
-            used[name] += sum(shares[m].cpus // demand.cpus * demand.cpus for m, demand in demands.items())
-        used["best"] += max_usable(Amounts(limit.cpus, 0), list(demands.values())).cpus
-    for name, units in used.items():
+            shares = policy.targets("t", limit, no_usage)
+            used_units[name] += sum(
+                shares[member].cpus // demand.cpus * demand.cpus for member, demand in demands.items()
+            )
+        used_units["optimal"] += max_usable(Amounts(limit.cpus, 0), list(demands.values())).cpus
+    for name, units in used_units.items():
         print(f"split {name}: whole tasks use {100 * units / rounds / limit.cpus:.1f} % of the limit")
 
 
 def main() -> None:
-    """Print both tables."""
+    """Print the comparison of the splits, and the table of the loads."""
     compare_splits()
     print(
-        "load | part | unused | wait 50/90/99 % | messages a start | transactions a start | transfers | starts | broken"
+        "load | quota feature | unused | wait 50/90/99 % | messages per start | transactions per start | transfers | "
+        "starts | violations"
     )
     for load in LOADS:
-        for name, parts in (("off", None), ("on", Features(QuotaFeature(True)))):
+        for setting, features in (("off", None), ("on", Features(QuotaFeature(True)))):
             result = Result()
             for seed in SEEDS:
-                play(load, seed, parts, result)
-            print(f"{load.name} | {name} | {result.line()}", flush=True)
+                play_load(load, seed, features, result)
+            print(f"{load.name} | {setting} | {result.line()}", flush=True)
 
 
 if __name__ == "__main__":
