--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Puts the sources on the path; the libraries come from target/ci or the environment."""
+"""Puts the sources on the import path; the libraries come from `target/ci` or from the environment."""
 
 import sys
 from pathlib import Path
