--- a/tests/virtual/settings.py
+++ b/tests/virtual/settings.py
@@ -5,7 +5,7 @@
 if TYPE_CHECKING:
     from virtual.world import World
 
-#: A settings file with all required fields and one unknown field.
+#: A valid settings file: all required fields, the optional process limits, and fields that controllers ignore.
 SETTINGS_FILE: dict[str, Any] = {
     "member": "c0", "area": "a", "client_listen": "127.0.0.1:1", "peer_bind": "127.0.0.1:2", "siblings": [],
     "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"}, "unheard_of": 1,
