--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -1,4 +1,16 @@
-"""Two troubles at once: each test brings one meeting about on the virtual clock, and takes its guard out."""
+"""Combinations of faults, each brought about in the virtual world.
+
+The tests guard against these failures, most of them also with one guard taken away, to show that it is needed:
+
+- A cancelled task runs on for longer than `cancel_s`, or an uncancelled one is stopped: the key-value store refuses the
+  leader alone, another controller confirms the cancellation, and then an outage refuses all controllers.
+- A cancelled task runs on for longer than `cancel_s` on a machine that hangs while controllers restart.
+- An array waits forever while room that is reserved for services is free.
+- A job stays without room at its scheduler after the transaction of its handover got no response.
+- A team exceeds its limit when a job is handed over while messages of its former scheduler are delayed.
+- Tasks run twice, are lost or starve when the leader changes during other faults.
+- Users are told two different final statuses of one job.
+"""
 
 import json
 from datetime import timedelta
@@ -44,38 +56,41 @@
     submit_job,
 )
 
-# The state service refuses the leader alone, another controller confirms cancellations, then all lack it.
+# The key-value store refuses the leader alone, another controller confirms a cancellation, then all are refused.
 
 
-def gap(world: World, teller: str, outage: float, restart: bool = False) -> None:
-    """`restart`: the controller that confirmed is killed before it can tell anybody, and is back in a moment."""
-    old = leader_of(world)
-    world.store.refused_callers.add(old)
+def cancel_between_refusal_and_outage(world: World, confirming: str, outage_s: float, restart: bool = False) -> None:
+    """Cancel j-1 at controller `confirming` while the store refuses the leader, and start an outage of the store then.
+
+    With `restart`, the confirming controller is killed before it can inform any other one, and starts again soon.
+    """
+    leader = leader_of(world)
+    world.store.refused_callers.add(leader)
     world.run(0.5)
-    cancel(world, "j-1", teller, outage, restart)
-    run_with_checks(world, outage)
+    cancel_at_start_of_outage(world, "j-1", confirming, outage_s, restart)
+    run_with_checks(world, outage_s)
     world.store.refused_callers.clear()
     run_with_checks(world, 15)
 
 
-def cancel(world: World, job_id: str, teller: str, outage: float, restart: bool) -> None:
-    """The outage begins in the moment in which the user is told."""
+def cancel_at_start_of_outage(world: World, job_id: str, confirming: str, outage_s: float, restart: bool) -> None:
+    """Cancel a job; the outage of the key-value store begins at the moment at which the user gets the confirmation."""
 
-    def told(status: int, body: bytes, _headers: object) -> None:
+    def on_confirmed(status: int, body: bytes, _headers: object) -> None:
         assert status == 200
         assert b"withdrawn" in body
         world.cancelled_at[job_id] = world.now
-        world.store.start_outage(outage)
+        world.store.start_outage(outage_s)
         if restart:
-            world.nodes[teller].kill()
-            world.after(0.3 * S, world.nodes[teller].start)
+            world.nodes[confirming].kill()
+            world.after(0.3 * S, world.nodes[confirming].start)
 
-    world.request(teller, lambda c: c.job_api.cancel(job_id, told))
+    world.request(confirming, lambda controller: controller.job_api.cancel(job_id, on_confirmed))
     assert world.run_until(lambda: job_id in world.cancelled_at, 3)
 
 
-def two_jobs(seed: int) -> World:
-    """Two long jobs run; the second one is nobody's to cancel."""
+def world_with_two_jobs(seed: int) -> World:
+    """Return a world in which two long jobs run: j-1, which tests cancel, and j-2, which none cancels."""
     world = busy_world(seed, guessS=500.0, pieces=6, cores=2.0)
     world.define_job("j-2", pieces=6, cores=2.0, guessS=500.0)
     assert world.submit_until_accepted("j-2", "c1")
@@ -83,67 +98,74 @@
     return world
 
 
-def others(world: World) -> list[str]:
+def followers(world: World) -> list[str]:
+    """Return the controllers that do not lead."""
     return [name for name in world.controller_names if name != leader_of(world)]
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_a_cancellation_confirmed_elsewhere_ends_in_time_in_an_outage_and_nothing_else_does(seed: int) -> None:
-    world = two_jobs(seed)
+def test_only_cancelled_tasks_end_when_a_store_outage_follows_the_confirmation(seed: int) -> None:
+    world = world_with_two_jobs(seed)
     before = running_attempts(world, "j-2")
-    gap(world, others(world)[seed % 2], 40)
+    cancel_between_refusal_and_outage(world, followers(world)[seed % 2], 40)
     assert world.invariants.violations == []
     assert running_attempts(world, "j-1") == set()
     assert running_attempts(world, "j-2") == before
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_it_ends_in_time_too_when_the_controller_that_confirmed_it_starts_anew(seed: int) -> None:
-    world = two_jobs(seed)
-    gap(world, others(world)[seed % 2], 40, restart=True)
+def test_cancelled_tasks_end_in_time_when_the_confirming_controller_restarts_during_the_outage(seed: int) -> None:
+    world = world_with_two_jobs(seed)
+    cancel_between_refusal_and_outage(world, followers(world)[seed % 2], 40, restart=True)
     assert world.invariants.violations == []
     assert running_attempts(world, "j-1") == set()
 
 
-def test_without_the_memory_of_what_a_peer_may_have_confirmed_it_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process that started in the outage agrees that it lacks the state service, and knows of nothing."""
-    monkeypatch.setattr(WatchCache, "deleted_since", lambda mirror, epoch: [])
-    world = two_jobs(1)
-    gap(world, others(world)[1], 40, restart=True)
-    assert any("ran_cancelled" in rule for rule in world.invariants.violations)
+def test_cancelled_task_runs_on_without_the_check_for_unknown_deletions(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A process that started in the outage does not know what its predecessor confirmed.
+
+    Without the check, it still takes part in the agreement that the key-value store is unavailable, which lets the
+    others renew leases.
+    """
+    monkeypatch.setattr(WatchCache, "deleted_since", lambda cache, revision: [])
+    world = world_with_two_jobs(1)
+    cancel_between_refusal_and_outage(world, followers(world)[1], 40, restart=True)
+    assert any("ran_cancelled" in violation for violation in world.invariants.violations)
 
 
-def unheard_pushes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is cancelled is not told at once, as when those messages are lost."""
+def disable_announcements(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Have confirmed cancellations not announced at once, as if those messages were lost."""
     monkeypatch.setattr(
         "ramptide.controller.cancellations.RecentCancellations.announce", lambda cancellations, job_id: None
     )
 
 
-def test_the_agreement_itself_carries_what_was_cancelled(monkeypatch: pytest.MonkeyPatch) -> None:
-    unheard_pushes(monkeypatch)
-    world = two_jobs(2)
+def test_cancelled_tasks_end_in_time_when_only_replies_in_the_outage_report_the_cancellation(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    disable_announcements(monkeypatch)
+    world = world_with_two_jobs(2)
     before = running_attempts(world, "j-2")
-    gap(world, others(world)[0], 40)
+    cancel_between_refusal_and_outage(world, followers(world)[0], 40)
     assert world.invariants.violations == []
     assert running_attempts(world, "j-1") == set()
     assert running_attempts(world, "j-2") == before
 
 
-def test_when_it_carries_nothing_a_cancelled_task_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    unheard_pushes(monkeypatch)
-    monkeypatch.setattr(WatchCache, "deleted_since", lambda mirror, epoch: [])
-    world = two_jobs(2)
-    gap(world, others(world)[0], 40)
-    assert any("ran_cancelled" in rule for rule in world.invariants.violations)
+def test_cancelled_task_runs_on_without_deletions_in_the_replies_of_the_outage(monkeypatch: pytest.MonkeyPatch) -> None:
+    disable_announcements(monkeypatch)
+    monkeypatch.setattr(WatchCache, "deleted_since", lambda cache, revision: [])
+    world = world_with_two_jobs(2)
+    cancel_between_refusal_and_outage(world, followers(world)[0], 40)
+    assert any("ran_cancelled" in violation for violation in world.invariants.violations)
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_slow_state_service_before_and_after_changes_nothing_of_that(seed: int) -> None:
-    world = two_jobs(seed)
+def test_cancelled_tasks_end_in_time_when_the_store_is_slow_before_and_after_the_outage(seed: int) -> None:
+    world = world_with_two_jobs(seed)
     world.max_store_delay_s = 1.0
     world.run(3)
-    gap(world, others(world)[seed % 2], 40)
+    cancel_between_refusal_and_outage(world, followers(world)[seed % 2], 40)
     assert world.invariants.violations == []
     assert running_attempts(world, "j-1") == set()
     for name in world.controller_names:
@@ -151,11 +173,11 @@
         assert answer is None or answer[0] == 503 or answer[1]["status"] == "withdrawn"
 
 
-def test_refused_singly_then_all_twice_in_a_row_with_restarts_in_between() -> None:
-    world = two_jobs(3)
-    teller, third = others(world)
-    gap(world, teller, 30)
-    for name in (teller, third):
+def test_only_cancelled_tasks_end_when_refusal_and_outage_occur_twice_with_restarts_in_between() -> None:
+    world = world_with_two_jobs(3)
+    confirming, other = followers(world)
+    cancel_between_refusal_and_outage(world, confirming, 30)
+    for name in (confirming, other):
         world.nodes[name].kill()
         world.run(0.2)
         world.nodes[name].start()
@@ -163,97 +185,105 @@
     assert world.run_until(lambda: len(running_attempts(world, "j-2")) == 6, 30)
     world.define_job("j-1", pieces=6, cores=2.0, guessS=500.0)
     world.define_job("j-3", pieces=6, cores=2.0, guessS=500.0)
-    assert world.submit_until_accepted("j-3", third)
+    assert world.submit_until_accepted("j-3", other)
     assert world.run_until(lambda: len(running_attempts(world, "j-3")) == 6, 30)
     world.store.refused_callers.add(leader_of(world))
     world.run(1)
-    teller = others(world)[0]
-    cancel(world, "j-3", teller, 30, restart=True)
+    confirming = followers(world)[0]
+    cancel_at_start_of_outage(world, "j-3", confirming, 30, restart=True)
     run_with_checks(world, 30)
     world.store.refused_callers.clear()
     run_with_checks(world, 10)
     assert world.invariants.violations == []
     assert running_attempts(world, "j-3") == set()
-    assert world.run_until(lambda: len(running_attempts(world, "j-2")) == 6, 40), "what nobody cancelled runs again"
+    assert world.run_until(lambda: len(running_attempts(world, "j-2")) == 6, 40), (
+        "the job that nobody cancelled runs again"
+    )
 
 
-def test_a_job_that_peers_say_is_over_does_not_come_back_by_a_late_answer() -> None:
-    """The watch of a controller that was refused shows an older record of the job first, its end only later."""
-    world = two_jobs(4)
-    name = leader_of(world)
-    controller = world.nodes[name].controller
+def test_job_reported_finished_by_a_peer_stays_dropped_when_its_record_arrives_late() -> None:
+    """The watch of a controller that the store refused shows earlier changes of a job first, and its deletion last."""
+    world = world_with_two_jobs(4)
+    leader = leader_of(world)
+    controller = world.nodes[leader].controller
     assert controller is not None
-    record, stamp = controller.state.jobs["j-1"].record, controller.state.jobs["j-1"].mod_revision
+    record, revision = controller.state.jobs["j-1"].record, controller.state.jobs["j-1"].mod_revision
     controller.assignments.drop_finished(["j-1"])
     assert "j-1" not in controller.state.jobs
-    controller.store_events.on_change("live/job/j-1", msgspec.to_builtins(record), stamp + 1)
+    controller.store_events.on_change("live/job/j-1", msgspec.to_builtins(record), revision + 1)
     assert "j-1" not in controller.state.jobs
-    controller.store_events.on_change("live/job/j-1", None, stamp + 2)
+    controller.store_events.on_change("live/job/j-1", None, revision + 2)
     assert not controller.assignments._finished_elsewhere
 
 
-# A machine hangs for longer than a cancellation has, and goes on with what it had.
+# A machine hangs for longer than a cancellation may take, with a cancelled task on it.
+
 
+def cancel_job_on_hung_machines(world: World, *faults: str, machines: int = 1) -> list[Agent]:
+    """Hang machines with tasks of j-1, cancel it, inject the named faults, and return the machines.
 
-def hung_and_cancelled(world: World, *troubles: str, machines: int = 1) -> list[Agent]:
-    """Machines with tasks of a cancelled job hang, in the troubles named; past its lease nothing there can run."""
+    Past its lease, a machine that hangs ends all tasks as soon as it continues; the invariants still count a cancelled
+    task there as running until the machine is returned.
+    """
     hung = list({agent.host: agent for agent, _ in world.invariants.running_tasks()}.values())[:machines]
     for agent in hung:
         agent.hang(45)
-    assert world.run_until(lambda: world.cancel_job("j-1", others(world)[0]), 10)
+    assert world.run_until(lambda: world.cancel_job("j-1", followers(world)[0]), 10)
     world.run(3)
-    if "outage" in troubles:
+    if "outage" in faults:
         world.store.start_outage(40)
-    if "owner" in troubles:
+    if "owner" in faults:
         restart_controller(world, owner_of(world, agent.host))
-    if "leader" in troubles:
+    if "leader" in faults:
         restart_controller(world, leader_of(world))
-    if "elections" in troubles:
+    if "elections" in faults:
         for number in range(2):
             world.after(number * 7 * S, lambda: restart_controller(world, leader_of(world)))
     run_with_checks(world, 50)
     return hung
 
 
-@pytest.mark.parametrize("trouble", ["none", "outage", "owner", "leader", "elections"])
-def test_a_machine_that_hangs_with_a_cancelled_task_is_returned_in_time(trouble: str) -> None:
+@pytest.mark.parametrize("fault", ["none", "outage", "owner", "leader", "elections"])
+def test_machine_that_hangs_with_a_cancelled_task_is_returned_in_time(fault: str) -> None:
     world = busy_world(guessS=500.0)
-    hung = hung_and_cancelled(world, trouble)
+    hung = cancel_job_on_hung_machines(world, fault)
     assert world.invariants.violations == []
     assert not hung[0].alive
 
 
-def test_many_that_hang_while_leaders_change_are_returned_in_time() -> None:
+def test_many_hanging_machines_are_returned_in_time_when_leaders_change() -> None:
     world = full_world()
-    hung = hung_and_cancelled(world, "elections", machines=6)
+    hung = cancel_job_on_hung_machines(world, "elections", machines=6)
     assert world.invariants.violations == []
     assert not any(agent.alive for agent in hung)
 
 
-def test_without_that_return_the_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cancelled_task_runs_on_without_the_timely_return_of_silent_machines(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("ramptide.controller.timings.CONFIRM_TIMEOUT_RATIO", 10.0)
     world = busy_world(guessS=500.0)
-    hung_and_cancelled(world)
-    assert any("ran_cancelled" in rule for rule in world.invariants.violations)
+    cancel_job_on_hung_machines(world)
+    assert any("ran_cancelled" in violation for violation in world.invariants.violations)
 
 
-def test_without_the_memory_of_the_view_before_it_goes_on_when_views_change(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The owner's list of the present view is empty: nothing was heard from the machine in it."""
+def test_cancelled_task_runs_on_without_unconfirmed_terminations_kept_across_views(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """In a new view, the owner of a machine that hangs reports no tasks there, as no heartbeat has arrived in it."""
 
-    def forgetful(machine_index: MachineIndex) -> None:
+    def forget_terminations(machine_index: MachineIndex) -> None:
         machine_index.machines.update(
-            {name: ObservedMachine(images=host.images) for name, host in machine_index.machines.items()}
+            {name: ObservedMachine(images=machine.images) for name, machine in machine_index.machines.items()}
         )
         machine_index._tasks.clear()
         machine_index._free_rooms.on_new_view()
 
-    monkeypatch.setattr(MachineIndex, "on_new_view", forgetful)
+    monkeypatch.setattr(MachineIndex, "on_new_view", forget_terminations)
     world = full_world()
-    hung_and_cancelled(world, "elections", machines=6)
-    assert any("ran_cancelled" in rule for rule in world.invariants.violations)
+    cancel_job_on_hung_machines(world, "elections", machines=6)
+    assert any("ran_cancelled" in violation for violation in world.invariants.violations)
 
 
-def test_machines_that_hang_with_nothing_cancelled_are_kept() -> None:
+def test_hanging_machine_is_kept_when_no_job_was_cancelled() -> None:
     world = busy_world(guessS=500.0)
     agent, _ = world.invariants.running_tasks()[0]
     agent.hang(18)
@@ -262,11 +292,11 @@
     assert world.invariants.violations == []
 
 
-# Room that is kept for services.
+# An array waits while the only free room is reserved for services.
 
 
-def array_beside_services() -> World:
-    """All machines that there are run services, and leave a quarter free for more of them."""
+def world_with_array_beside_services() -> World:
+    """Return a world in which an array waits; each machine runs a service, and its free quarter is kept for others."""
     world = started_world(8, capacity=2)
     for number in range(2):
         world.define_job(f"j-{number}", shape="service", pieces=1, cores=6.0)
@@ -277,14 +307,14 @@
     return world
 
 
-def test_no_job_is_left_waiting_beside_room_that_is_kept_for_services() -> None:
-    world = array_beside_services()
+def test_array_starts_in_time_when_only_room_reserved_for_services_is_free() -> None:
+    world = world_with_array_beside_services()
     assert longest_starvation(world, 100)[0] < 90 * S
     assert world.run_until(lambda: world.is_done("j-5"), 300)
 
 
-def test_when_that_room_is_kept_for_ever_it_waits() -> None:
-    world = array_beside_services()
+def test_array_starves_without_the_limits_of_its_wait_for_reserved_room() -> None:
+    world = world_with_array_beside_services()
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller.state.tuning = node.controller.machine_index.tuning = Tuning(
@@ -293,90 +323,91 @@
     assert longest_starvation(world, 100)[0] >= 90 * S
 
 
-# A handover whose transaction is not answered.
+# The transaction of a handover gets no response.
 
 
-def swallow_a_handover(world: World, late: float | None) -> None:
-    """The first one is never carried out, or `late` seconds after it was sent."""
+def drop_first_handover(world: World, delay_s: float | None) -> None:
+    """Give the first handover no response; it is executed `delay_s` seconds after it arrives, or never if None."""
     handle = world.store.handle
-    swallowed: list[bytes] = []
+    dropped: list[bytes] = []
 
-    def handled(caller: str, method: str, target: str, body: bytes, respond: Respond) -> None:
-        if target == TRANSACTION_PATH and b'"hand":[' in body and not swallowed:
-            swallowed.append(body)
-            if late is not None:
-                world.after(late * S, lambda: handle(caller, method, target, body, ignore_response))
+    def handle_or_drop(caller: str, method: str, target: str, body: bytes, respond: Respond) -> None:
+        if target == TRANSACTION_PATH and b'"hand":[' in body and not dropped:
+            dropped.append(body)
+            if delay_s is not None:
+                world.after(delay_s * S, lambda: handle(caller, method, target, body, ignore_response))
         else:
             handle(caller, method, target, body, respond)
 
-    world.store.handle = handled  # type: ignore[method-assign]
+    world.store.handle = handle_or_drop  # type: ignore[method-assign]
 
 
-def job_for_another_part(world: World) -> None:
-    """A job whose scheduler is not the leader, and for which its scheduler's own part has no room."""
+def submit_job_without_room_at_its_scheduler(world: World) -> None:
+    """Submit a job that a follower schedules, whose own machines have too little room for it."""
     world.define_job("j-1", pieces=30, cores=4.0, guessS=6.0)
-    assert world.submit_until_accepted("j-1", others(world)[0])
-    scheduler = others(world)[0]
+    assert world.submit_until_accepted("j-1", followers(world)[0])
+    scheduler = followers(world)[0]
     entry = world.store.entries["live/job/j-1"]
     world.store.put("live/job/j-1", entry.value | {"home": scheduler}, entry.lease_id)
 
 
-@pytest.mark.parametrize("late", [None, 4.0])
-def test_a_handover_that_is_not_answered_leaves_no_job_behind(late: float | None) -> None:
+@pytest.mark.parametrize("delay_s", [None, 4.0])
+def test_job_finishes_when_its_handover_gets_no_response(delay_s: float | None) -> None:
     world = started_world(3)
-    swallow_a_handover(world, late)
-    job_for_another_part(world)
+    drop_first_handover(world, delay_s)
+    submit_job_without_room_at_its_scheduler(world)
     assert world.run_until(lambda: world.is_done("j-1"), 100)
     assert world.invariants.violations == []
 
 
-def test_when_nobody_asks_again_the_job_stays_where_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_job_stays_unfinished_without_the_retry_of_its_handover(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("ramptide.scheduling.handover.RETRY_DELAY", 1000 * S)
     world = started_world(3)
-    swallow_a_handover(world, None)
-    job_for_another_part(world)
+    drop_first_handover(world, None)
+    submit_job_without_room_at_its_scheduler(world)
     assert not world.run_until(lambda: world.is_done("j-1"), 100)
 
 
-# A job is handed over while the former scheduler's messages are slow.
+# A job is handed over while messages of its former scheduler are delayed.
 
 
-def handed_over_at_the_limit(world: World) -> None:
-    """A team is at its limit with one job, and another of it waits at the same scheduler.
+def hand_over_job_at_team_limit(world: World) -> None:
+    """Hand a job over to the leader, while another job of its team waits for the limit at the former scheduler.
 
-    The first goes to the leader, who hears nothing new of the former scheduler for a moment.
+    For 2.5 s, the leader receives no new message of the former scheduler.
     """
-    new, old = leader_of(world), others(world)[0]
-    former, lead = world.nodes[old].controller, world.nodes[new].controller
-    assert former is not None
-    assert lead is not None
-    assert former.state.view is not None
-    assert former.state.scheduler is not None
-    for controller in (former, lead):
+    new_name, old_name = leader_of(world), followers(world)[0]
+    old_scheduler, new_scheduler = world.nodes[old_name].controller, world.nodes[new_name].controller
+    assert old_scheduler is not None
+    assert new_scheduler is not None
+    assert old_scheduler.state.view is not None
+    assert old_scheduler.state.scheduler is not None
+    for controller in (old_scheduler, new_scheduler):
         controller.handover.run = lambda scheduler, now: None  # type: ignore[method-assign]
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller.job_api._choose_scheduler = lambda run: old
+        node.controller.job_api._choose_scheduler = lambda run: old_name
     for job_id in ("j-1", "j-2"):
         world.define_job(job_id, owner="few", pieces=3, cores=4.0, guessS=300.0)
-        assert world.submit_until_accepted(job_id, old)
+        assert world.submit_until_accepted(job_id, old_name)
     assert world.run_until(lambda: len(running_attempts(world, "j-1") | running_attempts(world, "j-2")) == 3, 40)
     job_id = "j-1" if running_attempts(world, "j-1") else "j-2"
-    send = former.peers.send
-    former.peers.send = lambda peer, sync, every=S: peer.name != new and send(peer, sync, every)  # type: ignore[assignment, method-assign]
+    send = old_scheduler.peers.send
+    old_scheduler.peers.send = lambda peer, update, interval=S: peer.name != new_name and send(peer, update, interval)  # type: ignore[assignment, method-assign]
     world.run(0.5)
-    message = lead.peers.last_message(old)
+    message = new_scheduler.peers.last_message(old_name)
     assert message is not None
-    job = former.state.jobs[job_id]
-    hand = Handover(former.state.view.number, old, message.sequence_number)
-    record = msgspec.structs.replace(job.record, scheduler=new, handover=hand)
+    job = old_scheduler.state.jobs[job_id]
+    handover_record = Handover(old_scheduler.state.view.number, old_name, message.sequence_number)
+    record = msgspec.structs.replace(job.record, scheduler=new_name, handover=handover_record)
     world.store.put(f"live/job/{job_id}", msgspec.to_builtins(record))
     run_with_checks(world, 2)
-    former.peers.send = send  # type: ignore[method-assign]
+    old_scheduler.peers.send = send  # type: ignore[method-assign]
     run_with_checks(world, 5)
 
 
-def few_world() -> World:
+def world_with_limited_team() -> World:
+    """Return a world with a team limited to 12 CPUs, in which a job of another team runs."""
     world = started_world(3, teams={"team": 0.0, "few": 12.0})
     world.define_job("j-9", pieces=12, cores=4.0, guessS=500.0)
     assert world.submit_until_accepted("j-9", "c0")
@@ -384,80 +415,95 @@
     return world
 
 
-def test_a_job_counts_as_taken_over_only_when_its_former_scheduler_has_released_it() -> None:
-    world = few_world()
-    handed_over_at_the_limit(world)
+def test_team_limit_holds_when_a_job_is_handed_over_during_message_delays() -> None:
+    world = world_with_limited_team()
+    hand_over_job_at_team_limit(world)
     assert world.invariants.violations == []
 
 
-def test_when_it_counts_before_its_team_uses_its_limit_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    def taken(split: ShareSplit, scheduler: JobScheduler, _view: View) -> list[str]:
+def test_team_limit_is_exceeded_without_the_wait_for_the_former_schedulers_message(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    def startable_handovers(split: ShareSplit, scheduler: JobScheduler, _view: View) -> list[str]:
         return [
-            w.job.job_id
-            for w in scheduler.jobs.values()
-            if w.job.record.handover is not None and split._may_start_job(w)
+            job_state.job.job_id
+            for job_state in scheduler.jobs.values()
+            if job_state.job.record.handover is not None and split._may_start_job(job_state)
         ]
 
-    monkeypatch.setattr(ShareSplit, "_find_counted_handovers", taken)
-    world = few_world()
-    handed_over_at_the_limit(world)
-    assert any("quota" in rule for rule in world.invariants.violations)
+    monkeypatch.setattr(ShareSplit, "_find_counted_handovers", startable_handovers)
+    world = world_with_limited_team()
+    hand_over_job_at_team_limit(world)
+    assert any("quota" in violation for violation in world.invariants.violations)
+
 
+def messages_without_own_attempts(world: World) -> list[str]:
+    """Return the messages that fail to show attempts which their senders start on their own machines.
 
-def unsent_desired_tasks(world: World) -> list[str]:
-    """Messages that say that the sender's own wishes are processed and do not show what came of them."""
-    found: list[str] = []
+    Each message acknowledges the sender's own desired tasks, so it must also show their effect.
+    """
+    incomplete: list[str] = []
     for node in world.nodes.values():
         controller = node.controller
         assert controller is not None
-        told: dict[tuple[str, str], set[tuple[str, int, int]]] = {}
+        reported: dict[tuple[str, str], set[tuple[str, int, int]]] = {}
 
         def send(  # type: ignore[no-untyped-def]
-            peer: Peer, sync: PeerMessage, every: timedelta = S, c: Controller = controller, told=told
+            peer: Peer,
+            message: PeerMessage,
+            interval: timedelta = S,
+            sender: Controller = controller,
+            reported=reported,
         ) -> None:
-            for host, row in sync.machine_status.items():
-                told[peer.name, host] = {task[:3] for task in row.tasks} if row is not None else set()
-            for host, machine in c.state.shard.machines.items() if c.state.shard is not None and sync.view else ():
-                ours = {
+            for host, status in message.machine_status.items():
+                reported[peer.name, host] = {task[:3] for task in status.tasks} if status is not None else set()
+            for host, machine in (
+                sender.state.shard.machines.items() if sender.state.shard is not None and message.view else ()
+            ):
+                own_attempts = {
                     key
-                    for key, one in machine.entries.items()
-                    if one.requested_by == c.state.member and one.desired is DesiredState.RUN
+                    for key, entry in machine.entries.items()
+                    if entry.requested_by == sender.state.member and entry.desired is DesiredState.RUN
                 }
-                if ours - told.get((peer.name, host), set()):
-                    found.append(f"{sync.member} to {peer.name}: {host}")
-            Peers.send(c.peers, peer, sync, every)
+                if own_attempts - reported.get((peer.name, host), set()):
+                    incomplete.append(f"{message.member} to {peer.name}: {host}")
+            Peers.send(sender.peers, peer, message, interval)
 
         controller.peers.send = send  # type: ignore[method-assign]
     for number in range(6):
         world.define_job(f"j-{number}", pieces=6, guessS=3.0)
         assert world.submit_until_accepted(f"j-{number}", world.controller_names[number % 3])
     world.run(20)
-    return found
+    return incomplete
 
 
-def test_what_is_said_to_be_processed_is_shown_with_it() -> None:
-    assert unsent_desired_tasks(started_world(5)) == []
+def test_messages_show_the_effect_of_the_desired_tasks_that_they_acknowledge() -> None:
+    assert messages_without_own_attempts(started_world(5)) == []
 
 
-def test_without_that_a_new_scheduler_would_miss_a_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    mark = Replication.record_changes
+def test_messages_miss_acknowledged_starts_without_the_recorded_status_changes(monkeypatch: pytest.MonkeyPatch) -> None:
+    original_method = Replication.record_changes
 
-    def late(syncing: Replication, scheduler: JobScheduler, part: Shard, changed: set[str]) -> None:
-        mark(syncing, scheduler, part, changed)
+    def record_without_own_desired_tasks(
+        replication: Replication, scheduler: JobScheduler, shard: Shard, changed: set[str]
+    ) -> None:
+        original_method(replication, scheduler, shard, changed)
         for host in {
-            one for one, at in syncing._status_changes._last_change.items() if at == scheduler.sequence_number
+            name
+            for name, changed_at in replication._status_changes._last_change.items()
+            if changed_at == scheduler.sequence_number
         } - changed:
-            del syncing._status_changes._last_change[host]
+            del replication._status_changes._last_change[host]
 
-    monkeypatch.setattr(Replication, "record_changes", late)
-    assert unsent_desired_tasks(started_world(5))
+    monkeypatch.setattr(Replication, "record_changes", record_without_own_desired_tasks)
+    assert messages_without_own_attempts(started_world(5))
 
 
-# Changes of leader in the middle of other troubles.
+# The leader changes during other faults.
 
 
-def away(world: World, seconds: float) -> None:
-    """All controllers end, and are back after longer than a lease; machines go on reporting to nobody."""
+def restart_all_controllers(world: World, seconds: float) -> None:
+    """Kill all controllers and start them again `seconds` later; heartbeats get no responses meanwhile."""
     for name in world.controller_names:
         world.nodes[name].kill()
     run_with_checks(world, seconds)
@@ -465,30 +511,30 @@
         world.nodes[name].start()
 
 
-def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
-    world = two_jobs(1)
+def test_only_the_uncancelled_job_runs_again_when_all_controllers_were_down_past_a_lease() -> None:
+    world = world_with_two_jobs(1)
     assert world.cancel_job("j-1", "c0")
-    away(world, 12)
+    restart_all_controllers(world, 12)
     run_with_checks(world, 30)
     assert world.invariants.violations == []
     assert running_attempts(world, "j-1") == set()
     assert len(running_attempts(world, "j-2")) == 6
 
 
-def ten_leaders(world: World) -> None:
-    """One leader after the other ends within two minutes, half of the time in an outage; each is back in a moment."""
+def kill_ten_leaders(world: World) -> None:
+    """Kill ten leaders within two minutes, two of them in an outage of 6 s; each starts again within 2.5 s."""
     for number in range(10):
-        old = leader_of(world)
+        leader = leader_of(world)
         if number % 4 == 3:
             world.store.start_outage(6)
-        world.nodes[old].kill()
-        world.after((0.3 if number % 2 else 2.5) * S, world.nodes[old].start)
+        world.nodes[leader].kill()
+        world.after((0.3 if number % 2 else 2.5) * S, world.nodes[leader].start)
         run_with_checks(world, 12)
 
 
-def many_jobs(world: World) -> list[str]:
-    """Of two teams, one of them at its limit; long and short, bound to a zone or not."""
-    kinds: list[dict[str, Any]] = [
+def schedule_jobs_of_two_teams(world: World) -> list[str]:
+    """Schedule jobs of two teams, one of them with a limit: long and short ones, with and without zone constraints."""
+    variants: list[dict[str, Any]] = [
         {},
         {"owner": "few"},
         {"oneZone": True},
@@ -497,31 +543,34 @@
     ]
     job_ids = [f"j-{number}" for number in range(20)]
     for number, job_id in enumerate(job_ids):
-        world.define_job(job_id, pieces=3, cores=2.0, guessS=(4.0, 15.0, 30.0)[number % 3], **kinds[number % 5])
+        world.define_job(job_id, pieces=3, cores=2.0, guessS=(4.0, 15.0, 30.0)[number % 3], **variants[number % 5])
         world.after(number * 5 * S, lambda job_id=job_id: submit_job(world, world.rng, job_id))  # type: ignore[misc]
     return job_ids
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_ten_leaders_in_two_minutes_starve_nobody(seed: int) -> None:
+def test_no_job_starves_when_ten_leaders_fail_within_two_minutes(seed: int) -> None:
     world = started_world(seed, teams={"team": 0.0, "few": 8.0})
-    job_ids = many_jobs(world)
+    job_ids = schedule_jobs_of_two_teams(world)
     world.run(5)
-    ten_leaders(world)
+    kill_ten_leaders(world)
     end_faults(world)
     assert longest_starvation(world, 60)[0] < 60 * S
     assert world.invariants.violations == []
-    # One whose controller ended while it was asked may not have been accepted, and its user asks no more here.
+    # A job whose controller was killed during the submission may not be accepted, as its user gets no answer.
     assert len(world.accepted_jobs) >= len(job_ids) - 3
     assert world.run_until(lambda: all(world.is_done(job_id) for job_id in world.accepted_jobs), 60)
 
 
-def unreachable_then_led_anew(world: World, how: str) -> None:
-    """Machines with long tasks are cut off, or hear no answers, when the leader ends. Nothing can be returned."""
+def restart_leader_with_unreachable_machines(world: World, fault: str) -> None:
+    """Cut machines with long tasks off, or drop the responses to them, and restart the leader.
+
+    The cloud is down, so that no machine can be returned.
+    """
     world.cloud.is_down = True
     hosts = sorted({agent.host for agent, _ in world.invariants.running_tasks()})[:4]
     for host in hosts:
-        if how == "deaf":
+        if fault == "deaf":
             world.hosts_without_responses.add(host)
         else:
             for name in world.controller_names:
@@ -533,24 +582,26 @@
     run_with_checks(world, 40)
 
 
-@pytest.mark.parametrize("how", ["deaf", "cut"])
-def test_machines_that_the_new_leader_cannot_reach_run_nothing_twice(how: str) -> None:
+@pytest.mark.parametrize("fault", ["deaf", "cut"])
+def test_no_task_runs_twice_when_the_new_leader_cannot_reach_machines(fault: str) -> None:
     world = full_world()
-    unreachable_then_led_anew(world, how)
+    restart_leader_with_unreachable_machines(world, fault)
     assert world.invariants.violations == []
     assert len(world.invariants.running_tasks()) == 16
 
 
-@pytest.mark.parametrize("how", ["deaf", "cut"])
-def test_when_a_view_waits_for_no_machine_they_run_twice(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("fault", ["deaf", "cut"])
+def test_tasks_run_twice_without_the_wait_for_unreconciled_machines(
+    fault: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(Reconciliation, "unreconciled_machines", lambda reconciliation: {})
     world = full_world()
-    unreachable_then_led_anew(world, how)
-    assert any("ran_twice" in rule for rule in world.invariants.violations)
+    restart_leader_with_unreachable_machines(world, fault)
+    assert any("ran_twice" in violation for violation in world.invariants.violations)
 
 
-def limit_and_cancellation(world: World) -> None:
-    """A team is at its limit when the leader ends, half of its machines can't be asked, and one job is cancelled."""
+def cancel_job_of_limited_team_with_unreachable_machines(world: World) -> None:
+    """Restart the leader and cancel a job while its team is at the limit and half of the machines are cut off."""
     for job_id in ("j-1", "j-2", "j-3"):
         world.define_job(job_id, owner="few", pieces=6, cores=2.0, guessS=300.0)
         assert world.submit_until_accepted(job_id, "c0")
@@ -568,22 +619,24 @@
     run_with_checks(world, 40)
 
 
-def test_a_limit_holds_while_machines_cannot_be_asked_and_a_job_is_cancelled() -> None:
+def test_team_limit_holds_when_a_job_is_cancelled_while_machines_are_unreachable() -> None:
     world = started_world(2, teams={"team": 0.0, "few": 24.0})
-    limit_and_cancellation(world)
+    cancel_job_of_limited_team_with_unreachable_machines(world)
     assert world.invariants.violations == []
     assert len(world.invariants.running_tasks()) == 12
 
 
-def test_without_waiting_for_them_the_limit_is_broken(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_limit_or_single_execution_is_violated_without_the_wait_for_unreconciled_machines(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(Reconciliation, "unreconciled_machines", lambda reconciliation: {})
     world = started_world(2, teams={"team": 0.0, "few": 24.0})
-    limit_and_cancellation(world)
-    assert any("quota" in rule or "ran_twice" in rule for rule in world.invariants.violations)
+    cancel_job_of_limited_team_with_unreachable_machines(world)
+    assert any("quota" in violation or "ran_twice" in violation for violation in world.invariants.violations)
 
 
 @pytest.mark.parametrize("fields", [{"oneZone": True}, {"spread": True}, {"yard": "a"}], ids=str)
-def test_jobs_bound_to_zones_lose_machines_and_go_on_where_they_may(fields: dict[str, object]) -> None:
+def test_zone_constrained_job_finishes_in_its_allowed_zones_when_machines_are_lost(fields: dict[str, object]) -> None:
     world = started_world(6)
     world.define_job("j-1", pieces=10, cores=4.0, guessS=40.0, **fields)
     assert world.submit_until_accepted("j-1", "c0")
@@ -598,20 +651,20 @@
     assert world.invariants.violations == []
 
 
-def test_tasks_that_end_far_apart_across_changes_of_leader_are_all_counted() -> None:
-    """The first task of each job ends before the leader does, the last one after its successor has ended, too."""
+def test_all_results_are_counted_when_tasks_end_before_between_and_after_leader_changes() -> None:
+    """Tasks run for 2 s, 14 s and 30 s; the leader is restarted after 10 s, and its successor after 20 s."""
     world = started_world(5)
     for job_id in ("j-1", "j-2"):
         world.define_job(job_id, pieces=3, cores=2.0, guessS=2.0)
         assert world.submit_until_accepted(job_id, "c1")
-    ends = iter([2.0, 14.0, 30.0] * 4)
-    begin = Agent._run
+    durations = iter([2.0, 14.0, 30.0] * 4)
+    run_task = Agent._run
 
-    def start(agent: Agent, task: Task, spec: dict[str, object]) -> None:
-        begin(agent, task, spec | {"guessS": next(ends, 5.0)})
+    def run_with_next_duration(agent: Agent, task: Task, spec: dict[str, object]) -> None:
+        run_task(agent, task, spec | {"guessS": next(durations, 5.0)})
 
-    with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Agent, "_run", start)
+    with pytest.MonkeyPatch.context() as monkeypatch:
+        monkeypatch.setattr(Agent, "_run", run_with_next_duration)
         for _ in range(2):
             run_with_checks(world, 10)
             restart_controller(world, leader_of(world))
@@ -619,24 +672,28 @@
     assert world.invariants.violations == []
 
 
-# The end of a job's last task meets its cancellation, questions and a repeated submission.
+# A job is cancelled, polled and submitted again when its last task ends.
+
 
+def final_statuses(world: World, delay_s: float) -> set[str]:
+    """Return the final statuses of j-1 that users are told.
 
-def at_the_end(world: World, offset: float) -> set[str]:
-    """Asked around the moment of the end, at different controllers; then all are asked for what became of it."""
+    `delay_s` after its last task has ended, the job is cancelled, polled and submitted again, each at a different
+    controller. Later it is polled at all controllers.
+    """
     body = json.dumps(world.job_specs["j-1"]).encode()
     statuses: list[str] = []
 
-    def hear(status: int, body: bytes, _headers: object) -> None:
+    def record_final_status(status: int, body: bytes, _headers: object) -> None:
         if status == 200 and json.loads(body)["status"] in ("done", "withdrawn"):
             statuses.append(json.loads(body)["status"])
 
-    def ask() -> None:
-        world.request("c0", lambda c: c.job_api.cancel("j-1", hear))
-        world.request("c1", lambda c: c.job_api.poll("j-1", hear))
-        world.request("c2", lambda c: c.job_api.submit(body, hear))
+    def send_requests() -> None:
+        world.request("c0", lambda controller: controller.job_api.cancel("j-1", record_final_status))
+        world.request("c1", lambda controller: controller.job_api.poll("j-1", record_final_status))
+        world.request("c2", lambda controller: controller.job_api.submit(body, record_final_status))
 
-    world.invariants.on_job_done = lambda job_id: world.after(offset * S, ask)
+    world.invariants.on_job_done = lambda job_id: world.after(delay_s * S, send_requests)
     assert world.run_until(lambda: len(world.invariants.finished_tasks) == 2, 40)
     run_with_checks(world, 8)
     for name in world.controller_names:
@@ -647,13 +704,13 @@
     return set(statuses)
 
 
-@pytest.mark.parametrize("offset", [0.0, 0.05, 0.2, 0.5, 0.8, 1.1, 1.5])
-def test_nobody_hears_two_ends_of_one_job(offset: float) -> None:
+@pytest.mark.parametrize("delay_s", [0.0, 0.05, 0.2, 0.5, 0.8, 1.1, 1.5])
+def test_users_are_told_one_final_status_when_requests_arrive_as_a_job_ends(delay_s: float) -> None:
     world = started_world(7)
     world.define_job("j-1", pieces=2, guessS=3.0)
     assert world.submit_until_accepted("j-1", "c0")
-    ends = at_the_end(world, offset)
-    assert ends in ({"done"}, {"withdrawn"})
-    if "done" in ends:
+    statuses = final_statuses(world, delay_s)
+    assert statuses in ({"done"}, {"withdrawn"})
+    if "done" in statuses:
         assert world.is_done("j-1")
     assert world.invariants.violations == []
