--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,14 @@
-"""Whole controllers on a virtual clock, judged by the plain model of the rules."""
+"""Whole controllers in the virtual world, checked against the invariants of the protocol.
+
+The tests guard against these failures, several of them also with one guard taken away, to show that it is needed:
+
+- Generated histories of faults violate an invariant, leave an accepted job unknown or starved, or let an index differ
+  from what it is derived from.
+- A task runs twice, a cancelled task runs on, or tasks are lost when controllers or machines crash, hang or stall, when
+  links are cut, or when the key-value store or the cloud has an outage.
+- Late copies of requests bring a cancelled job back, or an outdated list of the cloud brings a returned machine back.
+- A new view waits longer than necessary until all machines are reconciled.
+"""
 
 import json
 from typing import Any
@@ -35,14 +45,14 @@
 
 
 @pytest.mark.parametrize("seed", range(28))
-def test_no_rule_is_broken_in_generated_histories(seed: int) -> None:
+def test_generated_histories_violate_no_invariant(seed: int) -> None:
     world = play(seed)
     assert world.invariants.violations == []
     assert world.invariants.start_count > 0
-    # Every accepted job stays known: any controller answers for it once the troubles are over.
+    # Every accepted job stays known: once the faults are over, any controller answers for it.
     end_faults(world)
     waited, job_id = longest_starvation(world, 100)
-    assert waited < 90 * S, f"{job_id} waits beside room"
+    assert waited < 90 * S, f"{job_id} waits although there is room for it"
     known = {key.split("/")[-1] for key in world.store.entries if key.startswith(("live/job/", "ended/"))}
     assert world.accepted_jobs <= known
     for job_id in known:
@@ -54,13 +64,13 @@
 
 
 @pytest.mark.parametrize("seed", range(100, 108))
-def test_the_indexes_agree_with_a_walk_of_everything(seed: int) -> None:
+def test_indexes_agree_with_a_full_recomputation(seed: int) -> None:
     world = play(seed, 40.0, look=check_indexes)
     assert world.invariants.start_count > 0
 
 
-def cut_agent_and_crash(world: World) -> None:
-    """A machine with a running task is cut off; then the owner of the machine crashes and comes back."""
+def restart_all_with_a_machine_cut_off(world: World) -> None:
+    """Cut a machine with a running task off from all controllers, and restart all controllers."""
     agent, _ = world.invariants.running_tasks()[0]
     for name in world.controller_names:
         world.cut_link(agent.host, name)
@@ -71,53 +81,53 @@
     world.run(15)
 
 
-def test_settled_guard_holds() -> None:
+def test_no_task_runs_twice_when_controllers_restart_while_a_machine_is_cut_off() -> None:
     world = busy_world()
-    cut_agent_and_crash(world)
+    restart_all_with_a_machine_cut_off(world)
     assert world.invariants.violations == []
 
 
-def test_without_the_settled_guard_a_task_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Reconciliation, "unreconciled_machines", lambda self: {})
+def test_task_runs_twice_without_the_wait_for_unreconciled_machines(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Reconciliation, "unreconciled_machines", lambda reconciliation: {})
     world = busy_world()
-    cut_agent_and_crash(world)
-    assert any("ran_twice" in rule for rule in world.invariants.violations)
+    restart_all_with_a_machine_cut_off(world)
+    assert any("ran_twice" in violation for violation in world.invariants.violations)
 
 
-def cancel_behind_a_cut(world: World) -> None:
-    """The owner of a machine loses all but its agents, and the job is cancelled elsewhere meanwhile.
+def cancel_while_the_owner_is_isolated(world: World) -> None:
+    """Cut the owner of a machine off from all but its agents, and cancel the job at another controller meanwhile.
 
-    The cloud is down, so that the silent machines cannot be given back.
+    The cloud is down, so that machines that are silent for the others cannot be returned.
     """
     world.cloud.is_down = True
     agent, _ = world.invariants.running_tasks()[0]
-    alone = owner_of(world, agent.host)
-    world.isolate(alone, *world.agents)
+    owner = owner_of(world, agent.host)
+    world.isolate(owner, *world.agents)
     world.run(6)
-    other = next(name for name in world.controller_names if name != alone)
+    other = next(name for name in world.controller_names if name != owner)
     assert world.run_until(lambda: world.cancel_job("j-1", other), 10)
     for _ in range(250):
         world.run(0.1)
         world.invariants.check()
 
 
-def test_authority_guard_holds() -> None:
+def test_cancelled_task_ends_in_time_when_its_owner_is_left_with_its_agents_alone() -> None:
     world = busy_world(guessS=500.0)
-    cancel_behind_a_cut(world)
+    cancel_while_the_owner_is_isolated(world)
     assert world.invariants.violations == []
 
 
-def test_without_the_authority_guard_a_cancelled_task_runs_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Agents that are told the new token directly don't hear the cut-off owner any more, so that is taken out too."""
+def test_cancelled_task_runs_on_without_the_authority_check_of_replies(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Agents that know the new fencing token ignore the former owner, so the token is not announced to them either."""
     monkeypatch.setattr(TokenAnnouncer, "announce", lambda announcer, token, addresses: None)
-    monkeypatch.setattr(Authority, "may_reply", lambda self: self._membership.is_serving)
+    monkeypatch.setattr(Authority, "may_reply", lambda authority: authority._membership.is_serving)
     world = busy_world(guessS=500.0)
-    cancel_behind_a_cut(world)
-    assert any("ran_cancelled" in rule for rule in world.invariants.violations)
+    cancel_while_the_owner_is_isolated(world)
+    assert any("ran_cancelled" in violation for violation in world.invariants.violations)
 
 
-def test_an_agreed_outage_kills_no_work() -> None:
-    """All lack the state service: leases are renewed for as long as all say so."""
+def test_no_task_is_lost_when_all_controllers_agree_on_a_store_outage() -> None:
+    """Leases are renewed for as long as all controllers reply that they do not reach the key-value store either."""
     world = busy_world(guessS=60.0)
     before = {(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()}
     world.store.start_outage(40)
@@ -125,7 +135,7 @@
     assert {(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()} == before
 
 
-def test_a_job_survives_the_loss_of_all_controllers() -> None:
+def test_job_finishes_when_all_controllers_were_restarted() -> None:
     world = busy_world(guessS=12.0)
     for name in world.controller_names:
         world.nodes[name].kill()
@@ -139,7 +149,7 @@
     assert answer[1]["status"] == "done"
 
 
-def test_a_lost_machine_is_replaced_and_its_tasks_run_again() -> None:
+def test_job_finishes_when_one_of_its_machines_died() -> None:
     world = busy_world(guessS=10.0)
     agent, _ = world.invariants.running_tasks()[0]
     agent.die()
@@ -147,25 +157,28 @@
     assert world.invariants.violations == []
 
 
-def test_a_cut_off_leader_is_replaced_and_gives_way() -> None:
+def test_isolated_leader_is_replaced_and_the_job_finishes_when_it_is_back() -> None:
     world = busy_world(guessS=15.0)
-    old = leader_of(world)
-    world.isolate(old, *world.agents)
+    old_leader = leader_of(world)
+    world.isolate(old_leader, *world.agents)
     world.run(25)
-    assert leader_of_others(world, old) != old
+    assert leader_of_others(world, old_leader) != old_leader
     world.heal()
     assert world.run_until(lambda: world.is_done("j-1"), 60)
     assert world.invariants.violations == []
 
 
-def leader_of_others(world: World, old: str) -> str:
+def leader_of_others(world: World, excluded: str) -> str:
+    """Return the leader of the newest view that controllers other than `excluded` know."""
     views = [
-        node.controller.state.view for name, node in world.nodes.items() if name != old and node.controller is not None
+        node.controller.state.view
+        for name, node in world.nodes.items()
+        if name != excluded and node.controller is not None
     ]
     return max((view for view in views if view is not None), key=lambda view: view.number).leader
 
 
-def test_a_job_that_fails_everywhere_leaves_the_counts() -> None:
+def test_job_that_fails_everywhere_backs_off_and_causes_few_rentals() -> None:
     world = started_world(5)
     world.define_job("j-1", pieces=2)
     assert world.submit_until_accepted("j-1", "c1")
@@ -177,13 +190,17 @@
     assert len(world.agents) < 8
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None
-    nodes = [node.controller for node in world.nodes.values() if node.controller is not None]
-    schedulers = [one.state.scheduler for one in nodes if one.state.scheduler is not None]
-    works = [job_state for scheduler in schedulers for job_state in scheduler.jobs.values()]
-    assert any(job_state.backoff > 0 * S for job_state in works)
+    controllers = [node.controller for node in world.nodes.values() if node.controller is not None]
+    schedulers = [
+        running_controller.state.scheduler
+        for running_controller in controllers
+        if running_controller.state.scheduler is not None
+    ]
+    job_states = [job_state for scheduler in schedulers for job_state in scheduler.jobs.values()]
+    assert any(job_state.backoff > 0 * S for job_state in job_states)
 
 
-def test_idle_machines_are_returned_down_to_the_pool() -> None:
+def test_idle_machines_are_returned_except_for_the_pool() -> None:
     world = busy_world(guessS=9.0)
     assert world.run_until(lambda: world.is_done("j-1"), 40)
     world.run(80)
@@ -192,60 +209,66 @@
     assert sum(agent.alive for agent in world.agents.values()) == controller.state.tuning.pool_size
 
 
-def test_services_of_a_machine_that_runs_few_move_together() -> None:
-    """All stay up but for the moment of the move, and the machine goes back."""
+def test_services_move_together_when_their_machines_run_few_of_them() -> None:
+    """All services run again within 5 s after the move, and the machine that was emptied is returned."""
     world = started_world(6, members=1)
     for number in range(8):
         world.define_job(f"j-{number}", shape="service", pieces=1, cores=2.0)
         assert world.submit_until_accepted(f"j-{number}", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 8, 20)
-    used: dict[str, list[str]] = {}
+    job_ids_by_host: dict[str, list[str]] = {}
     for agent, task in world.invariants.running_tasks():
-        used.setdefault(agent.host, []).append(task.job_id)
-    assert len(used) == 2
-    for job_ids in used.values():
+        job_ids_by_host.setdefault(agent.host, []).append(task.job_id)
+    assert len(job_ids_by_host) == 2
+    for job_ids in job_ids_by_host.values():
         assert world.cancel_job(job_ids[0], "c0")
         assert world.cancel_job(job_ids[1], "c0")
     assert world.run_until(lambda: len({agent.host for agent, _ in world.invariants.running_tasks()}) == 1, 90)
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 4, 5)
-    assert world.run_until(lambda: sum(agent.alive for agent in world.agents.values()) == 2, 30), "one for the pool"
+    assert world.run_until(lambda: sum(agent.alive for agent in world.agents.values()) == 2, 30), (
+        "one runs the services and one is in the pool"
+    )
     assert world.invariants.violations == []
 
 
-def live_after_a_late_copy(with_conditions: bool) -> bool:
-    """A job is accepted and cancelled; then a late copy of the transaction that accepted it arrives.
+def is_live_after_late_copy(with_conditions: bool) -> bool:
+    """Return whether a cancelled job has a live record again after a late copy of the transaction that accepted it.
 
-    True when the job is among the live ones again.
+    Without `with_conditions`, the copy has no conditions.
     """
     world = started_world(8)
     sent: list[dict[str, Any]] = []
-    carry_out = world.store._transact
+    transact = world.store._transact
 
-    def note(transaction: dict[str, Any], respond: Respond) -> None:
+    def record_and_transact(transaction: dict[str, Any], respond: Respond) -> None:
         sent.append(transaction)
-        carry_out(transaction, respond)
+        transact(transaction, respond)
 
-    world.store._transact = note  # type: ignore[method-assign]
+    world.store._transact = record_and_transact  # type: ignore[method-assign]
     world.define_job("j-2", pieces=3, guessS=60.0)
     assert world.submit_until_accepted("j-2", "c1")
     assert world.run_until(lambda: world.cancel_job("j-2", "c2"), 10)
-    copy = next(txn for txn in sent if any(change.get("put") == "live/job/j-2" for change in txn["then"]))
-    carry_out(copy if with_conditions else copy | {"when": []}, lambda status, body: None)
+    copy = next(
+        transaction
+        for transaction in sent
+        if any(change.get("put") == "live/job/j-2" for change in transaction["then"])
+    )
+    transact(copy if with_conditions else copy | {"when": []}, lambda status, body: None)
     world.run(3)
     answers = [world.poll_job("j-2", name) for name in world.controller_names]
     assert [answer[1]["status"] for answer in answers if answer is not None] == ["withdrawn"] * 3
     return "live/job/j-2" in world.store.entries
 
 
-def test_late_copies_of_transactions_do_nothing() -> None:
-    assert not live_after_a_late_copy(with_conditions=True)
+def test_late_copy_of_a_transaction_does_not_bring_a_cancelled_job_back() -> None:
+    assert not is_live_after_late_copy(with_conditions=True)
 
 
-def test_without_conditions_a_late_copy_brings_a_cancelled_job_back() -> None:
-    assert live_after_a_late_copy(with_conditions=False)
+def test_late_copy_brings_a_cancelled_job_back_without_the_conditions_of_transactions() -> None:
+    assert is_live_after_late_copy(with_conditions=False)
 
 
-def test_requests_repeated_at_any_later_time_break_nothing() -> None:
+def test_no_invariant_is_violated_when_every_request_is_repeated_later() -> None:
     world = started_world(8)
     world.duplication_rate = 1.0
     world.define_job("j-1", pieces=3, guessS=4.0)
@@ -262,7 +285,7 @@
     assert world.invariants.violations == []
 
 
-def test_answers_to_users_while_the_state_service_is_down() -> None:
+def test_polls_are_answered_503_while_the_store_is_down_and_correctly_afterwards() -> None:
     world = busy_world(guessS=60.0)
     world.store.start_outage(10)
     world.run(3)
@@ -281,8 +304,8 @@
     assert unknown[0] == 404
 
 
-def test_a_change_of_view_costs_no_healthy_machine() -> None:
-    """Old machines have not reported in the new view yet; that is no reason to give them back."""
+def test_healthy_machines_are_kept_when_the_view_changes() -> None:
+    """A machine must not count as silent because its first heartbeat in the new view is still to come."""
     world = busy_world(guessS=200.0)
     world.run(40)
     before = {agent.host for agent, _ in world.invariants.running_tasks()}
@@ -291,7 +314,7 @@
     assert {agent.host for agent, _ in world.invariants.running_tasks()} == before
 
 
-def test_a_service_of_higher_rank_takes_the_room_of_an_array() -> None:
+def test_service_of_higher_rank_preempts_tasks_of_an_array_when_there_is_no_room() -> None:
     world = started_world(4, capacity=2)
     world.define_job("j-1", pieces=8, cores=2.0, guessS=300.0)
     assert world.submit_until_accepted("j-1", "c0")
@@ -303,13 +326,13 @@
     assert world.invariants.violations == []
 
 
-def crash_in_an_outage(world: World, outage: float) -> list[set[tuple[str, int, int]]]:
-    """Two controllers start anew while all lack the state service; what runs before and at each second from then on.
+def restart_two_controllers_in_an_outage(world: World, outage_s: float) -> list[set[tuple[str, int, int]]]:
+    """Restart two controllers in an outage of the key-value store, after which no process knows what they confirmed.
 
-    What they confirmed before they ended nobody knows.
+    Return the running attempts before the outage, and in each of the 40 s after the restarts.
     """
-    found = [{(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()}]
-    world.store.start_outage(outage)
+    running_by_second = [{(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()}]
+    world.store.start_outage(outage_s)
     world.run(3)
     for name in ("c0", "c1"):
         world.nodes[name].kill()
@@ -317,68 +340,73 @@
         world.nodes[name].start()
     for _ in range(40):
         world.run(1)
-        found.append({(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()})
-    return found
+        running_by_second.append({(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()})
+    return running_by_second
 
 
-def test_a_crash_during_a_short_outage_kills_no_work() -> None:
-    found = crash_in_an_outage(busy_world(guessS=90.0), 8)
-    assert all(running == found[0] for running in found)
+def test_no_task_is_lost_when_controllers_restart_in_a_short_outage() -> None:
+    running_by_second = restart_two_controllers_in_an_outage(busy_world(guessS=90.0), 8)
+    assert all(running == running_by_second[0] for running in running_by_second)
 
 
-def test_a_crash_during_a_long_outage_ends_work_in_time_for_what_was_confirmed_before_it() -> None:
-    """The crash is 3 s into the outage, and what was confirmed just before it has `cancel_s`, 20 s, from then."""
+def test_tasks_end_within_the_cancellation_timeout_when_controllers_restart_in_a_long_outage() -> None:
+    """A cancellation may be confirmed just before the first restart, 3 s into the outage; `cancel_s` is 20 s."""
     world = busy_world(guessS=90.0)
-    found = crash_in_an_outage(world, 30)
-    assert found[17] == set(), "gone in time"
-    assert found[4] == found[0], "but not before it must"
-    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30), "it runs again afterwards"
+    running_by_second = restart_two_controllers_in_an_outage(world, 30)
+    assert running_by_second[17] == set(), "all tasks ended in time"
+    assert running_by_second[4] == running_by_second[0], "no task ends earlier than necessary"
+    assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30), (
+        "the job runs again after the outage"
+    )
     assert world.invariants.violations == []
 
 
-def test_machines_that_boot_do_not_hold_up_a_new_view(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_new_view_does_not_wait_for_machines_that_have_not_booted(monkeypatch: pytest.MonkeyPatch) -> None:
     world = busy_world(guessS=200.0)
-    monkeypatch.setattr(Agent, "boot", lambda self: None)
+    monkeypatch.setattr(Agent, "boot", lambda _agent: None)
     world.define_job("j-2", pieces=12, cores=4.0)
     assert world.submit_until_accepted("j-2", "c0")
     assert world.run_until(lambda: sum(not agent.fencing_token for agent in world.agents.values()) >= 3, 20)
-    old = leader_of(world)
-    world.nodes[old].kill()
-    rest = [world.nodes[name] for name in world.controller_names if name != old]
+    old_leader = leader_of(world)
+    world.nodes[old_leader].kill()
+    others = [world.nodes[name] for name in world.controller_names if name != old_leader]
+    assert world.run_until(
+        lambda: all(node.controller is not None and node.controller.state.view.leader != old_leader for node in others),
+        10,
+    )
     assert world.run_until(
-        lambda: all(n.controller is not None and n.controller.state.view.leader != old for n in rest), 10
+        lambda: all(node.controller is not None and node.controller.state.reconciled for node in others), 5
     )
-    assert world.run_until(lambda: all(n.controller is not None and n.controller.state.reconciled for n in rest), 5)
     assert world.invariants.violations == []
 
 
-def test_an_old_list_brings_back_no_returned_machine() -> None:
-    """The cloud goes down right after a machine was returned; its last list still shows the machine."""
+def test_returned_machine_stays_removed_when_an_outdated_list_of_the_cloud_shows_it() -> None:
+    """The cloud goes down after the machine was returned, and the last list that it gave still contains the machine."""
     world = busy_world(guessS=9.0)
     assert world.run_until(lambda: world.is_done("j-1"), 40)
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None
     assert world.run_until(lambda: controller.state.counters["returns"] > 0, 60)
-    gone = next(host for host, agent in world.agents.items() if not agent.alive)
-    row = {"ref": gone, "rig": "m", "yard": "a", "loaners": False, "status": "running"}
-    world.cloud.listing[gone] = row  # the list lags
+    returned_host = next(host for host, agent in world.agents.items() if not agent.alive)
+    row = {"ref": returned_host, "rig": "m", "yard": "a", "loaners": False, "status": "running"}
+    world.cloud.listing[returned_host] = row  # The cloud's list lags behind its returns.
     world.run(5)
     world.cloud.is_down = True
     world.run(60)
-    assert gone not in controller.state.machines
+    assert returned_host not in controller.state.machines
 
 
-def make_unreachable(world: World) -> Agent:
-    """The answers to one machine get lost while its reports arrive, and the cloud takes no returns."""
+def make_machine_unreachable(world: World) -> Agent:
+    """Drop the responses to one machine, whose heartbeats arrive, and have the cloud refuse all returns."""
     agent, _ = world.invariants.running_tasks()[0]
     world.hosts_without_responses.add(agent.host)
     world.cloud.is_down = True
     return agent
 
 
-def starts_while_unreachable(world: World) -> int:
-    """How many launches went to a machine whose lease had run out because it hears nothing."""
-    agent = make_unreachable(world)
+def starts_sent_while_unreachable(world: World) -> int:
+    """Return the most attempts in phase `sent` on a machine whose lease expired because it gets no responses."""
+    agent = make_machine_unreachable(world)
     world.run(10)
     assert agent.agent_epoch > 1
     assert not agent.tasks
@@ -387,30 +415,30 @@
     controller = world.nodes["c0"].controller
     assert controller is not None
     assert controller.state.shard is not None
-    machine, most = controller.state.shard.machines[agent.host], 0
+    machine, most_starts = controller.state.shard.machines[agent.host], 0
     for _ in range(200):
         world.run(0.1)
-        most = max(most, sum(entry.phase.value == "sent" for entry in machine.entries.values()))
-    return most
+        most_starts = max(most_starts, sum(entry.phase.value == "sent" for entry in machine.entries.values()))
+    return most_starts
 
 
-def test_nothing_is_started_on_an_unreachable_machine() -> None:
+def test_no_task_is_started_on_an_unreachable_machine() -> None:
     world = busy_world(members=1, guessS=60.0)
-    assert starts_while_unreachable(world) == 0
+    assert starts_sent_while_unreachable(world) == 0
     world.heal()
     world.cloud.is_down = False
     assert world.run_until(lambda: world.is_done("j-1") and world.is_done("j-2"), 200)
     assert world.invariants.violations == []
 
 
-def test_without_that_guard_tasks_are_started_on_unreachable_machines(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(HeartbeatIntake, "_mark_unreachable", lambda self, machine, now: None)
-    assert starts_while_unreachable(busy_world(members=1, guessS=60.0)) > 0
+def test_tasks_are_started_on_a_machine_without_the_mark_as_unreachable(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(HeartbeatIntake, "_mark_unreachable", lambda intake, machine, now: None)
+    assert starts_sent_while_unreachable(busy_world(members=1, guessS=60.0)) > 0
 
 
-def test_a_cancellation_ends_in_time_on_a_machine_that_does_not_hear() -> None:
+def test_cancelled_tasks_end_in_time_on_a_machine_that_gets_no_responses() -> None:
     world = busy_world(guessS=500.0)
-    make_unreachable(world)
+    make_machine_unreachable(world)
     assert world.run_until(lambda: world.cancel_job("j-1", "c1"), 10)
     for _ in range(250):
         world.run(0.1)
@@ -419,36 +447,36 @@
     assert not world.invariants.running_tasks()
 
 
-def test_a_member_that_is_unheard_for_long_loses_no_machines() -> None:
-    """The controllers refuse each other's connections: that a machine's owner is not heard says nothing of it."""
+def test_no_machine_is_returned_when_controllers_do_not_reach_each_other() -> None:
+    """Missing messages of a machine's owner do not show that the machine is silent."""
     world = busy_world(guessS=200.0)
     before = {agent.host for agent, _ in world.invariants.running_tasks()}
-    for one in world.controller_names:
+    for name in world.controller_names:
         for other in world.controller_names:
-            world.cut_link(one, other)
+            world.cut_link(name, other)
     world.run(40)
     assert {agent.host for agent, _ in world.invariants.running_tasks()} == before
 
 
-def test_a_user_at_a_controller_that_lost_the_state_service_is_told_at_once() -> None:
+def test_users_are_answered_503_at_once_by_a_controller_cut_off_from_the_store() -> None:
     world = busy_world(guessS=60.0)
     world.isolate("c1", *world.agents)
     world.run(4)
-    got: list[tuple[int, dict[str, str]]] = []
+    answers: list[tuple[int, dict[str, str]]] = []
     body = json.dumps(job_spec("j-5")).encode()
     world.request(
-        "c1", lambda c: c.job_api.submit(body, lambda status, response, headers: got.append((status, headers)))
+        "c1", lambda c: c.job_api.submit(body, lambda status, response, headers: answers.append((status, headers)))
     )
     world.request(
-        "c1", lambda c: c.job_api.poll("j-1", lambda status, response, headers: got.append((status, headers)))
+        "c1", lambda c: c.job_api.poll("j-1", lambda status, response, headers: answers.append((status, headers)))
     )
-    assert [(status, "Retry-After" in headers) for status, headers in got] == [(503, True)] * 2
+    assert [(status, "Retry-After" in headers) for status, headers in answers] == [(503, True)] * 2
 
 
-def seconds_to_settle(world: World) -> float:
-    """A controller leaves while users cancel one service after the other.
+def reconciliation_seconds_during_cancellations(world: World) -> float:
+    """Kill a controller while users cancel one service after the other; return how long the reconciliation takes.
 
-    So some task of a job that is over is always on its way out.
+    At any moment, a task of a job that was just cancelled is still on some machine.
     """
     for number in range(60):
         world.define_job(f"j-{number + 10}", shape="service", pieces=1, cores=0.5)
@@ -457,57 +485,69 @@
     for number in range(60):
         world.after(number * 0.3 * S, lambda job_id=f"j-{number + 10}": cancel_job(world, world.rng, job_id))  # type: ignore[misc]
     world.run(1)
-    gone = next(name for name in world.controller_names if name != leader_of(world))
-    world.nodes[gone].kill()
-    rest = [node.controller for name, node in world.nodes.items() if name != gone and node.controller is not None]
-    assert world.run_until(lambda: all(c.state.view is not None and gone not in c.state.view.members for c in rest), 10)
-    began = world.now
-    assert world.run_until(lambda: all(c.state.reconciled for c in rest), 30)
+    killed = next(name for name in world.controller_names if name != leader_of(world))
+    world.nodes[killed].kill()
+    others = [node.controller for name, node in world.nodes.items() if name != killed and node.controller is not None]
+    assert world.run_until(
+        lambda: all(c.state.view is not None and killed not in c.state.view.members for c in others), 10
+    )
+    started_at = world.now
+    assert world.run_until(lambda: all(c.state.reconciled for c in others), 30)
     assert world.invariants.violations == []
-    return (world.now - began) / S
+    return (world.now - started_at) / S
 
 
-def test_a_view_settles_while_jobs_are_cancelled_all_the_time() -> None:
-    assert seconds_to_settle(started_world(9, teams={"team": 300.0})) < 7, "over seeds 3 to 6 s; the lease is 8 s"
+def test_view_is_reconciled_in_time_while_jobs_are_cancelled_all_the_time() -> None:
+    assert reconciliation_seconds_during_cancellations(started_world(9, teams={"team": 300.0})) < 7, (
+        "it takes 3 to 6 s, depending on the seed; the lease is 8 s"
+    )
 
 
-def test_without_the_memory_of_what_was_clear_it_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    def forgetful(machine_index: MachineIndex, host: ObservedMachine) -> bool:
-        return host.is_reconciled and all(
-            row[0] in machine_index._jobs or row[3] in FINISHED_PHASE_NAMES for row in host.tasks
+def test_view_waits_past_a_lease_during_cancellations_without_the_kept_result_of_known_tasks(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    def check_without_kept_result(machine_index: MachineIndex, machine: ObservedMachine) -> bool:
+        return machine.is_reconciled and all(
+            row[0] in machine_index._jobs or row[3] in FINISHED_PHASE_NAMES for row in machine.tasks
         )
 
-    monkeypatch.setattr(MachineIndex, "check_all_tasks_known", forgetful)
-    # Announced tokens settle the machines at once, in the short moments between two cancellations, too.
+    monkeypatch.setattr(MachineIndex, "check_all_tasks_known", check_without_kept_result)
+    # Announced tokens would let all machines be reconciled in the short moments between two cancellations.
     monkeypatch.setattr(TokenAnnouncer, "announce", lambda announcer, token, addresses: None)
-    assert seconds_to_settle(started_world(9, teams={"team": 300.0})) > 8
+    assert reconciliation_seconds_during_cancellations(started_world(9, teams={"team": 300.0})) > 8
 
 
-def test_one_silent_machine_does_not_hold_up_a_view_for_its_lease() -> None:
-    """It is returned, and the answer proves it gone; a machine that is only slow to find its owner is not."""
+def test_view_does_not_wait_for_the_lease_of_one_silent_machine() -> None:
+    """Its return is confirmed, which proves it gone; a machine that is only slow to find its owner is not returned."""
     world = busy_world(guessS=200.0)
     lost, _ = world.invariants.running_tasks()[0]
     before = {agent.host for agent, _ in world.invariants.running_tasks()}
     lost.die()
-    gone = next(name for name in world.controller_names if name != leader_of(world))
-    world.nodes[gone].kill()
-    rest = [node.controller for name, node in world.nodes.items() if name != gone and node.controller is not None]
-    assert world.run_until(lambda: all(c.state.view is not None and gone not in c.state.view.members for c in rest), 10)
-    assert world.run_until(lambda: all(c.state.reconciled for c in rest), 4.5), (
-        "the lease is 8 s, and silence shows after 3 s"
+    killed = next(name for name in world.controller_names if name != leader_of(world))
+    world.nodes[killed].kill()
+    others = [node.controller for name, node in world.nodes.items() if name != killed and node.controller is not None]
+    assert world.run_until(
+        lambda: all(c.state.view is not None and killed not in c.state.view.members for c in others), 10
+    )
+    assert world.run_until(lambda: all(c.state.reconciled for c in others), 4.5), (
+        "the lease is 8 s, and a machine counts as silent after 3 s"
     )
     world.run(20)
     assert before - {lost.host} <= {agent.host for agent, _ in world.invariants.running_tasks()}
     assert world.invariants.violations == []
 
 
-def seconds_to_settle_over_views(world: World) -> float:
-    """A machine dies while nothing can be returned; then another controller is replaced again and again."""
+def reconciliation_seconds_over_views(world: World) -> float:
+    """Let a machine die, then change the view repeatedly; return the time from its death to the reconciliation.
+
+    The cloud is down, so that the machine cannot be returned. A controller that is neither its owner nor the leader is
+    restarted three times.
+    """
     world.cloud.is_down = True
     lost, _ = world.invariants.running_tasks()[0]
     lost.die()
     other = next(name for name in world.controller_names if name not in (owner_of(world, lost.host), leader_of(world)))
-    began, controller = world.now, world.nodes[owner_of(world, lost.host)].controller
+    started_at, controller = world.now, world.nodes[owner_of(world, lost.host)].controller
     assert controller is not None
     for _ in range(3):
         world.nodes[other].kill()
@@ -518,20 +558,20 @@
     assert not controller.state.reconciled
     assert world.run_until(lambda: controller.state.reconciled, 30)
     assert world.invariants.violations == []
-    return (world.now - began) / S
+    return (world.now - started_at) / S
 
 
-def test_a_machine_that_keeps_its_owner_is_not_counted_anew_in_each_view() -> None:
-    assert seconds_to_settle_over_views(busy_world(guessS=200.0)) < 13, "the lease is 8 s"
+def test_silence_of_a_machine_is_counted_across_views_when_it_keeps_its_owner() -> None:
+    assert reconciliation_seconds_over_views(busy_world(guessS=200.0)) < 13, "the lease is 8 s"
 
 
-def test_without_that_knowledge_each_view_waits_a_whole_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Shard, "last_possible_replies", lambda self, others_end: {})
-    assert seconds_to_settle_over_views(busy_world(guessS=200.0)) > 13
+def test_each_view_waits_a_whole_lease_without_the_last_possible_replies(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Shard, "last_possible_replies", lambda shard, others_fenced_at: {})
+    assert reconciliation_seconds_over_views(busy_world(guessS=200.0)) > 13
 
 
-def test_a_controller_left_with_its_agents_alone_lets_them_go_soon() -> None:
-    """It may renew their leases, but the others, which may start nothing meanwhile, wait for its end."""
+def test_machines_of_a_controller_left_with_its_agents_alone_are_taken_over_soon() -> None:
+    """While it may renew their leases, the others wait, and may start nothing."""
     world = World(3)
     world.cancel_s = 60.0
     for node in world.nodes.values():
@@ -543,17 +583,17 @@
     before = {(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()}
     cut_off = next(name for name in world.controller_names if name != leader_of(world))
     world.isolate(cut_off, *world.agents)
-    rest = [node.controller for name, node in world.nodes.items() if name != cut_off and node.controller is not None]
+    others = [node.controller for name, node in world.nodes.items() if name != cut_off and node.controller is not None]
     assert world.run_until(
-        lambda: all(c.state.view is not None and cut_off not in c.state.view.members for c in rest), 10
+        lambda: all(c.state.view is not None and cut_off not in c.state.view.members for c in others), 10
     )
-    assert world.run_until(lambda: all(c.state.reconciled for c in rest), 12)
+    assert world.run_until(lambda: all(c.state.reconciled for c in others), 12)
     assert {(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()} == before
     assert world.invariants.violations == []
 
 
-def test_a_member_whose_lease_expired_is_another_one_from_then_on() -> None:
-    """The others count its authority from `LIFE` before they left it out, so it must not act on under a new grant."""
+def test_member_gets_a_new_incarnation_when_its_lease_expired() -> None:
+    """The others count its authority from `LEASE_TIMEOUT` before its removal, so it must not act under a new lease."""
     world = busy_world(guessS=200.0)
     name = next(name for name in world.controller_names if name != leader_of(world))
     controller = world.nodes[name].controller
@@ -563,24 +603,24 @@
     world.run(5)
     world.store.refused_callers.clear()
     assert world.run_until(lambda: controller.membership.incarnation != before, 5)
-    assert not controller.authority.may_reply(), "the old view is over for it"
+    assert not controller.authority.may_reply(), "it may not act in the old view any more"
     assert world.run_until(lambda: controller.state.reconciled and controller.authority.may_reply(), 15)
     assert controller.state.view is not None
     assert controller.state.view.members[name] == controller.membership.incarnation
     assert world.invariants.violations == []
 
 
-def busy_part(world: World) -> tuple[str, list[str]]:
-    """A controller with tasks on its machines, and all these machines."""
+def busy_shard(world: World) -> tuple[str, list[str]]:
+    """Return a controller with tasks on its machines, and all these machines."""
     busy = {agent.host for agent, _ in world.invariants.running_tasks()}
     name = next(name for name in world.controller_names if any(owner_of(world, host) == name for host in busy))
     return name, [host for host, agent in world.agents.items() if agent.alive and owner_of(world, host) == name]
 
 
 def cut_off_a_zone(world: World) -> None:
-    """A controller and half of the machines hear only each other for well over a lease; then held packets arrive."""
+    """Let a controller and its machines reach only each other for well over a lease; then held requests arrive."""
     world.cloud.is_down = world.holds_requests_on_cut_links = True
-    world.isolate_with(*busy_part(world))
+    world.isolate_with(*busy_shard(world))
     for _ in range(250):
         world.run(0.1)
         world.invariants.check()
@@ -588,23 +628,24 @@
     world.run(15)
 
 
-def test_tasks_of_a_zone_that_is_cut_off_run_again_only_when_they_are_gone() -> None:
+def test_no_task_runs_twice_when_a_zone_is_cut_off() -> None:
     world = busy_world(guessS=500.0)
     before = sum(agent.alive for agent in world.agents.values())
     cut_off_a_zone(world)
     assert world.invariants.violations == []
-    assert len(world.invariants.running_tasks()) == 6, "all run again"
-    assert sum(agent.alive for agent in world.agents.values()) >= before, "its machines are of use again"
+    assert len(world.invariants.running_tasks()) == 6, "all tasks run again"
+    assert sum(agent.alive for agent in world.agents.values()) >= before, "the machines of the zone are used again"
 
 
-def test_when_the_controller_in_there_renews_without_proof_they_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Authority, "may_renew", lambda self: True)
+def test_tasks_run_twice_when_a_zone_is_cut_off_without_the_proof_for_renewals(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Authority, "may_renew", lambda authority: True)
     world = busy_world(guessS=500.0)
     cut_off_a_zone(world)
-    assert any("ran_twice" in rule for rule in world.invariants.violations)
+    assert any("ran_twice" in violation for violation in world.invariants.violations)
 
 
-def hang_half(world: World, seconds: float) -> list[Agent]:
+def hang_half_of_the_machines(world: World, seconds: float) -> list[Agent]:
+    """Hang every other machine with tasks for some seconds, check the invariants until 10 s after, and return them."""
     hung = sorted({agent.host for agent, _ in world.invariants.running_tasks()})[::2]
     for host in hung:
         world.agents[host].hang(seconds)
@@ -614,9 +655,9 @@
     return [world.agents[host] for host in hung]
 
 
-def test_machines_that_hang_past_their_lease_come_back_empty_and_are_used_again() -> None:
+def test_machines_that_hung_past_their_leases_come_back_empty_and_are_used_again() -> None:
     world = busy_world(guessS=500.0)
-    hung = hang_half(world, 12)
+    hung = hang_half_of_the_machines(world, 12)
     assert world.invariants.violations == []
     assert len(world.invariants.running_tasks()) == 6
     assert all(agent.alive and agent.agent_epoch == 2 for agent in hung)
@@ -626,18 +667,18 @@
     assert world.invariants.violations == []
 
 
-def test_given_up_before_their_leases_end_their_tasks_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tasks_run_twice_without_the_wait_for_the_end_of_leases(monkeypatch: pytest.MonkeyPatch) -> None:
     world = busy_world(guessS=500.0)
     for node in world.nodes.values():
         assert node.controller is not None
         assert node.controller.state.shard is not None
         monkeypatch.setattr(node.controller.state.shard.leases, "_lease_duration", 2 * S)
-    hang_half(world, 12)
-    assert any("ran_twice" in rule for rule in world.invariants.violations)
+    hang_half_of_the_machines(world, 12)
+    assert any("ran_twice" in violation for violation in world.invariants.violations)
 
 
-def test_a_controller_that_stood_still_starts_nothing_by_what_it_knew() -> None:
-    """Others took over meanwhile; timers, reports and messages of 12 s are due at once when it goes on."""
+def test_stalled_controller_starts_no_task_by_outdated_state_when_it_continues() -> None:
+    """Others took over during the stall; when it continues, all timers, heartbeats and messages of 12 s are due."""
     world = busy_world(guessS=15.0)
     frozen = leader_of(world)
     world.define_job("j-2", pieces=12, cores=2.0, guessS=10.0)
@@ -659,13 +700,14 @@
     assert world.invariants.violations == []
 
 
-def refuse_all_then_serve_two(world: World) -> None:
-    """Each controller is refused by itself, so grants run out although all agree that they lack the state service.
+def refuse_all_controllers_then_serve_two(world: World) -> None:
+    """Have the store refuse all controllers and then only one, which is cut off with its agents by then.
 
-    Two are served again and leave out the third, which is cut off with its agents by then.
+    The store goes on expiring leases, as it only refuses requests, although all controllers agree on an outage. The two
+    that are served again remove the third from the view.
     """
     world.cloud.is_down = True
-    third, machines = busy_part(world)
+    third, machines = busy_shard(world)
     world.store.refused_callers.update(world.controller_names)
     world.run(4)
     world.isolate_with(third, machines)
@@ -676,17 +718,19 @@
         world.invariants.check()
 
 
-def test_no_authority_outlives_a_lease_that_expired_while_all_were_refused() -> None:
+def test_no_task_runs_twice_when_a_member_lease_expires_while_all_controllers_are_refused() -> None:
     world = busy_world(guessS=500.0)
-    refuse_all_then_serve_two(world)
+    refuse_all_controllers_then_serve_two(world)
     assert world.invariants.violations == []
-    assert len(world.invariants.running_tasks()) == 6, "all run, those of the third elsewhere"
+    assert len(world.invariants.running_tasks()) == 6, "all tasks run, those of the third controller on other machines"
 
 
-def test_when_agreement_counts_like_a_living_lease_tasks_run_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    agreement = Peers.store_unavailable_agreed_at
-    later = lambda peers: at + LEASE_TIMEOUT if (at := agreement(peers)) is not None else None  # noqa: E731
+def test_tasks_run_twice_without_the_deduction_of_the_lease_timeout_from_the_agreement(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    original = Peers.store_unavailable_agreed_at
+    later = lambda peers: agreed_at + LEASE_TIMEOUT if (agreed_at := original(peers)) is not None else None  # noqa: E731
     monkeypatch.setattr(Peers, "store_unavailable_agreed_at", later)
     world = busy_world(guessS=500.0)
-    refuse_all_then_serve_two(world)
-    assert any("ran_twice" in rule for rule in world.invariants.violations)
+    refuse_all_controllers_then_serve_two(world)
+    assert any("ran_twice" in violation for violation in world.invariants.violations)
