--- a/tests/test_hang_restart.py
+++ b/tests/test_hang_restart.py
@@ -1,4 +1,9 @@
-"""All controllers start anew while machines hang with tasks of a job that was cancelled just before."""
+"""Controllers restart or fail while machines hang with tasks of a job that was cancelled just before.
+
+A silent machine may still run the cancelled task, so it has to be returned within `cancel_s` of the confirmation. The
+tests guard against a late return, which comes about when restarted processes do not know when the job was cancelled, or
+when a leader fails just before it would have returned the machine.
+"""
 
 import pytest
 
@@ -20,34 +25,36 @@
     store_refuses_controller,
 )
 
-HANG = 90.0
+HANG_DURATION_S = 90.0
 
 
 def hang_and_cancel(world: World, machines: int) -> list[Agent]:
-    """So many machines with tasks of the job hang; then the job is cancelled."""
+    """Hang machines with tasks of j-1 and cancel the job; return the machines. `machines`: their number."""
     hung = list({agent.host: agent for agent, _ in world.invariants.running_tasks()}.values())[:machines]
     for agent in hung:
-        agent.hang(HANG)
+        agent.hang(HANG_DURATION_S)
     world.run(0.5)
     cancel_job(world, world.rng, "j-1")
     assert world.run_until(lambda: "j-1" in world.cancelled_at, 5)
     return hung
 
 
-def restart_all(world: World, away: float) -> None:
+def restart_all(world: World, down_s: float) -> None:
     for node in world.nodes.values():
         node.kill()
-        world.after(away * S, node.start)
+        world.after(down_s * S, node.start)
 
 
-@pytest.mark.parametrize("slow_state", [0.0, 1.0])
-@pytest.mark.parametrize("kill_at", [2.0, 6.0, 10.0, 12.0, 14.0])
-def test_many_hanging_machines_are_returned_in_time_across_a_restart(kill_at: float, slow_state: float) -> None:
-    """The processes are back within half a second; `cancel_s` is 20 s."""
+@pytest.mark.parametrize("store_delay_s", [0.0, 1.0])
+@pytest.mark.parametrize("kill_at_s", [2.0, 6.0, 10.0, 12.0, 14.0])
+def test_many_hanging_machines_are_returned_in_time_when_all_controllers_restart(
+    kill_at_s: float, store_delay_s: float
+) -> None:
+    """The processes start again after half a second; `cancel_s` is 20 s."""
     world = full_world()
     hung = hang_and_cancel(world, 6)
-    world.max_store_delay_s = slow_state
-    run_with_checks(world, kill_at)
+    world.max_store_delay_s = store_delay_s
+    run_with_checks(world, kill_at_s)
     restart_all(world, 0.5)
     run_with_checks(world, 25)
     assert world.invariants.violations == []
@@ -55,8 +62,8 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_one_hanging_machine_is_returned_in_time_across_a_restart(seed: int) -> None:
-    """It is killed just before it would have returned the machine, at three quarters of `cancel_s`."""
+def test_one_hanging_machine_is_returned_in_time_when_all_controllers_restart(seed: int) -> None:
+    """The controllers are killed 14.5 s after the confirmation, just before three quarters of `cancel_s`."""
     world = busy_world(seed, guessS=500.0)
     hung = hang_and_cancel(world, 1)
     run_with_checks(world, 14.5)
@@ -66,8 +73,8 @@
     assert not hung[0].alive
 
 
-def test_hanging_machines_are_returned_in_time_when_all_are_away_for_a_lease() -> None:
-    """`lease_s` is 8 s, and nine seconds are left when the controllers are back."""
+def test_hanging_machines_are_returned_in_time_when_all_controllers_are_down_for_a_lease() -> None:
+    """`lease_s` is 8 s, and 9 s of `cancel_s` are left when the controllers start again."""
     world = full_world()
     hung = hang_and_cancel(world, 6)
     run_with_checks(world, 2)
@@ -77,45 +84,47 @@
     assert not any(agent.alive for agent in hung)
 
 
-@pytest.mark.parametrize("away", [0.5, 2.0, 6.0, None], ids=str)
-@pytest.mark.parametrize("kill_at", [2.0, 6.0, 9.0, 12.0, 14.5])
+@pytest.mark.parametrize("down_s", [0.5, 2.0, 6.0, None], ids=str)
+@pytest.mark.parametrize("kill_at_s", [2.0, 6.0, 9.0, 12.0, 14.5])
 @pytest.mark.parametrize("machines", [1, 6])
-def test_hanging_machines_are_returned_in_time_when_the_leader_ends(
-    machines: int, kill_at: float, away: float | None
+def test_hanging_machines_are_returned_in_time_when_the_leader_is_killed(
+    machines: int, kill_at_s: float, down_s: float | None
 ) -> None:
-    """The other two controllers live on, and know when the job was cancelled. None: the leader is not back."""
+    """The others continue and know when the job was cancelled. If `down_s` is None, the leader is not started again."""
     world = full_world()
     hung = hang_and_cancel(world, machines)
-    run_with_checks(world, kill_at)
+    run_with_checks(world, kill_at_s)
     node = world.nodes[leader_of(world)]
     node.kill()
-    if away is not None:
-        world.after(away * S, node.start)
+    if down_s is not None:
+        world.after(down_s * S, node.start)
     run_with_checks(world, 25)
     assert world.invariants.violations == []
     assert not any(agent.alive for agent in hung)
 
 
 @pytest.mark.parametrize(
-    "trouble",
+    "fault",
     [store_refuses_controller, cut_store_link, lose_store_and_peers, freeze_controller, slow_service_links],
-    ids=lambda one: one.__name__,
+    ids=lambda function: function.__name__,
 )
-@pytest.mark.parametrize("begin", [2.0, 9.0, 12.7, 13.9])
+@pytest.mark.parametrize("fault_at_s", [2.0, 9.0, 12.7, 13.9])
 @pytest.mark.parametrize("machines", [1, 6])
-def test_hanging_machines_are_returned_in_time_when_the_leader_is_in_trouble(
-    machines: int, begin: float, trouble: Fault
+def test_hanging_machines_are_returned_in_time_when_a_fault_affects_the_leader(
+    machines: int, fault_at_s: float, fault: Fault
 ) -> None:
     world = full_world()
     hung = hang_and_cancel(world, machines)
-    run_with_checks(world, begin)
-    trouble(FaultContext(world, world.rng, 9 * S, leader_of(world), []))
+    run_with_checks(world, fault_at_s)
+    fault(FaultContext(world, world.rng, 9 * S, leader_of(world), []))
     run_with_checks(world, 25)
     assert world.invariants.violations == []
     assert not any(agent.alive for agent in hung)
 
 
-def test_without_the_guards_a_cancelled_task_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cancelled_task_runs_on_without_the_early_return_and_the_tracking_of_surviving_peers(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("ramptide.controller.timings.CONFIRM_TIMEOUT_RATIO", 0.75)
     monkeypatch.setattr("ramptide.controller.fencing.SurvivingPeers.on_new_view", lambda survivors, view: None)
     world = full_world()
@@ -123,4 +132,4 @@
     run_with_checks(world, 12)
     restart_all(world, 0.5)
     run_with_checks(world, 25)
-    assert any(one.startswith("ran_cancelled j-1") for one in world.invariants.violations)
+    assert any(violation.startswith("ran_cancelled j-1") for violation in world.invariants.violations)
--- a/tests/test_slow_controllers.py
+++ b/tests/test_slow_controllers.py
@@ -1,4 +1,8 @@
-"""Controllers on a slow processor: each event delays what follows. No rule may break, and the service goes on."""
+"""Controllers on slow processors, where each event delays all later ones.
+
+The tests guard against controllers that lose their leases or machines because heartbeats, messages and responses wait
+behind other events. No invariant may be violated, and new jobs must be accepted and finish.
+"""
 
 import random
 
@@ -7,12 +11,12 @@
 from ramptide.controller.controller import Controller
 from virtual import MS, Node, S, World, cancel_job, leader_of, restart_controller, submit_job
 
-#: A controller has some thirty events a second here without users.
+#: The processor time of an event. Without requests of users, a controller has about 30 events per second here.
 EVENT_COST = 20 * MS
 
 
 def slow_world(seed: int) -> World:
-    """Services and arrays on controllers that are slow from their start on."""
+    """Return a world with services and arrays, whose controllers have slow processors from their start on."""
     world = World(seed, teams={"team": 0.0, "tight": 24.0}, capacity=10)
     for node in world.nodes.values():
         node.event_cost = EVENT_COST
@@ -30,21 +34,22 @@
     return world
 
 
-def watch(world: World, seconds: int) -> None:
+def run_with_regular_checks(world: World, seconds: int) -> None:
+    """Let the time pass, and check the invariants twice a second."""
     for _ in range(seconds * 2):
         world.run(0.5)
         world.invariants.check()
 
 
-def goes_on(world: World, job_id: str) -> None:
-    """A new array is accepted and done."""
+def check_new_job_finishes(world: World, job_id: str) -> None:
+    """Check that a new array is accepted and finishes, and that no invariant was violated."""
     world.define_job(job_id, pieces=4, guessS=2.0)
     submit_job(world, world.rng, job_id, 60)
     assert world.run_until(lambda: world.is_done(job_id), 60)
     assert world.invariants.violations == []
 
 
-def views(world: World) -> int:
+def newest_view_number(world: World) -> int:
     return max(
         node.controller.state.view.number
         for node in world.nodes.values()
@@ -53,84 +58,86 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_slowness_alone_changes_no_membership(seed: int) -> None:
+def test_view_does_not_change_when_controllers_are_only_slow(seed: int) -> None:
     world = slow_world(seed)
-    before = views(world)
-    watch(world, 30)
-    assert views(world) == before
-    goes_on(world, "j-100")
+    before = newest_view_number(world)
+    run_with_regular_checks(world, 30)
+    assert newest_view_number(world) == before
+    check_new_job_finishes(world, "j-100")
 
 
-def flood(world: World) -> list[int]:
-    """For ten seconds the leader gets more questions than it has time for; the statuses of its answers."""
+def flood_leader_with_polls(world: World) -> list[int]:
+    """Send the leader more polls than it can answer for ten seconds; return the statuses of its answers."""
     name = leader_of(world)
-    answered: list[int] = []
+    statuses: list[int] = []
 
     def poll(controller: Controller) -> None:
-        controller.job_api.poll("j-4", lambda status, *_: answered.append(status))
+        controller.job_api.poll("j-4", lambda status, *_: statuses.append(status))
 
     for number in range(800):
         world.after(number * 12.5 * MS, lambda: world.request(name, poll))
     world.run(9)
-    assert world.nodes[name].backlog > 200, "it is behind"
-    watch(world, 31)
-    return answered
+    assert world.nodes[name].backlog > 200, "the leader is behind with its events"
+    run_with_regular_checks(world, 31)
+    return statuses
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_a_flood_of_questions_costs_a_slow_controller_neither_its_place_nor_machines(seed: int) -> None:
+def test_slow_controller_keeps_its_place_and_its_machines_during_a_flood_of_polls(seed: int) -> None:
     world = slow_world(seed)
-    before, machines = (
-        views(world),
+    before, epochs = (
+        newest_view_number(world),
         {agent.host: agent.agent_epoch for agent in world.agents.values() if agent.alive},
     )
-    answered = flood(world)
-    assert len(answered) == 800
-    assert views(world) == before
-    assert all(world.agents[host].agent_epoch == tenure for host, tenure in machines.items()), "no lease ran out"
-    goes_on(world, "j-100")
+    statuses = flood_leader_with_polls(world)
+    assert len(statuses) == 800
+    assert newest_view_number(world) == before
+    assert all(world.agents[host].agent_epoch == epoch for host, epoch in epochs.items()), "no lease expired"
+    check_new_job_finishes(world, "j-100")
 
 
-def test_when_questions_are_not_put_off_it_loses_its_place(monkeypatch: pytest.MonkeyPatch) -> None:
-    ask = Node.request
+def test_slow_controller_loses_its_place_without_the_deferral_of_user_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    original_request = Node.request
     monkeypatch.setattr(
-        Node, "request", lambda node, call, on_dead=lambda: None, deferrable=False: ask(node, call, on_dead)
+        Node,
+        "request",
+        lambda node, call, on_dead=lambda: None, deferrable=False: original_request(node, call, on_dead),
     )
     world = slow_world(0)
-    before = views(world)
-    flood(world)
-    assert views(world) > before
+    before = newest_view_number(world)
+    flood_leader_with_polls(world)
+    assert newest_view_number(world) > before
 
 
 @pytest.mark.parametrize("seed", range(2))
-@pytest.mark.parametrize("away", [0.3, 3.0])
-def test_a_restart_of_all_and_of_the_leader(seed: int, away: float) -> None:
+@pytest.mark.parametrize("down_s", [0.3, 3.0])
+def test_new_job_finishes_when_all_controllers_and_then_the_leader_restarted(seed: int, down_s: float) -> None:
     world = slow_world(seed)
     for name in world.controller_names:
-        restart_controller(world, name, away)
-    watch(world, 20)
-    restart_controller(world, leader_of(world), away)
-    watch(world, 20)
-    goes_on(world, "j-100")
+        restart_controller(world, name, down_s)
+    run_with_regular_checks(world, 20)
+    restart_controller(world, leader_of(world), down_s)
+    run_with_regular_checks(world, 20)
+    check_new_job_finishes(world, "j-100")
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_a_leader_that_is_cut_off(seed: int) -> None:
+def test_new_job_finishes_when_the_leader_was_isolated(seed: int) -> None:
     world = slow_world(seed)
     world.isolate(leader_of(world), *list(world.agents)[:3])
-    watch(world, 20)
+    run_with_regular_checks(world, 20)
     world.heal()
-    watch(world, 10)
-    goes_on(world, "j-100")
+    run_with_regular_checks(world, 10)
+    check_new_job_finishes(world, "j-100")
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_cancellations_in_an_outage_end_in_time(seed: int) -> None:
+def test_cancelled_tasks_end_in_time_when_an_outage_follows(seed: int) -> None:
     world = slow_world(seed)
     for job_id in ("j-0", "j-1", "j-3"):
         world.accepted_jobs.add(job_id)
         cancel_job(world, world.rng, job_id)
     world.after(0.4 * S, lambda: world.store.start_outage(30))
-    watch(world, 45)
+    run_with_regular_checks(world, 45)
     assert world.invariants.violations == []
-    goes_on(world, "j-100")
+    check_new_job_finishes(world, "j-100")
