--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""All that others read or store, held byte for byte against frozen files."""
+"""Tests of the external formats: messages, records, files and the command line equal the frozen files byte for byte."""
--- a/tests/compatibility/codecs.py
+++ b/tests/compatibility/codecs.py
@@ -1,8 +1,9 @@
-"""The only module of these tests that names types and functions of the service.
+"""Adapters between the frozen files and the code under test.
 
-A renamed type, field or function is followed here, and nowhere else in this folder. The names of codecs are those of
-the frozen files. Each codec takes bytes to bytes: what was decoded is written again by the service's own encoding, so
-that only names on the wire come out.
+No other module of this package imports the messages, records, settings or command line of the service, so a renamed
+type, field or function of these is followed here alone. The keys of the tables of codecs are the kinds in the frozen
+files. A codec decodes bytes and encodes the result again with the service's own encoder, so its output has only the
+names that the external formats use.
 """
 
 from collections.abc import Callable, Iterator
@@ -15,11 +16,10 @@
 import msgspec
 
 from ramptide import cli
-from ramptide.api import administration as admin
+from ramptide.api import administration
 from ramptide.cluster import membership, messages, view
-from ramptide.config import features as parts_file
-from ramptide.config import tuning
-from ramptide.controller import replication as syncing
+from ramptide.config import features, tuning
+from ramptide.controller import replication
 from ramptide.controller.administration import build_admin_api
 from ramptide.protocol import agents, cloud, jobs, key_value_store, settings_file, types
 from ramptide.quota import messages as quota_messages
@@ -28,82 +28,85 @@
 
 Codec = Callable[[bytes], bytes]
 
-#: What decoders raise for input that they refuse.
-REFUSED = (ValueError, msgspec.MsgspecError, cbor2.CBORDecodeError, plan_file.PlanError)
+#: The exceptions that decoders raise for input that they refuse.
+REFUSAL_ERRORS = (ValueError, msgspec.MsgspecError, cbor2.CBORDecodeError, plan_file.PlanError)
 
 
-# Stored records.
+# Records in the key-value store.
 
 
-def _record(kind: Any) -> Codec:
-    def again(body: bytes) -> bytes:
+def _record_codec(kind: Any) -> Codec:
+    def reencode(body: bytes) -> bytes:
         return types.encode_json(records.to_value(msgspec.convert(types.decode_json(body), kind)))
 
-    return again
+    return reencode
 
 
-def _job_record(body: bytes) -> bytes:
-    """Also the set of done tasks goes through its own type."""
+def _reencode_job_record(body: bytes) -> bytes:
+    """Decode and encode a job's record, and also the set of completed tasks in it."""
     record = msgspec.convert(types.decode_json(body), records.JobRecord)
-    done = records.Progress.decode(record.progress).encode()
-    return types.encode_json(records.to_value(msgspec.structs.replace(record, progress=done)))
+    progress = records.Progress.decode(record.progress).encode()
+    return types.encode_json(records.to_value(msgspec.structs.replace(record, progress=progress)))
 
 
-def _flavors_record(body: bytes) -> bytes:
-    flavors = msgspec.convert(types.decode_json(body), list[cloud.MachineType])
-    return types.encode_json([msgspec.to_builtins(flavor) for flavor in flavors])
+def _reencode_machine_types_record(body: bytes) -> bytes:
+    machine_types = msgspec.convert(types.decode_json(body), list[cloud.MachineType])
+    return types.encode_json([msgspec.to_builtins(machine_type) for machine_type in machine_types])
 
 
-def _limit_record(body: bytes) -> bytes:
+def _reencode_limit_record(body: bytes) -> bytes:
     return types.encode_json(msgspec.to_builtins(overrides.decode_record(types.decode_json(body))))
 
 
-def _view_record(body: bytes) -> bytes:
+def _reencode_view_record(body: bytes) -> bytes:
     return types.encode_json(msgspec.to_builtins(msgspec.convert(types.decode_json(body), view.View)))
 
 
-def _settings_record(body: bytes) -> bytes:
-    """The operators' settings: what is stored, with the default of each that is not."""
+def _reencode_settings_record(body: bytes) -> bytes:
+    """Decode the stored operators' settings; the result has the default of each setting that is not stored."""
     return types.encode_json(tuning.Tuning.from_value(types.decode_json(body)).to_value())
 
 
-RECORDS: dict[str, Codec] = {
-    "job": _job_record,
-    "ended": _record(records.FinishedJobRecord),
-    "rental": _record(records.RentalRecord),
-    "flavors": _flavors_record,
-    "settings": _settings_record,
-    "limit": _limit_record,
-    "view": _view_record,
+RECORD_CODECS: dict[str, Codec] = {
+    "job": _reencode_job_record,
+    "ended": _record_codec(records.FinishedJobRecord),
+    "rental": _record_codec(records.RentalRecord),
+    "flavors": _reencode_machine_types_record,
+    "settings": _reencode_settings_record,
+    "limit": _reencode_limit_record,
+    "view": _reencode_view_record,
 }
 
 
-def machines_of_rental(name: str, body: bytes) -> Any:
-    """What a rental's record says of each of its machines, in the order of the fields."""
+def machines_of_rental(rental_id: str, body: bytes) -> Any:
+    """Return, by host, the fields of each machine in a rental's record, in the order of `MachineRecord`."""
     rental = msgspec.convert(types.decode_json(body), records.RentalRecord)
     return {
         host: [
-            one.machine_type,
-            one.zone,
-            one.spot,
-            one.created_in_view,
-            one.requested_timestamp,
-            one.drain_reason,
-            one.registered,
-            one.rental_id,
+            machine.machine_type,
+            machine.zone,
+            machine.spot,
+            machine.created_in_view,
+            machine.requested_timestamp,
+            machine.drain_reason,
+            machine.registered,
+            machine.rental_id,
         ]
-        for host, one in rental.machine_records(name).items()
+        for host, machine in rental.machine_records(rental_id).items()
     }
 
 
-def done_tasks(body: bytes) -> list[int]:
-    """The done tasks of a job's record."""
+def completed_tasks(body: bytes) -> list[int]:
+    """Return the indexes of the completed tasks in a job's record."""
     progress = records.Progress.decode(msgspec.convert(types.decode_json(body), records.JobRecord).progress)
-    return [task for task in range(jobs.MAX_TASKS) if task in progress]
+    return [task_index for task_index in range(jobs.MAX_TASKS) if task_index in progress]
 
 
 def record_keys(team: str) -> dict[str, str]:
-    """The key of each kind of record; the prefix where there are many of a kind."""
+    """Return the key of each kind of record, or the prefix of the keys of kinds with many records.
+
+    The entry "team of the limit" is the team that is decoded from the key of its limit.
+    """
     return {
         "job": records.JOB_PREFIX,
         "ended": records.FINISHED_PREFIX,
@@ -118,42 +121,46 @@
     }
 
 
-# Messages of PROTOCOL and the settings file: what comes in is written again, in the order of the type's fields.
+# Messages of users, agents, the cloud and the key-value store, and the settings file. A codec encodes the fields of an
+# incoming message in the order of the decoded type.
 
 
-def _plain(decode: Callable[[bytes], Any]) -> Codec:
+def _codec_of(decode: Callable[[bytes], Any]) -> Codec:
     return lambda body: types.encode_json(decode(body))
 
 
-def _heartbeat(body: bytes) -> bytes:
+def _reencode_heartbeat(body: bytes) -> bytes:
     heartbeat = agents.decode_heartbeat(body)
-    tasks = agents.decode_task_reports(heartbeat.raw_tasks)
-    return types.encode_json([heartbeat, tasks])
+    task_reports = agents.decode_task_reports(heartbeat.raw_tasks)
+    return types.encode_json([heartbeat, task_reports])
 
 
-def _task_name(body: bytes) -> bytes:
+def _reencode_task_id(body: bytes) -> bytes:
     return types.encode_json(agents.parse_task_id(body.decode()))
 
 
-INCOMING: dict[str, Codec] = {
-    "submission": _plain(jobs.decode_job_spec),
-    "heartbeat": _heartbeat,
-    "task name": _task_name,
-    "flavors": _plain(cloud.decode_machine_types),
-    "rentals": _plain(cloud.decode_machine_page),
-    "hosts": _plain(cloud.decode_rented_hosts),
-    "row": _plain(key_value_store.decode_key_value),
-    "rows": _plain(key_value_store.decode_key_value_page),
-    "changes": _plain(key_value_store.decode_events),
-    "committed": _plain(key_value_store.decode_commit_revision),
-    "failed": _plain(key_value_store.decode_failed_keys),
-    "grant": _plain(key_value_store.decode_lease_id),
-    "settings": _plain(settings_file.decode_settings),
+INCOMING_CODECS: dict[str, Codec] = {
+    "submission": _codec_of(jobs.decode_job_spec),
+    "heartbeat": _reencode_heartbeat,
+    "task name": _reencode_task_id,
+    "flavors": _codec_of(cloud.decode_machine_types),
+    "rentals": _codec_of(cloud.decode_machine_page),
+    "hosts": _codec_of(cloud.decode_rented_hosts),
+    "row": _codec_of(key_value_store.decode_key_value),
+    "rows": _codec_of(key_value_store.decode_key_value_page),
+    "changes": _codec_of(key_value_store.decode_events),
+    "committed": _codec_of(key_value_store.decode_commit_revision),
+    "failed": _codec_of(key_value_store.decode_failed_keys),
+    "grant": _codec_of(key_value_store.decode_lease_id),
+    "settings": _codec_of(settings_file.decode_settings),
 }
 
 
-def outgoing() -> dict[str, bytes]:
-    """Each message that the service makes, of fixed values."""
+def outgoing_messages() -> dict[str, bytes]:
+    """Return the messages that controllers send to users, agents, the cloud and the key-value store, with fixed values.
+
+    Messages between controllers are not among them.
+    """
     commands = [
         agents.start_command("j-000412", 4, 2),
         agents.stop_command("j-000377", 1, 1, timedelta(seconds=10)),
@@ -179,8 +186,8 @@
     }
 
 
-def paths() -> dict[str, str]:
-    """The path of each call."""
+def request_paths() -> dict[str, str]:
+    """Return the path of each kind of request."""
     return {
         "jobs": jobs.JOBS_PATH,
         "health": jobs.HEALTH_PATH,
@@ -195,33 +202,37 @@
         "leases": key_value_store.LEASES_PATH,
         "changes": key_value_store.WATCH_PATH,
         "peers": messages.PEER_MESSAGES_PATH,
-        "settings": admin.SETTINGS_PATH,
-        "status": admin.STATUS_PATH,
-        "metrics": admin.METRICS_PATH,
-        "quota": admin.QUOTA_PATH,
+        "settings": administration.SETTINGS_PATH,
+        "status": administration.STATUS_PATH,
+        "metrics": administration.METRICS_PATH,
+        "quota": administration.QUOTA_PATH,
     }
 
 
 # Messages between controllers.
 
 
-def _peer_message(body: bytes) -> bytes:
+def _reencode_peer_message(body: bytes) -> bytes:
     return messages.encode_message(msgspec.convert(cbor2.loads(body), messages.PeerMessage))
 
 
-def _peer_answer(body: bytes) -> bytes:
+def _reencode_peer_reply(body: bytes) -> bytes:
     return cbor2.dumps(msgspec.to_builtins(msgspec.convert(cbor2.loads(body), messages.PeerReply)))
 
 
-def _quota_message(body: bytes) -> bytes:
+def _reencode_quota_message(body: bytes) -> bytes:
     return cbor2.dumps(msgspec.to_builtins(quota_messages.decode_quota_message(cbor2.loads(body))))
 
 
-PEERS: dict[str, Codec] = {"message": _peer_message, "answer": _peer_answer, "quota": _quota_message}
+PEER_CODECS: dict[str, Codec] = {
+    "message": _reencode_peer_message,
+    "answer": _reencode_peer_reply,
+    "quota": _reencode_quota_message,
+}
 
 
-def peer_versions() -> dict[str, int]:
-    """The version numbers that messages between controllers and records bear."""
+def format_versions() -> dict[str, int]:
+    """Return the version numbers in peer messages, quota messages and records of team limits."""
     return {
         "peers": messages.MESSAGE_VERSION,
         "quota": quota_messages.VERSION,
@@ -230,60 +241,63 @@
 
 
 @contextmanager
-def small_messages(machines: int) -> Iterator[None]:
-    """Controllers tell of no more than so many machines in one message."""
-    kept = syncing.MACHINES_PER_MESSAGE, syncing.MACHINES_PER_SEQUENCE_NUMBER
-    syncing.MACHINES_PER_MESSAGE, syncing.MACHINES_PER_SEQUENCE_NUMBER = machines, 1
+def machines_per_message(machine_count: int) -> Iterator[None]:
+    """Limit the changed machines in one peer message, and let each of them have its own sequence number."""
+    original = replication.MACHINES_PER_MESSAGE, replication.MACHINES_PER_SEQUENCE_NUMBER
+    replication.MACHINES_PER_MESSAGE, replication.MACHINES_PER_SEQUENCE_NUMBER = machine_count, 1
     try:
         yield
     finally:
-        syncing.MACHINES_PER_MESSAGE, syncing.MACHINES_PER_SEQUENCE_NUMBER = kept
+        replication.MACHINES_PER_MESSAGE, replication.MACHINES_PER_SEQUENCE_NUMBER = original
 
 
-# Operators: settings, the files and the command line.
+# Settings, files and commands of operators.
 
 
 def change_limit(team: str, changes: Any, record: Any, platform: Any) -> Any:
-    """An operator's change of a team's limit: the record that is written. `platform`: the team in the settings."""
-    before = None if record is None else overrides.decode_record(record)
-    known = None if platform is None else msgspec.convert(platform, settings_file.Team)
-    return msgspec.to_builtins(overrides.with_pending_change(team, changes, before, known))
+    """Return the record that an operator's change of a team's limit writes.
+
+    `record`: the team's stored record, or None. `platform`: the team in the settings file, or None.
+    """
+    stored_record = None if record is None else overrides.decode_record(record)
+    platform_team = None if platform is None else msgspec.convert(platform, settings_file.Team)
+    return msgspec.to_builtins(overrides.with_pending_change(team, changes, stored_record, platform_team))
 
 
 def change_settings(changes: Any) -> dict[str, float | int]:
-    """The operators' settings after a change of the defaults."""
+    """Return all operators' settings after some of the defaults were changed."""
     return tuning.Tuning().with_changes(changes).to_value()
 
 
-def setting_bounds() -> dict[str, list[Any]]:
-    """Each setting with its default, its bounds and its text."""
+def setting_definitions() -> dict[str, list[Any]]:
+    """Return the default, the lowest and the highest value, and the description of each operators' setting."""
     defaults = tuning.Tuning().to_value()
     return {name: [defaults[name], bound.low, bound.high, bound.description] for name, bound in tuning.BOUNDS.items()}
 
 
-def load_parts(path: Path) -> Any:
-    """The file that switches parts on."""
-    return msgspec.to_builtins(parts_file.load_features(path))
+def load_features(path: Path) -> Any:
+    """Return the content of a features file."""
+    return msgspec.to_builtins(features.load_features(path))
 
 
-def features(value: Any) -> Any:
-    """The parts of the service that are on, as controllers are started with them."""
-    return msgspec.convert(value, parts_file.Features)
+def features_from_value(value: Any) -> Any:
+    """Return the features with which a controller is started."""
+    return msgspec.convert(value, features.Features)
 
 
 def load_plan(path: Path) -> Any:
-    """The file of machines and teams of `quota plan`."""
+    """Return the content of an input file of `quota plan`."""
     return msgspec.to_builtins(plan_file.load(path))
 
 
 def run_command(arguments: list[str]) -> int:
-    """The command line in this process; its exit status."""
+    """Run a command line in this process, and return its exit status."""
     try:
         return cli.main(arguments)
-    except SystemExit as ended:
-        return int(ended.code or 0)
+    except SystemExit as system_exit:
+        return int(system_exit.code or 0)
 
 
-def operator_call(controller: Any, method: str, path: str, answer: Callable[[int, bytes, str], None]) -> bool:
-    """A call of the administration API at a controller of the virtual world."""
-    return build_admin_api(controller).handle(method, path, b"", answer)
+def call_admin_api(controller: Any, method: str, path: str, respond: Callable[[int, bytes, str], None]) -> bool:
+    """Send a request without a body to the administration API of a controller of the virtual world."""
+    return build_admin_api(controller).handle(method, path, b"", respond)
--- a/tests/compatibility/frozen.py
+++ b/tests/compatibility/frozen.py
@@ -1,4 +1,4 @@
-"""The frozen files, and how they are read and written."""
+"""Access to the frozen files, which hold the expected results of the tests in this package."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 
 
 def read_lines(name: str) -> list[Any]:
-    """A file with a JSON value on each line."""
+    """Return the values of a file that has one JSON value on each line."""
     return [json.loads(line) for line in read_text(name).splitlines()]
 
 
@@ -24,7 +24,7 @@
 
 
 def to_lines(values: list[Any]) -> str:
-    """The text of a file that `read_lines` reads."""
+    """Return the text of a file that `read_lines` reads."""
     return "".join(json.dumps(value) + "\n" for value in values)
 
 
@@ -34,10 +34,13 @@
     path.write_text(text, encoding="utf-8")
 
 
-def play(scenario: str) -> list[list[str]]:
-    """The traffic of a scenario, played by a process with the order of sets that CI has."""
-    program = [sys.executable, "-m", "compatibility.traffic", scenario]
-    path = os.pathsep.join([str(Path(__file__).resolve().parents[1]), *sys.path])
-    environment = os.environ | {"PYTHONHASHSEED": "0", "PYTHONPATH": path}
-    done = subprocess.run(program, env=environment, stdout=subprocess.PIPE, check=True)
-    return [json.loads(line) for line in done.stdout.splitlines()]
+def record_traffic(scenario: str) -> list[list[str]]:
+    """Return the traffic of a scenario, which is run in a process of its own.
+
+    There PYTHONHASHSEED is 0, as in CI, because the traffic depends on the order of sets of strings.
+    """
+    command = [sys.executable, "-m", "compatibility.traffic", scenario]
+    import_path = os.pathsep.join([str(Path(__file__).resolve().parents[1]), *sys.path])
+    environment = os.environ | {"PYTHONHASHSEED": "0", "PYTHONPATH": import_path}
+    completed = subprocess.run(command, env=environment, stdout=subprocess.PIPE, check=True)
+    return [json.loads(line) for line in completed.stdout.splitlines()]
--- a/tests/compatibility/test_answers.py
+++ b/tests/compatibility/test_answers.py
@@ -1,4 +1,8 @@
-"""The whole answers of real processes to users, agents, controllers and operators; status fields and metric names."""
+"""Guards against changes of HTTP responses that users, agents, controllers or operators would notice.
+
+Real controller processes answer fixed requests. Statuses, headers and bodies of the responses, the fields of the status
+and of the quota report, and the names of the metrics equal the frozen ones.
+"""
 
 from typing import Any
 
@@ -10,21 +14,21 @@
 
 
 @pytest.fixture(scope="module")
-def found(tmp_path_factory: pytest.TempPathFactory) -> Any:
-    return http_calls.everything(tmp_path_factory.mktemp("answers"))
+def responses(tmp_path_factory: pytest.TempPathFactory) -> Any:
+    return http_calls.http_cases(tmp_path_factory.mktemp("answers"))
 
 
 @pytest.mark.parametrize(
     ("cluster", "part"),
     [(cluster, part) for cluster in ("cluster", "cluster with limits") for part in FROZEN[cluster]],
 )
-def test_answers_of_a_cluster(found: Any, cluster: str, part: str) -> None:
-    assert found[cluster][part] == FROZEN[cluster][part]
+def test_cluster_responses_equal_the_frozen_ones(responses: Any, cluster: str, part: str) -> None:
+    assert responses[cluster][part] == FROZEN[cluster][part]
 
 
-def test_answers_without_the_state_service(found: Any) -> None:
-    assert found["without the state service"] == FROZEN["without the state service"]
+def test_responses_equal_the_frozen_ones_when_the_key_value_store_is_unavailable(responses: Any) -> None:
+    assert responses["without the state service"] == FROZEN["without the state service"]
 
 
-def test_the_deploy_files(found: Any) -> None:
-    assert found["deploy"] == FROZEN["deploy"]
+def test_deploy_files_have_the_frozen_fields(responses: Any) -> None:
+    assert responses["deploy"] == FROZEN["deploy"]
--- a/tests/compatibility/test_peers.py
+++ b/tests/compatibility/test_peers.py
@@ -1,4 +1,9 @@
-"""Messages between controllers: a cluster may run this build and the frozen one at the same time."""
+"""Guards against changes of messages that another build would misread or refuse.
+
+During an update a cluster runs controllers of this build and of the frozen one at the same time, so peer messages and
+replies equal the frozen ones byte for byte. The recorded scenarios cover in the same way what controllers send to
+agents, the cloud, the key-value store and operators.
+"""
 
 import json
 from typing import Any
@@ -12,10 +17,10 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: f"{case['kind']}: {case['form']}")
-def test_a_message_is_read_or_refused_as_ever(case: dict[str, Any]) -> None:
-    codec, body = codecs.PEERS[case["kind"]], bytes.fromhex(case["body"])
+def test_message_is_reencoded_or_refused_as_frozen(case: dict[str, Any]) -> None:
+    codec, body = codecs.PEER_CODECS[case["kind"]], bytes.fromhex(case["body"])
     if "error" in case:
-        with pytest.raises(codecs.REFUSED) as caught:
+        with pytest.raises(codecs.REFUSAL_ERRORS) as caught:
             codec(body)
         assert str(caught.value) == case["error"]
     else:
@@ -23,41 +28,44 @@
 
 
 @pytest.mark.parametrize("form", ["whole", "with the quota part", "partial"])
-def test_a_message_of_the_frozen_build_comes_out_byte_for_byte(form: str) -> None:
-    (case,) = (one for one in CASES if one["kind"] == "message" and one["form"] == form)
+def test_valid_peer_message_is_reencoded_byte_for_byte(form: str) -> None:
+    (case,) = (case for case in CASES if case["kind"] == "message" and case["form"] == form)
     assert case["read"] == case["body"]
 
 
-def test_the_versions() -> None:
-    assert codecs.peer_versions() == frozen.read_json("versions.json")
+def test_format_versions_equal_the_frozen_ones() -> None:
+    assert codecs.format_versions() == frozen.read_json("versions.json")
 
 
-@pytest.mark.parametrize("scenario", sorted(traffic.SCENARIOS.keys() - traffic.LONG))
-def test_recorded_messages_come_out_byte_for_byte(scenario: str) -> None:
+@pytest.mark.parametrize("scenario", sorted(traffic.SCENARIOS.keys() - traffic.WRITES_ONLY_SCENARIOS))
+def test_recorded_peer_message_is_reencoded_byte_for_byte(scenario: str) -> None:
     kinds = []
-    for _, receiver, what, body in frozen.read_lines(f"traffic/{scenario}.jsonl"):
-        if what.endswith(traffic.CBOR):
+    for _, receiver, request_or_status, body in frozen.read_lines(f"traffic/{scenario}.jsonl"):
+        if request_or_status.endswith(traffic.CBOR_CONTENT_TYPE):
             kinds.append("partial" if cbor2.loads(bytes.fromhex(body)).get("more") else "message")
             kind = "message"
-        elif what == "answer 200" and not receiver.startswith("vm-"):
+        elif request_or_status == "answer 200" and not receiver.startswith("vm-"):
             kinds.append(kind := "answer")
         else:
             continue
-        assert codecs.PEERS[kind](bytes.fromhex(body)).hex() == body
+        assert codecs.PEER_CODECS[kind](bytes.fromhex(body)).hex() == body
     assert {"message", "answer"} <= set(kinds)
     assert ("partial" in kinds) is (scenario == "many_machines")
 
 
 @pytest.mark.parametrize("scenario", sorted(traffic.SCENARIOS))
 def test_controllers_send_the_frozen_bytes(scenario: str) -> None:
-    """Commands, redirects, transactions, rentals, messages, and the last status and metrics, with a fixed seed."""
-    played, kept = frozen.play(scenario), frozen.read_lines(f"traffic/{scenario}.jsonl")
-    for number, (found, expected) in enumerate(zip(played, kept, strict=False)):
-        assert found == expected, f"message {number} of {scenario}: {readable(found)} instead of {readable(expected)}"
-    assert len(played) == len(kept)
+    """Covers commands, redirects, transactions, rentals, peer messages, and the final status and metrics."""
+    actual_lines, frozen_lines = frozen.record_traffic(scenario), frozen.read_lines(f"traffic/{scenario}.jsonl")
+    for index, (actual, expected) in enumerate(zip(actual_lines, frozen_lines, strict=False)):
+        assert actual == expected, (
+            f"message {index} of {scenario}: {to_readable(actual)} instead of {to_readable(expected)}"
+        )
+    assert len(actual_lines) == len(frozen_lines)
 
 
-def readable(line: list[str]) -> str:
+def to_readable(line: list[str]) -> str:
+    """Return a line of recorded traffic as text, with a CBOR body decoded."""
     try:
         return json.dumps([*line[:3], cbor2.loads(bytes.fromhex(line[3]))])
     except ValueError:
--- a/tests/compatibility/test_protocol.py
+++ b/tests/compatibility/test_protocol.py
@@ -1,4 +1,8 @@
-"""Messages of users, agents, the cloud and the state service, and the settings file, as the frozen files have them."""
+"""Guards against changes of the protocol of users, agents, the cloud and the key-value store, and of settings files.
+
+Valid and invalid incoming messages are decoded or refused as in the frozen files, and outgoing messages and request
+paths equal the frozen ones.
+"""
 
 from typing import Any
 
@@ -6,40 +10,43 @@
 
 from compatibility import codecs, frozen
 
-INCOMING = frozen.read_lines("incoming.jsonl")
+INCOMING_CASES = frozen.read_lines("incoming.jsonl")
 
 
-def judge(kind: str) -> list[str]:
-    """The cases of a kind that come out otherwise than they are frozen."""
-    wrong = []
-    for case in INCOMING:
+def differing_cases(kind: str) -> list[str]:
+    """Return a description of each case of a kind whose result differs from the frozen one."""
+    differences = []
+    for case in INCOMING_CASES:
         if case["kind"] != kind:
             continue
         expected = (case.get("read"), case.get("error"))
-        if (found := outcome(case)) != expected:
-            wrong.append(f"{case['form']}: {found} instead of {expected}")
-    return wrong
+        if (actual := codec_result(case)) != expected:
+            differences.append(f"{case['form']}: {actual} instead of {expected}")
+    return differences
 
 
-def outcome(case: dict[str, Any]) -> tuple[str | None, str | None]:
+def codec_result(case: dict[str, Any]) -> tuple[str | None, str | None]:
+    """Return what the case's message is encoded as after decoding, and the text of the error; one of them is None."""
     try:
-        return codecs.INCOMING[case["kind"]](case["body"].encode()).decode(), None
-    except codecs.REFUSED as error:
+        return codecs.INCOMING_CODECS[case["kind"]](case["body"].encode()).decode(), None
+    except codecs.REFUSAL_ERRORS as error:
         return None, str(error)
 
 
-@pytest.mark.parametrize("kind", sorted({case["kind"] for case in INCOMING}))
-def test_what_comes_in_is_read_or_refused_as_ever(kind: str) -> None:
-    assert judge(kind) == []
+@pytest.mark.parametrize("kind", sorted({case["kind"] for case in INCOMING_CASES}))
+def test_incoming_messages_are_reencoded_or_refused_as_frozen(kind: str) -> None:
+    assert differing_cases(kind) == []
 
 
-def test_every_kind_of_message_has_frozen_cases() -> None:
-    assert {case["kind"] for case in INCOMING} == set(codecs.INCOMING)
+def test_every_kind_of_incoming_message_has_frozen_cases() -> None:
+    assert {case["kind"] for case in INCOMING_CASES} == set(codecs.INCOMING_CODECS)
 
 
-def test_what_goes_out_has_the_frozen_bytes() -> None:
-    assert {name: body.decode() for name, body in codecs.outgoing().items()} == frozen.read_json("outgoing.json")
+def test_outgoing_messages_have_the_frozen_bytes() -> None:
+    assert {name: body.decode() for name, body in codecs.outgoing_messages().items()} == frozen.read_json(
+        "outgoing.json"
+    )
 
 
-def test_the_paths() -> None:
-    assert codecs.paths() == frozen.read_json("paths.json")
+def test_request_paths_equal_the_frozen_ones() -> None:
+    assert codecs.request_paths() == frozen.read_json("paths.json")
--- a/tests/compatibility/traffic.py
+++ b/tests/compatibility/traffic.py
@@ -1,7 +1,7 @@
-"""Short histories in the virtual world, and every byte that controllers send in them.
+"""Scenarios in the virtual world, and a recorder of the bytes that controllers send in them.
 
-Run as a program with the name of a scenario it prints the traffic, a JSON list on each line: sender, receiver, what was
-called or answered, and the body, as text or in hexadecimal digits where it is CBOR.
+`python3 -m compatibility.traffic SCENARIO` prints the traffic of a scenario. Each line is a JSON list: the sender, the
+receiver, the request or the status of the response, and the body, as text or, for CBOR, in hexadecimal digits.
 """
 
 import json
@@ -15,108 +15,122 @@
 from ramptide.transport.runtime import Request
 from virtual import STORE, Agent, VirtualRuntime, World, leader_of, started_world
 
-CBOR = "application/cbor"
-STEP = 0.5
-#: Tables in the status whose keys are names.
-NAMED = {"/machines", "/jobs", "/teams", "/quota/teams", "/failing_jobs"}
+CBOR_CONTENT_TYPE = "application/cbor"
+STATUS_SAMPLE_INTERVAL_S = 0.5
+#: The paths of tables in the status whose keys are names of machines, jobs or teams.
+TABLE_PATHS = {"/machines", "/jobs", "/teams", "/quota/teams", "/failing_jobs"}
 
 
 class Recorder:
-    """Keeps what controllers send, each message once; if `brief` only what the state service and the cloud get."""
-
-    def __init__(self, brief: bool) -> None:
-        self._brief = brief
+    """Records what controllers send, each distinct message once.
+
+    Attributes
+    ----------
+    lines
+        The recorded messages, in the order in which they were first sent.
+    status_strings
+        The strings that any controller's status has had, by their path in the status.
+    """
+
+    def __init__(self, writes_only: bool) -> None:
+        # Whether only transactions on the key-value store, rentals and returns are recorded.
+        self._writes_only = writes_only
         self.lines: list[list[str]] = []
-        self.words: dict[str, set[str]] = {}
-        self._known: set[tuple[str, ...]] = set()
+        self.status_strings: dict[str, set[str]] = {}
+        self._recorded: set[tuple[str, ...]] = set()
 
-    def keep(self, *line: str) -> None:
-        wanted = not self._brief or line[2].startswith(("POST /txn", "POST /rentals"))
-        if wanted and line not in self._known:
-            self._known.add(line)
+    def add(self, *line: str) -> None:
+        is_included = not self._writes_only or line[2].startswith(("POST /txn", "POST /rentals"))
+        if is_included and line not in self._recorded:
+            self._recorded.add(line)
             self.lines.append(list(line))
 
-    def look(self, world: World) -> None:
-        """Note the words that the status of any controller has now."""
+    def sample_status(self, world: World) -> None:
+        """Add the strings in the current status of each controller."""
         for name in world.controller_names:
-            for path, value in words(json.loads(operator_answer(world, name, "/admin/status") or "{}")):
-                self.words.setdefault(path, set()).add(value)
+            for path, value in strings_in(json.loads(admin_response(world, name, "/admin/status") or "{}")):
+                self.status_strings.setdefault(path, set()).add(value)
 
-    def listen(self, stack: ExitStack) -> None:
+    def start(self, stack: ExitStack) -> None:
         """Record until the stack is closed."""
         call, send = VirtualRuntime.call, World.send
 
-        def recorded_call(context: Any, request: Request, on_response: Any) -> None:
-            kind = request.content_type
-            text = _text(request.body, kind == CBOR)
-            self.keep(context.node.name, request.address, f"{request.method} {request.target} {kind}", text)
-            call(context, request, on_response)
+        def recorded_call(runtime: Any, request: Request, on_response: Any) -> None:
+            content_type = request.content_type
+            body = _to_text(request.body, content_type == CBOR_CONTENT_TYPE)
+            self.add(runtime.node.name, request.address, f"{request.method} {request.target} {content_type}", body)
+            call(runtime, request, on_response)
 
         def recorded_send(world: World, source: str, target: str, request: Callable[[Any], None], *rest: Any):  # type: ignore[no-untyped-def]
-            def recorded_request(answer: Callable[[int, Any], None]) -> None:
-                def recorded_answer(status: int, body: Any) -> None:
+            def recorded_request(respond: Callable[[int, Any], None]) -> None:
+                def recorded_respond(status: int, body: Any) -> None:
                     if isinstance(body, bytes):
-                        self.keep(target, source, f"answer {status}", _text(body, source in world.controller_names))
-                    answer(status, body)
+                        self.add(target, source, f"answer {status}", _to_text(body, source in world.controller_names))
+                    respond(status, body)
 
-                request(recorded_answer)
+                request(recorded_respond)
 
             return send(world, source, target, recorded_request if target in world.controller_names else request, *rest)
 
         run = World.run
 
         def sampled_run(world: World, seconds: float) -> None:
-            """In steps, after each of which the status is looked at."""
-            for _ in range(int(seconds / STEP)):
-                run(world, STEP)
-                self.look(world)
-            run(world, seconds % STEP)
+            """Run the world in steps, and sample the status after each of them."""
+            for _ in range(int(seconds / STATUS_SAMPLE_INTERVAL_S)):
+                run(world, STATUS_SAMPLE_INTERVAL_S)
+                self.sample_status(world)
+            run(world, seconds % STATUS_SAMPLE_INTERVAL_S)
 
         stack.enter_context(patch.object(World, "run", sampled_run))
         stack.enter_context(patch.object(VirtualRuntime, "call", recorded_call))
         stack.enter_context(patch.object(World, "send", recorded_send))
 
 
-def operator_answer(world: World, name: str, path: str) -> str:
-    """What a controller answers to an operator; nothing when it is dead or stands still."""
-    got: list[str] = []
+def admin_response(world: World, name: str, path: str) -> str:
+    """Return a controller's response to an operator, or an empty string if the controller is dead or stalled."""
+    bodies: list[str] = []
     world.nodes[name].request(
-        lambda c: codecs.operator_call(c, "GET", path, lambda status, body, kind: _answered(got, body))
+        lambda controller: codecs.call_admin_api(
+            controller, "GET", path, lambda status, body, content_type: _add_body(bodies, body)
+        )
     )
-    return got[0] if got else ""
+    return bodies[0] if bodies else ""
+
 
+def _add_body(bodies: list[str], body: bytes) -> None:
+    bodies.append(body.decode())
 
-def _answered(got: list[str], body: bytes) -> None:
-    got.append(body.decode())
 
+def strings_in(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
+    """Yield all strings in a status with their paths, in which the keys of tables are replaced by `*`.
 
-def words(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """All words in a status; names of machines, jobs and controllers are left out."""
+    The version is left out.
+    """
     if isinstance(value, dict):
-        for name, one in value.items():
-            yield from words(one, f"{path}/{'*' if path in NAMED else name}")
+        for name, field in value.items():
+            yield from strings_in(field, f"{path}/{'*' if path in TABLE_PATHS else name}")
     elif isinstance(value, list):
-        for one in value:
-            yield from words(one, path)
+        for item in value:
+            yield from strings_in(item, path)
     elif isinstance(value, str) and not path.startswith("/version"):
         yield path, value
 
 
-def last_answers(world: World) -> Iterator[list[str]]:
-    """The status and the metrics of each controller in the end, without what differs from process to process."""
+def final_admin_responses(world: World) -> Iterator[list[str]]:
+    """Yield the final status, quota report and metrics of each controller, without the metrics of its process."""
     for name in world.controller_names:
         for path in ("/admin/status", "/admin/quota", "/metrics"):
-            told = operator_answer(world, name, path)
-            kept = [line for line in told.splitlines() if "ramptide_process_" not in line]
-            yield [name, "operator", f"answer {path}", "\n".join(kept)]
+            body = admin_response(world, name, path)
+            lines = [line for line in body.splitlines() if "ramptide_process_" not in line]
+            yield [name, "operator", f"answer {path}", "\n".join(lines)]
 
 
-def _text(body: bytes, binary: bool) -> str:
-    return body.hex() if binary else body.decode()
+def _to_text(body: bytes, is_binary: bool) -> str:
+    return body.hex() if is_binary else body.decode()
 
 
-def plain_day() -> World:
-    """Jobs of each kind are accepted, run, finish and are cancelled; a small limit makes work wait."""
+def job_lifecycles() -> World:
+    """Batch jobs and services are accepted, run, finish and are cancelled; a small team limit makes tasks wait."""
     world = started_world(7, teams={"team": 0.0, "tight": 6.0}, capacity=8)
     world.define_job("j-1", pieces=3, guessS=3.0)
     world.define_job("j-2", shape="service", pieces=2, loaners=True, rank="high", markEveryS=5.0, markCostS=1.0)
@@ -132,8 +146,12 @@
     return world
 
 
-def rough_day() -> World:
-    """A controller ends, the state service is out for a while, a machine hangs, and important work needs room."""
+def failures_and_preemption() -> World:
+    """Controllers, machines and the key-value store fail, and jobs of high priority preempt one of low priority.
+
+    The cloud no longer lists a machine, a machine hangs, the leader is killed, a job fails on every machine, and the
+    key-value store has an outage.
+    """
     world = started_world(11, capacity=3)
     world.define_job("j-10", shape="service", pieces=10, cores=2.0, rank="low", markEveryS=5.0, markCostS=1.0)
     assert world.submit_until_accepted("j-10", "c0")
@@ -156,8 +174,11 @@
     return world
 
 
-def cut_day() -> World:
-    """A controller loses its agents, an agent its controllers; users cancel while the state service is out for one."""
+def network_partitions() -> World:
+    """Network partitions, and a cancelled job while the key-value store refuses one controller.
+
+    A follower reaches only the other controllers and the key-value store, and later the leader loses all agents.
+    """
     world = started_world(13, capacity=6)
     world.define_job("j-40", shape="service", pieces=8, cores=2.0)
     world.define_job("j-41", pieces=6, cores=2.0, guessS=30.0, loaners=True)
@@ -174,17 +195,21 @@
     world.run(6)
     world.store.refused_callers.clear()
     world.run(6)
-    lonely = leader_of(world)
+    leader = leader_of(world)
     for host in world.agents:
-        world.cut_link(lonely, host)
+        world.cut_link(leader, host)
     world.run(10)
     world.heal()
     world.run(3)
     return world
 
 
-def worn_day() -> World:
-    """Machines that fail all tasks, never come up, fall silent, hear nothing, are taken back or have little to do."""
+def machine_faults() -> World:
+    """Machines are drained as quarantined, gone, silent, unreachable, preempted, never up or underutilized.
+
+    The tasks of the quarantined machine all fail, the cloud reports that the gone one has failed, the unreachable one
+    sends heartbeats but gets no responses, and the preempted one announces its preemption.
+    """
     world = started_world(17, capacity=12)
     world.cloud.boot_seconds = (1.0, 2.0)
     world.define_job("j-50", shape="service", pieces=14, cores=1.0)
@@ -192,24 +217,26 @@
     assert world.submit_until_accepted("j-51", "c0")
     assert world.submit_until_accepted("j-50", "c0")
     world.run(10)
-    sick, failed, silent, deaf, taken = sorted(host for host, agent in world.agents.items() if agent.booted)[:5]
-    world.agents[sick].is_faulty = True
-    for task in world.agents[sick].tasks.values():
+    faulty, failed, silent, unreachable, preempted = sorted(
+        host for host, agent in world.agents.items() if agent.booted
+    )[:5]
+    world.agents[faulty].is_faulty = True
+    for task in world.agents[faulty].tasks.values():
         task.status, task.cause = "ended", "error"
     world.agents[failed].die()
     world.cloud.listing[failed]["status"] = "failed"
     world.agents[silent].die()
-    world.hosts_without_responses.add(deaf)
+    world.hosts_without_responses.add(unreachable)
     encode_status = Agent.encode_status
 
-    def with_notice(agent: Agent) -> bytes:
-        told = json.loads(encode_status(agent))
-        return json.dumps(told | ({"warningS": 0.3} if agent.host == taken else {})).encode()
+    def encode_status_with_notice(agent: Agent) -> bytes:
+        status = json.loads(encode_status(agent))
+        return json.dumps(status | ({"warningS": 0.3} if agent.host == preempted else {})).encode()
 
     world.cloud.boot_seconds = (500.0, 600.0)
     world.failure_delays["j-52"] = 0.3
     world.define_job("j-52", pieces=2, cores=0.5, rank="production")
-    with patch.object(Agent, "encode_status", with_notice):
+    with patch.object(Agent, "encode_status", encode_status_with_notice):
         assert world.submit_until_accepted("j-52", "c2")
         for _ in range(40):
             for host, row in world.cloud.listing.items():
@@ -220,9 +247,9 @@
     return world
 
 
-def many_machines() -> World:
-    """Messages that take no more than two machines, so that the tables come in parts."""
-    with codecs.small_messages(2):
+def partial_peer_messages() -> World:
+    """A peer message holds the statuses of at most two machines, so more of them take several partial messages."""
+    with codecs.machines_per_message(2):
         world = started_world(5, capacity=10)
         world.define_job("j-20", pieces=30, cores=2.0, guessS=4.0)
         assert world.submit_until_accepted("j-20", "c0")
@@ -233,10 +260,10 @@
     return world
 
 
-def quota_day() -> World:
-    """With team limits across controllers."""
-    parts = codecs.features({"quota": {"enabled": True}})
-    world = World(3, teams={"team": 16.0, "tight": 6.0}, capacity=6, parts=parts)
+def jobs_under_team_limits() -> World:
+    """Jobs of two teams run under limits, with the quota feature on; no share of a limit is transferred."""
+    features = codecs.features_from_value({"quota": {"enabled": True}})
+    world = World(3, teams={"team": 16.0, "tight": 6.0}, capacity=6, parts=features)
     world.guarantees["team"] = 4.0
     for node in world.nodes.values():
         node.start()
@@ -250,30 +277,32 @@
     return world
 
 
+#: The scenarios by the names of their frozen files.
 SCENARIOS: dict[str, Callable[[], World]] = {
-    "plain_day": plain_day,
-    "rough_day": rough_day,
-    "cut_day": cut_day,
-    "worn_day": worn_day,
-    "many_machines": many_machines,
-    "quota_day": quota_day,
+    "plain_day": job_lifecycles,
+    "rough_day": failures_and_preemption,
+    "cut_day": network_partitions,
+    "worn_day": machine_faults,
+    "many_machines": partial_peer_messages,
+    "quota_day": jobs_under_team_limits,
 }
 
-#: Scenarios of which only what the state service and the cloud get is kept.
-LONG = {"worn_day"}
+#: Long scenarios, of which only transactions on the key-value store, rentals and returns are recorded.
+WRITES_ONLY_SCENARIOS = {"worn_day"}
 
 
-def record(scenario: str) -> tuple[World, Recorder]:
-    recorder = Recorder(brief=scenario in LONG)
+def run_scenario(scenario: str) -> tuple[World, Recorder]:
+    """Run a scenario, and return its world and the traffic, which ends with the final state of each controller."""
+    recorder = Recorder(writes_only=scenario in WRITES_ONLY_SCENARIOS)
     with ExitStack() as stack:
-        recorder.listen(stack)
+        recorder.start(stack)
         world = SCENARIOS[scenario]()
-    recorder.lines += last_answers(world)
-    found = {path: sorted(values) for path, values in sorted(recorder.words.items())}
-    recorder.lines.append(["all", "operator", "words in the status", json.dumps(found)])
+    recorder.lines += final_admin_responses(world)
+    status_strings = {path: sorted(values) for path, values in sorted(recorder.status_strings.items())}
+    recorder.lines.append(["all", "operator", "words in the status", json.dumps(status_strings)])
     return world, recorder
 
 
 if __name__ == "__main__":
-    for one in record(sys.argv[1])[1].lines:
-        print(json.dumps(one))
+    for line in run_scenario(sys.argv[1])[1].lines:
+        print(json.dumps(line))
