--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,9 @@
-"""Bad input of every kind: it is refused as the protocol says, changes nothing, and no exception leaves a handler."""
+"""Malformed input from users, agents, controllers, the key-value store, the cloud and settings files.
+
+It is refused as the protocol specifies. The tests guard against three failures: invalid input is accepted, refused
+input has changed the state by the time it is refused, or an exception leaves a handler and ends the process. Such input
+comes from faulty clients, from messages that are truncated or altered on their way, and from mistakes in files.
+"""
 
 import copy
 import json
@@ -39,43 +44,46 @@
     started_world,
 )
 
-NULLABLE = {"rigs", "yard", "dueS"}
-JUNK: list[Any] = [
+NULLABLE_FIELDS = {"rigs", "yard", "dueS"}
+UNEXPECTED_VALUES: list[Any] = [
     None, True, -1, 1.5, -0.5, "", "x", " ", "a\nb", [], [1], {}, {"x": 1}, [[]], 2**64, -(2**70), 10**300, 1e300,
 ]  # fmt: skip
-NUMBERS = ("cores", "cards", "ramGb", "imageGb", "guessS", "markEveryS", "markCostS", "dueS")
-DEEP = b"[" * 50_000 + b"]" * 50_000
+NUMBER_FIELDS = ("cores", "cards", "ramGb", "imageGb", "guessS", "markEveryS", "markCostS", "dueS")
+DEEP_JSON = b"[" * 50_000 + b"]" * 50_000
 
 
-def answers(world: World, node: str, body: bytes, seconds: float = 3.0) -> list[tuple[int, dict[str, Any]]]:
-    got: list[tuple[int, dict[str, Any]]] = []
+def submit(world: World, controller_name: str, body: bytes, seconds: float = 3.0) -> list[tuple[int, dict[str, Any]]]:
+    """Submit a job description to a controller; return the status and the decoded body of each answer."""
+    received: list[tuple[int, dict[str, Any]]] = []
     world.request(
-        node,
-        lambda c: c.job_api.submit(body, lambda status, response, headers: got.append((status, json.loads(response)))),
+        controller_name,
+        lambda controller: controller.job_api.submit(
+            body, lambda status, response, headers: received.append((status, json.loads(response)))
+        ),
     )
     world.run(seconds)
-    return got
+    return received
 
 
-def known(world: World) -> set[str]:
-    """The jobs that anybody has ever accepted."""
+def accepted_job_ids(world: World) -> set[str]:
+    """Return the ids of all jobs that were ever accepted."""
     return {key.split("/")[-1] for key in world.store.entries if key.startswith(("live/job/", "ended/"))}
 
 
 # Submissions.
 
 
-def malformed() -> Iterator[tuple[str, bytes]]:
+def malformed_submissions() -> Iterator[tuple[str, bytes]]:
     spec = job_spec("j-1", rigs=None, yard=None, dueS=None)
-    yield from missing_or_of_another_type(spec)
-    yield from malformed_numbers(spec)
-    yield from malformed_values(spec)
-    yield from malformed_bodies(spec)
+    yield from submissions_with_missing_or_mistyped_fields(spec)
+    yield from submissions_with_malformed_numbers(spec)
+    yield from submissions_with_disallowed_values(spec)
+    yield from submissions_with_malformed_bodies(spec)
 
 
-def missing_or_of_another_type(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
+def submissions_with_missing_or_mistyped_fields(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
     value: Any
-    for name in sorted(spec.keys() - NULLABLE):
+    for name in sorted(spec.keys() - NULLABLE_FIELDS):
         yield f"{name} is missing", json.dumps({key: value for key, value in spec.items() if key != name}).encode()
         yield f"{name} is null", json.dumps(spec | {name: None}).encode()
     for name in spec:
@@ -83,19 +91,19 @@
             yield f"{name} is {value}", json.dumps(spec | {name: value}).encode()
 
 
-def malformed_numbers(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
+def submissions_with_malformed_numbers(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
     value: Any
-    for name in NUMBERS:
+    for name in NUMBER_FIELDS:
         for value in (True, "4", -1, -0.001, 1e300, 10**400):
             yield f"{name} is {str(value)[:9]}", json.dumps(spec | {name: value}).encode()
         for literal in ("NaN", "Infinity", "-Infinity", "1e999", "+1", "01", "0x1"):
-            text = json.dumps({key: value for key, value in spec.items() if key != name})
-            yield f"{name} is {literal}", f'{text[:-1]}, "{name}": {literal}}}'.encode()
+            spec_json = json.dumps({key: value for key, value in spec.items() if key != name})
+            yield f"{name} is {literal}", f'{spec_json[:-1]}, "{name}": {literal}}}'.encode()
     for value in (0, -1, 100_001, 1.5, True, "4", 2**64, 10**400):
         yield f"pieces is {str(value)[:9]}", json.dumps(spec | {"pieces": value}).encode()
 
 
-def malformed_values(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
+def submissions_with_disallowed_values(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
     value: Any
     changes: dict[str, Any]
     for name in ("oneZone", "spread", "loaners"):
@@ -112,33 +120,43 @@
         yield str(changes), json.dumps(spec | changes).encode()
 
 
-def malformed_bodies(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
-    whole = json.dumps(spec).encode()
-    yield from ((f"the first {count} bytes", whole[:count]) for count in (0, 1, 20, len(whole) - 1))
-    for body in (b"null", b"[]", b"7", b'"j-1"', whole + b"}", whole + whole, b"\xff" + whole, b"\x00", DEEP):
+def submissions_with_malformed_bodies(spec: dict[str, Any]) -> Iterator[tuple[str, bytes]]:
+    valid_body = json.dumps(spec).encode()
+    yield from ((f"the first {count} bytes", valid_body[:count]) for count in (0, 1, 20, len(valid_body) - 1))
+    for body in (
+        b"null",
+        b"[]",
+        b"7",
+        b'"j-1"',
+        valid_body + b"}",
+        valid_body + valid_body,
+        b"\xff" + valid_body,
+        b"\x00",
+        DEEP_JSON,
+    ):
         yield str(body[:12]), body
-    yield "deep nesting in a field", whole[:-1] + b', "rigs": ' + DEEP + b"}"
-    yield "deep nesting in an unknown field", whole[:-1] + b', "else": ' + DEEP + b"}"
+    yield "deep nesting in a field", valid_body[:-1] + b', "rigs": ' + DEEP_JSON + b"}"
+    yield "deep nesting in an unknown field", valid_body[:-1] + b', "else": ' + DEEP_JSON + b"}"
 
 
 def test_malformed_submissions_get_400_and_are_never_accepted() -> None:
     world = started_world(3)
-    for number, (what, body) in enumerate(malformed()):
-        got = answers(world, world.controller_names[number % 3], body, 0.0)
-        assert [status for status, _ in got] == [400], what
-        assert got[0][1]["error"], what
+    for number, (description, body) in enumerate(malformed_submissions()):
+        received = submit(world, world.controller_names[number % 3], body, 0.0)
+        assert [status for status, _ in received] == [400], description
+        assert received[0][1]["error"], description
     world.run(3)
-    assert known(world) == set()
+    assert accepted_job_ids(world) == set()
 
 
-def test_fields_that_may_be_null_may_be_omitted_and_others_are_ignored() -> None:
+def test_submission_is_accepted_with_null_omitted_and_unknown_fields() -> None:
     world = started_world(3)
-    assert answers(world, "c0", json.dumps(job_spec("j-1", rigs=None, yard=None, dueS=None)).encode())[0][0] == 201
-    assert answers(world, "c1", json.dumps(job_spec("j-2", cores=2, else_={"deep": [1]})).encode())[0][0] == 201
-    assert known(world) == {"j-1", "j-2"}
+    assert submit(world, "c0", json.dumps(job_spec("j-1", rigs=None, yard=None, dueS=None)).encode())[0][0] == 201
+    assert submit(world, "c1", json.dumps(job_spec("j-2", cores=2, else_={"deep": [1]})).encode())[0][0] == 201
+    assert accepted_job_ids(world) == {"j-1", "j-2"}
 
 
-NEVER: list[dict[str, Any]] = [
+IMPOSSIBLE_REQUIREMENTS: list[dict[str, Any]] = [
     {"owner": "nobody"},
     {"rigs": ["no-such-rig"]},
     {"yard": "no-such-yard"},
@@ -153,14 +171,14 @@
 ]
 
 
-@pytest.mark.parametrize("changes", NEVER, ids=str)
-def test_what_can_never_run_gets_422(changes: dict[str, Any]) -> None:
+@pytest.mark.parametrize("changes", IMPOSSIBLE_REQUIREMENTS, ids=str)
+def test_submission_gets_422_when_the_job_can_never_run(changes: dict[str, Any]) -> None:
     world = started_world(3, teams={"team": 0.0, "tight": 4.0})
-    for name in world.controller_names:
-        got = answers(world, name, json.dumps(job_spec("j-1") | changes).encode())
-        assert [status for status, _ in got] == [422]
-        assert got[0][1]["error"]
-    assert known(world) == set()
+    for controller_name in world.controller_names:
+        received = submit(world, controller_name, json.dumps(job_spec("j-1") | changes).encode())
+        assert [status for status, _ in received] == [422]
+        assert received[0][1]["error"]
+    assert accepted_job_ids(world) == set()
 
 
 @pytest.mark.parametrize(
@@ -176,128 +194,137 @@
     ],
     ids=str,
 )
-def test_what_may_run_is_accepted(changes: dict[str, Any]) -> None:
+def test_submission_is_accepted_when_the_job_can_run(changes: dict[str, Any]) -> None:
     world = started_world(3, teams={"team": 0.0, "tight": 4.0})
-    assert answers(world, "c1", json.dumps(job_spec("j-1") | changes).encode())[0][0] == 201
+    assert submit(world, "c1", json.dumps(job_spec("j-1") | changes).encode())[0][0] == 201
 
 
-def test_spread_with_a_single_zone_gets_422() -> None:
+def test_submission_gets_422_when_tasks_must_spread_and_only_one_zone_exists() -> None:
     world = started_world(3)
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller.store_events.apply_machine_types([{"name": "m", "cores": 8, "ramGb": 32, "yards": ["a"]}])
-    assert answers(world, "c0", json.dumps(job_spec("j-1", spread=True)).encode())[0][0] == 422
+    assert submit(world, "c0", json.dumps(job_spec("j-1", spread=True)).encode())[0][0] == 422
 
 
 @pytest.mark.parametrize("cloud_down", [False, True])
-def test_none_is_accepted_whatever_a_controller_has_loaded_so_far(cloud_down: bool) -> None:
-    """Asked from the first moment on: 503 until the controller can tell, and then what the page says."""
+def test_invalid_submissions_are_never_accepted_while_controllers_start(cloud_down: bool) -> None:
+    """Requests are sent from the start on: a job that can never run gets 503 until the controller can judge it."""
     world = World(7, teams={"team": 0.0, "tight": 4.0})
     world.cloud.is_down = cloud_down
-    got: dict[int, list[int]] = {400: [], 422: []}
+    statuses_by_expected: dict[int, list[int]] = {400: [], 422: []}
     bodies = [(400, json.dumps(job_spec("j-1", rigs=[])).encode())]
-    bodies += [(422, json.dumps(job_spec("j-1") | changes).encode()) for changes in NEVER]
+    bodies += [(422, json.dumps(job_spec("j-1") | changes).encode()) for changes in IMPOSSIBLE_REQUIREMENTS]
     for node in world.nodes.values():
         node.start()
-    for moment in range(120):
-        right, body = bodies[moment % len(bodies)]
-        for name in world.controller_names:
-            world.request(name, lambda c, right=right, body=body: c.job_api.submit(  # type: ignore[misc]
-                body, lambda status, *rest: got[right].append(status)))  # fmt: skip
+    for round_number in range(120):
+        expected, body = bodies[round_number % len(bodies)]
+        for controller_name in world.controller_names:
+            world.request(
+                controller_name,
+                lambda controller, expected=expected, body=body: controller.job_api.submit(  # type: ignore[misc]
+                    body, lambda status, *rest: statuses_by_expected[expected].append(status)
+                ),
+            )
         world.run(0.05)
     world.run(3)
-    assert set(got[400]) == {400}
-    assert set(got[422]) == ({503} if cloud_down else {503, 422})
-    assert known(world) == set()
+    assert set(statuses_by_expected[400]) == {400}
+    assert set(statuses_by_expected[422]) == ({503} if cloud_down else {503, 422})
+    assert accepted_job_ids(world) == set()
 
 
-def test_503_while_the_state_service_is_lacking() -> None:
+def test_well_formed_submissions_get_503_while_the_key_value_store_is_unavailable() -> None:
     world = started_world(3)
     world.store.start_outage(90)
     world.run(4)
-    for changes in [{}, *NEVER]:
-        assert answers(world, "c0", json.dumps(job_spec("j-1") | changes).encode())[0][0] == 503
-    assert answers(world, "c0", b"{}")[0][0] == 400
+    for changes in [{}, *IMPOSSIBLE_REQUIREMENTS]:
+        assert submit(world, "c0", json.dumps(job_spec("j-1") | changes).encode())[0][0] == 503
+    assert submit(world, "c0", b"{}")[0][0] == 400
 
 
-def test_a_repeat_gets_200_and_the_state_and_changes_nothing() -> None:
+def test_repeated_submission_gets_200_with_the_job_state_and_changes_nothing() -> None:
     world = busy_world(guessS=60.0)
     world.run(3)
-    before = copy.deepcopy(world.store.entries["live/job/j-1"][0]["run"])
-    for name in world.controller_names:
-        assert answers(world, name, json.dumps(world.job_specs["j-1"]).encode()) == [
+    record_before = copy.deepcopy(world.store.entries["live/job/j-1"][0]["run"])
+    for controller_name in world.controller_names:
+        assert submit(world, controller_name, json.dumps(world.job_specs["j-1"]).encode()) == [
             (200, {"ref": "j-1", "status": "running", "done": 0, "running": 6})
         ]
-    # The page knows no other answer to a ref that was accepted: what was accepted first stays.
-    other = answers(world, "c1", json.dumps(world.job_specs["j-1"] | {"pieces": 2, "cores": 1.0}).encode())
-    assert other[0][0] == 200
-    assert world.store.entries["live/job/j-1"][0]["run"] == before
-    assert answers(world, "c1", json.dumps(world.job_specs["j-1"] | {"owner": "nobody"}).encode())[0][0] == 200
-    assert answers(world, "c1", json.dumps(world.job_specs["j-1"] | {"pieces": "2"}).encode())[0][0] == 400
+    # The protocol has no other answer to an id that was accepted before: the first description stays in force.
+    changed_description = submit(world, "c1", json.dumps(world.job_specs["j-1"] | {"pieces": 2, "cores": 1.0}).encode())
+    assert changed_description[0][0] == 200
+    assert world.store.entries["live/job/j-1"][0]["run"] == record_before
+    assert submit(world, "c1", json.dumps(world.job_specs["j-1"] | {"owner": "nobody"}).encode())[0][0] == 200
+    assert submit(world, "c1", json.dumps(world.job_specs["j-1"] | {"pieces": "2"}).encode())[0][0] == 400
     assert world.cancel_job("j-1", "c2")
-    assert answers(world, "c0", json.dumps(world.job_specs["j-1"]).encode())[0] == (
+    assert submit(world, "c0", json.dumps(world.job_specs["j-1"]).encode())[0] == (
         200, {"ref": "j-1", "status": "withdrawn", "done": 0, "running": 0}
     )  # fmt: skip
 
 
-def cancelled(world: World, job_id: str, node: str) -> tuple[int, dict[str, Any]]:
-    got: list[tuple[int, dict[str, Any]]] = []
+def cancel(world: World, job_id: str, controller_name: str) -> tuple[int, dict[str, Any]]:
+    """Cancel a job at a controller; return the status and the decoded body of the answer."""
+    received: list[tuple[int, dict[str, Any]]] = []
     world.request(
-        node, lambda c: c.job_api.cancel(job_id, lambda status, body, headers: got.append((status, json.loads(body))))
+        controller_name,
+        lambda controller: controller.job_api.cancel(
+            job_id, lambda status, body, headers: received.append((status, json.loads(body)))
+        ),
     )
     world.run(3)
-    (answer,) = got
+    (answer,) = received
     return answer
 
 
-def test_cancels_and_polls_of_what_is_done_or_unknown() -> None:
+def test_cancellation_of_a_done_job_gets_200_and_unknown_job_ids_get_404() -> None:
     world = started_world(4)
     world.define_job("j-1", pieces=2, guessS=2.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: world.is_done("j-1"), 60)
-    for name in world.controller_names:
-        assert cancelled(world, "j-1", name) == (200, {"ref": "j-1", "status": "done"})
+    for controller_name in world.controller_names:
+        assert cancel(world, "j-1", controller_name) == (200, {"ref": "j-1", "status": "done"})
         for job_id in ("j-999", "j-", "", "x", "j-1%2f", "j-" + "9" * 300, "j-1\n", "../j-1", "\u0661"):
-            assert cancelled(world, job_id, name)[0] == 404
-            polled = world.poll_job(job_id, name)
+            assert cancel(world, job_id, controller_name)[0] == 404
+            polled = world.poll_job(job_id, controller_name)
             assert polled is not None, job_id
             assert polled[0] == 404, job_id
-    assert cancelled(world, "j-1", "c1")[1]["status"] == "done"
-    assert known(world) == {"j-1"}
+    assert cancel(world, "j-1", "c1")[1]["status"] == "done"
+    assert accepted_job_ids(world) == {"j-1"}
 
 
-# Broken messages. What is mutated stays of the wrong type or form: a well-formed lie can't be told from the truth.
+# Broken messages. Mutations produce values of a wrong type or form, as no receiver can detect a well-formed message
+# whose content is false.
 
 
-def mutated(rng: random.Random, value: Any) -> Any:
-    """A copy in which something, somewhere inside, is missing or of the wrong kind."""
+def mutate(rng: random.Random, value: Any) -> Any:
+    """Return a copy in which one value, at some depth, is missing or replaced by an unexpected one."""
     if isinstance(value, dict) and value and rng.random() < 0.8:
         key = rng.choice(sorted(value))
-        rest = {name: one for name, one in value.items() if name != key}
-        return rest if rng.random() < 0.2 else rest | {key: mutated(rng, value[key])}
+        rest = {name: item for name, item in value.items() if name != key}
+        return rest if rng.random() < 0.2 else rest | {key: mutate(rng, value[key])}
     if isinstance(value, list) and value and rng.random() < 0.8:
-        place = rng.randrange(len(value))
-        return [mutated(rng, one) if n == place else one for n, one in enumerate(value)]
-    return rng.choice(JUNK)
+        position = rng.randrange(len(value))
+        return [mutate(rng, item) if index == position else item for index, item in enumerate(value)]
+    return rng.choice(UNEXPECTED_VALUES)
 
 
-def broken(rng: random.Random, value: Any, encode: Callable[[Any], bytes]) -> bytes:
+def break_message(rng: random.Random, value: Any, encode: Callable[[Any], bytes]) -> bytes:
     body = encode(value)
-    kind = rng.randrange(5)
-    if kind == 0:
+    corruption = rng.randrange(5)
+    if corruption == 0:
         return body[: rng.randrange(len(body))]
-    if kind == 1:
-        place = rng.randrange(len(body))
-        return body[:place] + bytes([rng.randrange(256)]) + body[place + 1 :]
-    return encode(mutated(rng, value))
+    if corruption == 1:
+        position = rng.randrange(len(body))
+        return body[:position] + bytes([rng.randrange(256)]) + body[position + 1 :]
+    return encode(mutate(rng, value))
 
 
-def to_json(value: Any) -> bytes:
+def encode_json(value: Any) -> bytes:
     return json.dumps(value).encode()
 
 
-def shown(part: Shard, host: str) -> Any:
-    machine = part.machines[host]
+def machine_state(shard: Shard, host: str) -> Any:
+    machine = shard.machines[host]
     entries = [(key, entry.phase, entry.cause) for key, entry in sorted(machine.entries.items())]
     return (
         machine.last_heartbeat_id,
@@ -312,11 +339,11 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_broken_heartbeats_change_nothing(seed: int) -> None:
-    """A report that is not taken leaves all as it was; one that is well-formed in spite of it all may be taken."""
+    """A refused heartbeat leaves the machine's state unchanged; one that is still well-formed may be applied."""
     world = busy_world(guessS=500.0)
     agent, task = world.invariants.running_tasks()[0]
-    name = owner_of(world, agent.host)
-    controller = world.nodes[name].controller
+    owner = owner_of(world, agent.host)
+    controller = world.nodes[owner].controller
     assert controller is not None
     assert controller.state.shard is not None
     rng = random.Random(seed)
@@ -326,20 +353,23 @@
         "warningS": None,
         "pieces": [{"piece": f"{task.job_id}/{task.index}", "try": task.attempt, "status": "running", "cause": None}],
     }  # fmt: skip
-    refused = 0
+    refused_count = 0
     for _ in range(1500):
-        body, before = broken(rng, heartbeat, to_json), shown(controller.state.shard, agent.host)
-        got: list[int] = []
-        controller.heartbeats.receive_heartbeat(body, lambda status, response, got=got: got.append(status))  # type: ignore[misc]
-        if got and got[0] != 200:
-            refused += 1
-            assert got[0] in (400, 421, 503), body
-            assert shown(controller.state.shard, agent.host) == before, body
+        body, before = break_message(rng, heartbeat, encode_json), machine_state(controller.state.shard, agent.host)
+        statuses: list[int] = []
+        controller.heartbeats.receive_heartbeat(
+            body,
+            lambda status, response, statuses=statuses: statuses.append(status),  # type: ignore[misc]
+        )
+        if statuses and statuses[0] != 200:
+            refused_count += 1
+            assert statuses[0] in (400, 421, 503), body
+            assert machine_state(controller.state.shard, agent.host) == before, body
         else:
-            # Taken, so it is well-formed: a few bytes of a name or a number may have changed.
+            # The heartbeat was not refused, so it is well-formed although some bytes may have changed.
             decode_task_reports(decode_heartbeat(body).raw_tasks)
         world.run(0.01)
-    assert refused > 1000
+    assert refused_count > 1000
     world.run(20)
 
 
@@ -357,71 +387,77 @@
     ],
     ids=lambda changes: str(changes)[:70],
 )  # fmt: skip
-def test_heartbeats_that_no_agent_sends_are_refused(changes: dict[str, Any]) -> None:
+def test_heartbeat_is_refused_and_changes_nothing_when_a_field_is_invalid(changes: dict[str, Any]) -> None:
     world = busy_world(guessS=500.0)
     agent, _ = world.invariants.running_tasks()[0]
     controller = world.nodes[owner_of(world, agent.host)].controller
     assert controller is not None
     assert controller.state.shard is not None
-    before = shown(controller.state.shard, agent.host)
+    before = machine_state(controller.state.shard, agent.host)
     heartbeat = {"host": agent.host, "rig": "m", "yard": agent.zone, "loaners": False, "tenure": agent.agent_epoch,
             "tally": agent.sequence_number + 1, "baton": agent.fencing_token, "pieces": []}  # fmt: skip
-    got: list[int] = []
-    body = to_json(heartbeat | changes)
-    controller.heartbeats.receive_heartbeat(body, lambda status, response: got.append(status))
-    assert got == [400]
-    assert shown(controller.state.shard, agent.host) == before
-    deep = to_json(heartbeat).replace(b'"pieces": []', b'"pieces": ' + DEEP)
-    controller.heartbeats.receive_heartbeat(deep, lambda status, response: got.append(status))
-    assert got == [400, 400]
-    assert shown(controller.state.shard, agent.host) == before
-
-
-def test_a_machine_with_a_strange_name_stops_no_leader() -> None:
-    """What reports and is not recorded is taken over under its name: the state service takes no such key."""
+    statuses: list[int] = []
+    body = encode_json(heartbeat | changes)
+    controller.heartbeats.receive_heartbeat(body, lambda status, response: statuses.append(status))
+    assert statuses == [400]
+    assert machine_state(controller.state.shard, agent.host) == before
+    deeply_nested = encode_json(heartbeat).replace(b'"pieces": []', b'"pieces": ' + DEEP_JSON)
+    controller.heartbeats.receive_heartbeat(deeply_nested, lambda status, response: statuses.append(status))
+    assert statuses == [400, 400]
+    assert machine_state(controller.state.shard, agent.host) == before
+
+
+def test_heartbeat_is_refused_when_its_host_name_cannot_be_part_of_a_key() -> None:
+    """The leader adopts unrecorded machines under the names that they report, and the store accepts no such key."""
     world = started_world(3)
     for host in ("vm 1", "vm-\n", "v" * 190, "\u00e9" * 60):
         heartbeat = {"host": host, "rig": "m", "yard": "a", "loaners": False, "tenure": 1, "tally": 1, "baton": 9,
                 "pieces": []}  # fmt: skip
-        for name in world.controller_names:
-            got: list[int] = []
-            world.request(name, lambda c, got=got, heartbeat=heartbeat: c.heartbeats.receive_heartbeat(  # type: ignore[misc]
-                to_json(heartbeat), lambda status, response: got.append(status)))  # fmt: skip
-            assert got == [400]
+        for controller_name in world.controller_names:
+            statuses: list[int] = []
+            world.request(
+                controller_name,
+                lambda controller, statuses=statuses, heartbeat=heartbeat: (  # type: ignore[misc]
+                    controller.heartbeats.receive_heartbeat(
+                        encode_json(heartbeat), lambda status, response: statuses.append(status)
+                    )
+                ),
+            )
+            assert statuses == [400]
     world.run(5)
     assert all(len(key.encode()) <= 200 and not set(key) & set(" \n") for key in world.store.entries)
 
 
-def messages(world: World, seconds: float) -> list[tuple[str, bytes]]:
-    """What the controllers send each other: the receiver and the message."""
-    found: list[tuple[str, bytes]] = []
-    send = peers.encode_message
+def record_peer_messages(world: World, seconds: float) -> list[tuple[str, bytes]]:
+    """Return the messages that the controllers send each other meanwhile, each with its receiver."""
+    sent_messages: list[tuple[str, bytes]] = []
+    original_encode = peers.encode_message
 
     with pytest.MonkeyPatch.context() as patch:
 
-        def noted(sync: PeerMessage) -> bytes:
-            body = send(sync)
-            found.extend((name, body) for name in world.controller_names if name != sync.member)
+        def record_and_encode(message: PeerMessage) -> bytes:
+            body = original_encode(message)
+            sent_messages.extend((receiver, body) for receiver in world.controller_names if receiver != message.member)
             return body
 
-        patch.setattr(peers, "encode_message", noted)
+        patch.setattr(peers, "encode_message", record_and_encode)
         world.run(seconds)
-    return found
+    return sent_messages
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_broken_messages_of_controllers_change_nothing(seed: int) -> None:
+def test_broken_peer_messages_change_nothing(seed: int) -> None:
     world = busy_world(guessS=500.0)
     world.define_job("j-2", pieces=20, cores=1.0, guessS=3.0)
     assert world.submit_until_accepted("j-2", "c0")
     rng = random.Random(seed)
-    sent_messages = messages(world, 4)
-    refused = taken = 0
+    sent_messages = record_peer_messages(world, 4)
+    refused_count = accepted_count = 0
     assert sent_messages
     for _ in range(1500):
-        name, body = rng.choice(sent_messages)
-        value = cbor2.loads(body) | {"base": 0, "seq": 10**6 + taken}
-        controller = world.nodes[name].controller
+        receiver, body = rng.choice(sent_messages)
+        message = cbor2.loads(body) | {"base": 0, "seq": 10**6 + accepted_count}
+        controller = world.nodes[receiver].controller
         assert controller is not None
         assert controller.state.scheduler is not None
         before = (
@@ -429,32 +465,38 @@
             sorted(controller.state.scheduler.changed_hosts),
             controller.peers.newest_view,
         )
-        if controller.peer_messages.receive(broken(rng, value, cbor2.dumps)) is None:
-            refused += 1
+        if controller.peer_messages.receive(break_message(rng, message, cbor2.dumps)) is None:
+            refused_count += 1
             assert (
                 dict(controller.state.scheduler.jobs),
                 sorted(controller.state.scheduler.changed_hosts),
                 controller.peers.newest_view,
             ) == before
         else:
-            taken += 1
-    assert refused > 700
-    assert taken > 50
-    for body in (b"\x81" * 60_000, DEEP, b"\x9b\x7f" + b"\xff" * 7, b"\x5b\x7f" + b"\xff" * 7, b"\xd9\x01\x02\x81\x80"):
+            accepted_count += 1
+    assert refused_count > 700
+    assert accepted_count > 50
+    for body in (
+        b"\x81" * 60_000,
+        DEEP_JSON,
+        b"\x9b\x7f" + b"\xff" * 7,
+        b"\x5b\x7f" + b"\xff" * 7,
+        b"\xd9\x01\x02\x81\x80",
+    ):
         assert world.nodes["c0"].controller is not None
         assert world.nodes["c0"].controller.peer_messages.receive(body) is None
     world.run(10)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_broken_answers_of_controllers_lose_no_change(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_change_is_lost_when_peer_replies_are_broken(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     world = started_world(seed)
-    rng, take = random.Random(seed), PeerMessageHandler.receive
-    rate = [0.4]
+    rng, original_receive = random.Random(seed), PeerMessageHandler.receive
+    corruption_rate = [0.4]
 
-    def flawed(handler: PeerMessageHandler, body: bytes) -> bytes | None:
-        reply = take(handler, body)
-        if reply is None or rng.random() >= rate[0]:
+    def receive_and_break_reply(handler: PeerMessageHandler, body: bytes) -> bytes | None:
+        reply = original_receive(handler, body)
+        if reply is None or rng.random() >= corruption_rate[0]:
             return reply
         return (
             reply[: rng.randrange(len(reply))]
@@ -465,12 +507,12 @@
             )
         )
 
-    monkeypatch.setattr(PeerMessageHandler, "receive", flawed)
+    monkeypatch.setattr(PeerMessageHandler, "receive", receive_and_break_reply)
     for number in range(6):
         world.define_job(f"j-{number}", pieces=8, guessS=4.0)
         assert world.submit_until_accepted(f"j-{number}", world.controller_names[number % 3])
     world.run(20)
-    rate[0] = 0.0
+    corruption_rate[0] = 0.0
     assert world.run_until(lambda: all(world.is_done(f"j-{number}") for number in range(6)), 90)
     assert world.invariants.violations == []
 
@@ -496,70 +538,75 @@
     ],
     ids=lambda changes: str(changes)[:80],
 )
-def test_messages_that_no_controller_sends_are_refused_as_a_whole(changes: dict[str, Any]) -> None:
+def test_peer_message_is_refused_only_when_a_known_field_is_invalid(changes: dict[str, Any]) -> None:
     world = busy_world(guessS=500.0)
-    name, body = messages(world, 3)[-1]
-    controller = world.nodes[name].controller
+    receiver, body = record_peer_messages(world, 3)[-1]
+    controller = world.nodes[receiver].controller
     assert controller is not None
-    value = cbor2.loads(body) | {"base": 0, "seq": 10**6}
-    assert controller.peer_messages.receive(cbor2.dumps(value | changes)) is None
-    assert controller.peer_messages.receive(cbor2.dumps(value | {"unheard_of": [changes]})) is not None
+    message = cbor2.loads(body) | {"base": 0, "seq": 10**6}
+    assert controller.peer_messages.receive(cbor2.dumps(message | changes)) is None
+    assert controller.peer_messages.receive(cbor2.dumps(message | {"unheard_of": [changes]})) is not None
 
 
-class Flawed:
-    """A service of which some answers are broken on their way."""
+class FaultyService:
+    """Corrupts the responses of a service at a given rate."""
 
-    def __init__(self, service: KeyValueStore | Cloud, rate: float, seed: int) -> None:
+    def __init__(self, service: KeyValueStore | Cloud, corruption_rate: float, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.rate = rate
-        self.broken = 0
-        carry_out: Callable[..., None] = service.handle
+        self.corruption_rate = corruption_rate
+        self.broken_count = 0
+        handle_unbroken: Callable[..., None] = service.handle
 
         def handle(*request: Any) -> None:
-            answer = request[-1]
+            respond = request[-1]
 
-            def flawed(status: int, body: Any) -> None:
-                if self.rng.random() < self.rate:
-                    self.broken += 1
-                    kind = self.rng.randrange(8)
+            def respond_with_faults(status: int, body: Any) -> None:
+                if self.rng.random() < self.corruption_rate:
+                    self.broken_count += 1
+                    corruption = self.rng.randrange(8)
                     value = json.loads(json.dumps(body))
-                    answer(status, DEEP if kind == 0 else b"" if kind == 1 else broken_answer(self.rng, value))
+                    respond(
+                        status,
+                        DEEP_JSON if corruption == 0 else b"" if corruption == 1 else break_response(self.rng, value),
+                    )
                 else:
-                    answer(status, body)
+                    respond(status, body)
 
-            carry_out(*request[:-1], flawed)
+            handle_unbroken(*request[:-1], respond_with_faults)
 
         service.handle = handle  # type: ignore[method-assign, assignment]
 
 
-def broken_answer(rng: random.Random, value: Any) -> bytes:
-    """Truncated, or with a field at the top missing or of the wrong type."""
-    body = to_json(value)
+def break_response(rng: random.Random, value: Any) -> bytes:
+    """Return the encoded response, truncated or with a top-level field missing or of a wrong type."""
+    body = encode_json(value)
     if not isinstance(value, dict) or not value or rng.random() < 0.3:
         return body[: rng.randrange(max(len(body) - 1, 1))]
     key = rng.choice(sorted(value))
-    rest = {name: one for name, one in value.items() if name != key}
-    return to_json(rest if rng.random() < 0.3 else rest | {key: rng.choice([None, "x", -1, {}, [1], [{}], 1.5])})
+    rest = {name: item for name, item in value.items() if name != key}
+    return encode_json(rest if rng.random() < 0.3 else rest | {key: rng.choice([None, "x", -1, {}, [1], [{}], 1.5])})
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("service", [STORE, CLOUD])
-def test_broken_answers_end_no_process_and_break_no_rule(service: str, seed: int) -> None:
+def test_broken_service_responses_end_no_process_and_violate_no_invariant(service: str, seed: int) -> None:
     world = started_world(seed)
-    flawed = Flawed(world.store, 0.2, seed) if service == STORE else Flawed(world.cloud, 0.5, seed)
+    faulty_service = (
+        FaultyService(world.store, 0.2, seed) if service == STORE else FaultyService(world.cloud, 0.5, seed)
+    )
     for number in range(6):
         world.define_job(f"j-{number}", pieces=4, guessS=4.0)
         assert world.submit_until_accepted(f"j-{number}", world.controller_names[number % 3], tries=60)
     for _ in range(60):
         world.run(0.5)
         world.invariants.check()
-    flawed.rate = 0.0
-    assert flawed.broken > 5
+    faulty_service.corruption_rate = 0.0
+    assert faulty_service.broken_count > 5
     assert world.run_until(lambda: all(world.is_done(f"j-{number}") for number in range(6)), 90)
     assert world.invariants.violations == []
 
 
-BROKEN_ANSWERS = [
+BROKEN_WATCH_RESPONSES = [
     b'{"epoch":9,"news":[{"put":"live/job/j-1","stamp":9999}]}',
     b'{"epoch":9,"news":[{"put":"live/job/j-1","v":null,"stamp":9999}]}',
     b'{"epoch":9,"news":[{"put":"live/job/j-1","drop":"live/job/j-1","v":1,"stamp":9999}]}',
@@ -568,46 +615,46 @@
 ]
 
 
-@pytest.mark.parametrize("body", BROKEN_ANSWERS, ids=str)
-def test_a_put_without_a_value_drops_no_job(body: bytes) -> None:
+@pytest.mark.parametrize("body", BROKEN_WATCH_RESPONSES, ids=str)
+def test_job_is_kept_when_watch_responses_are_broken(body: bytes) -> None:
     world = busy_world(guessS=60.0)
-    carry_out = world.store._watch
-    sent: list[int] = []
+    original_watch = world.store._watch
+    answered_revisions: list[int] = []
 
     def watch(prefix: str, since: int, deadline: timedelta, respond: Respond) -> None:
-        if len(sent) < 3:
-            sent.append(since)
+        if len(answered_revisions) < 3:
+            answered_revisions.append(since)
             respond(200, body)
         else:
-            carry_out(prefix, since, deadline, respond)
+            original_watch(prefix, since, deadline, respond)
 
     world.store._watch = watch  # type: ignore[method-assign]
     world.run(3)
-    assert len(sent) == 3
+    assert len(answered_revisions) == 3
     for node in world.nodes.values():
         assert node.controller is not None
         assert "j-1" in node.controller.state.jobs
     assert len(world.invariants.running_tasks()) == 6
 
 
-def test_a_page_that_leads_nowhere_is_not_read_for_ever() -> None:
+def test_list_is_given_up_when_its_pages_do_not_advance() -> None:
     world = World(5)
-    pages = {"rows": [{"path": "live/x", "v": 1, "stamp": 1}], "more": True, "epoch": 1}
-    carry_out = world.store.handle
-    asked: list[str] = []
+    page = {"rows": [{"path": "live/x", "v": 1, "stamp": 1}], "more": True, "epoch": 1}
+    original_handle = world.store.handle
+    listed_targets: list[str] = []
 
     def handle(caller: str, method: str, target: str, body: bytes, respond: Respond) -> None:
         if target.startswith(KEYS_PATH + "?") and world.now < 3 * S:
-            asked.append(target)
-            respond(200, pages if len(asked) % 2 else pages | {"rows": []})
+            listed_targets.append(target)
+            respond(200, page if len(listed_targets) % 2 else page | {"rows": []})
         else:
-            carry_out(caller, method, target, body, respond)
+            original_handle(caller, method, target, body, respond)
 
     world.store.handle = handle  # type: ignore[method-assign]
     for node in world.nodes.values():
         node.start()
     world.run(3)
-    assert 3 <= len(asked) < 100
+    assert 3 <= len(listed_targets) < 100
     assert all(
         node.controller is not None and node.controller.watch_cache.is_unavailable for node in world.nodes.values()
     )
@@ -615,8 +662,8 @@
     assert all(node.controller is not None and node.controller.state.reconciled for node in world.nodes.values())
 
 
-RECORDS: list[Any] = [
-    *JUNK,
+BROKEN_RECORDS: list[Any] = [
+    *UNEXPECTED_VALUES,
     {"run": job_spec("j-1")},
     {"run": job_spec("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": []},
     {"run": job_spec("j-1"), "home": "c0", "born": 1, "at": 0.0, "done": [-1, ""]},
@@ -630,12 +677,12 @@
 ]
 
 
-@pytest.mark.parametrize("path", ["live/job/j-1", "live/rental/r", "live/flavors", "live/settings", "live/nothing"])
-def test_broken_values_of_the_state_service_end_no_process(path: str) -> None:
+@pytest.mark.parametrize("key", ["live/job/j-1", "live/rental/r", "live/flavors", "live/settings", "live/nothing"])
+def test_broken_records_in_the_key_value_store_end_no_process(key: str) -> None:
     world = busy_world(guessS=60.0)
-    for record in RECORDS:
+    for record in BROKEN_RECORDS:
         if record is not None:
-            world.store.put(path, record)
+            world.store.put(key, record)
             world.run(0.5)
     world.run(3)
     for node in world.nodes.values():
@@ -646,22 +693,24 @@
 
 
 @pytest.mark.parametrize("value", [[], [0], [0, 1], ["0", ""], [0, "A"], [-1, ""], [True, ""], None, {}])
-def test_a_broken_done_set_is_no_done_set(value: Any) -> None:
+def test_progress_is_refused_when_its_record_is_broken(value: Any) -> None:
     with pytest.raises(RecordError):
         Progress.decode(value)
 
 
-def test_a_task_that_the_job_does_not_have_is_not_counted() -> None:
+def test_reported_task_is_ignored_when_its_index_is_beyond_the_job() -> None:
     world = busy_world(guessS=60.0)
     controller = next(
-        c
+        candidate
         for node in world.nodes.values()
-        if (c := node.controller) is not None and c.state.scheduler and "j-1" in c.state.scheduler.jobs
+        if (candidate := node.controller) is not None
+        and candidate.state.scheduler
+        and "j-1" in candidate.state.scheduler.jobs
     )
     scheduler: JobScheduler = controller.state.scheduler  # type: ignore[assignment]
     host = world.invariants.running_tasks()[0][0].host
-    rows = list(controller.machine_index.machines[host].tasks)
-    scheduler.apply_status(host, "a", [*rows, ("j-1", 99_999, 7, "ended", "done")], world.now)
+    task_rows = list(controller.machine_index.machines[host].tasks)
+    scheduler.apply_status(host, "a", [*task_rows, ("j-1", 99_999, 7, "ended", "done")], world.now)
     assert scheduler.jobs["j-1"].done.count == 0
     assert 99_999 not in scheduler.jobs["j-1"].placed
 
@@ -670,13 +719,13 @@
 
 
 @pytest.mark.parametrize("value", [True, "1", None, [], {}, float("nan"), float("inf"), -1, 0, 10**400, -(10**400)])
-def test_no_setting_is_changed_to_what_is_out_of_bounds(value: Any) -> None:
+def test_setting_is_refused_when_its_value_is_out_of_bounds(value: Any) -> None:
     with pytest.raises(SettingsError, match=r"^window|^step"):
         Tuning().with_changes({"step": value})
     assert Tuning.from_value({"step": value, "window": 3.0}).window == 3 * S
 
 
-def test_teams_zones_objectives_and_fields_of_any_kind_are_taken(tmp_path: Path) -> None:
+def test_settings_file_is_accepted_with_any_teams_zones_objectives_and_unknown_fields(tmp_path: Path) -> None:
     cluster = SETTINGS_FILE["cluster"] | {
         "zones": ["never", "heard", "of"], "teams": [{"name": "new \u00e9", "cpus_max": 5, "colour": "red"}],
         "objectives": [{"kind": "unheard-of", "weight": [1]}, {"kind": "wait"}], "more": {"fields": [None]},
@@ -686,41 +735,41 @@
     assert load(path).cluster.teams[0].cpus_max == 5.0
 
 
-def paths(value: Any, here: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
-    if here:
-        yield here
+def key_paths(value: Any, prefix: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
+    if prefix:
+        yield prefix
     if isinstance(value, dict):
-        for key, one in value.items():
-            yield from paths(one, (*here, key))
+        for key, child in value.items():
+            yield from key_paths(child, (*prefix, key))
 
 
 @hypothesis_settings(derandomize=True, max_examples=400, deadline=None)
 @given(
-    st.sampled_from(list(paths(SETTINGS_FILE))),
-    st.sampled_from([*JUNK, "a:b\n:1", "h:99999", "h:-1", float("nan"), ...]),
+    st.sampled_from(list(key_paths(SETTINGS_FILE))),
+    st.sampled_from([*UNEXPECTED_VALUES, "a:b\n:1", "h:99999", "h:-1", float("nan"), ...]),
 )
-def test_a_settings_file_that_cannot_hold_is_named_in_one_line(
-    tmp_path_factory: pytest.TempPathFactory, place: tuple[str, ...], value: Any
+def test_settings_error_is_one_short_line_with_the_path_when_a_field_is_invalid(
+    tmp_path_factory: pytest.TempPathFactory, key_path: tuple[str, ...], value: Any
 ) -> None:
-    whole = copy.deepcopy(SETTINGS_FILE)
-    inner = whole
-    for key in place[:-1]:
-        inner = inner[key]
+    document = copy.deepcopy(SETTINGS_FILE)
+    parent = document
+    for key in key_path[:-1]:
+        parent = parent[key]
     if value is ...:
-        del inner[place[-1]]
+        del parent[key_path[-1]]
     else:
-        inner[place[-1]] = value
+        parent[key_path[-1]] = value
     path = tmp_path_factory.getbasetemp() / "settings.json"
-    path.write_text(json.dumps(whole))
-    refusal = refusal_of(path)
-    if refusal is not None:
-        assert "\n" not in refusal
-        assert refusal.startswith(str(path))
-        assert len(refusal) < 400
+    path.write_text(json.dumps(document))
+    error_text = load_error(path)
+    if error_text is not None:
+        assert "\n" not in error_text
+        assert error_text.startswith(str(path))
+        assert len(error_text) < 400
 
 
-def refusal_of(path: Path) -> str | None:
-    """Return why a settings file is refused; None where it is taken."""
+def load_error(path: Path) -> str | None:
+    """Return the error with which a settings file is refused; None when it is accepted."""
     try:
         load(path)
     except SettingsError as error:
@@ -728,8 +777,8 @@
     return None
 
 
-@pytest.mark.parametrize("body", [b"", b"\xff\xfe", b"[]", b"null", DEEP, b'{"member": "' + b"x" * 10])
-def test_what_is_no_settings_file_is_named_in_one_line(tmp_path: Path, body: bytes) -> None:
+@pytest.mark.parametrize("body", [b"", b"\xff\xfe", b"[]", b"null", DEEP_JSON, b'{"member": "' + b"x" * 10])
+def test_settings_error_is_one_line_when_the_file_is_not_a_settings_object(tmp_path: Path, body: bytes) -> None:
     path = tmp_path / "s.json"
     path.write_bytes(body)
     with pytest.raises(SettingsError) as error:
@@ -738,7 +787,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cluster", "named"),
+    ("cluster", "field"),
     [
         ({"teams": [{"name": "a"}, {"name": "a"}]}, "teams"),
         ({"teams": [{"name": "a", "cpus_max": -1}]}, "cpus_max"),
@@ -751,9 +800,11 @@
         ({"state": {"rps": 0, "write_rps": 5.0, "value_kb": 4.0, "txn_ops": 12}}, "rps"),
     ],
 )
-def test_settings_that_contradict_themselves_are_named(tmp_path: Path, cluster: dict[str, Any], named: str) -> None:
+def test_settings_error_names_the_field_when_a_value_is_invalid_or_contradictory(
+    tmp_path: Path, cluster: dict[str, Any], field: str
+) -> None:
     path = tmp_path / "s.json"
     path.write_text(json.dumps(SETTINGS_FILE | {"cluster": SETTINGS_FILE["cluster"] | cluster}))
-    with pytest.raises(SettingsError, match=named) as error:
+    with pytest.raises(SettingsError, match=field) as error:
         load(path)
     assert "\n" not in str(error.value)
