--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -1,4 +1,10 @@
-"""Small parts against slow plain models: done sets, team grants, token buckets, owners, the trigger."""
+"""Small components, compared with plain models: progress, limit shares, token buckets, owners and the autoscaler.
+
+The tests guard against these failures: the compact encoding of done tasks differs from a plain set or grows too large
+for a record; members exceed a team limit together because a lower share has not reached one of them yet; a client
+exceeds a rate; machines change owners without need; the autoscaler rents too early, rents what the cloud refuses, or
+keeps or drains the wrong machines.
+"""
 
 import json
 from collections import Counter
@@ -31,39 +37,41 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.integers(0, 300), max_size=200))
-def test_done_sets_are_sets(tasks: list[int]) -> None:
-    plain: set[int] = set()
-    compact = Progress()
+def test_progress_holds_the_same_tasks_as_a_plain_set(tasks: list[int]) -> None:
+    expected: set[int] = set()
+    progress = Progress()
     for task in tasks:
-        assert compact.add(task) is (task not in plain)
-        plain.add(task)
-        assert compact.count == len(plain)
-    again = Progress.decode(compact.encode())
-    assert [task in again for task in range(310)] == [task in plain for task in range(310)]
+        assert progress.add(task) is (task not in expected)
+        expected.add(task)
+        assert progress.count == len(expected)
+    decoded = Progress.decode(progress.encode())
+    assert [task in decoded for task in range(310)] == [task in expected for task in range(310)]
 
 
-def test_a_job_of_100000_tasks_fits_a_small_value_and_is_walked_once() -> None:
-    run = decode_job_spec(json.dumps(job_spec("j-1", pieces=100_000)).encode())
-    job_state = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, Progress().encode()), 1), Progress(), timedelta(0))
-    largest = 0
+def test_job_of_100000_tasks_yields_each_task_once_and_its_record_stays_small() -> None:
+    spec = decode_job_spec(json.dumps(job_spec("j-1", pieces=100_000)).encode())
+    job_state = JobState(Job("j-1", JobRecord(spec, "c0", 1, 0.0, Progress().encode()), 1), Progress(), timedelta(0))
+    largest_bytes = 0
     for _ in range(100_000):
         task = job_state.next_task()
         assert task is not None
-        # Every tenth ends far later than its neighbours, so the set has holes.
+        # The tasks end in order here; the largest record, of a window in which every other task is done, follows below.
         job_state.done.add(task)
         if task % 1000 == 0:
-            record = JobRecord(run, "c0", 1, 0.0, job_state.done.encode())
-            largest = max(largest, len(msgspec.json.encode(to_value(record))))
+            record = JobRecord(spec, "c0", 1, 0.0, job_state.done.encode())
+            largest_bytes = max(largest_bytes, len(msgspec.json.encode(to_value(record))))
     assert job_state.next_task() is None
     assert job_state.is_complete
     holes = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW_TASKS, 2)))
-    assert len(msgspec.json.encode(to_value(JobRecord(run, "c0", 1, 0.0, holes.encode())))) < 2.5 * 1024 > largest
+    assert (
+        len(msgspec.json.encode(to_value(JobRecord(spec, "c0", 1, 0.0, holes.encode())))) < 2.5 * 1024 > largest_bytes
+    )
 
 
-def test_tasks_past_the_window_wait_for_the_oldest() -> None:
-    run = decode_job_spec(json.dumps(job_spec("j-1", pieces=100_000)).encode())
+def test_tasks_beyond_the_progress_window_wait_for_the_oldest_unfinished_task() -> None:
+    spec = decode_job_spec(json.dumps(job_spec("j-1", pieces=100_000)).encode())
     done = Progress(0, sum(1 << task for task in range(1, PROGRESS_WINDOW_TASKS)))
-    job_state = JobState(Job("j-1", JobRecord(run, "c0", 1, 0.0, done.encode()), 1), done, timedelta(0))
+    job_state = JobState(Job("j-1", JobRecord(spec, "c0", 1, 0.0, done.encode()), 1), done, timedelta(0))
     assert job_state.next_task() == 0
     job_state.placed[0] = None  # type: ignore[assignment]
     assert job_state.next_task() is None
@@ -73,237 +81,265 @@
 
 
 MEMBERS = ["a", "b", "c"]
-LIMIT = 20 * UNITS_PER_WHOLE
-LIMITS = {"t": Amounts(LIMIT, 0)}
+CPU_LIMIT_UNITS = 20 * UNITS_PER_WHOLE
+LIMITS_BY_TEAM = {"t": Amounts(CPU_LIMIT_UNITS, 0)}
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from(MEMBERS), st.sampled_from(["ask", "start", "end", "deliver", "ack"]))))
-def test_no_two_members_overstep_a_limit_together(events: list[tuple[str, str]]) -> None:
-    """TeamAmounts and acknowledgements are delivered when the history says so; members start all they may."""
-    leader = ShareAllocator(LIMITS, MEMBERS)
-    held = dict.fromkeys(MEMBERS, 0)
-    using = dict.fromkeys(MEMBERS, 0)
+def test_members_never_exceed_a_limit_together(events: list[tuple[str, str]]) -> None:
+    """Shares and acknowledgements arrive when the generated events say so; members start tasks within their shares."""
+    allocator = ShareAllocator(LIMITS_BY_TEAM, MEMBERS)
+    shares_held = dict.fromkeys(MEMBERS, 0)
+    used = dict.fromkeys(MEMBERS, 0)
     waiting = dict.fromkeys(MEMBERS, 0)
-    told = {member: (using[member], 0) for member in MEMBERS}
-    latest: dict[str, tuple[int, int]] = dict.fromkeys(MEMBERS, (0, 0))
-    seen = dict.fromkeys(MEMBERS, 0)
-    for seq, (member, event) in enumerate(events, 1):
+    reported = {member: (used[member], 0) for member in MEMBERS}
+    last_sent: dict[str, tuple[int, int]] = dict.fromkeys(MEMBERS, (0, 0))
+    received_sequence = dict.fromkeys(MEMBERS, 0)
+    for sequence_number, (member, event) in enumerate(events, 1):
         if event == "ask":
             waiting[member] += 7 * UNITS_PER_WHOLE
-        elif event == "start" and held[member] - using[member] >= UNITS_PER_WHOLE:
-            using[member] += UNITS_PER_WHOLE
+        elif event == "start" and shares_held[member] - used[member] >= UNITS_PER_WHOLE:
+            used[member] += UNITS_PER_WHOLE
             waiting[member] = max(0, waiting[member] - UNITS_PER_WHOLE)
         elif event == "end":
-            using[member] = max(0, using[member] - UNITS_PER_WHOLE)
+            used[member] = max(0, used[member] - UNITS_PER_WHOLE)
         elif event == "deliver":
-            seen[member], held[member] = latest[member]
+            received_sequence[member], shares_held[member] = last_sent[member]
         elif event == "ack":
-            told[member] = (using[member], seen[member])
-            leader.record_acknowledgement(member, seen[member])
-        grants = leader.divide(
-            seq,
-            {m: {"t": Amounts(told[m][0], 0)} for m in MEMBERS},
-            ProportionalSplit({m: {"t": Amounts(waiting[m], 0)} for m in MEMBERS}),
+            reported[member] = (used[member], received_sequence[member])
+            allocator.record_acknowledgement(member, received_sequence[member])
+        shares = allocator.divide(
+            sequence_number,
+            {name: {"t": Amounts(reported[name][0], 0)} for name in MEMBERS},
+            ProportionalSplit({name: {"t": Amounts(waiting[name], 0)} for name in MEMBERS}),
             "a",
         )
-        latest = {m: (seq, grants[m]["t"][0]) for m in MEMBERS}
-        assert sum(using.values()) <= LIMIT
-        assert sum(max(held[m], using[m]) for m in MEMBERS) <= LIMIT
+        last_sent = {name: (sequence_number, shares[name]["t"][0]) for name in MEMBERS}
+        assert sum(used.values()) <= CPU_LIMIT_UNITS
+        assert sum(max(shares_held[name], used[name]) for name in MEMBERS) <= CPU_LIMIT_UNITS
 
 
-def raised_while_the_old_share_may_be_in_use(leader: ShareAllocator) -> tuple[int, int]:
-    """A may still act on the whole limit while b asks; what b gets before and after a says that it knows better."""
-    free, hungry = {m: {"t": Amounts(0, 0)} for m in MEMBERS}, {"t": Amounts(50 * UNITS_PER_WHOLE, 0)}
-    asks = {member: ProportionalSplit({member: hungry}) for member in MEMBERS}
-    assert leader.divide(1, free, asks["a"], "a")["a"]["t"][0] == LIMIT
-    leader.record_acknowledgement("a", 1)
-    before = leader.divide(2, free, asks["b"], "a")["b"]["t"][0]
-    leader.record_acknowledgement("a", 2)
-    return before, leader.divide(3, free, asks["b"], "a")["b"]["t"][0]
+def shares_before_and_after_acknowledgement(allocator: ShareAllocator) -> tuple[int, int]:
+    """Return b's share before and after `a` acknowledges its lower share; `a` may use the whole limit until then."""
+    no_usage, demand = {member: {"t": Amounts(0, 0)} for member in MEMBERS}, {"t": Amounts(50 * UNITS_PER_WHOLE, 0)}
+    policies = {member: ProportionalSplit({member: demand}) for member in MEMBERS}
+    assert allocator.divide(1, no_usage, policies["a"], "a")["a"]["t"][0] == CPU_LIMIT_UNITS
+    allocator.record_acknowledgement("a", 1)
+    share_before = allocator.divide(2, no_usage, policies["b"], "a")["b"]["t"][0]
+    allocator.record_acknowledgement("a", 2)
+    return share_before, allocator.divide(3, no_usage, policies["b"], "a")["b"]["t"][0]
 
 
-def test_a_share_is_raised_only_once_the_other_is_lowered_for_sure() -> None:
-    leader = ShareAllocator(LIMITS, MEMBERS)
-    assert raised_while_the_old_share_may_be_in_use(leader) == (0, LIMIT)
+def test_share_is_raised_only_after_the_other_member_acknowledged_its_lower_share() -> None:
+    allocator = ShareAllocator(LIMITS_BY_TEAM, MEMBERS)
+    assert shares_before_and_after_acknowledgement(allocator) == (0, CPU_LIMIT_UNITS)
 
 
-def test_without_that_guard_the_limit_is_given_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    leader = ShareAllocator(LIMITS, MEMBERS)
-    divide = leader.divide
+def test_limit_is_granted_twice_without_the_record_of_unacknowledged_shares(monkeypatch: pytest.MonkeyPatch) -> None:
+    allocator = ShareAllocator(LIMITS_BY_TEAM, MEMBERS)
+    divide = allocator.divide
 
-    def forgetful(seq: int, *rest: Any) -> Any:
+    def divide_without_unacknowledged_shares(sequence_number: int, *arguments: Any) -> Any:
         for member in MEMBERS:
-            leader._sent[member][-1] = (0, {})
-        return divide(seq, *rest)
+            allocator._sent[member][-1] = (0, {})
+        return divide(sequence_number, *arguments)
 
-    monkeypatch.setattr(leader, "divide", forgetful)
-    assert raised_while_the_old_share_may_be_in_use(leader)[0] == LIMIT
+    monkeypatch.setattr(allocator, "divide", divide_without_unacknowledged_shares)
+    assert shares_before_and_after_acknowledgement(allocator)[0] == CPU_LIMIT_UNITS
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 700), st.integers(1, 5)), max_size=60))
-def test_a_bucket_lets_through_no_more_than_its_rate_and_burst(events: list[tuple[int, int]]) -> None:
-    bucket, now, taken = TokenBucket(10.0, 5.0), timedelta(0), []
-    for pause, amount in events:
-        now += timedelta(milliseconds=pause)
+def test_token_bucket_admits_no_more_than_its_rate_and_burst(events: list[tuple[int, int]]) -> None:
+    bucket, now, admitted = TokenBucket(10.0, 5.0), timedelta(0), []
+    for pause_ms, amount in events:
+        now += timedelta(milliseconds=pause_ms)
         if not bucket.wait_time(now, amount):
             bucket.consume(amount)
-            taken.append((now, amount))
-    for start, (begin, _) in enumerate(taken):
+            admitted.append((now, amount))
+    for first, (started_at, _) in enumerate(admitted):
         total = 0
-        for at, amount in taken[start:]:
+        for admitted_at, amount in admitted[first:]:
             total += amount
-            assert total <= 5.0 + 10.0 * ((at - begin) / S) + 1e-6
+            assert total <= 5.0 + 10.0 * ((admitted_at - started_at) / S) + 1e-6
 
 
-def test_few_machines_move_when_a_member_leaves() -> None:
+def test_only_the_machines_of_a_leaving_member_get_another_owner() -> None:
     hosts = [f"vm-{number:06d}" for number in range(300)]
-    three = {host: owner_of(host, {"a": "", "b": "", "c": ""}) for host in hosts}
-    two = {host: owner_of(host, {"a": "", "b": ""}) for host in hosts}
-    assert min(Counter(three.values()).values()) > 60
-    assert all(two[host] == three[host] for host in hosts if three[host] != "c")
+    owners_before = {host: owner_of(host, {"a": "", "b": "", "c": ""}) for host in hosts}
+    owners_after = {host: owner_of(host, {"a": "", "b": ""}) for host in hosts}
+    assert min(Counter(owners_before.values()).values()) > 60
+    assert all(owners_after[host] == owners_before[host] for host in hosts if owners_before[host] != "c")
 
 
-DURATIONS = AgentDurations(S, 10 * S, 30 * S)
-FLAVOR = MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"], price=1.0, spot_price=0.4, boot_s=30.0)
+AGENT_DURATIONS = AgentDurations(S, 10 * S, 30 * S)
+MACHINE_TYPE = MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"], price=1.0, spot_price=0.4, boot_s=30.0)
 
 
-def machine(host: str, up: bool = True, tasks: int = 0, age: float = 100.0, **fields: object) -> FleetMachine:
-    record = MachineRecord("m", "a", False, 1, 0.0, registered=up)
-    room = Room(host, "m", "a", False, 8.0, 0.0, 32.0) if up else None
-    known = {
+def fleet_machine(
+    host: str, is_up: bool = True, task_count: int = 0, age_s: float = 100.0, **fields: object
+) -> FleetMachine:
+    record = MachineRecord("m", "a", False, 1, 0.0, registered=is_up)
+    room = Room(host, "m", "a", False, 8.0, 0.0, 32.0) if is_up else None
+    attributes = {
         "silent_for": timedelta(0),
         "preempted_in": None,
         "fault_indicating_job_count": 0,
         "is_drained": False,
     } | fields
-    return FleetMachine(host, record, FLAVOR, up, age * S, task_count=tasks, room=room, **known)  # type: ignore[arg-type]
+    return FleetMachine(host, record, MACHINE_TYPE, is_up, age_s * S, task_count=task_count, room=room, **attributes)  # type: ignore[arg-type]
 
 
-def steps(
-    fleet: Autoscaler, demands: list[Demand], machines: list[FleetMachine], count: int, begin: float = 0.0
+def count_rentals(
+    autoscaler: Autoscaler,
+    demands: list[Demand],
+    machines: list[FleetMachine],
+    step_count: int,
+    started_at_s: float = 0.0,
 ) -> int:
+    """Return in how many steps, each half a second after the one before, the autoscaler rents."""
     return sum(
-        fleet.step(timedelta(seconds=begin + n * 0.5), demands, machines, [FLAVOR], True).rent is not None
-        for n in range(count)
+        autoscaler.step(timedelta(seconds=started_at_s + step * 0.5), demands, machines, [MACHINE_TYPE], True).rent
+        is not None
+        for step in range(step_count)
     )
 
 
-def demand(tasks: int, waited: float = 1.0) -> Demand:
-    run = decode_job_spec(json.dumps(job_spec("j-1", pieces=tasks, cores=4.0)).encode())
-    return Demand(run, tasks, waited * S, Counter())
-
-
-def test_counts_window_and_one_machine_a_step() -> None:
-    fleet = Autoscaler(Tuning(pool_size=0, window=2 * S), DURATIONS)
-    assert steps(fleet, [demand(4)], [], 4) == 0
-    assert fleet.trigger is Trigger.RISING
-    assert steps(fleet, [demand(4)], [], 3, 2.0) == 3
-    assert fleet.waiting == 4
-    assert steps(fleet, [demand(4)], [machine("vm-0", False, age=1.0), machine("vm-1", False, age=1.0)], 4, 4.0) == 0
-    assert (fleet.waiting, fleet.trigger) == (0, Trigger.LOW), "room that boots is taken off"
+def waiting_demand(task_count: int, waited_s: float = 1.0) -> Demand:
+    spec = decode_job_spec(json.dumps(job_spec("j-1", pieces=task_count, cores=4.0)).encode())
+    return Demand(spec, task_count, waited_s * S, Counter())
+
+
+def test_one_machine_a_step_is_rented_once_the_count_was_high_for_the_window() -> None:
+    autoscaler = Autoscaler(Tuning(pool_size=0, window=2 * S), AGENT_DURATIONS)
+    assert count_rentals(autoscaler, [waiting_demand(4)], [], 4) == 0
+    assert autoscaler.trigger is Trigger.RISING
+    assert count_rentals(autoscaler, [waiting_demand(4)], [], 3, 2.0) == 3
+    assert autoscaler.waiting == 4
+    assert (
+        count_rentals(
+            autoscaler,
+            [waiting_demand(4)],
+            [fleet_machine("vm-0", False, age_s=1.0), fleet_machine("vm-1", False, age_s=1.0)],
+            4,
+            4.0,
+        )
+        == 0
+    )
+    assert (autoscaler.waiting, autoscaler.trigger) == (0, Trigger.LOW), "booting machines cover the waiting tasks"
 
 
-def test_long_waiting_tasks_fire_by_themselves() -> None:
-    fleet = Autoscaler(Tuning(pool_size=0, window=0 * S, waiting_high=100, long_waiting_high=2), DURATIONS)
-    assert steps(fleet, [demand(4, 5.0)], [], 3) == 0
-    assert steps(fleet, [demand(4, 11.0)], [], 3, 2.0) == 3
-    assert fleet.long_waiting == 4
+def test_long_waiting_tasks_alone_raise_the_trigger() -> None:
+    autoscaler = Autoscaler(Tuning(pool_size=0, window=0 * S, waiting_high=100, long_waiting_high=2), AGENT_DURATIONS)
+    assert count_rentals(autoscaler, [waiting_demand(4, 5.0)], [], 3) == 0
+    assert count_rentals(autoscaler, [waiting_demand(4, 11.0)], [], 3, 2.0) == 3
+    assert autoscaler.long_waiting == 4
 
 
-def test_refused_kinds_back_off() -> None:
-    fleet = Autoscaler(Tuning(pool_size=0, window=0 * S), DURATIONS)
-    fleet.step(timedelta(0), [demand(2)], [], [FLAVOR], True)
-    fleet.record_refusal(("m", "a", False), timedelta(0))
-    assert steps(fleet, [demand(2)], [], 6, 0.5) == 0
-    assert steps(fleet, [demand(2)], [], 4, 5.0) == 4
+def test_refused_machine_kind_is_not_rented_again_before_a_backoff() -> None:
+    autoscaler = Autoscaler(Tuning(pool_size=0, window=0 * S), AGENT_DURATIONS)
+    autoscaler.step(timedelta(0), [waiting_demand(2)], [], [MACHINE_TYPE], True)
+    autoscaler.record_refusal(("m", "a", False), timedelta(0))
+    assert count_rentals(autoscaler, [waiting_demand(2)], [], 6, 0.5) == 0
+    assert count_rentals(autoscaler, [waiting_demand(2)], [], 4, 5.0) == 4
 
 
-def test_pool_is_refilled_and_idle_machines_leave_after_the_cooldown() -> None:
-    fleet = Autoscaler(Tuning(pool_size=1, cooldown=10 * S), DURATIONS)
-    assert steps(fleet, [], [], 1) == 1, "the pool is short"
-    idle = [machine("vm-0"), machine("vm-1")]
-    left: dict[str, str] = {}
+def test_pool_is_refilled_and_surplus_idle_machine_is_drained_after_the_cooldown() -> None:
+    autoscaler = Autoscaler(Tuning(pool_size=1, cooldown=10 * S), AGENT_DURATIONS)
+    assert count_rentals(autoscaler, [], [], 1) == 1, "the pool has too few machines"
+    idle_machines = [fleet_machine("vm-0"), fleet_machine("vm-1")]
+    drained: dict[str, str] = {}
     for second in range(30):
-        plan = fleet.step(second * S, [], idle, [FLAVOR], True)
+        plan = autoscaler.step(second * S, [], idle_machines, [MACHINE_TYPE], True)
         assert plan.rent is None
         if second < 10:
             assert plan.drain == {}
-        left |= plan.drain
-    assert list(left.values()) == ["idle"]
-    assert fleet.idle_pool == [host for host in ("vm-0", "vm-1") if host not in left]
-
-
-def test_idle_machines_that_no_waiting_task_can_use_leave_though_the_trigger_is_high() -> None:
-    """A job bound to a zone without capacity kept the trigger high for good, and with it every idle machine."""
-
-    def left(zone: str) -> dict[str, str]:
-        fleet = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S), DURATIONS)
-        run = decode_job_spec(json.dumps(job_spec("j-1", pieces=4, cores=4.0, yard=zone)).encode())
-        kept = machine("vm-0")
-        assert kept.room is not None
-        assert kept.record.zone == "a"
-        # What is kept for services is no room for an array, yet of use to it before long.
-        kept.room.in_pool = True
-        found: dict[str, str] = {}
+        drained |= plan.drain
+    assert list(drained.values()) == ["idle"]
+    assert autoscaler.idle_pool == [host for host in ("vm-0", "vm-1") if host not in drained]
+
+
+def test_idle_machine_is_drained_while_the_trigger_is_high_when_no_waiting_task_can_use_it() -> None:
+    """A job bound to a zone without capacity can keep the trigger high for ever, and must not keep idle machines."""
+
+    def drained_in_zone(zone: str) -> dict[str, str]:
+        autoscaler = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S), AGENT_DURATIONS)
+        spec = decode_job_spec(json.dumps(job_spec("j-1", pieces=4, cores=4.0, yard=zone)).encode())
+        idle_machine = fleet_machine("vm-0")
+        assert idle_machine.room is not None
+        assert idle_machine.record.zone == "a"
+        # The idle pool is closed to arrays at first, but opens to them after a longer wait.
+        idle_machine.room.in_pool = True
+        drained: dict[str, str] = {}
         for second in range(30):
-            plan = fleet.step(second * S, [Demand(run, 4, 1 * S, Counter())], [kept], [], True)
+            plan = autoscaler.step(second * S, [Demand(spec, 4, 1 * S, Counter())], [idle_machine], [], True)
             assert second >= 10 or plan.drain == {}
-            found |= plan.drain
-        assert fleet.trigger is Trigger.HIGH
-        return found
+            drained |= plan.drain
+        assert autoscaler.trigger is Trigger.HIGH
+        return drained
 
-    assert left("b") == {"vm-0": "idle"}
-    assert left("a") == {}
+    assert drained_in_zone("b") == {"vm-0": "idle"}
+    assert drained_in_zone("a") == {}
 
 
-def test_a_machine_with_few_services_is_emptied_when_they_find_room_with_others() -> None:
-    def serving(host: str, services: int, **fields: object) -> FleetMachine:
-        runs = [
+def test_underutilized_machine_is_drained_when_its_services_fit_on_another() -> None:
+    def machine_with_services(host: str, service_count: int, **fields: object) -> FleetMachine:
+        specs = [
             decode_job_spec(json.dumps(job_spec(f"j-{host[3:]}{n}", shape="service", pieces=1, cores=2.0)).encode())
-            for n in range(services)
+            for n in range(service_count)
         ]
-        found = machine(host, tasks=services, services=runs, **fields)
-        for run in runs if found.room is not None else ():
-            found.room.allocate(run)
-            found.room.service_cpus += run.cpus
-        return found
-
-    def left(*machines: FleetMachine, waiting: int = 0) -> dict[str, str]:
-        fleet = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S, started=15 * S), DURATIONS)
-        found: dict[str, str] = {}
+        result = fleet_machine(host, task_count=service_count, services=specs, **fields)
+        for spec in specs if result.room is not None else ():
+            result.room.allocate(spec)
+            result.room.service_cpus += spec.cpus
+        return result
+
+    def drained_among(*machines: FleetMachine, waiting_tasks: int = 0) -> dict[str, str]:
+        autoscaler = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S, started=15 * S), AGENT_DURATIONS)
+        result: dict[str, str] = {}
         for second in range(20):
-            demands = [demand(waiting)] if waiting else []
-            found |= fleet.step(second * S, demands, list(machines), [FLAVOR], True).drain
-        return found
+            demands = [waiting_demand(waiting_tasks)] if waiting_tasks else []
+            result |= autoscaler.step(second * S, demands, list(machines), [MACHINE_TYPE], True).drain
+        return result
 
-    few, many = serving("vm-0", 1, owner="c0"), serving("vm-1", 3, owner="c0")
-    assert left(few, many) == {"vm-0": "thin"}
-    assert left(few, serving("vm-1", 4, owner="c0")) == {}, "no room there"
-    assert left(few, serving("vm-1", 3, owner="c1")) == {}, "another's part"
-    assert left(serving("vm-0", 3, owner="c0"), many) == {}, "neither runs few"
-    assert left(few, many, waiting=40) == {}, "the trigger is not quiet"
+    underutilized, well_used = (
+        machine_with_services("vm-0", 1, owner="c0"),
+        machine_with_services("vm-1", 3, owner="c0"),
+    )
+    assert drained_among(underutilized, well_used) == {"vm-0": "thin"}
+    assert drained_among(underutilized, machine_with_services("vm-1", 4, owner="c0")) == {}, (
+        "the services do not fit on the other machine"
+    )
+    assert drained_among(underutilized, machine_with_services("vm-1", 3, owner="c1")) == {}, (
+        "the machines have different owners"
+    )
+    assert drained_among(machine_with_services("vm-0", 3, owner="c0"), well_used) == {}, (
+        "neither machine is underutilized"
+    )
+    assert drained_among(underutilized, well_used, waiting_tasks=40) == {}, "the trigger is not low"
 
 
-def test_machines_that_are_no_good_leave() -> None:
-    fleet = Autoscaler(Tuning(), DURATIONS)
+def test_faulty_silent_and_preempted_machines_are_drained() -> None:
+    autoscaler = Autoscaler(Tuning(), AGENT_DURATIONS)
     machines = [
-        machine("vm-sick", fault_indicating_job_count=2),
-        machine("vm-silent", silent_for=31 * S),
-        machine("vm-hangs", silent_for=29 * S),
-        machine("vm-dead", silent_for=12 * S, cloud_status="failed"),
-        machine("vm-new", up=False, age=60.0, silent_for=31 * S),
-        machine("vm-never", up=False, age=120.0, silent_for=31 * S),
-        machine("vm-taken", preempted_in=0.2 * S),
-        machine("vm-good", tasks=1),
+        fleet_machine("vm-sick", fault_indicating_job_count=2),
+        fleet_machine("vm-silent", silent_for=31 * S),
+        fleet_machine("vm-hangs", silent_for=29 * S),
+        fleet_machine("vm-dead", silent_for=12 * S, cloud_status="failed"),
+        fleet_machine("vm-new", is_up=False, age_s=60.0, silent_for=31 * S),
+        fleet_machine("vm-never", is_up=False, age_s=120.0, silent_for=31 * S),
+        fleet_machine("vm-taken", preempted_in=0.2 * S),
+        fleet_machine("vm-good", task_count=1),
     ]
-    plan = fleet.step(timedelta(0), [], machines, [FLAVOR], False)
-    others = {"vm-silent": "silent", "vm-dead": "gone", "vm-never": "never up", "vm-taken": "taken"}
-    assert plan.drain == others
-    assert fleet.step(9.5 * S, [], machines, [FLAVOR], False).drain == others
-    assert fleet.step(10 * S, [], machines, [FLAVOR], False).drain == others | {"vm-sick": "sick"}
+    first_plan = autoscaler.step(timedelta(0), [], machines, [MACHINE_TYPE], False)
+    reasons_of_others = {"vm-silent": "silent", "vm-dead": "gone", "vm-never": "never up", "vm-taken": "taken"}
+    assert first_plan.drain == reasons_of_others
+    assert autoscaler.step(9.5 * S, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others
+    assert autoscaler.step(10 * S, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others | {"vm-sick": "sick"}
     machines[0].fault_indicating_job_count = 1
-    assert fleet.step(11 * S, [], machines, [FLAVOR], False).drain == others
+    assert autoscaler.step(11 * S, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others
     machines[0].fault_indicating_job_count = 2
-    assert fleet.step(12 * S, [], machines, [FLAVOR], False).drain == others, "counted anew"
+    assert autoscaler.step(12 * S, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others, (
+        "the evidence must persist from the start again"
+    )
