--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,9 @@
-"""Placement and preemption against exhaustive search and against the rules as they are written."""
+"""Placement, preemption and urgency, compared with exhaustive search and with the rules written out.
+
+The tests guard against these failures: a task is placed against its job's rules or beyond the free room; a job starts
+fewer tasks than could run; an estimate counts room that does not exist; a task is stopped that its priority or its
+team's guarantee protects; jobs that are late anyway make others late, or wait for ever.
+"""
 
 import itertools
 import json
@@ -27,12 +32,12 @@
 from virtual import job_spec
 
 
-def run_of(**fields: object) -> JobSpec:
+def spec_of(**fields: object) -> JobSpec:
     return decode_job_spec(json.dumps(job_spec("j-1", **fields)).encode())
 
 
-RUNS = st.builds(
-    run_of,
+SPECS = st.builds(
+    spec_of,
     pieces=st.integers(1, 4),
     cores=st.sampled_from([1.0, 2.0, 3.0]),
     ramGb=st.sampled_from([0.0, 4.0, 8.0]),
@@ -43,9 +48,9 @@
     yard=st.sampled_from([None, "a"]),
     rigs=st.sampled_from([None, ["m"], ["n"]]),
 )
-ROOMS = st.lists(
+ROOM_LISTS = st.lists(
     st.builds(
-        lambda flavor, yard, spot, cores, cards, ram: Room("", flavor, yard, spot, cores, cards, ram),
+        lambda machine_type, yard, spot, cores, cards, ram: Room("", machine_type, yard, spot, cores, cards, ram),
         st.sampled_from(["m", "n"]), st.sampled_from(["a", "b"]), st.booleans(),
         st.sampled_from([0.0, 2.0, 4.0]), st.sampled_from([0.0, 1.0, 2.0]), st.sampled_from([4.0, 16.0]),
     ),
@@ -53,154 +58,192 @@
 )  # fmt: skip
 
 
-def named(rooms: list[Room]) -> list[Room]:
-    for number, room in enumerate(rooms):
-        room.host = f"vm-{number}"
+def with_host_names(rooms: list[Room]) -> list[Room]:
+    for index, room in enumerate(rooms):
+        room.host = f"vm-{index}"
     return rooms
 
 
-def allowed(run: JobSpec, rooms: list[Room], where: tuple[int, ...]) -> bool:
-    """The rules, task by task: may these rooms hold one task each in this order."""
-    zones = [rooms[index].zone for index in where]
-    for index in set(where):
-        room, count = rooms[index], where.count(index)
-        if run.machine_types is not None and room.machine_type not in run.machine_types:
+def is_allowed(spec: JobSpec, rooms: list[Room], placement: tuple[int, ...]) -> bool:
+    """Return whether the rules allow one task in each of these rooms, which are given by index, in this order."""
+    zones = [rooms[index].zone for index in placement]
+    for index in set(placement):
+        room, count = rooms[index], placement.count(index)
+        if spec.machine_types is not None and room.machine_type not in spec.machine_types:
             return False
-        if run.zone not in (None, room.zone):
+        if spec.zone not in (None, room.zone):
             return False
-        if room.spot and not run.spot:
+        if room.spot and not spec.spot:
             return False
-        if run.cpus * count > room.cpus or run.gpus * count > room.gpus or run.ram_gb * count > room.ram_gb:
+        if spec.cpus * count > room.cpus or spec.gpus * count > room.gpus or spec.ram_gb * count > room.ram_gb:
             return False
-    if run.single_zone and len(set(zones)) > 1:
+    if spec.single_zone and len(set(zones)) > 1:
         return False
-    return not run.spread_zones or all(zones.count(zone) <= (run.task_count + 1) // 2 for zone in zones)
+    return not spec.spread_zones or all(zones.count(zone) <= (spec.task_count + 1) // 2 for zone in zones)
 
 
-def greedy(run: JobSpec, rooms: list[Room]) -> list[int]:
-    where: list[int] = []
-    placed: dict[str, int] = {}
-    while len(where) < run.task_count and (room := choose_room(run, rooms, placed)) is not None:
-        room.allocate(run)
-        placed[room.zone] = placed.get(room.zone, 0) + 1
-        where.append(rooms.index(room))
-    return where
+def place_greedily(spec: JobSpec, rooms: list[Room]) -> list[int]:
+    placement: list[int] = []
+    placed_by_zone: dict[str, int] = {}
+    while len(placement) < spec.task_count and (room := choose_room(spec, rooms, placed_by_zone)) is not None:
+        room.allocate(spec)
+        placed_by_zone[room.zone] = placed_by_zone.get(room.zone, 0) + 1
+        placement.append(rooms.index(room))
+    return placement
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(RUNS, ROOMS)
-def test_placement_keeps_the_rules_and_starts_as_many_as_can_be(run: JobSpec, rooms: list[Room]) -> None:
-    before = named(rooms)
-    copies = [Room(r.host, r.machine_type, r.zone, r.spot, r.cpus, r.gpus, r.ram_gb) for r in before]
-    where = greedy(run, copies)
-    assert allowed(run, before, tuple(where))
-    best = max(
+@given(SPECS, ROOM_LISTS)
+def test_placement_obeys_the_rules_and_starts_as_many_tasks_as_possible(spec: JobSpec, rooms: list[Room]) -> None:
+    rooms_before = with_host_names(rooms)
+    rooms_after = [
+        Room(room.host, room.machine_type, room.zone, room.spot, room.cpus, room.gpus, room.ram_gb)
+        for room in rooms_before
+    ]
+    placement = place_greedily(spec, rooms_after)
+    assert is_allowed(spec, rooms_before, tuple(placement))
+    largest_count = max(
         count
-        for count in range(run.task_count + 1)
-        if any(allowed(run, before, each) for each in itertools.product(range(len(before)), repeat=count))
+        for count in range(spec.task_count + 1)
+        if any(
+            is_allowed(spec, rooms_before, candidate)
+            for candidate in itertools.product(range(len(rooms_before)), repeat=count)
+        )
     )
-    assert len(where) == best
+    assert len(placement) == largest_count
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
-@given(RUNS, ROOMS)
-def test_counting_finds_no_more_room_than_there_is(run: JobSpec, rooms: list[Room]) -> None:
-    before = named(rooms)
-    copies = [Room(r.host, r.machine_type, r.zone, r.spot, r.cpus, r.gpus, r.ram_gb) for r in before]
-    found = fill_rooms(run, run.task_count, copies, Counter())
-    assert found <= run.task_count
-    for room, copy in zip(before, copies, strict=True):
-        used = round((room.cpus - copy.cpus) / run.cpus)
-        assert used == 0 or may_use(run, room.machine_type, room.zone, room.spot)
-        assert used <= zone_headroom(run, room.zone, {})
-        assert copy.cpus >= -1e-6
-
-
-def flavor(**fields: object) -> MachineType:
+@given(SPECS, ROOM_LISTS)
+def test_estimate_of_fitting_tasks_obeys_the_rules_and_the_free_room(spec: JobSpec, rooms: list[Room]) -> None:
+    rooms_before = with_host_names(rooms)
+    rooms_after = [
+        Room(room.host, room.machine_type, room.zone, room.spot, room.cpus, room.gpus, room.ram_gb)
+        for room in rooms_before
+    ]
+    estimate = fill_rooms(spec, spec.task_count, rooms_after, Counter())
+    assert estimate <= spec.task_count
+    for before, after in zip(rooms_before, rooms_after, strict=True):
+        task_count = round((before.cpus - after.cpus) / spec.cpus)
+        assert task_count == 0 or may_use(spec, before.machine_type, before.zone, before.spot)
+        assert task_count <= zone_headroom(spec, before.zone, {})
+        assert after.cpus >= -1e-6
+
+
+def machine_type(**fields: object) -> MachineType:
     return MachineType(**({"name": "m", "cpus": 8.0, "ram_gb": 32.0, "zones": ["a", "b"]} | fields))  # type: ignore[arg-type]
 
 
-def test_what_can_never_run() -> None:
-    assert can_ever_run(run_of(), [flavor()])
-    assert not can_ever_run(run_of(cores=9.0), [flavor()])
-    assert not can_ever_run(run_of(cards=1.0), [flavor()])
-    assert not can_ever_run(run_of(rigs=["x"]), [flavor()])
-    assert not can_ever_run(run_of(yard="c"), [flavor()])
-    assert not can_ever_run(run_of(spread=True, yard="a"), [flavor()])
-    assert not can_ever_run(run_of(spread=True, oneZone=True), [flavor()])
-    assert can_ever_run(run_of(spread=True, oneZone=True, pieces=1), [flavor()])
+def test_can_ever_run_checks_size_machine_types_and_zone_rules() -> None:
+    assert can_ever_run(spec_of(), [machine_type()])
+    assert not can_ever_run(spec_of(cores=9.0), [machine_type()])
+    assert not can_ever_run(spec_of(cards=1.0), [machine_type()])
+    assert not can_ever_run(spec_of(rigs=["x"]), [machine_type()])
+    assert not can_ever_run(spec_of(yard="c"), [machine_type()])
+    assert not can_ever_run(spec_of(spread=True, yard="a"), [machine_type()])
+    assert not can_ever_run(spec_of(spread=True, oneZone=True), [machine_type()])
+    assert can_ever_run(spec_of(spread=True, oneZone=True, pieces=1), [machine_type()])
 
 
-def test_services_take_a_waiting_agent_with_the_image_and_arrays_keep_off() -> None:
+def test_services_prefer_held_heartbeats_with_the_image_and_arrays_avoid_reserved_room() -> None:
     def room(host: str, **fields: object) -> Room:
         return Room(host, "m", "a", False, 8.0, 0.0, 32.0, **fields)  # type: ignore[arg-type]
 
-    cold = room("vm-0", heartbeat_held=True, service_cpus=1.0, service_reserve=(7.0, 0.0))
-    warm = room("vm-1", heartbeat_held=True, service_cpus=1.0, service_reserve=(7.0, 0.0), images=frozenset(["img"]))
-    mixed = room("vm-2", images=frozenset(["img"]))
-    pool = room("vm-3", heartbeat_held=True, in_pool=True, idle=True, images=frozenset(["img"]))
-    assert choose_room(run_of(shape="service"), [cold, warm, mixed, pool], {}) is warm
-    assert choose_room(run_of(shape="service"), [cold, mixed, pool], {}) is cold, "services go together"
-    assert choose_room(run_of(shape="service"), [mixed, pool], {}) is pool
-    assert choose_room(run_of(), [cold, warm, mixed, pool], {}) is mixed
-    assert choose_room(run_of(), [cold, warm, pool], {}) is None
-    assert choose_room(run_of(), [cold, warm, pool], {}, ReserveAccess.POOL) is pool, "after a long wait"
-    assert choose_room(run_of(), [cold, warm], {}, ReserveAccess.POOL) is None
-    assert choose_room(run_of(), [cold, warm], {}, ReserveAccess.ALL) is warm, "what waited out its patience"
-    assert choose_room(run_of(cores=1.0), [cold, warm], {}) is warm, "beyond their share the rest is free for all"
+    without_image = room("vm-0", heartbeat_held=True, service_cpus=1.0, service_reserve=(7.0, 0.0))
+    with_image = room(
+        "vm-1", heartbeat_held=True, service_cpus=1.0, service_reserve=(7.0, 0.0), images=frozenset(["img"])
+    )
+    without_services = room("vm-2", images=frozenset(["img"]))
+    pool_room = room("vm-3", heartbeat_held=True, in_pool=True, idle=True, images=frozenset(["img"]))
+    assert (
+        choose_room(spec_of(shape="service"), [without_image, with_image, without_services, pool_room], {})
+        is with_image
+    )
+    assert choose_room(spec_of(shape="service"), [without_image, without_services, pool_room], {}) is without_image, (
+        "services share machines"
+    )
+    assert choose_room(spec_of(shape="service"), [without_services, pool_room], {}) is pool_room
+    assert choose_room(spec_of(), [without_image, with_image, without_services, pool_room], {}) is without_services
+    assert choose_room(spec_of(), [without_image, with_image, pool_room], {}) is None
+    assert choose_room(spec_of(), [without_image, with_image, pool_room], {}, ReserveAccess.POOL) is pool_room, (
+        "a long wait opens the pool to arrays"
+    )
+    assert choose_room(spec_of(), [without_image, with_image], {}, ReserveAccess.POOL) is None
+    assert choose_room(spec_of(), [without_image, with_image], {}, ReserveAccess.ALL) is with_image, (
+        "a longer wait opens all reserved room"
+    )
+    assert choose_room(spec_of(cores=1.0), [without_image, with_image], {}) is with_image, (
+        "room beyond the service reserve is open to arrays"
+    )
     small, large = room("vm-4", images=frozenset(["img"])), room("vm-5")
     small.cpus = 2.0
-    assert choose_room(run_of(shape="service"), [small, large], {}) is large, "opened for several"
+    assert choose_room(spec_of(shape="service"), [small, large], {}) is large, (
+        "a machine that fits several replicas is preferred"
+    )
 
 
-def cores(count: int) -> Amounts:
+def whole_cpus(count: int) -> Amounts:
     return Amounts(count * UNITS_PER_WHOLE, 0)
 
 
-def test_who_gives_way() -> None:
-    guarantees = {"a": cores(8), "b": cores(4)}
-    low, normal, high = (run_of(owner="b", rank=rank) for rank in ("low", "normal", "high"))
-    mine = run_of(owner="a", cores=2.0)
-    using = {"a": cores(0), "b": cores(4)}
-    assert may_claim(mine, low, using, guarantees), "lower rank"
-    assert not may_claim(mine, normal, using, guarantees), "b is within its own guarantee"
-    assert may_claim(mine, high, {"b": cores(6)}, guarantees), "b has borrowed, whatever the rank"
-    assert not may_claim(mine, high, {"a": cores(7), "b": cores(6)}, guarantees), "beyond a's guarantee"
-    assert not may_claim(run_of(owner="b"), normal, {"b": cores(9)}, guarantees), "the same team"
+def test_tasks_give_way_to_higher_priorities_and_to_guarantees_of_other_teams() -> None:
+    guarantees = {"a": whole_cpus(8), "b": whole_cpus(4)}
+    low, normal, high = (spec_of(owner="b", rank=rank) for rank in ("low", "normal", "high"))
+    candidate = spec_of(owner="a", cores=2.0)
+    usage = {"a": whole_cpus(0), "b": whole_cpus(4)}
+    assert may_claim(candidate, low, usage, guarantees), "the victim has a lower priority"
+    assert not may_claim(candidate, normal, usage, guarantees), "team b is within its own guarantee"
+    assert may_claim(candidate, high, {"b": whole_cpus(6)}, guarantees), (
+        "team b is beyond its guarantee, so its priority does not count"
+    )
+    assert not may_claim(candidate, high, {"a": whole_cpus(7), "b": whole_cpus(6)}, guarantees), (
+        "the task would take team a beyond its guarantee"
+    )
+    assert not may_claim(spec_of(owner="b"), normal, {"b": whole_cpus(9)}, guarantees), "both jobs are of the same team"
 
 
-def test_victims_are_few_and_cheap() -> None:
+def test_cheapest_claimable_task_is_chosen_as_the_victim() -> None:
     room = Room("vm-0", "m", "a", False, 0.0, 0.0, 32.0)
-    long, short, saves = run_of(guessS=60.0), run_of(guessS=5.0), run_of(guessS=60.0, markEveryS=10.0, markCostS=1.0)
-    tasks = [RunningTask(long, 0, 1), RunningTask(short, 1, 2)]
-    found = choose_victims(run_of(rank="high"), room, tasks, lambda run: True, {})
-    assert found is not None
-    assert [task.attempt for task in found[1]] == [2]
-    cheaper = choose_victims(run_of(rank="high"), room, [*tasks, RunningTask(saves, 3, 4)], lambda run: True, {})
-    assert cheaper is not None
-    assert [task.attempt for task in cheaper[1]] == [4]
-    assert cheaper[0] < found[0]
-    assert choose_victims(run_of(rank="high"), room, tasks, lambda run: False, {}) is None
-
-
-def test_room_goes_first_to_what_can_still_be_in_time() -> None:
+    long_job, short_job, checkpointing_job = (
+        spec_of(guessS=60.0),
+        spec_of(guessS=5.0),
+        spec_of(guessS=60.0, markEveryS=10.0, markCostS=1.0),
+    )
+    tasks = [RunningTask(long_job, 0, 1), RunningTask(short_job, 1, 2)]
+    choice = choose_victims(spec_of(rank="high"), room, tasks, lambda spec: True, {})
+    assert choice is not None
+    assert [task.attempt for task in choice[1]] == [2]
+    cheaper_choice = choose_victims(
+        spec_of(rank="high"), room, [*tasks, RunningTask(checkpointing_job, 3, 4)], lambda spec: True, {}
+    )
+    assert cheaper_choice is not None
+    assert [task.attempt for task in cheaper_choice[1]] == [4]
+    assert cheaper_choice[0] < choice[0]
+    assert choose_victims(spec_of(rank="high"), room, tasks, lambda spec: False, {}) is None
+
+
+def test_jobs_that_can_meet_their_deadline_are_more_urgent_than_late_ones() -> None:
     now = datetime(2026, 1, 1, tzinfo=UTC)
 
-    def aged(seconds: float, **fields: object) -> Job:
-        run = run_of(**({"guessS": 20.0, "dueS": 60.0} | fields))
-        return Job("j-1", JobRecord(run, "c0", 1, now.timestamp() - seconds, Progress().encode()), 1)
+    def job_of_age(seconds: float, **fields: object) -> Job:
+        spec = spec_of(**({"guessS": 20.0, "dueS": 60.0} | fields))
+        return Job("j-1", JobRecord(spec, "c0", 1, now.timestamp() - seconds, Progress().encode()), 1)
 
-    def order(*jobs: tuple[Job, float]) -> list[int]:
-        """By index; with each job the seconds since something of it was started."""
+    def most_urgent_first(*jobs: tuple[Job, float]) -> list[int]:
+        """Return the indexes of the jobs in order; each comes with the seconds since one of its tasks was started."""
         patience = timedelta(seconds=120)
-        key = [urgency(one, timedelta(seconds=idle), now, {"prompt"}, patience, 3 * patience) for one, idle in jobs]
-        return sorted(range(len(jobs)), key=lambda n: key[n])
-
-    late, too_late, fresh, soon = aged(50), aged(85), aged(5), aged(40)
-    assert order((late, 1), (too_late, 1), (fresh, 5), (soon, 40)) == [3, 2, 0, 1]
-    old = aged(140)
-    assert order((fresh, 5), (old, 130), (old, 9)) == [1, 0, 2], "the largest begin in the end"
-    service, high = aged(1, shape="service", dueS=None), aged(90, rank="high")
-    assert order((old, 130), (service, 1), (high, 9)) == [2, 1, 0]
-    assert order((high, 9), (service, 1), (old, 370)) == [2, 0, 1], "one task of what was idle for so long"
-    assert order((fresh, 5), (aged(1, jobclass="prompt"), 1)) == [1, 0]
+        keys = [urgency(job, timedelta(seconds=idle), now, {"prompt"}, patience, 3 * patience) for job, idle in jobs]
+        return sorted(range(len(jobs)), key=lambda index: keys[index])
+
+    late, too_late, fresh, soon = job_of_age(50), job_of_age(85), job_of_age(5), job_of_age(40)
+    assert most_urgent_first((late, 1), (too_late, 1), (fresh, 5), (soon, 40)) == [3, 2, 0, 1]
+    old = job_of_age(140)
+    assert most_urgent_first((fresh, 5), (old, 130), (old, 9)) == [1, 0, 2], (
+        "a job without a start for longer than the patience goes first"
+    )
+    service, high = job_of_age(1, shape="service", dueS=None), job_of_age(90, rank="high")
+    assert most_urgent_first((old, 130), (service, 1), (high, 9)) == [2, 1, 0]
+    assert most_urgent_first((high, 9), (service, 1), (old, 370)) == [2, 0, 1], (
+        "after three times the patience a job goes before all priorities"
+    )
+    assert most_urgent_first((fresh, 5), (job_of_age(1, jobclass="prompt"), 1)) == [1, 0]
