--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -124,9 +124,9 @@
     estimate = fill_rooms(spec, spec.task_count, rooms_after, Counter())
     assert estimate <= spec.task_count
     for before, after in zip(rooms_before, rooms_after, strict=True):
-        task_count = round((before.cpus - after.cpus) / spec.cpus)
-        assert task_count == 0 or may_use(spec, before.machine_type, before.zone, before.spot)
-        assert task_count <= zone_headroom(spec, before.zone, {})
+        placed_count = round((before.cpus - after.cpus) / spec.cpus)
+        assert placed_count == 0 or may_use(spec, before.machine_type, before.zone, before.spot)
+        assert placed_count <= zone_headroom(spec, before.zone, {})
         assert after.cpus >= -1e-6
 
 
