--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -200,9 +200,9 @@
 ) -> int:
     """Return in how many steps, each half a second after the one before, the autoscaler rents."""
     return sum(
-        autoscaler.step(timedelta(seconds=started_at_s + step * 0.5), demands, machines, [MACHINE_TYPE], True).rent
+        autoscaler.step(timedelta(seconds=started_at_s + index * 0.5), demands, machines, [MACHINE_TYPE], True).rent
         is not None
-        for step in range(step_count)
+        for index in range(step_count)
     )
 
 
