--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,9 @@
-"""The clients of the key-value store and the cloud: what each response, or none, becomes."""
+"""The clients of the key-value store and the cloud: the result of each kind of response, and of none.
+
+The tests guard against a result that claims more than the response proves: a transaction without a response may have
+been applied, a failed read does not show that a key is missing, an incomplete list is not a snapshot, and a rental
+without a refusal may have been carried out.
+"""
 
 import json
 from collections.abc import Callable
@@ -18,7 +23,7 @@
 
 
 class ScriptedService:
-    """Answers each call with the next of its responses, and records the targets."""
+    """Gives the next of its responses to each call, and records the targets of the calls."""
 
     def __init__(self, *responses: Response | None) -> None:
         self.runtime = VirtualRuntime(World(1).nodes["c0"])
@@ -57,13 +62,13 @@
         (None, TransactionResult(TransactionOutcome.UNKNOWN)),
     ],
 )
-def test_what_a_response_says_of_a_transaction(response: Response | None, expected: TransactionResult) -> None:
+def test_transaction_result_follows_from_the_response(response: Response | None, expected: TransactionResult) -> None:
     results: list[TransactionResult] = []
     ScriptedService(response).store().commit(Transaction({"a": 0}, [Put("a", 1)]), results.append)
     assert results == [expected]
 
 
-def test_a_transaction_that_waits_too_long_is_rate_limited() -> None:
+def test_transaction_is_rate_limited_when_it_waits_too_long() -> None:
     service = ScriptedService(reply(200, {"epoch": 7}))
     store, results = service.store(), list[TransactionResult]()
     store.commit(Transaction(puts=[Put(str(number), 1) for number in range(100_000)]), results.append)
@@ -83,7 +88,7 @@
         (None, LeaseStatus.UNKNOWN),
     ],
 )
-def test_what_a_response_says_of_a_lease(response: Response | None, expected: LeaseStatus) -> None:
+def test_lease_status_follows_from_the_response(response: Response | None, expected: LeaseStatus) -> None:
     statuses: list[LeaseStatus] = []
     ScriptedService(response).store().keep_lease_alive(3, statuses.append)
     assert statuses == [expected]
@@ -101,7 +106,7 @@
         (None, ReadResult(is_known=False)),
     ],
 )
-def test_a_key_that_does_not_exist_differs_from_a_read_that_failed(
+def test_read_result_of_a_missing_key_differs_from_that_of_a_failed_read(
     response: Response | None, expected: ReadResult
 ) -> None:
     results: list[ReadResult] = []
@@ -109,11 +114,13 @@
     assert results == [expected]
 
 
-def page(revision: int, more: bool, *keys: str) -> Response:
-    return reply(200, {"rows": [{"path": key, "v": 1, "stamp": 1} for key in keys], "more": more, "epoch": revision})
+def page(revision: int, has_more: bool, *keys: str) -> Response:
+    return reply(
+        200, {"rows": [{"path": key, "v": 1, "stamp": 1} for key in keys], "more": has_more, "epoch": revision}
+    )
 
 
-def test_pages_follow_the_last_key_and_the_snapshot_has_the_revision_of_the_first() -> None:
+def test_each_page_follows_the_last_key_and_the_snapshot_has_the_revision_of_the_first_page() -> None:
     service = ScriptedService(page(5, True, "p/a", "p/b"), page(9, False, "p/c"))
     snapshots: list[Snapshot | None] = []
     service.store().list_keys("p/", snapshots.append)
@@ -122,10 +129,10 @@
 
 
 @pytest.mark.parametrize(
-    "second", [page(5, True), page(5, True, "p/a"), page(5, True, "p/b"), reply(200, {}), reply(503), None]
+    "second_page", [page(5, True), page(5, True, "p/a"), page(5, True, "p/b"), reply(200, {}), reply(503), None]
 )
-def test_a_page_that_is_broken_or_leads_nowhere_ends_the_list(second: Response | None) -> None:
-    service = ScriptedService(page(5, True, "p/b"), second)
+def test_list_is_given_up_when_a_page_is_broken_or_does_not_advance(second_page: Response | None) -> None:
+    service = ScriptedService(page(5, True, "p/b"), second_page)
     snapshots: list[Snapshot | None] = []
     service.store().list_keys("p/", snapshots.append)
     assert snapshots == [None]
@@ -143,16 +150,18 @@
         (None, RentResult(None, is_refused=False)),
     ],
 )
-def test_only_a_refusal_proves_that_nothing_was_rented(response: Response | None, expected: RentResult) -> None:
+def test_rental_counts_as_refused_only_when_the_response_proves_it(
+    response: Response | None, expected: RentResult
+) -> None:
     results: list[RentResult] = []
     ScriptedService(response).cloud().rent("r-1", "small", "a", False, 1, results.append)
     assert results == [expected]
 
 
-def test_the_delete_log_knows_what_it_does_not_know() -> None:
+def test_delete_log_returns_none_when_it_is_incomplete_for_the_revision() -> None:
     log = DeleteLog()
     log.add("before", 1)
-    assert log.since(0) is None, "nothing was loaded yet"
+    assert log.since(0) is None, "no snapshot was loaded yet"
     log.restart(10)
     assert log.since(9) is None
     assert log.since(10) == []
