--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,8 @@
-"""What a controller keeps after many jobs and machines have come and gone."""
+"""The memory that a controller keeps after many jobs and machines have come and gone.
+
+The test guards against containers whose entries are not removed with the job or the machine that they belong to, so
+that a controller that runs for long grows without bound.
+"""
 
 from collections import deque
 from collections.abc import Iterator
@@ -8,8 +12,8 @@
 from ramptide.controller.controller import Controller
 from virtual import World, started_world, submit_job
 
-#: Tables that are bounded by a number or by time, whose entries are not those of what is there now.
-BOUNDED = {
+#: Containers that are bounded by a number of entries or by time, and whose entries may outlive what they belong to.
+BOUNDED_ATTRIBUTES = {
     "_owners",
     "_finished",
     "_delete_log",
@@ -20,62 +24,70 @@
     "counters",
     "_cancelled",
 }
-#: The shared world, and what it has of all processes.
-OUTSIDE = {"context", "runtime", "_context", "_runtime", "world", "settings"}
+#: References to what a controller shares with the virtual world and with all other processes.
+SHARED_ATTRIBUTES = {"context", "runtime", "_context", "_runtime", "world", "settings"}
 
 
-def tables(thing: Any, path: str, seen: set[int]) -> Iterator[tuple[str, int]]:
-    """The containers below an object of ours, by path, with their lengths."""
-    if id(thing) in seen:
+def container_sizes(item: Any, path: str, visited_ids: set[int]) -> Iterator[tuple[str, int]]:
+    """Yield the path and the length of each container that is reachable from an object of the package."""
+    if id(item) in visited_ids:
         return
-    seen.add(id(thing))
-    if isinstance(thing, (dict, set, list, deque)):
-        yield path, len(thing)
-        for value in thing.values() if isinstance(thing, dict) else thing:
-            yield from tables(value, path + "[]", seen)
+    visited_ids.add(id(item))
+    if isinstance(item, (dict, set, list, deque)):
+        yield path, len(item)
+        for value in item.values() if isinstance(item, dict) else item:
+            yield from container_sizes(value, path + "[]", visited_ids)
         return
-    if not type(thing).__module__.startswith("ramptide"):
+    if not type(item).__module__.startswith("ramptide"):
         return
-    slots = [name for kind in type(thing).__mro__ for name in getattr(kind, "__slots__", ())]
-    for name in [*getattr(thing, "__dict__", {}), *slots]:
-        if name not in BOUNDED | OUTSIDE and hasattr(thing, name):
-            yield from tables(getattr(thing, name), f"{path}.{name}", seen)
+    slots = [name for cls in type(item).__mro__ for name in getattr(cls, "__slots__", ())]
+    for name in [*getattr(item, "__dict__", {}), *slots]:
+        if name not in BOUNDED_ATTRIBUTES | SHARED_ATTRIBUTES and hasattr(item, name):
+            yield from container_sizes(getattr(item, name), f"{path}.{name}", visited_ids)
 
 
-def kept(controller: Controller) -> dict[str, int]:
-    """How many entries there are in all tables, by path."""
-    found: dict[str, int] = {}
-    for path, length in tables(controller, "", set()):
-        found[path] = found.get(path, 0) + length
-    return found
+def entry_counts_by_path(controller: Controller) -> dict[str, int]:
+    """Return the number of entries in all containers of a controller, by path."""
+    entry_counts: dict[str, int] = {}
+    for path, length in container_sizes(controller, "", set()):
+        entry_counts[path] = entry_counts.get(path, 0) + length
+    return entry_counts
 
 
-def busy_time(world: World, first: int) -> None:
-    """Forty arrays and ten services come and go; then all machines but the pool leave."""
-    for number in range(first, first + 50):
-        service = number % 5 == 0
-        world.define_job(f"j-{number}", shape="service" if service else "batch", pieces=1 if service else 6, guessS=2.0)
+def run_jobs_until_machines_leave(world: World, first_number: int) -> None:
+    """Let forty arrays and ten services come and go, until all machines but the idle pool have left."""
+    for number in range(first_number, first_number + 50):
+        is_service = number % 5 == 0
+        world.define_job(
+            f"j-{number}", shape="service" if is_service else "batch", pieces=1 if is_service else 6, guessS=2.0
+        )
         submit_job(world, world.rng, f"j-{number}")
         world.run(0.5)
-    for number in range(first, first + 50, 5):
+    for number in range(first_number, first_number + 50, 5):
         assert world.run_until(lambda number=number: world.cancel_job(f"j-{number}", "c0"), 20)  # type: ignore[misc]
     assert world.run_until(lambda: not any(key.startswith("live/job/") for key in world.store.entries), 120)
     world.run(90)
     assert sum(agent.alive for agent in world.agents.values()) <= 2
 
 
-def test_tables_return_to_what_they_were() -> None:
+def test_containers_do_not_grow_after_many_jobs_and_machines_have_come_and_gone() -> None:
     world = started_world(4, capacity=14)
-    busy_time(world, 0)
-    before = [kept(node.controller) for node in world.nodes.values() if node.controller is not None]
-    machines = len(world.agents)
-    busy_time(world, 1000)
-    assert len(world.agents) > machines, "machines came and went"
-    after = [kept(node.controller) for node in world.nodes.values() if node.controller is not None]
+    run_jobs_until_machines_leave(world, 0)
+    counts_before = [
+        entry_counts_by_path(node.controller) for node in world.nodes.values() if node.controller is not None
+    ]
+    machine_count_before = len(world.agents)
+    run_jobs_until_machines_leave(world, 1000)
+    assert len(world.agents) > machine_count_before, "machines came and went"
+    counts_after = [
+        entry_counts_by_path(node.controller) for node in world.nodes.values() if node.controller is not None
+    ]
     grown = [
-        (path, was.get(path, 0), now[path]) for was, now in zip(before, after, strict=True) for path in now
-        if now[path] > was.get(path, 0) + 5
-    ]  # fmt: skip
+        (path, count_before.get(path, 0), count_after[path])
+        for count_before, count_after in zip(counts_before, counts_after, strict=True)
+        for path in count_after
+        if count_after[path] > count_before.get(path, 0) + 5
+    ]
     assert grown == []
-    assert len(before[0]) > 60
+    assert len(counts_before[0]) > 60
     assert world.now > timedelta(minutes=3)
