--- a/tests/test_process_statistics.py
+++ b/tests/test_process_statistics.py
@@ -1,4 +1,8 @@
-"""The processor time by kind of work and the delays of timers, on clocks that the test sets."""
+"""The processor time by kind of work, the delays of timers and the clock of the event loop.
+
+The tests set the clocks themselves. They guard against statistics that miss or misattribute time, against events that
+are based on an old time because the turn of the loop is long, and against slow timers that keep sockets waiting.
+"""
 
 import selectors
 import socket
@@ -22,7 +26,7 @@
     def __call__(self) -> float:
         return self.now
 
-    def passes(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.now += seconds
 
 
@@ -33,92 +37,105 @@
     return clock
 
 
-def test_what_handlers_take_is_told_apart_from_the_transport(clock: FakeClock) -> None:
+def test_processor_time_of_handlers_is_not_counted_as_transport(clock: FakeClock) -> None:
     statistics = ProcessStatistics()
 
-    def socket_event() -> None:
-        clock.passes(0.25)
-        statistics.measure(WorkKind.HEARTBEATS, lambda: clock.passes(1.0))
-        statistics.measure(WorkKind.USERS, lambda: clock.passes(0.5))
-
-    statistics.measure(WorkKind.SOCKETS, socket_event)
-    statistics.measure(WorkKind.TIMERS, lambda: clock.passes(2.0))
-    found = {kind: spent.total_seconds() for kind, spent in statistics.processor_time_by_kind().items()}
-    assert found == {"timers": 2.0, "reports": 1.0, "users": 0.5, "peers": 0.0, "responses": 0.0, "transport": 0.25}
-
-
-def test_work_that_fails_counts_too(clock: FakeClock) -> None:
+    def handle_socket_event() -> None:
+        clock.advance(0.25)
+        statistics.measure(WorkKind.HEARTBEATS, lambda: clock.advance(1.0))
+        statistics.measure(WorkKind.USERS, lambda: clock.advance(0.5))
+
+    statistics.measure(WorkKind.SOCKETS, handle_socket_event)
+    statistics.measure(WorkKind.TIMERS, lambda: clock.advance(2.0))
+    seconds_by_kind = {
+        kind: processor_time.total_seconds() for kind, processor_time in statistics.processor_time_by_kind().items()
+    }
+    assert seconds_by_kind == {
+        "timers": 2.0,
+        "reports": 1.0,
+        "users": 0.5,
+        "peers": 0.0,
+        "responses": 0.0,
+        "transport": 0.25,
+    }
+
+
+def test_processor_time_is_counted_when_the_work_raises(clock: FakeClock) -> None:
     statistics = ProcessStatistics()
 
-    def fails() -> None:
-        clock.passes(3.0)
+    def fail() -> None:
+        clock.advance(3.0)
         raise ValueError("the work fails")
 
     with pytest.raises(ValueError, match="the work fails"):
-        statistics.measure(WorkKind.PEERS, fails)
+        statistics.measure(WorkKind.PEERS, fail)
     assert statistics.processor_time_by_kind()["peers"] == timedelta(seconds=3)
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(0, 5000)), min_size=1, max_size=60))
-def test_the_worst_delay_is_that_of_a_list_of_all(timers: list[tuple[int, int]]) -> None:
+def test_worst_delay_equals_the_maximum_of_all_delays_in_the_window(timers: list[tuple[int, int]]) -> None:
     statistics, now = ProcessStatistics(), timedelta(0)
-    ran: list[tuple[timedelta, timedelta]] = []
-    for pause, delay in timers:
-        now += timedelta(seconds=pause)
-        statistics.record_timer(now, delay * MS)
-        ran.append((now, delay * MS))
-        assert statistics.worst_delay(now) == max(late for at, late in ran if now - at <= WORST_DELAY_WINDOW)
+    called: list[tuple[timedelta, timedelta]] = []
+    for pause_s, delay_ms in timers:
+        now += timedelta(seconds=pause_s)
+        statistics.record_timer(now, delay_ms * MS)
+        called.append((now, delay_ms * MS))
+        assert statistics.worst_delay(now) == max(
+            delay for called_at, delay in called if now - called_at <= WORST_DELAY_WINDOW
+        )
     assert statistics.timer_count == len(timers)
-    assert statistics.total_timer_delay == sum((late for _, late in ran), timedelta(0))
+    assert statistics.total_timer_delay == sum((delay for _, delay in called), timedelta(0))
     assert statistics.worst_delay(now + WORST_DELAY_WINDOW + MS) == timedelta(0)
 
 
-def test_the_loop_counts_how_late_a_timer_is(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_event_loop_records_the_delay_of_a_timer(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = FakeClock()
     monkeypatch.setattr(time, "monotonic", clock)
     loop = EventLoop()
     loop.after(timedelta(seconds=1), lambda: None)
-    clock.passes(1.75)
+    clock.advance(1.75)
     loop.turn()
     assert loop.statistics.worst_delay(loop.now) == timedelta(seconds=0.75)
 
 
-def test_an_event_late_in_a_long_turn_sees_how_late_it_is(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Leases are renewed by the age of a proof: the time at which the turn began would make it look young."""
+def test_each_event_of_a_long_turn_sees_the_current_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Leases are renewed by the age of a proof, which would seem lower at the time at which the turn began."""
     clock = FakeClock()
     monkeypatch.setattr(time, "monotonic", clock)
     loop = EventLoop()
-    seen: list[timedelta] = []
+    times_seen: list[timedelta] = []
     pairs = [socket.socketpair() for _ in range(3)]
 
-    def event(_mask: int) -> None:
-        seen.append(loop.now)
-        clock.passes(2.0)
+    def handle_event(_mask: int) -> None:
+        times_seen.append(loop.now)
+        clock.advance(2.0)
 
-    for near, far in pairs:
-        far.send(b"x")
-        loop.watch(near, selectors.EVENT_READ, event)
+    for local, remote in pairs:
+        remote.send(b"x")
+        loop.watch(local, selectors.EVENT_READ, handle_event)
     loop.turn()
-    assert seen == [timedelta(seconds=number) for number in (0, 2, 4)]
-    for near, far in pairs:
-        near.close()
-        far.close()
+    assert times_seen == [timedelta(seconds=number) for number in (0, 2, 4)]
+    for local, remote in pairs:
+        local.close()
+        remote.close()
 
 
-def test_timers_that_take_longer_than_their_pause_leave_the_sockets_their_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_timer_is_called_once_a_turn_when_it_takes_longer_than_its_interval(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     clock = FakeClock()
     monkeypatch.setattr(time, "monotonic", clock)
     loop = EventLoop()
-    rounds: list[timedelta] = []
+    round_times: list[timedelta] = []
 
-    def begin_round() -> None:
-        if len(rounds) < 50:
-            loop.after(timedelta(seconds=0.05), begin_round)
-        rounds.append(loop.now)
-        clock.passes(0.2)
+    def run_round() -> None:
+        if len(round_times) < 50:
+            loop.after(timedelta(seconds=0.05), run_round)
+        round_times.append(loop.now)
+        clock.advance(0.2)
 
-    loop.after(timedelta(0), begin_round)
-    loop.after(timedelta(0), begin_round)
+    loop.after(timedelta(0), run_round)
+    loop.after(timedelta(0), run_round)
     loop.turn()
-    assert len(rounds) == 2, "each one once"
+    assert len(round_times) == 2, "each timer is called once"
