--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,8 @@
-"""Real processes on loopback against the stand-ins: answers, broken HTTP, a kill, a restart."""
+"""Real controller processes on loopback, among stand-ins for the services and the agents.
+
+The test guards against faults that show only in whole processes: wrong statuses of answers, broken HTTP that ends a
+process, and a job that is not finished after one process is killed and started again.
+"""
 
 import json
 import socket
@@ -20,7 +24,7 @@
     world.close()
 
 
-def test_three_processes_serve_and_survive_a_kill(world: LoopWorld) -> None:
+def test_three_processes_answer_requests_and_finish_a_job_when_one_is_killed(world: LoopWorld) -> None:
     for name in world.controller_names:
         assert world.until(lambda name=name: world.status(name, "GET", "/healthz") == 200, 20)  # type: ignore[misc]
     world.job_specs["j-1"] = job_spec("j-1", pieces=3, guessS=6.0)
@@ -32,18 +36,18 @@
     assert world.status("c0", "DELETE", "/v2/runs/j-1") == 405
     assert world.status("c0", "GET", "/v2/runs/j-1/nowhere") == 404
     assert world.status("c0", "GET", "/nowhere") == 404
-    told = world.metrics("c0")
+    metrics = world.metrics("c0")
     for route, status in (("poll", 404), ("other", 405), ("other", 404)):
-        assert f'ramptide_answers_total{{route="{route}",status="{status}"}} 1.0' in told
+        assert f'ramptide_answers_total{{route="{route}",status="{status}"}} 1.0' in metrics
     assert world.status("c0", "POST", "/v2/runs", b"x" * 70_000) == 413
-    for broken in (
+    for broken_request in (
         b"POST /v2/runs HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
         b"nonsense\r\n\r\n",
     ):
-        assert world.raw("c0", broken).startswith(b"HTTP/1.1 400 ")
-    waits = b"POST /v2/runs HTTP/1.1\r\nConnection: close\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
+        assert world.raw("c0", broken_request).startswith(b"HTTP/1.1 400 ")
+    request_head = b"POST /v2/runs HTTP/1.1\r\nConnection: close\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
     with socket.create_connection(("127.0.0.1", world.ports["c0"][0]), 5) as sock:
-        sock.sendall(waits)
+        sock.sendall(request_head)
         assert sock.recv(100).startswith(b"HTTP/1.1 100 ")
         sock.sendall(b"{}")
         assert sock.recv(100).startswith(b"HTTP/1.1 400 ")
