--- a/tests/test_behavior_digest.py
+++ b/tests/test_behavior_digest.py
@@ -1,4 +1,8 @@
-"""The digest of what controllers send: the same for the same behaviour, another one for any other."""
+"""The digest of what controllers send in generated histories.
+
+The tests guard against a digest that differs between runs of the same behaviour, for example by the hash seed, and
+against one that stays the same although a call or an answer of a controller has changed.
+"""
 
 import os
 import subprocess
@@ -18,42 +22,44 @@
 SEED, SECONDS = 3, 12.0
 
 
-def printed(hash_seed: str, jobs: int) -> str:
+def run_tool(hash_seed: str, jobs: int) -> str:
     command = [sys.executable, str(TOOLS / "behavior_digest.py"), "3", "4", "--seconds", "12", "--jobs", str(jobs)]
     environment = os.environ | {"PYTHONHASHSEED": hash_seed, "PYTHONPATH": os.pathsep.join(sys.path)}
     return subprocess.run(command, env=environment, check=True, capture_output=True, text=True).stdout
 
 
-def test_it_is_the_same_in_every_run_under_any_hash_seed_and_in_parallel() -> None:
-    first = printed("1", 1)
+def test_digest_is_the_same_under_any_hash_seed_and_with_parallel_jobs() -> None:
+    first = run_tool("1", 1)
     assert [line.split()[0] for line in first.splitlines()] == ["3", "4", "all"]
-    assert printed("2", 2) == first
+    assert run_tool("2", 2) == first
 
 
-def test_one_more_byte_in_each_answer_changes_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    before = digest_of_seed(SEED, SECONDS)
-    assert before.calls > 0
-    assert digest_of_seed(SEED, SECONDS) == before
-    observed = World.observed
+def test_digest_changes_when_each_answer_is_one_byte_longer(monkeypatch: pytest.MonkeyPatch) -> None:
+    original_digest = digest_of_seed(SEED, SECONDS)
+    assert original_digest.calls > 0
+    assert digest_of_seed(SEED, SECONDS) == original_digest
+    original_observed = World.observed
 
-    def longer(world: World, controller_name: str, respond: Callable[..., None]) -> Callable[..., None]:
-        told = observed(world, controller_name, respond)
-        return lambda status, body, *headers: told(status, body + b" ", *headers)
+    def observed_with_longer_body(
+        world: World, controller_name: str, respond: Callable[..., None]
+    ) -> Callable[..., None]:
+        observed_respond = original_observed(world, controller_name, respond)
+        return lambda status, body, *headers: observed_respond(status, body + b" ", *headers)
 
-    monkeypatch.setattr(World, "observed", longer)
-    assert digest_of_seed(SEED, SECONDS).sha256 != before.sha256
+    monkeypatch.setattr(World, "observed", observed_with_longer_body)
+    assert digest_of_seed(SEED, SECONDS).sha256 != original_digest.sha256
 
 
-def answers(*told: tuple[float, str, int, bytes, dict[str, str]]) -> str:
+def digest_of_answers(*answers: tuple[float, str, int, bytes, dict[str, str]]) -> str:
     observer = DigestObserver()
-    for seconds, sender, status, body, headers in told:
+    for seconds, sender, status, body, headers in answers:
         observer.answered(seconds * S, sender, status, body, headers)
     return observer.hexdigest()
 
 
-def test_every_field_of_an_answer_and_the_order_count() -> None:
-    one = (1.0, "c0", 200, b"body", {"Retry-After": "1"})
-    others = [
+def test_digest_depends_on_every_field_of_an_answer_and_on_the_order_of_answers() -> None:
+    answer = (1.0, "c0", 200, b"body", {"Retry-After": "1"})
+    changed_answers = [
         (1.000001, "c0", 200, b"body", {"Retry-After": "1"}),
         (1.0, "c1", 200, b"body", {"Retry-After": "1"}),
         (1.0, "c0", 201, b"body", {"Retry-After": "1"}),
@@ -61,21 +67,24 @@
         (1.0, "c0", 200, b"body", {"Retry-After": "2"}),
         (1.0, "c0", 200, b"body", {}),
     ]
-    assert len({answers(told) for told in [one, *others]}) == 7
-    assert answers(one, others[0]) != answers(others[0], one)
+    assert len({digest_of_answers(sent) for sent in [answer, *changed_answers]}) == 7
+    assert digest_of_answers(answer, changed_answers[0]) != digest_of_answers(changed_answers[0], answer)
 
 
-def test_every_field_of_a_call_counts() -> None:
-    one = (S, "c0", "state", "POST", "/txn", "application/json", b"{}", 2 * S)
-    others = [(*one[:at], other, *one[at + 1 :]) for at, other in enumerate([2 * S, *"abcde", b"", S])]
+def test_digest_depends_on_every_field_of_a_call() -> None:
+    original_call = (S, "c0", "state", "POST", "/txn", "application/json", b"{}", 2 * S)
+    changed_calls = [
+        (*original_call[:position], changed_field, *original_call[position + 1 :])
+        for position, changed_field in enumerate([2 * S, *"abcde", b"", S])
+    ]
     digests = set()
-    for call in [one, *others]:
+    for call in [original_call, *changed_calls]:
         observer = DigestObserver()
         observer.called(*call)
         digests.add(observer.hexdigest())
     assert len(digests) == 9
 
 
-def test_an_object_is_refused() -> None:
+def test_digest_refuses_a_body_that_is_not_encoded() -> None:
     with pytest.raises(TypeError):
         DigestObserver().answered(S, "c0", 200, {"a": 1}, {})  # type: ignore[arg-type]
