--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -10,7 +10,7 @@
 from ramptide.autoscaling.cloud_list import CloudList
 from virtual import S, World, busy_world, full_world, leader_of
 
-#: More machines than a new view returns instead of waiting for them.
+#: More silent machines than a new view returns at once.
 LOST_MACHINES = 7
 
 
