--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,10 @@
-"""Team limits across whole controllers on the virtual clock: racing starts and transfers, and what may go wrong."""
+"""Team limits across whole controllers on the virtual clock.
+
+Members that race to start tasks, or that pass share to each other, could together exceed a team's limit: when a
+transfer is lost, repeated or late, or when a process or a service fails in the middle of one. Other tests guard against
+invalid quota messages, controllers without the quota feature or of an older version, too many or too few preemptions
+for a guarantee, and wrong figures for operators.
+"""
 
 import json
 import os
@@ -22,122 +28,124 @@
 from ramptide.state.amounts import UNITS_PER_WHOLE, Amounts, add_amounts
 from virtual import Agent, S, Task, World, leader_of, running_attempts, started_world
 
-ON = Features(QuotaFeature(True))
-LIMIT = 12.0
-TEAMS = {"tight": LIMIT, "other": 10.0, "third": 9.0, "fourth": 7.0}
-#: Of these many transfers come about.
+QUOTA_ENABLED = Features(QuotaFeature(True))
+TIGHT_LIMIT_CPUS = 12.0
+TEAMS = {"tight": TIGHT_LIMIT_CPUS, "other": 10.0, "third": 9.0, "fourth": 7.0}
+#: Each of these seeds leads to many transfers of share.
 SEEDS = [1, 3, 6]
 
 
-def flood(seed: int, jobs: int = 60, seconds: float = 30.0, teams: dict[str, float] | None = None) -> World:
-    """Teams ask for more than their limits at all controllers at once; there is room enough for all."""
-    world = started_world(seed, teams=teams or TEAMS, capacity=12, parts=ON)
+def overloaded_world(
+    seed: int, job_count: int = 60, seconds: float = 30.0, teams: dict[str, float] | None = None
+) -> World:
+    """Return a world whose teams submit more than their limits to all controllers; the machines have room for all."""
+    world = started_world(seed, teams=teams or TEAMS, capacity=12, parts=QUOTA_ENABLED)
     rng = random.Random(seed)
-    limited = list(world.teams)
-    for number in range(jobs):
+    team_names = list(world.teams)
+    for index in range(job_count):
         cores = rng.choice([1.0, 2.0, 3.0, 0.7])
-        pieces = rng.randint(1, 6)
+        task_count = rng.randint(1, 6)
         world.define_job(
-            f"j-{number}", owner=rng.choice(limited), pieces=pieces, cores=cores, guessS=rng.choice([1.0, 3.0])
+            f"j-{index}", owner=rng.choice(team_names), pieces=task_count, cores=cores, guessS=rng.choice([1.0, 3.0])
         )
-        world.after(rng.uniform(0, seconds) * S, lambda job_id=f"j-{number}": send(world, rng, job_id))  # type: ignore[misc]
+        world.after(rng.uniform(0, seconds) * S, lambda job_id=f"j-{index}": send(world, rng, job_id))  # type: ignore[misc]
     return world
 
 
 def send(world: World, rng: random.Random, job_id: str) -> None:
-    """Asks one controller after another until one accepts."""
+    """Submit a job to a random controller every 2 s until one has accepted it."""
     if job_id in world.accepted_jobs:
         return
     body = json.dumps(world.job_specs[job_id]).encode()
 
-    def answered(status: int, *_: Any) -> None:
+    def on_response(status: int, *_: Any) -> None:
         if status in (200, 201):
             world.accepted_jobs.add(job_id)
 
-    world.request(rng.choice(world.controller_names), lambda controller: controller.job_api.submit(body, answered))
+    world.request(rng.choice(world.controller_names), lambda controller: controller.job_api.submit(body, on_response))
     world.after(2 * S, lambda: send(world, rng, job_id))
 
 
-def finish(world: World, seconds: float = 90.0) -> None:
-    """All jobs are done in the end, and no rule was broken at any moment."""
+def assert_all_jobs_finish(world: World, seconds: float = 90.0) -> None:
+    """Check that each job ends as done or is cancelled, and that no invariant was violated at any moment."""
 
-    def over(job_id: str) -> bool:
+    def is_over(job_id: str) -> bool:
         return world.is_done(job_id) or job_id in world.cancel_requested
 
-    assert world.run_until(lambda: all(map(over, world.job_specs)), seconds), [
-        job_id for job_id in world.job_specs if not over(job_id)
+    assert world.run_until(lambda: all(map(is_over, world.job_specs)), seconds), [
+        job_id for job_id in world.job_specs if not is_over(job_id)
     ]
     assert world.invariants.violations == []
 
 
-def counted(world: World, what: str) -> int:
+def sum_of_counters(world: World, counter: str) -> int:
     return sum(
-        node.controller.quota.counters[what]
+        node.controller.quota.counters[counter]
         for node in world.nodes.values()
         if node.controller is not None and node.controller.quota is not None
     )
 
 
-# Troubles while share is passed on. Each is brought about in the moment in which a member gives some.
+# Faults during a transfer. Each one is injected when a member issues the transfer, before any message carries it.
 
-Trouble = Callable[[World, str], None]
+TransferFault = Callable[[World, str], None]
 
 
-def frozen(seconds: float) -> Trouble:
+def freeze_sender(seconds: float) -> TransferFault:
     return lambda world, name: world.nodes[name].freeze(seconds)
 
 
-def paused_between(seconds: float) -> Trouble:
-    """The share is deducted, and nothing leaves the giver until it goes on."""
+def freeze_isolated_sender(seconds: float) -> TransferFault:
+    """The sender has deducted the share, but sends nothing until it is resumed."""
 
-    def begin(world: World, name: str) -> None:
+    def inject(world: World, name: str) -> None:
         world.isolate(name)
         world.nodes[name].freeze(seconds)
         world.after(seconds * S, world.heal)
 
-    return begin
+    return inject
 
 
-def restarted(world: World, name: str) -> None:
-    """It ends before anything has left it, and is back under the same name."""
+def restart_isolated_sender(world: World, name: str) -> None:
+    """The sender ends before any message has left it, and a new process starts under its name."""
     world.isolate(name)
     world.nodes[name].kill()
     world.after(0.3 * S, world.heal)
     world.after(0.3 * S, world.nodes[name].start)
 
 
-def receiver_restarted(world: World, name: str) -> None:
-    other = next(one for one in world.controller_names if one != name)
+def restart_other_member(world: World, name: str) -> None:
+    other = next(member for member in world.controller_names if member != name)
     world.nodes[other].kill()
     world.after(0.3 * S, world.nodes[other].start)
 
 
-def leader_ends(world: World, _name: str) -> None:
-    """The leader changes in the middle of a split."""
-    old = leader_of(world)
-    world.nodes[old].kill()
-    world.after(4 * S, world.nodes[old].start)
+def restart_leader(world: World, _name: str) -> None:
+    """The leader ends, so that another member leads; a new process of the old one starts 4 s later."""
+    leader = leader_of(world)
+    world.nodes[leader].kill()
+    world.after(4 * S, world.nodes[leader].start)
 
 
-def cut_from_peers(world: World, name: str) -> None:
+def disconnect_from_peers(world: World, name: str) -> None:
     for other in world.controller_names:
         if other != name:
             world.cut_link(name, other)
     world.after(10 * S, world.heal)
 
 
-def cut_from_state(world: World, name: str) -> None:
+def disconnect_from_store(world: World, name: str) -> None:
     world.store.refused_callers.add(name)
     world.after(10 * S, lambda: world.store.refused_callers.discard(name))
 
 
-def messages_lost_and_doubled(world: World, _name: str) -> None:
+def lose_and_duplicate_messages(world: World, _name: str) -> None:
     world.loss_rate, world.duplication_rate = 0.2, 0.2
     world.after(15 * S, lambda: setattr(world, "loss_rate", 0.0))
 
 
-def state_service_down(world: World, name: str) -> None:
-    """For longer than `cancel_s`, and jobs of teams at their limits are called off in the moment before."""
+def stop_store_after_cancellations(world: World, name: str) -> None:
+    """The key-value store is down for longer than `cancel_s`, right after the cancellation of three running jobs."""
 
     def cancel(job_id: str) -> None:
         def on_response(status: int, _body: bytes, _headers: object) -> None:
@@ -146,149 +154,154 @@
 
         world.request(name, lambda controller: controller.job_api.cancel(job_id, on_response))
 
-    running = sorted({task.job_id for _, task in world.invariants.running_tasks()})[:3]
-    for job_id in running:
+    running_job_ids = sorted({task.job_id for _, task in world.invariants.running_tasks()})[:3]
+    for job_id in running_job_ids:
         world.cancel_requested.add(job_id)
         cancel(job_id)
     world.after(0.3 * S, lambda: world.store.start_outage(world.cancel_s + 5))
 
 
-def machine_hangs(world: World, _name: str) -> None:
+def hang_machines(world: World, _name: str) -> None:
     for agent in list(world.agents.values())[:2]:
         agent.hang(12.0)
 
 
-TROUBLES: dict[str, Trouble] = {
-    "frozen for a moment": frozen(1.0),
-    "frozen past its lease": frozen(6.0),
-    "frozen past its workers' leases": frozen(14.0),
-    "paused between deduction and sending": paused_between(1.5),
-    "paused between, past a new view": paused_between(8.0),
-    "restarted": restarted,
-    "receiver restarted": receiver_restarted,
-    "leader ends": leader_ends,
-    "cut from its peers": cut_from_peers,
-    "cut from the state service": cut_from_state,
-    "messages lost and doubled": messages_lost_and_doubled,
-    "state service down": state_service_down,
-    "machines hang": machine_hangs,
+TRANSFER_FAULTS: dict[str, TransferFault] = {
+    "frozen for a moment": freeze_sender(1.0),
+    "frozen past its lease": freeze_sender(6.0),
+    "frozen past its workers' leases": freeze_sender(14.0),
+    "paused between deduction and sending": freeze_isolated_sender(1.5),
+    "paused between, past a new view": freeze_isolated_sender(8.0),
+    "restarted": restart_isolated_sender,
+    "receiver restarted": restart_other_member,
+    "leader ends": restart_leader,
+    "cut from its peers": disconnect_from_peers,
+    "cut from the state service": disconnect_from_store,
+    "messages lost and doubled": lose_and_duplicate_messages,
+    "state service down": stop_store_after_cancellations,
+    "machines hang": hang_machines,
 }
 
 
-def begin_at_transfer(world: World, monkeypatch: pytest.MonkeyPatch, trouble: Trouble, number: int) -> list[str]:
-    """The trouble begins with the transfer of this number; returned is the giver's name once it has."""
-    give, begun, count = Ledger.issue_transfer, [], [0]
+def inject_at_transfer(
+    world: World, monkeypatch: pytest.MonkeyPatch, inject_fault: TransferFault, transfer_number: int
+) -> list[str]:
+    """Inject a fault when the transfer of this number is issued; the returned list then contains the sender's name."""
+    issue_transfer, senders, issued_count = Ledger.issue_transfer, [], [0]
 
-    def giving(self: Ledger, *rest: Any) -> Any:
-        transfer = give(self, *rest)
-        count[0] += 1
-        if count[0] == number:
+    def issue_and_inject(self: Ledger, *arguments: Any) -> Any:
+        transfer = issue_transfer(self, *arguments)
+        issued_count[0] += 1
+        if issued_count[0] == transfer_number:
             name = next(
                 name
                 for name, node in world.nodes.items()
                 if node.controller is not None and node.controller.quota is not None
                 and node.controller.quota._ledger is self
             )  # fmt: skip
-            begun.append(name)
-            trouble(world, name)
+            senders.append(name)
+            inject_fault(world, name)
         return transfer
 
-    monkeypatch.setattr(Ledger, "issue_transfer", giving)
-    return begun
+    monkeypatch.setattr(Ledger, "issue_transfer", issue_and_inject)
+    return senders
 
 
 @pytest.mark.parametrize("seed", SEEDS[:2])
-@pytest.mark.parametrize("trouble", list(TROUBLES))
-def test_no_limit_is_passed_whatever_meets_a_transfer(trouble: str, seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    world = flood(seed)
-    begun = begin_at_transfer(world, monkeypatch, TROUBLES[trouble], 2 + seed)
+@pytest.mark.parametrize("fault", list(TRANSFER_FAULTS))
+def test_no_limit_is_exceeded_when_a_fault_occurs_during_a_transfer(
+    fault: str, seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    world = overloaded_world(seed)
+    senders = inject_at_transfer(world, monkeypatch, TRANSFER_FAULTS[fault], 2 + seed)
     world.run(60)
-    assert begun, "no share was passed on"
-    finish(world)
+    assert senders, "no share was passed on"
+    assert_all_jobs_finish(world)
 
 
-def test_a_team_that_floods_all_controllers_gets_its_limit_and_no_more() -> None:
-    world = flood(4, jobs=30, teams={"tight": LIMIT})
-    finish(world, 180)
+def test_shares_of_a_team_add_up_to_its_limit_when_it_overloads_all_controllers() -> None:
+    world = overloaded_world(4, job_count=30, teams={"tight": TIGHT_LIMIT_CPUS})
+    assert_all_jobs_finish(world, 180)
     world.run(3)
-    assert counted(world, "given") > 5
-    assert counted(world, "refused") == 0
+    assert sum_of_counters(world, "given") > 5
+    assert sum_of_counters(world, "refused") == 0
     quotas = [node.controller.quota for node in world.nodes.values() if node.controller is not None]
     assert any(quota is not None and quota.waits.count for quota in quotas)
-    # What was passed on is all accounted for: together the members hold the limit again.
-    held = Amounts(0, 0)
+    # No share is lost in transfers: together the members hold the whole limit again.
+    total_held = Amounts(0, 0)
     for node in world.nodes.values():
         assert node.controller is not None
         share = node.controller.state.quota_shares["tight"]
-        held = Amounts(held.cpus + share.cpus, held.gpus)
-    assert held.cpus == LIMIT * UNITS_PER_WHOLE
+        total_held = Amounts(total_held.cpus + share.cpus, total_held.gpus)
+    assert total_held.cpus == TIGHT_LIMIT_CPUS * UNITS_PER_WHOLE
 
 
-# What happens without the guards.
+# Each test below takes one guard away, to show that the limits depend on it.
 
 
-def broken_without_a_guard() -> bool:
+def is_any_limit_exceeded() -> bool:
+    """Return whether a team limit is exceeded in the world of some seed."""
     for seed in SEEDS:
-        world = flood(seed)
+        world = overloaded_world(seed)
         world.run(60)
-        if any("quota" in rule for rule in world.invariants.violations):
+        if any("quota" in violation for violation in world.invariants.violations):
             return True
     return False
 
 
-def test_without_deducting_first_a_limit_is_passed(monkeypatch: pytest.MonkeyPatch) -> None:
-    give = Ledger.issue_transfer
+def test_limit_is_exceeded_without_the_deduction_at_the_sender(monkeypatch: pytest.MonkeyPatch) -> None:
+    issue_transfer = Ledger.issue_transfer
 
-    def careless(self: Ledger, receiver: str, team: str, amounts: Amounts, spare: Amounts) -> Any:
-        transfer = give(self, receiver, team, amounts, spare)
+    def issue_without_deduction(self: Ledger, receiver: str, team: str, amounts: Amounts, spare: Amounts) -> Any:
+        transfer = issue_transfer(self, receiver, team, amounts, spare)
         add_amounts(self._balance, team, amounts)
         return transfer
 
-    monkeypatch.setattr(Ledger, "issue_transfer", careless)
-    assert broken_without_a_guard()
+    monkeypatch.setattr(Ledger, "issue_transfer", issue_without_deduction)
+    assert is_any_limit_exceeded()
 
 
-def test_without_numbers_a_repeated_transfer_counts_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    def forgetful(self: Ledger, giver: str, rows: list[TransferRow]) -> list[TransferRow]:
+def test_limit_is_exceeded_without_the_check_of_transfer_numbers(monkeypatch: pytest.MonkeyPatch) -> None:
+    def receive_without_number_check(self: Ledger, sender: str, rows: list[TransferRow]) -> list[TransferRow]:
         for row in rows:
             add_amounts(self._balance, row.team, row.amounts)
-            self._accounts[giver].last_received = row.number
+            self._accounts[sender].last_received = row.number
         return list(rows)
 
-    monkeypatch.setattr(Ledger, "receive_transfers", forgetful)
-    assert broken_without_a_guard()
+    monkeypatch.setattr(Ledger, "receive_transfers", receive_without_number_check)
+    assert is_any_limit_exceeded()
 
 
-def test_without_the_leaders_account_book_a_limit_is_passed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_limit_is_exceeded_without_the_leaders_account_book(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(AccountBook, "apply_account", lambda self, member, rows: None)
-    assert broken_without_a_guard()
+    assert is_any_limit_exceeded()
 
 
-# A task that is larger than any single share.
+# Transfers of share for a task that is larger than the share of any member.
 
 
-def test_share_comes_together_for_a_task_that_is_larger_than_any_share() -> None:
-    world = started_world(3, teams={"tight": LIMIT}, capacity=12, parts=ON)
-    for number, name in enumerate(world.controller_names):
-        world.define_job(f"j-{number}", owner="tight", pieces=4, cores=1.0, guessS=4.0 + number)
-        assert world.submit_until_accepted(f"j-{number}", name)
+def test_task_larger_than_any_share_runs_when_other_members_pass_share() -> None:
+    world = started_world(3, teams={"tight": TIGHT_LIMIT_CPUS}, capacity=12, parts=QUOTA_ENABLED)
+    for index, name in enumerate(world.controller_names):
+        world.define_job(f"j-{index}", owner="tight", pieces=4, cores=1.0, guessS=4.0 + index)
+        assert world.submit_until_accepted(f"j-{index}", name)
     world.define_job("j-9", owner="tight", pieces=1, cores=7.0, guessS=1.0)
     assert world.submit_until_accepted("j-9", "c1")
-    finish(world, 40)
+    assert_all_jobs_finish(world, 40)
 
 
-# Messages that can't be.
+# Quota messages that no member of the current view can have sent.
 
 
-def sync_of(world: World, name: str) -> Any:
-    """A message of another member to this one, as it was last taken."""
+def received_peer_message(world: World, name: str) -> Any:
+    """Return the last message that a controller has received from another member."""
     controller = world.nodes[name].controller
     assert controller is not None
     return next(peer.last_message for peer in controller.peers.by_name.values() if peer.last_message is not None)
 
 
 @pytest.mark.parametrize(
-    "change",
+    "changes",
     [
         {"view": 99},
         {"incarnation": "another"},
@@ -305,98 +318,107 @@
     ],
     ids=str,
 )
-def test_transfers_that_cannot_be_change_nothing(change: dict[str, Any], caplog: pytest.LogCaptureFixture) -> None:
-    world = started_world(1, teams=TEAMS, parts=ON)
+def test_invalid_quota_message_changes_no_share(changes: dict[str, Any], caplog: pytest.LogCaptureFixture) -> None:
+    world = started_world(1, teams=TEAMS, parts=QUOTA_ENABLED)
     world.run(3)
     controller = world.nodes["c0"].controller
     assert controller is not None
     assert controller.quota is not None
     assert controller.state.scheduler is not None
-    sync = sync_of(world, "c0")
-    good = late_message(world, {})
-    before = dict(controller.state.quota_shares)
+    peer_message = received_peer_message(world, "c0")
+    valid_fields = changed_quota_message(world, {})
+    shares_before = dict(controller.state.quota_shares)
     caplog.clear()
-    controller.quota.apply_message(msgspec.structs.replace(sync, quota=good | change), controller.state.scheduler)
-    assert controller.state.quota_shares == before
+    controller.quota.apply_message(
+        msgspec.structs.replace(peer_message, quota=valid_fields | changes), controller.state.scheduler
+    )
+    assert controller.state.quota_shares == shares_before
     assert controller.quota.counters["refused"] == 1
-    assert len([one for one in caplog.records if "refused" in one.message]) == 1
-    row = [1, "tight", UNITS_PER_WHOLE, 0]
+    assert len([record for record in caplog.records if "refused" in record.message]) == 1
+    valid_transfer = [1, "tight", UNITS_PER_WHOLE, 0]
     controller.quota.apply_message(
-        msgspec.structs.replace(sync, quota=good | {"transfers": [row]}), controller.state.scheduler
+        msgspec.structs.replace(peer_message, quota=valid_fields | {"transfers": [valid_transfer]}),
+        controller.state.scheduler,
     )
-    assert controller.state.quota_shares["tight"].cpus == before["tight"].cpus + UNITS_PER_WHOLE
+    assert controller.state.quota_shares["tight"].cpus == shares_before["tight"].cpus + UNITS_PER_WHOLE
 
 
-def test_without_the_check_of_the_view_a_late_transfer_counts(monkeypatch: pytest.MonkeyPatch) -> None:
-    late = {"view": 99, "transfers": [[1, "tight", UNITS_PER_WHOLE, 0]]}
-    for guarded, gained in ((True, 0), (False, UNITS_PER_WHOLE)):
-        if not guarded:
+def test_transfer_of_another_view_counts_only_without_the_sender_check(monkeypatch: pytest.MonkeyPatch) -> None:
+    other_view_fields = {"view": 99, "transfers": [[1, "tight", UNITS_PER_WHOLE, 0]]}
+    for checks_sender, expected_gain in ((True, 0), (False, UNITS_PER_WHOLE)):
+        if not checks_sender:
             monkeypatch.setattr(QuotaExchange, "_check_sender", lambda self, quota_message, message: None)
-        world = started_world(1, teams=TEAMS, parts=ON)
+        world = started_world(1, teams=TEAMS, parts=QUOTA_ENABLED)
         world.run(3)
         controller = world.nodes["c0"].controller
         assert controller is not None
         assert controller.quota is not None
         assert controller.state.scheduler is not None
-        before = controller.state.quota_shares["tight"].cpus
+        share_before = controller.state.quota_shares["tight"].cpus
         controller.quota.apply_message(
-            msgspec.structs.replace(sync_of(world, "c0"), quota=late_message(world, late)), controller.state.scheduler
+            msgspec.structs.replace(
+                received_peer_message(world, "c0"), quota=changed_quota_message(world, other_view_fields)
+            ),
+            controller.state.scheduler,
         )
-        assert controller.state.quota_shares["tight"].cpus - before == gained
+        assert controller.state.quota_shares["tight"].cpus - share_before == expected_gain
 
 
-def late_message(world: World, change: dict[str, Any]) -> dict[str, Any]:
-    value: dict[str, Any] = msgspec.to_builtins(sync_of(world, "c0").quota)
-    return value | change
+def changed_quota_message(world: World, changes: dict[str, Any]) -> dict[str, Any]:
+    """Return the fields of the last quota message that c0 has received, with some of them changed."""
+    fields: dict[str, Any] = msgspec.to_builtins(received_peer_message(world, "c0").quota)
+    return fields | changes
 
 
-# Beside controllers on which the part is off, or that are of an older build.
+# Clusters in which the quota feature is off at some controllers, or some run an older version.
 
 
-def test_off_and_on_side_by_side_pass_no_limit_and_give_nothing() -> None:
-    world = started_world(4, teams=TEAMS, parts=ON)
+def test_no_share_is_passed_and_no_limit_exceeded_while_quota_is_off_on_one_member() -> None:
+    world = started_world(4, teams=TEAMS, parts=QUOTA_ENABLED)
     world.parts = None
     world.nodes["c1"].kill()
     world.nodes["c1"].start()
     rng = random.Random(4)
-    for number in range(30):
-        world.define_job(f"j-{number}", owner="tight", pieces=3, cores=2.0, guessS=1.0)
-        world.after(rng.uniform(0, 10) * S, lambda job_id=f"j-{number}": send(world, rng, job_id))  # type: ignore[misc]
+    for index in range(30):
+        world.define_job(f"j-{index}", owner="tight", pieces=3, cores=2.0, guessS=1.0)
+        world.after(rng.uniform(0, 10) * S, lambda job_id=f"j-{index}": send(world, rng, job_id))  # type: ignore[misc]
     world.run(20)
-    assert counted(world, "given") == 0
-    # One after the other is switched on, while the work goes on.
-    world.parts = ON
+    assert sum_of_counters(world, "given") == 0
+    # The feature is switched on at one controller after the other, while jobs run.
+    world.parts = QUOTA_ENABLED
     for name in world.controller_names:
         world.nodes[name].kill()
         world.run(0.3)
         world.nodes[name].start()
         world.run(5)
-    finish(world)
+    assert_all_jobs_finish(world)
 
 
-def test_messages_of_an_older_build_are_taken_and_those_to_it_hold_what_it_knows() -> None:
-    world = started_world(1, teams=TEAMS, parts=ON)
+def test_peer_message_without_quota_is_accepted_and_older_fields_are_still_sent() -> None:
+    world = started_world(1, teams=TEAMS, parts=QUOTA_ENABLED)
     world.run(3)
     controller = world.nodes["c0"].controller
     assert controller is not None
     assert controller.quota is not None
     assert controller.state.scheduler is not None
-    sync = sync_of(world, "c0")
-    controller.quota.apply_message(msgspec.structs.replace(sync, quota=None), controller.state.scheduler)
+    peer_message = received_peer_message(world, "c0")
+    controller.quota.apply_message(msgspec.structs.replace(peer_message, quota=None), controller.state.scheduler)
     assert controller.quota.counters["refused"] == 0
-    body = cbor2.loads(cbor2.dumps(msgspec.to_builtins(sync)))
-    assert {"member", "view", "seq", "wire"} <= body.keys()
-    assert body["wire"] == 5
+    fields = cbor2.loads(cbor2.dumps(msgspec.to_builtins(peer_message)))
+    assert {"member", "view", "seq", "wire"} <= fields.keys()
+    assert fields["wire"] == 5
 
 
-def test_off_the_feature_is_not_imported_and_nothing_of_it_is_sent() -> None:
+def test_quota_is_neither_imported_nor_sent_when_it_is_off() -> None:
     program = (
         "import sys, ramptide.service, ramptide.api.metrics, ramptide.api.administration;"
         "print([name for name in sys.modules if 'quota' in name or 'hdrh' in name or 'highspy' in name])"
     )
     environment = os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)}
-    run = subprocess.run([sys.executable, "-c", program], env=environment, capture_output=True, text=True, check=True)
-    assert run.stdout == "[]\n"
+    completed = subprocess.run(
+        [sys.executable, "-c", program], env=environment, capture_output=True, text=True, check=True
+    )
+    assert completed.stdout == "[]\n"
     world = started_world(1, teams=TEAMS)
     assert all(node.controller is not None and node.controller.quota is None for node in world.nodes.values())
     controller = world.nodes["c0"].controller
@@ -404,13 +426,13 @@
     assert all(message.quota is None for message in controller.peers.last_messages())
 
 
-# Guarantees.
+# Work within a guarantee, and work beyond it.
 
 
-@pytest.mark.parametrize("first", [1, 0])
-def test_a_team_below_its_guarantee_goes_before_one_above_its_own(first: int) -> None:
-    """Both wait for room, the borrowed work for longer and with a deadline; the setting decides."""
-    world = World(6, teams={"rich": 40.0, "poor": 40.0}, capacity=3, parts=ON)
+@pytest.mark.parametrize("guarantees_first", [1, 0])
+def test_job_within_guarantee_goes_first_only_when_the_setting_says_so(guarantees_first: int) -> None:
+    """A job beyond its team's guarantee waits for room, with a deadline; one within a guarantee is submitted later."""
+    world = World(6, teams={"rich": 40.0, "poor": 40.0}, capacity=3, parts=QUOTA_ENABLED)
     world.guarantees = {"rich": 2.0, "poor": 12.0}
     for node in world.nodes.values():
         node.start()
@@ -420,21 +442,23 @@
     world.run(15)
     for node in world.nodes.values():
         assert node.controller is not None
-        # Without preemption, so that the order alone decides.
+        # No preemption happens within the test, so that the order of the jobs alone decides.
         node.controller.state.tuning = node.controller.state.tuning.with_changes(
-            {"guarantees_first": first, "preempt_after": 600}
+            {"guarantees_first": guarantees_first, "preempt_after": 600}
         )
     world.define_job("j-2", owner="poor", pieces=6, cores=2.0, guessS=2.0)
     assert world.submit_until_accepted("j-2", "c1")
     world.run_until(lambda: world.is_done("j-2") or world.is_done("j-1"), 60)
-    assert world.is_done("j-1") is not bool(first)
+    assert world.is_done("j-1") is not bool(guarantees_first)
     assert world.invariants.violations == []
 
 
-@pytest.mark.parametrize("leader_ends_too", [False, True])
-def test_borrowed_room_is_called_back_once(leader_ends_too: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Four tasks within a guarantee need the room of four borrowed ones, also when another leader takes over."""
-    world = World(6, teams={"rich": 40.0, "poor": 40.0}, capacity=3, parts=ON)
+@pytest.mark.parametrize("is_leader_restarted", [False, True])
+def test_job_within_guarantee_stops_only_as_many_tasks_as_it_needs(
+    is_leader_restarted: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Four tasks within a guarantee need the room of four tasks beyond one, also when another member becomes leader."""
+    world = World(6, teams={"rich": 40.0, "poor": 40.0}, capacity=3, parts=QUOTA_ENABLED)
     world.guarantees = {"rich": 2.0, "poor": 8.0}
     for node in world.nodes.values():
         node.start()
@@ -442,61 +466,61 @@
     world.define_job("j-1", owner="rich", pieces=12, cores=2.0, guessS=500.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 12, 30)
-    stopped: list[str] = []
-    end = Agent._end
+    stopped_job_ids: list[str] = []
+    end_task = Agent._end
 
-    def ending(task: Task, cause: str) -> None:
+    def record_and_end(task: Task, cause: str) -> None:
         if cause == "halted":
-            stopped.append(task.job_id)
-        end(task, cause)
+            stopped_job_ids.append(task.job_id)
+        end_task(task, cause)
 
-    monkeypatch.setattr(Agent, "_end", staticmethod(ending))
+    monkeypatch.setattr(Agent, "_end", staticmethod(record_and_end))
     world.define_job("j-2", owner="poor", pieces=4, cores=2.0, guessS=500.0)
     assert world.submit_until_accepted("j-2", "c1")
-    if leader_ends_too:
-        assert world.run_until(lambda: bool(stopped), 20)
-        leader_ends(world, "c0")
+    if is_leader_restarted:
+        assert world.run_until(lambda: bool(stopped_job_ids), 20)
+        restart_leader(world, "c0")
     assert world.run_until(lambda: len(running_attempts(world, "j-2")) == 4, 40)
     world.run(10)
-    assert stopped == ["j-1"] * 4
+    assert stopped_job_ids == ["j-1"] * 4
     assert world.invariants.violations == []
 
 
-# What operators see.
+# Status and metrics for operators, and the measurement of waits for share.
 
 
-def body_of(controller: Controller, path: str) -> bytes:
+def fetch_admin_body(controller: Controller, path: str) -> bytes:
     bodies: list[bytes] = []
     build_admin_api(controller).handle("GET", path, b"", lambda status, body, kind: bodies.append(body))
     return bodies[0]
 
 
-def test_shares_transfers_and_waits_are_in_status_and_metrics() -> None:
-    world = flood(3)
+def test_status_and_metrics_show_shares_transfers_and_waits() -> None:
+    world = overloaded_world(3)
     world.run(20)
     name = leader_of(world)
     controller = world.nodes[name].controller
     assert controller is not None
     assert controller.quota is not None
-    told = json.loads(body_of(controller, "/admin/status"))["quota"]
-    assert told["members_without"] == []
-    assert told["transfers"]["given"] == controller.quota.counters["given"]
-    share = told["teams"]["tight"]["cores"]
+    quota_status = json.loads(fetch_admin_body(controller, "/admin/status"))["quota"]
+    assert quota_status["members_without"] == []
+    assert quota_status["transfers"]["given"] == controller.quota.counters["given"]
+    share = quota_status["teams"]["tight"]["cores"]
     assert share["held"] * UNITS_PER_WHOLE == controller.state.quota_shares["tight"].cpus
     assert share["borrowed"] > 0
     assert set(share) == {"held", "used", "borrowed", "in_transfer"}
-    assert told["teams"]["tight"]["pending"] is False
-    metrics = body_of(controller, "/metrics").decode()
-    for text in (
+    assert quota_status["teams"]["tight"]["pending"] is False
+    metrics = fetch_admin_body(controller, "/metrics").decode()
+    for sample in (
         'ramptide_quota_held{resource="cores",team="tight"}',
         'ramptide_quota_in_transfer{resource="cores",team="tight"} 0.0',
         'ramptide_quota_transfers_total{outcome="refused"} 0.0',
         "ramptide_quota_share_wait_seconds_total",
     ):
-        assert text in metrics
+        assert sample in metrics
 
 
-def test_waits_for_share_are_measured_from_begin_to_end() -> None:
+def test_wait_for_share_is_measured_from_its_start_to_its_end() -> None:
     waits = ShareWaits()
     waits.update({"j-1", "j-2"}, 1 * S)
     waits.update({"j-2"}, 1.5 * S)
