--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -1,4 +1,9 @@
-"""Jobs that were submitted with a mistake, and fail wherever they run until they are cancelled, among good ones."""
+"""Failing jobs, which were submitted with a mistake and fail on every machine until they are cancelled.
+
+Their failures look like those of a faulty machine, and the other way round: healthy machines could be quarantined, or a
+healthy job on faulty machines could be held back. A failing job could also start its tasks again and again, and so rent
+machines, write to the key-value store, preempt other tasks, or hold up other jobs of a team at its limit.
+"""
 
 import json
 from collections import Counter
@@ -24,227 +29,246 @@
 from virtual import S, World, check_indexes, end_faults, leader_of, owner_of, play, started_world
 
 
-def controllers(world: World) -> list[Controller]:
+def live_controllers(world: World) -> list[Controller]:
     return [node.controller for node in world.nodes.values() if node.controller is not None]
 
 
-def work_of(world: World, job_id: str) -> JobState:
-    """What the job's home keeps of it."""
+def job_state_of(world: World, job_id: str) -> JobState:
+    """Return the state of a job at its scheduler."""
     return next(
-        c.state.scheduler.jobs[job_id]
-        for c in controllers(world)
-        if c.state.scheduler is not None and job_id in c.state.scheduler.jobs
+        controller.state.scheduler.jobs[job_id]
+        for controller in live_controllers(world)
+        if controller.state.scheduler is not None and job_id in controller.state.scheduler.jobs
     )
 
 
-def submit_bad(world: World, count: int, after: float = 0.5, **fields: object) -> list[str]:
-    job_ids = [f"j-9{number}" for number in range(count)]
-    for number, job_id in enumerate(job_ids):
-        world.failure_delays[job_id] = after
+def submit_failing_jobs(world: World, count: int, failure_delay_s: float = 0.5, **fields: object) -> list[str]:
+    job_ids = [f"j-9{index}" for index in range(count)]
+    for index, job_id in enumerate(job_ids):
+        world.failure_delays[job_id] = failure_delay_s
         world.define_job(job_id, **fields)
-        assert world.submit_until_accepted(job_id, world.controller_names[number % len(world.controller_names)])
+        assert world.submit_until_accepted(job_id, world.controller_names[index % len(world.controller_names)])
     return job_ids
 
 
-def submit_good(world: World, count: int, **fields: object) -> list[str]:
-    job_ids = [f"j-{number}" for number in range(count)]
-    for number, job_id in enumerate(job_ids):
+def submit_healthy_jobs(world: World, count: int, **fields: object) -> list[str]:
+    job_ids = [f"j-{index}" for index in range(count)]
+    for index, job_id in enumerate(job_ids):
         world.define_job(job_id, **fields)
-        assert world.submit_until_accepted(job_id, world.controller_names[number % len(world.controller_names)])
+        assert world.submit_until_accepted(job_id, world.controller_names[index % len(world.controller_names)])
     return job_ids
 
 
-def watch(world: World, seconds: int, check: Callable[[World], None] = check_indexes) -> set[str]:
-    """The machines that are marked as sick from now on; the indexes are compared with a walk meanwhile."""
-    found: set[str] = set()
+def watch_quarantined_machines(world: World, seconds: int, check: Callable[[World], None] = check_indexes) -> set[str]:
+    """Return a set to which each machine is added that is quarantined from now on; `check` is called meanwhile, too."""
+    quarantined: set[str] = set()
 
-    def look() -> None:
+    def sample() -> None:
         check(world)
-        for controller in controllers(world):
-            found.update(
+        for controller in live_controllers(world):
+            quarantined.update(
                 host for host, record in controller.state.machines.items() if record.drain_reason == QUARANTINED
             )
 
-    for half in range(seconds * 2):
-        world.after(half * 0.5 * S, look)
-    return found
+    for half_second in range(seconds * 2):
+        world.after(half_second * 0.5 * S, sample)
+    return quarantined
+
 
+def run_healthy_and_failing_jobs(seed: int, failure_delay_s: float) -> tuple[World, set[str], set[str], list[str]]:
+    """Run healthy and failing jobs on healthy machines and two faulty ones.
 
-def mixed(seed: int, after: float) -> tuple[World, set[str], set[str], list[str]]:
-    """Good and bad jobs on good machines and two sick ones; what was drained, what is sick, the bad jobs."""
+    Return the world, the quarantined machines, the faulty machines and the failing jobs.
+    """
     world = started_world(seed, capacity=10)
-    found = watch(world, 200)
-    services = [f"j-7{number}" for number in range(4)]
-    for job_id in services:
+    quarantined = watch_quarantined_machines(world, 200)
+    service_ids = [f"j-7{number}" for number in range(4)]
+    for job_id in service_ids:
         world.define_job(job_id, shape="service", pieces=2, cores=1.0)
         assert world.submit_until_accepted(job_id, "c0")
-    warm = [f"j-8{number}" for number in range(4)]
-    for job_id in warm:
+    first_job_ids = [f"j-8{number}" for number in range(4)]
+    for job_id in first_job_ids:
         world.define_job(job_id, pieces=4, cores=4.0, guessS=6.0)
         assert world.submit_until_accepted(job_id, "c0")
     assert world.run_until(lambda: len({agent.host for agent, _ in world.invariants.running_tasks()}) >= 6, 30)
-    bad = submit_bad(world, 4, after, pieces=3)
+    failing_ids = submit_failing_jobs(world, 4, failure_delay_s, pieces=3)
     world.run(5)
-    sick = {host for host, agent in world.agents.items() if agent.alive and agent.fencing_token}
-    sick = set(world.rng.sample(sorted(sick), 2))
-    for host in sick:
+    faulty_hosts = {host for host, agent in world.agents.items() if agent.alive and agent.fencing_token}
+    faulty_hosts = set(world.rng.sample(sorted(faulty_hosts), 2))
+    for host in faulty_hosts:
         world.agents[host].is_faulty = True
-    good = submit_good(world, 24, pieces=4, guessS=4.0)
+    healthy_ids = submit_healthy_jobs(world, 24, pieces=4, guessS=4.0)
     world.run(90)
-    assert all(world.is_done(job_id) for job_id in good + warm)
+    assert all(world.is_done(job_id) for job_id in healthy_ids + first_job_ids)
     assert world.invariants.violations == []
-    for job_id in bad:
+    for job_id in failing_ids:
         answer = world.poll_job(job_id, world.rng.choice(world.controller_names))
         assert answer is not None
         assert (answer[0], answer[1]["done"]) == (200, 0)
         assert world.cancel_job(job_id, world.rng.choice(world.controller_names))
     world.run(20)
-    assert not {t.job_id for w in world.agents.values() for t in w.tasks.values()} & set(bad)
-    return world, found, sick, bad
+    assert not {task.job_id for agent in world.agents.values() for task in agent.tasks.values()} & set(failing_ids)
+    return world, quarantined, faulty_hosts, failing_ids
 
 
-@pytest.mark.parametrize("after", [0.3, 4.0])
+@pytest.mark.parametrize("failure_delay_s", [0.3, 4.0])
 @pytest.mark.parametrize("seed", range(3))
-def test_good_jobs_get_done_and_only_faulty_machines_are_drained(seed: int, after: float) -> None:
-    world, found, sick, bad = mixed(seed, after)
-    assert found
-    assert found <= sick
-    assert max(world.invariants.starts_by_job[job_id] for job_id in bad) <= 20
+def test_healthy_jobs_finish_and_only_faulty_machines_are_quarantined(seed: int, failure_delay_s: float) -> None:
+    world, quarantined, faulty_hosts, failing_ids = run_healthy_and_failing_jobs(seed, failure_delay_s)
+    assert quarantined
+    assert quarantined <= faulty_hosts
+    assert max(world.invariants.starts_by_job[job_id] for job_id in failing_ids) <= 20
 
 
-def blamed(after: float = 0.5, cancel: bool = False, check: Callable[[World], None] = check_indexes) -> set[str]:
-    """Healthy machines that run services, so that nothing is ever done there, and get bad jobs; those called sick."""
+def machines_quarantined_by_failing_jobs(
+    failure_delay_s: float = 0.5, cancel: bool = False, check: Callable[[World], None] = check_indexes
+) -> set[str]:
+    """Return which healthy machines are quarantined when failing jobs come to them.
+
+    They run services, so that no task ever succeeds there.
+    """
     world = started_world(3, capacity=6)
     world.define_job("j-1", shape="service", pieces=6, cores=3.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30)
-    found = watch(world, 100, check)
-    bad = submit_bad(world, 3, after, pieces=2)
+    quarantined = watch_quarantined_machines(world, 100, check)
+    failing_ids = submit_failing_jobs(world, 3, failure_delay_s, pieces=2)
     world.run(20)
-    for job_id in bad if cancel else ():
+    for job_id in failing_ids if cancel else ():
         assert world.cancel_job(job_id, "c1")
     world.run(60)
     assert world.invariants.violations == []
-    return found
+    return quarantined
 
 
-@pytest.mark.parametrize("after", [0.5, 6.0])
-def test_bad_jobs_speak_against_no_machine(after: float) -> None:
-    assert blamed(after=after) == set()
-    assert blamed(after=after, cancel=True) == set(), "nor when they are over"
+@pytest.mark.parametrize("failure_delay_s", [0.5, 6.0])
+def test_no_machine_is_quarantined_because_of_failing_jobs(failure_delay_s: float) -> None:
+    assert machines_quarantined_by_failing_jobs(failure_delay_s=failure_delay_s) == set()
+    assert machines_quarantined_by_failing_jobs(failure_delay_s=failure_delay_s, cancel=True) == set(), (
+        "also not after the failing jobs are cancelled"
+    )
 
 
-def test_without_the_index_of_failures_they_do(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failing_jobs_get_machines_quarantined_without_the_failure_attribution(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(FailureAttribution, "_indicates_fault", lambda self, job_id, name: True)
-    assert blamed()
+    assert machines_quarantined_by_failing_jobs()
 
 
-def test_when_jobs_that_are_over_count_they_do(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cancelled_failing_jobs_get_machines_quarantined_when_every_finished_job_counts(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     indicates_fault = FailureAttribution._indicates_fault
     monkeypatch.setattr(
         FailureAttribution,
         "_indicates_fault",
         lambda self, job_id, name: job_id not in self._jobs or indicates_fault(self, job_id, name),
     )
-    assert blamed(cancel=True, check=lambda world: None)
+    assert machines_quarantined_by_failing_jobs(cancel=True, check=lambda world: None)
 
 
-def probed_elsewhere(after: float) -> set[str]:
-    """Two bad jobs fail on one machine first; the next tasks of both run elsewhere for a while before they fail."""
+def machines_quarantined_while_jobs_run_elsewhere(failure_delay_s: float) -> set[str]:
+    """Return which machines are quarantined after two jobs failed on one machine, then ran elsewhere and failed."""
     world = started_world(4, capacity=6, members=1)
     world.define_job("j-1", shape="service", pieces=2, cores=5.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 2, 30)
-    found = watch(world, 60)
-    submit_bad(world, 2, after, pieces=1, cores=1.0)
+    quarantined = watch_quarantined_machines(world, 60)
+    submit_failing_jobs(world, 2, failure_delay_s, pieces=1, cores=1.0)
     world.run(50)
-    return found
+    return quarantined
 
 
-def test_a_verdict_waits_for_what_still_runs_elsewhere() -> None:
-    assert probed_elsewhere(5.0) == set()
+def test_healthy_machine_is_not_quarantined_while_its_failed_jobs_run_elsewhere() -> None:
+    assert machines_quarantined_while_jobs_run_elsewhere(5.0) == set()
 
 
-def test_a_verdict_at_once_takes_a_healthy_machine(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_healthy_machine_is_quarantined_without_the_quarantine_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(faulty_machines, "QUARANTINE_AFTER", 0.1 * S)
-    assert probed_elsewhere(5.0)
+    assert machines_quarantined_while_jobs_run_elsewhere(5.0)
 
 
-def test_a_faulty_machine_is_drained_and_its_jobs_run_elsewhere() -> None:
+def test_faulty_machine_is_quarantined_and_its_jobs_run_elsewhere() -> None:
     world = started_world(2, members=1)
-    for number in range(3):
-        world.define_job(f"j-{number}", pieces=2, cores=1.0, guessS=60.0)
+    for index in range(3):
+        world.define_job(f"j-{index}", pieces=2, cores=1.0, guessS=60.0)
     assert world.submit_until_accepted("j-0", "c0")
     assert world.run_until(lambda: bool(world.invariants.running_tasks()), 20)
-    sick = world.invariants.running_tasks()[0][0]
-    sick.is_faulty = True
-    found = watch(world, 60)
-    for number in (1, 2):
-        assert world.submit_until_accepted(f"j-{number}", "c0")
-    assert world.run_until(lambda: not sick.alive, 40)
-    assert found == {sick.host}
-    assert world.run_until(lambda: all(world.is_done(f"j-{number}") for number in range(3)), 120)
+    faulty_agent = world.invariants.running_tasks()[0][0]
+    faulty_agent.is_faulty = True
+    quarantined = watch_quarantined_machines(world, 60)
+    for index in (1, 2):
+        assert world.submit_until_accepted(f"j-{index}", "c0")
+    assert world.run_until(lambda: not faulty_agent.alive, 40)
+    assert quarantined == {faulty_agent.host}
+    assert world.run_until(lambda: all(world.is_done(f"j-{index}") for index in range(3)), 120)
     assert world.invariants.violations == []
 
 
-def test_a_good_job_whose_scheduler_has_only_faulty_machines_runs_on_others() -> None:
-    """It failed on both before anything speaks against them; its probes must not stay with them."""
+def test_healthy_job_runs_on_other_machines_when_its_scheduler_owns_only_faulty_ones() -> None:
+    """The job fails on its scheduler's machines before they count as faulty; probes must go to machines of others."""
     world = started_world(3, capacity=9)
     world.define_job("j-1", shape="service", pieces=9, cores=5.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 9, 30)
-    parts = Counter(owner_of(world, host) for host in world.agents)
-    scheduler = max((name for name in world.controller_names if name != leader_of(world)), key=lambda name: parts[name])
+    machine_counts = Counter(owner_of(world, host) for host in world.agents)
+    scheduler = max(
+        (name for name in world.controller_names if name != leader_of(world)), key=lambda name: machine_counts[name]
+    )
     for host, agent in world.agents.items():
         agent.is_faulty = owner_of(world, host) == scheduler
     world.define_job("j-2", pieces=2, cores=1.0)
-    record = json.dumps(world.job_specs["j-2"]).encode()
-    for controller in controllers(world):
-        controller.job_api._choose_scheduler = lambda run: scheduler
-    world.request("c0", lambda c: c.job_api.submit(record, lambda status, *rest: None))
+    body = json.dumps(world.job_specs["j-2"]).encode()
+    for controller in live_controllers(world):
+        controller.job_api._choose_scheduler = lambda spec: scheduler
+    world.request("c0", lambda controller: controller.job_api.submit(body, lambda status, *_: None))
     assert sum(agent.is_faulty for agent in world.agents.values()) >= 2
     assert world.run_until(lambda: world.is_done("j-2"), 60)
 
 
-def done_though_the_first_are_faulty(count: int, seconds: float) -> bool:
-    """The first machines that are rented are all sick, so that nothing shows that the jobs are good."""
+def jobs_finish_when_first_machines_are_faulty(faulty_count: int, seconds: float) -> bool:
+    """Return whether healthy jobs finish in time.
+
+    All machines that are rented first are faulty, so that no success shows that the jobs are healthy.
+    """
     world = started_world(2, members=1)
     create_agent = world.cloud._create_agent
-    sick: list[str] = []
+    faulty_hosts: list[str] = []
 
-    def rented(zone: str, spot: bool) -> str:
+    def create_faulty_agent(zone: str, spot: bool) -> str:
         host = create_agent(zone, spot)
-        if len(sick) < count:
-            sick.append(host)
+        if len(faulty_hosts) < faulty_count:
+            faulty_hosts.append(host)
             world.agents[host].is_faulty = True
         return host
 
-    world.cloud._create_agent = rented  # type: ignore[method-assign]
-    job_ids = submit_good(world, 4, pieces=1, cores=1.0, guessS=3.0)
-    done = world.run_until(lambda: all(world.is_done(job_id) for job_id in job_ids), seconds)
-    assert len(sick) == count
+    world.cloud._create_agent = create_faulty_agent  # type: ignore[method-assign]
+    job_ids = submit_healthy_jobs(world, 4, pieces=1, cores=1.0, guessS=3.0)
+    are_all_done = world.run_until(lambda: all(world.is_done(job_id) for job_id in job_ids), seconds)
+    assert len(faulty_hosts) == faulty_count
     assert world.invariants.violations == []
-    return done
+    return are_all_done
 
 
-@pytest.mark.parametrize(("count", "seconds"), [(4, 120), (6, 240)])
-def test_jobs_get_done_though_all_machines_are_faulty_at_first(count: int, seconds: float) -> None:
-    assert done_though_the_first_are_faulty(count, seconds)
+@pytest.mark.parametrize(("faulty_count", "seconds"), [(4, 120), (6, 240)])
+def test_healthy_jobs_finish_when_all_machines_are_faulty_at_first(faulty_count: int, seconds: float) -> None:
+    assert jobs_finish_when_first_machines_are_faulty(faulty_count, seconds)
 
 
-def test_when_faulty_machines_stay_in_the_pool_they_do_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    known = FleetObservation.machines
+def test_healthy_jobs_do_not_finish_without_the_counts_of_consecutive_failures(monkeypatch: pytest.MonkeyPatch) -> None:
+    observed_machines = FleetObservation.machines
     monkeypatch.setattr(
         FleetObservation,
         "machines",
-        lambda self, *found: [replace(one, consecutive_failures=0) for one in known(self, *found)],
+        lambda self, *arguments: [
+            replace(machine, consecutive_failures=0) for machine in observed_machines(self, *arguments)
+        ],
     )
-    assert not done_though_the_first_are_faulty(6, 400)
+    assert not jobs_finish_when_first_machines_are_faulty(6, 400)
 
 
-def done_off_the_only_machine(world: World) -> bool:
-    """The only machine, which runs a service and has room for more, is sick."""
-    (controller,) = controllers(world)
+def job_finishes_off_the_only_machine(world: World) -> bool:
+    """Return whether a job finishes when the only machine, which runs a service and has room for more, is faulty."""
+    (controller,) = live_controllers(world)
     controller.state.tuning = controller.machine_index.tuning = replace(
         controller.state.tuning, pool_size=0, pool_share=0.0
     )
@@ -252,216 +276,233 @@
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: bool(world.invariants.running_tasks()), 30)
     world.run(60)
-    (sick,) = [agent for agent in world.agents.values() if agent.alive]
-    sick.is_faulty = True
+    (faulty_agent,) = [agent for agent in world.agents.values() if agent.alive]
+    faulty_agent.is_faulty = True
     world.define_job("j-2", pieces=1, cores=1.0, guessS=3.0)
     assert world.submit_until_accepted("j-2", "c0")
-    done = world.run_until(lambda: world.is_done("j-2"), 150)
+    is_done = world.run_until(lambda: world.is_done("j-2"), 150)
     assert world.invariants.violations == []
-    assert sick.alive
-    return done
+    assert faulty_agent.alive
+    return is_done
 
 
-def test_a_job_that_failed_on_the_only_machine_gets_another() -> None:
-    assert done_off_the_only_machine(started_world(2, members=1))
+def test_job_that_failed_on_the_only_machine_finishes_on_another() -> None:
+    assert job_finishes_off_the_only_machine(started_world(2, members=1))
 
 
-def test_when_that_machine_counts_as_room_it_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_job_that_failed_on_the_only_machine_does_not_finish_without_avoided_hosts(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(JobState, "avoided_hosts", property(lambda self: set()))
-    assert not done_off_the_only_machine(started_world(2, members=1))
+    assert not job_finishes_off_the_only_machine(started_world(2, members=1))
 
 
 @pytest.mark.parametrize("seed", range(300, 308))
-def test_no_rule_is_broken_in_generated_histories_with_bad_jobs(seed: int) -> None:
-    def look(world: World) -> None:
+def test_no_invariant_is_violated_in_generated_histories_with_failing_jobs(seed: int) -> None:
+    def set_failures_and_check_indexes(world: World) -> None:
         world.failure_delays |= {"j-0": 0.4, "j-1": 3.0, "j-2": 8.0}
         check_indexes(world)
 
-    world = play(seed, look=look)
+    world = play(seed, look=set_failures_and_check_indexes)
     assert world.invariants.violations == []
     assert any(world.invariants.starts_by_job[job_id] for job_id in world.failure_delays)
     end_faults(world)
     for job_id in world.failure_delays:
         answers = {name: world.poll_job(job_id, name) for name in world.controller_names}
-        live = f"live/job/{job_id}" in world.store.entries or f"ended/{job_id}" in world.store.entries
-        assert all(answer is not None and answer[0] == (200 if live else 404) for answer in answers.values()), answers
+        is_known = f"live/job/{job_id}" in world.store.entries or f"ended/{job_id}" in world.store.entries
+        assert all(answer is not None and answer[0] == (200 if is_known else 404) for answer in answers.values()), (
+            answers
+        )
     assert world.invariants.violations == []
 
 
-# The pace of a job that fails everywhere, and what it takes from others.
+# How often failing jobs are started, and what they take from other jobs.
 
 
-def starts_of_a_bad_job(**fields: object) -> int:
+def count_starts_of_failing_job(**fields: object) -> int:
+    """Return how many task starts a failing job gets in three minutes, and check that none follows its cancellation."""
     world = started_world(5, capacity=6)
-    (job_id,) = submit_bad(world, 1, 0.3, **({"pieces": 8, "cores": 1.0} | fields))
+    (job_id,) = submit_failing_jobs(world, 1, 0.3, **({"pieces": 8, "cores": 1.0} | fields))
     world.run(180)
     answer = world.poll_job(job_id, "c2")
     assert answer is not None
     assert (answer[0], answer[1]["status"]) == (200, "pending")
     assert world.cancel_job(job_id, "c0")
-    before = world.invariants.starts_by_job[job_id]
+    starts_before = world.invariants.starts_by_job[job_id]
     world.run(70)
-    assert world.invariants.starts_by_job[job_id] == before
+    assert world.invariants.starts_by_job[job_id] == starts_before
     assert world.invariants.violations == []
-    return before
+    return starts_before
 
 
 @pytest.mark.parametrize("shape", ["batch", "service"])
-def test_a_bad_job_starts_few_tasks(shape: str) -> None:
-    assert starts_of_a_bad_job(shape=shape) <= 30
+def test_failing_job_starts_few_tasks(shape: str) -> None:
+    assert count_starts_of_failing_job(shape=shape) <= 30
 
 
-def test_without_probes_all_its_tasks_start_every_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failing_job_starts_many_tasks_without_the_limit_to_one_probe(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(JobState, "startable", property(lambda self: self.waiting))
-    assert starts_of_a_bad_job() > 50
+    assert count_starts_of_failing_job() > 50
 
 
-def test_without_the_pause_probes_follow_each_other(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failing_job_starts_many_probes_without_the_back_off(monkeypatch: pytest.MonkeyPatch) -> None:
     back_off = FailingJobs.back_off
 
-    def at_once(failing_jobs: FailingJobs, job_state: JobState, now: timedelta) -> None:
+    def back_off_without_delay(failing_jobs: FailingJobs, job_state: JobState, now: timedelta) -> None:
         back_off(failing_jobs, job_state, now)
         job_state.retry_at = 0 * S
         job_state.excluded_until.clear()
 
-    monkeypatch.setattr(FailingJobs, "back_off", at_once)
-    assert starts_of_a_bad_job() > 50
+    monkeypatch.setattr(FailingJobs, "back_off", back_off_without_delay)
+    assert count_starts_of_failing_job() > 50
 
 
-def test_a_bad_job_that_stops_failing_runs_to_the_end() -> None:
+def test_failing_jobs_finish_once_their_tasks_no_longer_fail() -> None:
     world = started_world(5, capacity=6)
-    found = watch(world, 300)
-    job_ids = submit_bad(world, 2, 0.3, pieces=8, cores=1.0)
+    quarantined = watch_quarantined_machines(world, 300)
+    job_ids = submit_failing_jobs(world, 2, 0.3, pieces=8, cores=1.0)
     world.run(60)
     world.failure_delays.clear()
     assert world.run_until(lambda: all(world.is_done(job_id) for job_id in job_ids), 150)
     world.run(30)
     assert world.invariants.violations == []
-    assert found == set()
+    assert quarantined == set()
 
 
-def all_run_again(world: World) -> bool:
-    """Tasks of a job fail on two machines, while its others run on."""
+def all_tasks_run_again(world: World) -> bool:
+    """Return whether all tasks of a job run again soon after those on two machines failed; the others keep running."""
     world.define_job("j-1", pieces=6, cores=4.0, guessS=60.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 30)
-    two = sorted({agent.host for agent, _ in world.invariants.running_tasks()})[:2]
+    failed_hosts = sorted({agent.host for agent, _ in world.invariants.running_tasks()})[:2]
     for agent, task in world.invariants.running_tasks():
-        if agent.host in two:
+        if agent.host in failed_hosts:
             agent._finish(task, "error")
-    job_state = work_of(world, "j-1")
-    assert world.run_until(lambda: bool(job_state.is_failing), 10), (
-        "two machines are the least that speaks against a job"
-    )
+    job_state = job_state_of(world, "j-1")
+    assert world.run_until(lambda: bool(job_state.is_failing), 10), "a job counts as failing from two machines on"
     return world.run_until(lambda: len(world.invariants.running_tasks()) == 6, 12)
 
 
-def test_a_job_of_which_tasks_run_on_is_not_held_back() -> None:
-    assert all_run_again(started_world(3))
+def test_job_is_not_held_back_while_some_of_its_tasks_keep_running() -> None:
+    assert all_tasks_run_again(started_world(3))
 
 
-def test_without_that_it_waits_for_one_to_be_done(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_job_with_running_tasks_is_held_back_without_the_check_for_recovered_jobs(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(JobScheduler, "clear_recovered", lambda self, now: None)
-    assert not all_run_again(started_world(3))
+    assert not all_tasks_run_again(started_world(3))
 
 
-def blamed_for_machines(world: World) -> bool:
-    """A job fails on a machine that is already known as sick, and on another."""
+def is_job_failing_after_quarantine(world: World) -> bool:
+    """Return whether a job counts as failing after it fails on a machine that is then quarantined, and on another."""
     world.define_job("j-1", pieces=4, cores=4.0, guessS=60.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len({agent.host for agent, _ in world.invariants.running_tasks()}) >= 2, 30)
-    tasks = {agent.host: (agent, task) for agent, task in world.invariants.running_tasks()}
-    (one, first), (other, second) = list(tasks.values())[:2]
-    one._finish(first, "error")
-    job_state = work_of(world, "j-1")
+    task_by_host = {agent.host: (agent, task) for agent, task in world.invariants.running_tasks()}
+    (first_agent, first_task), (second_agent, second_task) = list(task_by_host.values())[:2]
+    first_agent._finish(first_task, "error")
+    job_state = job_state_of(world, "j-1")
     assert world.run_until(lambda: bool(job_state.failed_on), 10)
-    for controller in controllers(world):
-        controller.state.machines[one.host] = replace(controller.state.machines[one.host], drain_reason=QUARANTINED)
+    for controller in live_controllers(world):
+        controller.state.machines[first_agent.host] = replace(
+            controller.state.machines[first_agent.host], drain_reason=QUARANTINED
+        )
         if controller.state.scheduler is not None:
-            controller.state.scheduler.discard_failures_on(one.host)
-    other._finish(second, "error")
+            controller.state.scheduler.discard_failures_on(first_agent.host)
+    second_agent._finish(second_task, "error")
     world.run(3)
     return job_state.is_failing
 
 
-def test_a_job_is_not_blamed_for_a_faulty_machine() -> None:
-    assert not blamed_for_machines(started_world(3))
+def test_failures_on_a_quarantined_machine_do_not_count_against_the_job() -> None:
+    assert not is_job_failing_after_quarantine(started_world(3))
 
 
-def test_without_that_it_is(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failures_on_a_quarantined_machine_count_against_the_job_without_their_discard(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(JobScheduler, "discard_failures_on", lambda self, host: None)
-    assert blamed_for_machines(started_world(3))
+    assert is_job_failing_after_quarantine(started_world(3))
+
 
+def count_rentals_and_writes_of_failing_jobs() -> tuple[int, int]:
+    """Return how many machines are rented, and transactions sent, for two large failing jobs in two minutes.
 
-def rented_for_bad_jobs() -> tuple[int, int]:
-    """How many machines and changes of the state service two large bad jobs cost in two minutes after the first."""
+    The first 40 s are not counted.
+    """
     world = started_world(6, capacity=40)
-    submit_bad(world, 2, 0.3, pieces=60, cores=4.0)
+    submit_failing_jobs(world, 2, 0.3, pieces=60, cores=4.0)
     world.run(40)
-    machines, changes = len(world.agents), world.call_counts["POST txn"]
+    machines_before, transactions_before = len(world.agents), world.call_counts["POST txn"]
     world.run(120)
-    return len(world.agents) - machines, world.call_counts["POST txn"] - changes
+    return len(world.agents) - machines_before, world.call_counts["POST txn"] - transactions_before
 
 
-def test_bad_jobs_rent_and_write_little() -> None:
-    machines, changes = rented_for_bad_jobs()
+def test_failing_jobs_rent_few_machines_and_write_little() -> None:
+    machines, transactions = count_rentals_and_writes_of_failing_jobs()
     assert machines <= 4
-    assert changes <= 30
+    assert transactions <= 30
 
 
-def test_when_they_count_in_full_they_rent_many(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failing_jobs_rent_many_machines_without_the_limit_to_one_probe(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(JobState, "startable", property(lambda self: self.waiting))
-    assert rented_for_bad_jobs()[0] > 10
+    assert count_rentals_and_writes_of_failing_jobs()[0] > 10
 
 
-def preemptions_for_a_bad_job() -> int:
+def count_preemptions_for_failing_job() -> int:
+    """Return how many tasks are preempted for a failing job of the highest priority, after its first 30 s."""
     world = started_world(4, capacity=2)
     world.define_job("j-1", pieces=8, cores=2.0, rank="low", guessS=400.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 8, 30)
-    submit_bad(world, 1, 0.3, pieces=2, cores=4.0, rank="production")
+    submit_failing_jobs(world, 1, 0.3, pieces=2, cores=4.0, rank="production")
     world.run(30)
-    before = sum(controller.state.counters["preemptions"] for controller in controllers(world))
+    preemptions_before = sum(controller.state.counters["preemptions"] for controller in live_controllers(world))
     world.run(120)
-    return sum(controller.state.counters["preemptions"] for controller in controllers(world)) - before
+    return sum(controller.state.counters["preemptions"] for controller in live_controllers(world)) - preemptions_before
 
 
-def test_a_bad_job_claims_no_room() -> None:
-    assert preemptions_for_a_bad_job() == 0
+def test_failing_job_preempts_no_task() -> None:
+    assert count_preemptions_for_failing_job() == 0
 
 
-def test_without_that_guard_it_claims_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failing_job_preempts_tasks_without_the_check_whether_it_may_claim_room(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(JobState, "may_claim_room", property(lambda self: True))
-    assert preemptions_for_a_bad_job() > 0
+    assert count_preemptions_for_failing_job() > 0
 
 
-def others_done() -> bool:
-    """A team at its limit has a large bad job and good ones, another team at its limit only good ones."""
+def other_jobs_finish() -> bool:
+    """Return whether healthy jobs finish of two teams at their limits, one of which has a large failing job."""
     world = started_world(7, teams={"one": 12.0, "two": 8.0}, capacity=8)
-    submit_bad(world, 1, 0.3, owner="one", pieces=100, cores=2.0, rank="high")
+    submit_failing_jobs(world, 1, 0.3, owner="one", pieces=100, cores=2.0, rank="high")
     world.run(20)
-    for number in range(6):
-        world.define_job(f"j-{number}", owner="one" if number % 2 else "two", pieces=6, cores=2.0, guessS=3.0)
-        assert world.submit_until_accepted(f"j-{number}", world.controller_names[number % 3])
-    done = world.run_until(lambda: all(world.is_done(f"j-{number}") for number in range(6)), 40)
+    for index in range(6):
+        world.define_job(f"j-{index}", owner="one" if index % 2 else "two", pieces=6, cores=2.0, guessS=3.0)
+        assert world.submit_until_accepted(f"j-{index}", world.controller_names[index % 3])
+    are_all_done = world.run_until(lambda: all(world.is_done(f"j-{index}") for index in range(6)), 40)
     assert world.invariants.violations == []
-    return done
+    return are_all_done
 
 
-def test_teams_at_their_limits_are_not_held_up() -> None:
-    assert others_done()
+def test_failing_job_does_not_hold_up_teams_at_their_limits() -> None:
+    assert other_jobs_finish()
 
 
-def test_when_a_bad_job_asks_for_all_its_tasks_they_are(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failing_job_holds_up_teams_at_their_limits_when_it_does_not_count_as_failing(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(JobState, "is_failing", property(lambda self: False))
-    assert not others_done()
+    assert not other_jobs_finish()
 
 
-def test_a_bad_job_has_no_share_of_those_that_waited_long() -> None:
+def test_failing_job_does_not_count_as_long_waiting() -> None:
     world = started_world(5, capacity=6)
-    (job_id,) = submit_bad(world, 1, 0.3, pieces=8)
+    (job_id,) = submit_failing_jobs(world, 1, 0.3, pieces=8)
     world.run(30)
-    job_state, controller = work_of(world, job_id), controllers(world)[0]
+    job_state, controller = job_state_of(world, job_id), live_controllers(world)[0]
     later = world.now + 500 * S
     assert job_state.is_failing
     assert job_state.idle_for(later, controller.runtime.wall() + 500 * S) == 0 * S
@@ -469,44 +510,46 @@
     assert job_state.idle_for(later, controller.runtime.wall() + 500 * S) > controller.state.tuning.patience
 
 
-def handed_over(world: World) -> int:
-    """A bad job gets another home; how many of its tasks start within 10 s."""
+def count_starts_after_scheduler_change(world: World) -> int:
+    """Return how many tasks of a failing job start within 10 s after another controller became its scheduler."""
     world.define_job("j-1", shape="service", pieces=4, cores=5.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 4, 30)
-    (job_id,) = submit_bad(world, 1, 0.3, pieces=8, cores=0.5)
+    (job_id,) = submit_failing_jobs(world, 1, 0.3, pieces=8, cores=0.5)
     world.run(40)
-    job_state = work_of(world, job_id)
-    other = next(name for name in world.controller_names if name != job_state.job.record.scheduler)
-    before, record = (
+    job_state = job_state_of(world, job_id)
+    next_scheduler = next(name for name in world.controller_names if name != job_state.job.record.scheduler)
+    starts_before, record = (
         world.invariants.starts_by_job[job_id],
-        msgspec.structs.replace(job_state.job.record, scheduler=other),
+        msgspec.structs.replace(job_state.job.record, scheduler=next_scheduler),
     )
     world.store.put(f"live/job/{job_id}", msgspec.to_builtins(record))
     world.run(10)
-    assert work_of(world, job_id) is not job_state
-    return world.invariants.starts_by_job[job_id] - before
+    assert job_state_of(world, job_id) is not job_state
+    return world.invariants.starts_by_job[job_id] - starts_before
 
 
-def test_its_next_scheduler_knows_where_a_job_failed() -> None:
-    assert handed_over(started_world(4, capacity=6)) <= 3
+def test_next_scheduler_of_a_failing_job_knows_where_it_failed() -> None:
+    assert count_starts_after_scheduler_change(started_world(4, capacity=6)) <= 3
 
 
-def test_without_that_all_its_tasks_start_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_all_tasks_of_a_failing_job_start_again_without_the_hosts_that_it_failed_on(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(MachineIndex, "hosts_failed_on", lambda self, job_id: set())
-    assert handed_over(started_world(4, capacity=6)) > 6
+    assert count_starts_after_scheduler_change(started_world(4, capacity=6)) > 6
 
 
-def test_rows_stay_small_however_many_bad_jobs_there_are() -> None:
+def test_machine_status_names_few_failed_jobs_when_many_jobs_fail() -> None:
     world = started_world(5, capacity=2)
-    submit_bad(world, 12, 0.3, pieces=1, cores=0.5)
+    submit_failing_jobs(world, 12, 0.3, pieces=1, cores=0.5)
     world.run(20)
-    hosts = [host for controller in controllers(world) for host in controller.machine_index.machines.values()]
+    hosts = [host for controller in live_controllers(world) for host in controller.machine_index.machines.values()]
     assert max(len(host.failed_jobs) for host in hosts) == FAILED_JOBS_KEPT
     check_indexes(world)
 
 
-def test_what_a_machine_tells_of_failures() -> None:
+def test_machine_keeps_its_last_failed_jobs_and_counts_those_since_a_success() -> None:
     machine = OwnedMachine("vm-1", MachineRecord("m", "a", False, 1, 0.0), None, True, 0 * S)
     for job_id in ("j-1", "j-2", "j-1"):
         record_outcome(machine, job_id, "error")
@@ -515,8 +558,8 @@
     assert (machine.failed_jobs, machine.consecutive_failures) == (["j-1", "j-2"], 0)
     record_outcome(machine, "j-1", "error")
     assert (machine.failed_jobs, machine.consecutive_failures) == (["j-2", "j-1"], 1)
-    for number in range(20):
-        record_outcome(machine, f"j-{number + 10}", "error")
+    for index in range(20):
+        record_outcome(machine, f"j-{index + 10}", "error")
     assert (len(machine.failed_jobs), machine.consecutive_failures, machine.failed_jobs[-1]) == (
         FAILED_JOBS_KEPT,
         FAILED_JOBS_KEPT,
