--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,9 @@
-"""What passes between controllers and to the state service: changes since a number, groups, crossing reads, copies."""
+"""Communication of controllers with each other, with agents and with the key-value store.
+
+Messages and responses arrive late, out of order, repeatedly or never. A copy of a table could then lack changes, a
+deleted key, an ended task or a returned machine could be restored, and a failed condition could refuse other changes of
+the same batch. In large clusters, calls and bytes could exceed what the services allow.
+"""
 
 import json
 import random
@@ -33,23 +38,23 @@
 )
 
 
-class SenderTable:
-    """A table with its change log, and the plain model of both: the whole table as it is now."""
+class LoggedTable:
+    """A table at the sender, with its change log."""
 
     def __init__(self) -> None:
-        self.ledger: ChangeLog[int] = ChangeLog()
-        self.whole: dict[int, int] = {}
-        self.seq = 0
+        self.change_log: ChangeLog[int] = ChangeLog()
+        self.rows: dict[int, int] = {}
+        self.sequence_number = 0
 
     def change(self, kind: str, key: int) -> None:
-        self.seq += 1
-        self.whole.pop(key, None)
+        self.sequence_number += 1
+        self.rows.pop(key, None)
         if kind == "set":
-            self.whole[key] = self.seq
-        self.ledger.record_change(key, self.seq)
+            self.rows[key] = self.sequence_number
+        self.change_log.record_change(key, self.sequence_number)
 
 
-def take_changes(copy: dict[int, int], changes: dict[int, int | None]) -> None:
+def apply_changes(copy: dict[int, int], changes: dict[int, int | None]) -> None:
     for key, value in changes.items():
         copy.pop(key, None)
         if value is not None:
@@ -58,176 +63,186 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(EVENTS)
-def test_changes_since_an_acknowledged_number_build_the_whole_table(events: list[tuple[str, int]]) -> None:
-    """The plain model is a copy of the sender's whole table at each number; messages get lost, late and repeated."""
-    table = SenderTable()
-    whole: dict[int, dict[int, int]] = {0: {}}
-    inbox, copy = ReceivedSequence(), dict[int, int]()
-    taken = 0
+def test_receiver_has_the_whole_table_when_it_applies_changes_since_what_it_acknowledged(
+    events: list[tuple[str, int]],
+) -> None:
+    """The receiver's copy equals the sender's table at each number, although messages are lost, late and repeated."""
+    table = LoggedTable()
+    rows_by_sequence_number: dict[int, dict[int, int]] = {0: {}}
+    received, copy = ReceivedSequence(), dict[int, int]()
+    acknowledged = 0
     sent: list[tuple[int, int, dict[int, int | None]]] = []
     for kind, number in events:
         if kind in ("set", "drop"):
             table.change(kind, number)
         elif kind == "send":
-            table.seq += 1
-            sent.append((taken, table.seq, {key: table.whole.get(key) for key in table.ledger.since(taken)}))
+            table.sequence_number += 1
+            sent.append(
+                (
+                    acknowledged,
+                    table.sequence_number,
+                    {key: table.rows.get(key) for key in table.change_log.since(acknowledged)},
+                )
+            )
         elif kind in ("deliver", "late") and sent:
-            base, upto, changes = sent[-1] if kind == "deliver" else sent[number % len(sent)]
-            if inbox.accept(base, upto):
-                take_changes(copy, changes)
+            base, sequence_number, changes = sent[-1] if kind == "deliver" else sent[number % len(sent)]
+            if received.accept(base, sequence_number):
+                apply_changes(copy, changes)
         elif kind == "answer":
-            taken = inbox.sequence_number
-            table.ledger.prune(taken, table.whole)
-        whole[table.seq] = dict(table.whole)
-        assert copy == whole[inbox.sequence_number]
+            acknowledged = received.sequence_number
+            table.change_log.prune(acknowledged, table.rows)
+        rows_by_sequence_number[table.sequence_number] = dict(table.rows)
+        assert copy == rows_by_sequence_number[received.sequence_number]
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(EVENTS, st.integers(1, 4))
-def test_a_table_told_in_parts_is_whole_after_the_last_part(events: list[tuple[str, int]], limit: int) -> None:
-    """Parts get lost, late and repeated like whole messages, and the table changes in between."""
-    table = SenderTable()
-    inbox, copy = ReceivedSequence(), dict[int, int]()
-    taken = 0
+def test_receiver_has_the_whole_table_after_the_last_part_of_a_split_message(
+    events: list[tuple[str, int]], limit: int
+) -> None:
+    """Parts are lost, late and repeated like complete messages, and the table changes between them."""
+    table = LoggedTable()
+    received, copy = ReceivedSequence(), dict[int, int]()
+    acknowledged = 0
     sent: list[tuple[int, int, bool, dict[int, int | None], dict[int, int]]] = []
     for kind, number in [*events, *[("send", 0), ("deliver", 0), ("answer", 0)] * 10]:
         if kind in ("set", "drop"):
             table.change(kind, number)
         elif kind == "send":
-            table.seq += 1
-            split = table.ledger.split_after(taken, limit)
-            changes = {key: table.whole.get(key) for key in table.ledger.since(taken, split)}
-            assert len(changes) <= limit, "each change here has a number of its own"
-            sent.append((taken, split or table.seq, split is None, changes, dict(table.whole)))
+            table.sequence_number += 1
+            split = table.change_log.split_after(acknowledged, limit)
+            changes = {key: table.rows.get(key) for key in table.change_log.since(acknowledged, split)}
+            assert len(changes) <= limit, "each change in this test has its own sequence number"
+            sent.append((acknowledged, split or table.sequence_number, split is None, changes, dict(table.rows)))
         elif kind in ("deliver", "late") and sent:
-            base, upto, last, changes, whole = sent[-1] if kind == "deliver" else sent[number % len(sent)]
-            if inbox.accept(base, upto):
-                take_changes(copy, changes)
-                assert copy == whole or not last
+            base, sequence_number, is_last, changes, rows = sent[-1] if kind == "deliver" else sent[number % len(sent)]
+            if received.accept(base, sequence_number):
+                apply_changes(copy, changes)
+                assert copy == rows or not is_last
         elif kind == "answer":
-            taken = inbox.sequence_number
-            table.ledger.prune(taken, table.whole)
-    assert copy == table.whole, "no part holds up the next"
+            acknowledged = received.sequence_number
+            table.change_log.prune(acknowledged, table.rows)
+    assert copy == table.rows, "ten exchanges in order bring all missing parts"
 
 
-def test_a_message_after_a_gap_is_not_taken() -> None:
-    inbox = ReceivedSequence()
-    assert inbox.accept(0, 3)
-    assert not inbox.accept(5, 6), "what changed from 3 to 5 is missing here"
-    assert inbox.accept(3, 6)
-    assert not inbox.accept(0, 4), "an older one says nothing new"
+def test_message_after_a_gap_is_not_accepted() -> None:
+    received = ReceivedSequence()
+    assert received.accept(0, 3)
+    assert not received.accept(5, 6), "the receiver lacks the changes from 3 to 5"
+    assert received.accept(3, 6)
+    assert not received.accept(0, 4), "an older message contains nothing new"
 
 
 class DelayedStore:
-    """A key-value store whose answers come when the test says."""
+    """A client of a key-value store, which responds when the test says so."""
 
     def __init__(self) -> None:
         self.world = World(1)
-        self.context = VirtualRuntime(self.world.nodes["c0"])
+        self.runtime = VirtualRuntime(self.world.nodes["c0"])
         self.calls: list[tuple[str, bytes, Any]] = []
-        self.context.call = self.call  # type: ignore[method-assign]
+        self.runtime.call = self.call  # type: ignore[method-assign]
         self.limits = KeyValueStoreLimits(
             requests_per_second=1000.0, writes_per_second=1000.0, max_value_kb=16.0, max_transaction_operations=12
         )
-        self.store = KeyValueStore(self.context, "state", self.limits, 1)
+        self.client = KeyValueStore(self.runtime, "state", self.limits, 1)
 
-    def call(self, request: Request, done: Any) -> None:
-        self.calls.append((request.target, request.body, done))
+    def call(self, request: Request, on_response: Any) -> None:
+        self.calls.append((request.target, request.body, on_response))
 
-    def answer(self, index: int, status: int, value: Any) -> None:
-        _, _, done = self.calls[index]
-        done(Response(status, json.dumps(value).encode()))
+    def respond(self, index: int, status: int, value: Any) -> None:
+        _, _, on_response = self.calls[index]
+        on_response(Response(status, json.dumps(value).encode()))
 
 
-def test_an_answer_that_crosses_a_newer_one_brings_nothing_back() -> None:
-    """A watch that was opened first answers last: the drop that a later read has shown stays."""
-    state, seen = DelayedStore(), {}
+def test_older_watch_response_does_not_restore_a_deleted_key() -> None:
+    """The watch was sent before the read and is answered after it; the deletion that the read returned stays."""
+    store, values = DelayedStore(), {}
 
     def on_change(key: str, value: Any, _mod_revision: int) -> None:
-        seen[key] = value
+        values[key] = value
 
-    cache = WatchCache(state.store, "live/", on_change, lambda: None)
+    cache = WatchCache(store.client, "live/", on_change, lambda: None)
     cache.start()
-    state.answer(0, 200, {"rows": [], "more": False, "epoch": 100})
-    asked: list[bool] = []
-    cache.catch_up(asked.append)
-    state.world.run(0.2)
-    assert len(state.calls) == 3, "the load, the watch and the read"
-    put, drop = {"put": "live/x", "v": 1, "stamp": 105}, {"drop": "live/x", "stamp": 110}
-    state.answer(2, 200, {"epoch": 110, "news": [put, drop]})
-    assert asked == [True]
-    assert seen == {"live/x": None}
-    state.answer(1, 200, {"epoch": 107, "news": [put]})
-    assert seen.get("live/x") is None
-
-
-def test_polls_that_come_while_a_read_is_under_way_wait_for_the_next() -> None:
-    state = DelayedStore()
-    cache = WatchCache(state.store, "live/", lambda *change: None, lambda: None)
+    store.respond(0, 200, {"rows": [], "more": False, "epoch": 100})
+    results: list[bool] = []
+    cache.catch_up(results.append)
+    store.world.run(0.2)
+    assert len(store.calls) == 3, "the calls are the load, the watch and the read"
+    put, deletion = {"put": "live/x", "v": 1, "stamp": 105}, {"drop": "live/x", "stamp": 110}
+    store.respond(2, 200, {"epoch": 110, "news": [put, deletion]})
+    assert results == [True]
+    assert values == {"live/x": None}
+    store.respond(1, 200, {"epoch": 107, "news": [put]})
+    assert values.get("live/x") is None
+
+
+def test_catch_up_during_a_read_waits_for_the_next_read() -> None:
+    store = DelayedStore()
+    cache = WatchCache(store.client, "live/", lambda *change: None, lambda: None)
     cache.start()
-    state.answer(0, 200, {"rows": [], "more": False, "epoch": 1})
+    store.respond(0, 200, {"rows": [], "more": False, "epoch": 1})
     early: list[bool] = []
     late: list[bool] = []
     cache.catch_up(early.append)
     cache.catch_up(early.append)
-    state.world.run(0.1)
+    store.world.run(0.1)
     cache.catch_up(late.append)
-    state.answer(2, 200, {"epoch": 1, "news": []})
+    store.respond(2, 200, {"epoch": 1, "news": []})
     assert early == [True, True]
     assert late == []
-    state.world.run(0.1)
-    state.answer(3, 503, {})
+    store.world.run(0.1)
+    store.respond(3, 503, {})
     assert late == [False]
 
 
-def test_only_the_change_at_fault_is_refused() -> None:
-    state = DelayedStore()
-    commits = CommitBatcher(state.store, lambda: {"live/view": 7})
-    outcomes: dict[str, TransactionResult] = {}
+def test_only_the_change_with_a_failed_condition_is_refused() -> None:
+    store = DelayedStore()
+    batcher = CommitBatcher(store.client, lambda: {"live/view": 7})
+    results: dict[str, TransactionResult] = {}
     for name in ("a", "b", "c"):
         transaction = Transaction(conditions={name: 0}, puts=[Put(name, 1)])
-        commits.add(transaction, lambda outcome, name=name: outcomes.update({name: outcome}))  # type: ignore[misc]
-    state.world.run(0.1)
-    assert len(state.calls) == 1
-    assert len(json.loads(state.calls[0][1])["then"]) == 3
-    state.answer(0, 409, {"failed": ["b"], "epoch": 5})
-    assert list(outcomes) == ["b"]
-    assert outcomes["b"].conflicting_keys == ("b",)
-    state.world.run(0.1)
-    state.answer(1, 200, {"epoch": 6})
-    assert outcomes["a"].commit_revision == outcomes["c"].commit_revision == 6
+        batcher.add(transaction, lambda result, name=name: results.update({name: result}))  # type: ignore[misc]
+    store.world.run(0.1)
+    assert len(store.calls) == 1
+    assert len(json.loads(store.calls[0][1])["then"]) == 3
+    store.respond(0, 409, {"failed": ["b"], "epoch": 5})
+    assert list(results) == ["b"]
+    assert results["b"].conflicting_keys == ("b",)
+    store.world.run(0.1)
+    store.respond(1, 200, {"epoch": 6})
+    assert results["a"].commit_revision == results["c"].commit_revision == 6
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from("abcdefgh"), st.integers(1, 3), st.integers(0, 9)), max_size=60))
-def test_groups_keep_the_limits_and_the_order_of_a_key(changes: list[tuple[str, int, int]]) -> None:
-    """Against a plain list of what was asked: each change goes out once, one key never twice in a group."""
-    state = DelayedStore()
-    commits = CommitBatcher(state.store, lambda: {"live/view": 7})
+def test_batches_keep_the_limits_of_the_store_and_the_order_of_each_key(changes: list[tuple[str, int, int]]) -> None:
+    """Each change is answered exactly once, and no key is changed twice in one batch."""
+    store = DelayedStore()
+    batcher = CommitBatcher(store.client, lambda: {"live/view": 7})
     done: list[int] = []
-    for number, (key, ops, wait) in enumerate(changes):
-        puts = [Put(f"{key}{n}", number) for n in range(ops)]
-        commits.add(Transaction(conditions={key: 0}, puts=puts), lambda outcome, number=number: done.append(number))  # type: ignore[misc]
-        state.world.run(wait * 0.01)
+    for number, (key, operation_count, wait_hundredths) in enumerate(changes):
+        puts = [Put(f"{key}{index}", number) for index in range(operation_count)]
+        batcher.add(Transaction(conditions={key: 0}, puts=puts), lambda result, number=number: done.append(number))  # type: ignore[misc]
+        store.world.run(wait_hundredths * 0.01)
     answered = 0
     while len(done) < len(changes):
-        state.world.run(0.1)
-        assert answered < len(state.calls) <= answered + 2
-        for _, body, _ in state.calls[answered:]:
+        store.world.run(0.1)
+        assert answered < len(store.calls) <= answered + 2
+        for _, body, _ in store.calls[answered:]:
             sent = json.loads(body)
-            paths = [one["put"] for one in sent["then"]]
-            assert len(paths) <= 12
-            assert len(set(paths)) == len(paths)
+            keys = [operation["put"] for operation in sent["then"]]
+            assert len(keys) <= 12
+            assert len(set(keys)) == len(keys)
             assert len(sent["when"]) <= 48
         answered += 1
-        state.answer(answered - 1, 200, {"epoch": 10 + answered})
+        store.respond(answered - 1, 200, {"epoch": 10 + answered})
     assert sorted(done) == list(range(len(changes)))
     for key in "abcdefgh":
         order = [number for number in done if changes[number][0] == key]
         assert order == sorted(order)
 
 
-def test_a_share_rises_while_nothing_is_refused_and_falls_back_at_once() -> None:
+def test_rate_grows_until_a_call_is_rejected_and_then_returns_to_its_initial_value() -> None:
     bucket = TokenBucket(10.0, 10.0, 25.0)
     bucket.wait_time(20 * S, 1)
     assert bucket.rate == 25.0
@@ -236,72 +251,77 @@
     assert bucket.wait_time(20 * S, 1) > timedelta(0)
 
 
-def a_part() -> Shard:
-    run = decode_job_spec(json.dumps(job_spec("j-1", cores=1.0, pieces=100)).encode())
-    part = Shard(5, 8 * S, 1 * S, lambda job_id: run if job_id == "j-1" else None)
+def new_shard() -> Shard:
+    spec = decode_job_spec(json.dumps(job_spec("j-1", cores=1.0, pieces=100)).encode())
+    shard = Shard(5, 8 * S, 1 * S, lambda job_id: spec if job_id == "j-1" else None)
     record = MachineRecord("m", "a", False, 1, 0.0, None, True, "r")
-    part.add_machine("vm-1", record, MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"]), timedelta(0), [])
-    return part
+    shard.add_machine("vm-1", record, MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"]), timedelta(0), [])
+    return shard
 
 
-def new_heartbeat(tenure: int, tally: int, baton: int, *tasks: int) -> Heartbeat:
-    pieces = [{"piece": f"j-1/{task}", "try": task, "status": "running"} for task in tasks]
+def new_heartbeat(agent_epoch: int, sequence_number: int, fencing_token: int, *tasks: int) -> Heartbeat:
+    task_reports = [{"piece": f"j-1/{task}", "try": task, "status": "running"} for task in tasks]
     machine = {"host": "vm-1", "rig": "m", "yard": "a", "loaners": False}
-    message = machine | {"tenure": tenure, "tally": tally, "baton": baton, "pieces": pieces}
+    message = machine | {
+        "tenure": agent_epoch,
+        "tally": sequence_number,
+        "baton": fencing_token,
+        "pieces": task_reports,
+    }
     return decode_heartbeat(json.dumps(message).encode())
 
 
 def test_late_copies_of_heartbeats_change_nothing() -> None:
-    """Within a tenure, over tenures, from before the view, and after the lease has certainly run out."""
-    part, plain = a_part(), dict[tuple[int, int], Heartbeat]()
-    machine = part.machines["vm-1"]
-    assert part.heartbeats.apply(new_heartbeat(1, 1, 4, 1, 2), 0 * S)
-    assert not machine.is_reconciled, "it may be from before the token was seen"
+    """The copies are of the same or an earlier agent epoch, from before the view, or arrive after the lease expired."""
+    shard, applied = new_shard(), dict[tuple[int, int], Heartbeat]()
+    machine = shard.machines["vm-1"]
+    assert shard.heartbeats.apply(new_heartbeat(1, 1, 4, 1, 2), 0 * S)
+    assert not machine.is_reconciled, "the agent may have created it before it saw the token"
     assert not machine.entries
     rng, now = random.Random(4), 0 * S
-    for tally in range(2, 40):
+    for sequence_number in range(2, 40):
         now += 1 * S
-        tenure = 1 + tally // 10
-        report = new_heartbeat(tenure, tally, 5, *rng.sample(range(8), 3))
-        assert part.heartbeats.apply(report, now)
+        agent_epoch = 1 + sequence_number // 10
+        heartbeat = new_heartbeat(agent_epoch, sequence_number, 5, *rng.sample(range(8), 3))
+        assert shard.heartbeats.apply(heartbeat, now)
         machine.last_reply_at = now
-        shown = {key: entry.phase for key, entry in machine.entries.items()}
-        heard, answered = machine.last_heartbeat_at, machine.last_reply_at
-        plain[tenure, tally] = report
-        for copy in rng.sample(sorted(plain), min(3, len(plain))):
-            assert not part.heartbeats.apply(plain[copy], now + 0.3 * S)
-        assert shown == {key: entry.phase for key, entry in machine.entries.items()}
-        assert (machine.last_heartbeat_at, machine.last_reply_at) == (heard, answered), (
-            "they extend no lease in our reckoning"
+        phases_before = {key: entry.phase for key, entry in machine.entries.items()}
+        heartbeat_at, reply_at = machine.last_heartbeat_at, machine.last_reply_at
+        applied[agent_epoch, sequence_number] = heartbeat
+        for heartbeat_id in rng.sample(sorted(applied), min(3, len(applied))):
+            assert not shard.heartbeats.apply(applied[heartbeat_id], now + 0.3 * S)
+        assert phases_before == {key: entry.phase for key, entry in machine.entries.items()}
+        assert (machine.last_heartbeat_at, machine.last_reply_at) == (heartbeat_at, reply_at), (
+            "late copies do not extend the lease"
         )
     assert machine.is_reconciled
-    part.leases.expire(now + 9.2 * S, 0 * S)
+    shard.leases.expire(now + 9.2 * S, 0 * S)
     assert all(entry.phase is Phase.GONE for entry in machine.entries.values())
-    assert not part.heartbeats.apply(new_heartbeat(4, 99, 5, 1, 2, 3), now + 10 * S), (
-        "a late one of the tenure that ended revives nothing"
+    assert not shard.heartbeats.apply(new_heartbeat(4, 99, 5, 1, 2, 3), now + 10 * S), (
+        "a late heartbeat of the ended agent epoch revives no task"
     )
-    assert part.heartbeats.apply(new_heartbeat(5, 100, 5), now + 11 * S)
+    assert shard.heartbeats.apply(new_heartbeat(5, 100, 5), now + 11 * S)
 
 
-def test_without_the_later_epoch_a_late_heartbeat_revives_what_is_gone() -> None:
-    part = a_part()
-    machine = part.machines["vm-1"]
-    assert part.heartbeats.apply(new_heartbeat(1, 1, 5, 1), 0 * S)
+def test_late_heartbeat_revives_a_gone_task_without_the_epoch_check_after_expiry() -> None:
+    shard = new_shard()
+    machine = shard.machines["vm-1"]
+    assert shard.heartbeats.apply(new_heartbeat(1, 1, 5, 1), 0 * S)
     machine.last_reply_at = 0 * S
-    part.leases.expire(10 * S, 0 * S)
+    shard.leases.expire(10 * S, 0 * S)
     machine.last_heartbeat_id = HeartbeatId(1, 1)
-    assert part.heartbeats.apply(new_heartbeat(1, 2, 5, 1), 11 * S)
+    assert shard.heartbeats.apply(new_heartbeat(1, 2, 5, 1), 11 * S)
     assert any(entry.phase is Phase.RUNNING for entry in machine.entries.values())
 
 
-def test_a_late_heartbeat_of_a_returned_machine_brings_nothing_back() -> None:
-    part = a_part()
-    assert part.heartbeats.apply(new_heartbeat(1, 1, 5), 0 * S)
-    part.remove_machine("vm-1")
-    assert part.heartbeats.apply(new_heartbeat(1, 1, 4), 20 * S)
-    assert not part.unrecorded_machines(), "from before this view"
-    assert part.heartbeats.apply(new_heartbeat(1, 2, 5), 21 * S)
-    assert part.unrecorded_machines(), "the leader knows what it returned"
+def test_late_heartbeat_of_a_returned_machine_does_not_restore_it() -> None:
+    shard = new_shard()
+    assert shard.heartbeats.apply(new_heartbeat(1, 1, 5), 0 * S)
+    shard.remove_machine("vm-1")
+    assert shard.heartbeats.apply(new_heartbeat(1, 1, 4), 20 * S)
+    assert not shard.unrecorded_machines(), "a heartbeat from before this view records no machine"
+    assert shard.heartbeats.apply(new_heartbeat(1, 2, 5), 21 * S)
+    assert shard.unrecorded_machines(), "the leader knows which machines it returned and decides"
     world = started_world(5)
     controller = world.nodes[leader_of(world)].controller
     assert controller is not None
@@ -312,47 +332,53 @@
     assert "vm-1" not in controller.state.machines
     controller.state.shard.unrecorded["vm-2"] = new_heartbeat(1, 2, 99)
     controller.state.shard.unrecorded["vm-2"].host = "vm-2"
-    assert world.run_until(lambda: "vm-2" in controller.state.machines, 10), "one that nobody returned is taken over"
+    assert world.run_until(lambda: "vm-2" in controller.state.machines, 10), (
+        "a machine that was not returned is added to the fleet"
+    )
 
 
-def test_what_is_no_message_of_ours_is_refused_and_asked_for_again(caplog: pytest.LogCaptureFixture) -> None:
+def test_malformed_peer_message_is_refused_and_one_after_a_gap_is_not_applied(caplog: pytest.LogCaptureFixture) -> None:
     world = started_world(5)
     controller = world.nodes["c0"].controller
     assert controller is not None
-    take = controller.peer_messages.receive
-    assert take(b"") is None
-    assert take(b"\xff" * 99) is None
-    assert take(cbor2.dumps([1])) is None
-    old = {"member": "c1", "inc": "c1-1", "view": 1, "seq": 10**6, "lacks": False}
-    assert take(cbor2.dumps(old)) is None
+    receive = controller.peer_messages.receive
+    assert receive(b"") is None
+    assert receive(b"\xff" * 99) is None
+    assert receive(cbor2.dumps([1])) is None
+    message_fields = {"member": "c1", "inc": "c1-1", "view": 1, "seq": 10**6, "lacks": False}
+    assert receive(cbor2.dumps(message_fields)) is None
     assert "c1 sent a message in version 0, expected" in caplog.text
-    assert take(cbor2.dumps(old | {"wire": MESSAGE_VERSION - 1})) is None
+    assert receive(cbor2.dumps(message_fields | {"wire": MESSAGE_VERSION - 1})) is None
     assert f"c1 sent a message in version {MESSAGE_VERSION - 1}, expected" in caplog.text
-    whole = cbor2.dumps(
-        old
+    encoded_message = cbor2.dumps(
+        message_fields
         | {"wire": MESSAGE_VERSION, "base": 10**6, "view": controller.state.view.number if controller.state.view else 0}
     )
-    assert take(whole[: len(whole) // 2]) is None
-    answer = take(whole)
-    assert answer is not None
-    assert cbor2.loads(answer)["have"] < 10**6, "it says from where it needs the changes"
+    assert receive(encoded_message[: len(encoded_message) // 2]) is None
+    reply = receive(encoded_message)
+    assert reply is not None
+    assert cbor2.loads(reply)["have"] < 10**6, "the reply says which changes the receiver has"
     world.run(2)
     assert all(node.controller is not None and node.controller.state.reconciled for node in world.nodes.values())
 
 
 def large_world(
-    seed: int, capacity: int, boots: tuple[float, float], services: int, arrays: list[dict[str, Any]]
+    seed: int,
+    capacity: int,
+    boot_seconds: tuple[float, float],
+    service_count: int,
+    batch_job_fields: list[dict[str, Any]],
 ) -> World:
-    """Five controllers and many machines; services and then arrays are submitted, fifty a second."""
+    """Return a world of five controllers in which services, then batch jobs are submitted, fifty per second."""
     world = World(seed, members=5, capacity=capacity)
     world.store_limits |= {"rps": 200.0, "write_rps": 50.0, "value_kb": 4.0}
-    world.cloud.boot_seconds = boots
+    world.cloud.boot_seconds = boot_seconds
     for node in world.nodes.values():
         node.start()
     world.run(5)
-    for number in range(services):
+    for number in range(service_count):
         world.define_job(f"j-{number}", shape="service", pieces=1, cores=1.0, rank="high")
-    for number, fields in enumerate(arrays, services):
+    for number, fields in enumerate(batch_job_fields, service_count):
         world.define_job(f"j-{number}", **fields)
     rng = random.Random(seed)
     for number, job_id in enumerate(world.job_specs):
@@ -360,10 +386,10 @@
     return world
 
 
-def test_work_at_a_grown_size() -> None:
-    """Several hundred machines, five controllers, some thousand tasks: calls and bytes are counted, not time."""
-    arrays = [{"pieces": pieces, "cores": 1.0, "guessS": 8.0} for pieces in [100] * 29 + [700]]
-    world = large_world(7, 300, (4.0, 12.0), 150, arrays)
+def test_calls_and_bytes_stay_within_bounds_with_hundreds_of_machines() -> None:
+    """Five controllers run thousands of tasks on up to 300 machines; calls and bytes are counted, not run times."""
+    batch_job_fields = [{"pieces": task_count, "cores": 1.0, "guessS": 8.0} for task_count in [100] * 29 + [700]]
+    world = large_world(7, 300, (4.0, 12.0), 150, batch_job_fields)
     world.run(20)
     assert len(world.agents) > 150, "the fleet grows in time"
     world.run(25)
@@ -374,24 +400,24 @@
     assert world.invariants.start_count > 3000
     assert sum(world.is_done(f"j-{number}") for number in range(150, 180)) == 30
     seconds = 20
-    state = sum(count for call, count in world.call_counts.items() if not call.startswith("POST sync"))
-    assert state / seconds < 200
+    service_calls = sum(count for call, count in world.call_counts.items() if not call.startswith("POST sync"))
+    assert service_calls / seconds < 200
     assert world.call_counts["POST rentals"] <= 28
     assert world.call_counts["POST sync"] / seconds < 100
     assert sum(world.sent_bytes[name] for name in world.controller_names) / seconds < 200_000
 
 
-def test_a_thousand_machines_and_one_survivor_of_five() -> None:
-    """Nine hundred machines for some thousand tasks; then four of five controllers are gone for good."""
+def test_last_of_five_controllers_takes_over_hundreds_of_machines() -> None:
+    """Thousands of tasks run on more than 700 machines; then four of five controllers end and do not come back."""
     world = large_world(11, 1000, (2.0, 6.0), 100, [{"pieces": 150, "cores": 2.0, "guessS": 12.0}] * 22)
     world.run(14)
-    up = sum(agent.alive for agent in world.agents.values())
-    assert up > 700, "the fleet grows in time"
-    values = [len(json.dumps(value)) for value, _, _ in world.store.entries.values()]
-    assert max(values) < 4096, "every record fits a value"
+    up_count = sum(agent.alive for agent in world.agents.values())
+    assert up_count > 700, "the fleet grows in time"
+    value_lengths = [len(json.dumps(value)) for value, _, _ in world.store.entries.values()]
+    assert max(value_lengths) < 4096, "every record is within the size limit of a value"
 
-    gone = [name for name in world.controller_names if name != "c3"]
-    for name in gone:
+    killed = [name for name in world.controller_names if name != "c3"]
+    for name in killed:
         world.nodes[name].kill()
     survivor = world.nodes["c3"].controller
     assert survivor is not None
@@ -403,8 +429,8 @@
     world.run(6)
     assert sum(world.is_done(f"j-{number}") for number in range(100, 122)) > 0
     assert sum(task.job_id == "j-1" for _, task in world.invariants.running_tasks()) == 1
-    state = sum(
+    service_calls = sum(
         count for call, count in world.call_counts.items() if not call.startswith(("POST sync", "POST rentals"))
     )
-    assert state / 6 < 100, "half of the state service's limit at most"
+    assert service_calls / 6 < 100, "at most half of the key-value store's limit"
     assert world.invariants.violations == []
