--- a/tests/compatibility/http_calls.py
+++ b/tests/compatibility/http_calls.py
@@ -10,9 +10,9 @@
 
 from compatibility import codecs
 from virtual import job_spec
-from virtual.loopback import ROOT, LoopWorld
+from virtual.loopback import ROOT, LoopbackWorld
 
-#: The indexes of a controller's ports in `LoopWorld.ports`: for users and agents, and for peers and operators.
+#: The indexes of a controller's ports in `LoopbackWorld.ports`: for users and agents, and for peers and operators.
 CLIENT_PORT_INDEX, PEER_PORT_INDEX = 0, 1
 UNKNOWN_JOB_ID = "j-404"
 HEARTBEAT = {
@@ -108,7 +108,7 @@
     ]
 
 
-def send_request(world: LoopWorld, port_index: int, method: str, path: str, body: bytes) -> bytes:
+def send_request(world: LoopbackWorld, port_index: int, method: str, path: str, body: bytes) -> bytes:
     """Send a request to the controller c0, and return the whole response with its head."""
     head = f"{method} {path} HTTP/1.1\r\nConnection: close\r\nContent-Length: {len(body)}\r\n\r\n"
     with socket.create_connection(("127.0.0.1", world.ports["c0"][port_index]), 5) as sock:
@@ -128,11 +128,13 @@
             is_closed[0] = part == b""
             return is_closed[0]
 
-        world.until(read, 10)
+        world.serve_until(read, 10)
     return received
 
 
-def response_cases(world: LoopWorld, port_index: int, requests: list[tuple[str, str, bytes]]) -> list[dict[str, str]]:
+def response_cases(
+    world: LoopbackWorld, port_index: int, requests: list[tuple[str, str, bytes]]
+) -> list[dict[str, str]]:
     """Send requests one after the other, and return each with its response."""
     return [
         {
@@ -172,17 +174,17 @@
 
 def cluster_cases(folder: Path, features_path: Path | None) -> dict[str, Any]:
     """Return the responses of a healthy cluster of three controllers, with or without a features file."""
-    world = LoopWorld(folder, teams={"team": 0.0, "tight": 4.0}, parts=features_path)
+    world = LoopbackWorld(folder, teams={"team": 0.0, "tight": 4.0}, features_file=features_path)
     world.log_level = "error"
     try:
         for name in world.controller_names:
             world.start(name)
-        assert world.until(lambda: all(world.is_healthy(name) for name in world.controller_names), 30)
+        assert world.serve_until(lambda: all(world.is_healthy(name) for name in world.controller_names), 30)
         world.job_specs["j-8"] = job_spec("j-8", pieces=1, shape="service")
         submission = json_body(world.job_specs["j-8"])
-        assert world.until(lambda: world.status("c0", "POST", "/v2/runs", submission) in (200, 201), 20)
-        assert world.until(lambda: len(world.invariants.running_tasks()) == 1, 30)
-        assert world.until(
+        assert world.serve_until(lambda: world.request_status("c0", "POST", "/v2/runs", submission) in (200, 201), 20)
+        assert world.serve_until(lambda: len(world.invariants.running_tasks()) == 1, 30)
+        assert world.serve_until(
             lambda: (
                 decode_json_body(send_request(world, PEER_PORT_INDEX, "GET", "/admin/status", b""))["machines"] != {}
             ),
@@ -208,13 +210,13 @@
 
 def cases_without_key_value_store(folder: Path) -> list[dict[str, Any]]:
     """Return the responses of a controller that has just started and cannot reach the key-value store."""
-    world = LoopWorld(folder)
+    world = LoopbackWorld(folder)
     world.log_level = "error"
     world.store.is_down = True
     try:
         world.start("c0")
-        assert world.until(lambda: world.status("c0", "GET", "/healthz") == 503, 20)
-        world.until(lambda: False, 1)
+        assert world.serve_until(lambda: world.request_status("c0", "GET", "/healthz") == 503, 20)
+        world.serve_until(lambda: False, 1)
         requests = [
             ("GET", "/healthz", b""),
             ("POST", "/v2/runs", json_body(job_spec("j-1"))),
--- a/tests/compatibility/test_records.py
+++ b/tests/compatibility/test_records.py
@@ -58,7 +58,7 @@
             world.job_specs[job_id] = record["run"]
         elif key.startswith("ended/"):
             world.define_job(job_id, pieces=record["pieces"])
-            world.invariants.finished_tasks |= {(job_id, task_index) for task_index in range(record["done"])}
+            world.invariants.succeeded_tasks |= {(job_id, task_index) for task_index in range(record["done"])}
     for node in world.nodes.values():
         node.start()
     world.run(20)
--- a/tests/compatibility/traffic.py
+++ b/tests/compatibility/traffic.py
@@ -223,9 +223,9 @@
     world.agents[faulty].is_faulty = True
     for task in world.agents[faulty].tasks.values():
         task.status, task.cause = "ended", "error"
-    world.agents[failed].die()
+    world.agents[failed].terminate()
     world.cloud.listing[failed]["status"] = "failed"
-    world.agents[silent].die()
+    world.agents[silent].terminate()
     world.hosts_without_responses.add(unreachable)
     encode_status = Agent.encode_status
 
@@ -263,7 +263,7 @@
 def jobs_under_team_limits() -> World:
     """Jobs of two teams run under limits, with the quota feature on; no share of a limit is transferred."""
     features = codecs.features_from_value({"quota": {"enabled": True}})
-    world = World(3, teams={"team": 16.0, "tight": 6.0}, capacity=6, parts=features)
+    world = World(3, teams={"team": 16.0, "tight": 6.0}, capacity=6, features=features)
     world.guarantees["team"] = 4.0
     for node in world.nodes.values():
         node.start()
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -15,19 +15,19 @@
 from ramptide.config.tuning import Tuning
 from virtual import (
     CLOUD,
+    SECOND,
     SLOW_LINK_FAULTS,
     STORE,
     Fault,
     FaultContext,
-    S,
     World,
     busy_world,
     cancel_job,
     end_faults,
-    full_world,
+    large_busy_world,
     leader_of,
     longest_starvation,
-    play,
+    play_history,
     restart_controller,
     run_with_checks,
     running_attempts,
@@ -36,9 +36,9 @@
 )
 
 #: A job whose polls get no answer for `FORGOTTEN_AFTER` counts as forgotten; the tests allow a third of that.
-FORGOTTEN_AFTER, MAX_UNANSWERED_TIME = 75 * S, 25 * S
+FORGOTTEN_AFTER, MAX_UNANSWERED_TIME = 75 * SECOND, 25 * SECOND
 #: How long a job may wait although there is room for it.
-MAX_STARVATION_TIME = 90 * S
+MAX_STARVATION_TIME = 90 * SECOND
 MAX_START_DELAY_S = 240.0
 #: Users try again each second for up to a minute.
 SUBMISSION_RETRIES = 60
@@ -98,12 +98,12 @@
 
 @pytest.mark.parametrize("seed", range(300, 316))
 def test_every_accepted_job_is_known_and_ends_after_overlapping_faults(seed: int) -> None:
-    check_after_faults(play(seed, overlapping=True))
+    check_after_faults(play_history(seed, overlapping=True))
 
 
 @pytest.mark.parametrize("seed", range(330, 338))
 def test_every_accepted_job_is_known_and_ends_after_single_faults(seed: int) -> None:
-    check_after_faults(play(seed))
+    check_after_faults(play_history(seed))
 
 
 # The largest jobs of a class start during a steady flow of small ones.
@@ -115,7 +115,7 @@
     for number in range(seconds * per_second):
         job_id = f"j-{number + 100}"
         world.define_job(job_id, pieces=1, cores=2.0, guessS=8.0, **fields)
-        at = number / per_second * S
+        at = number / per_second * SECOND
         world.after(at, lambda job_id=job_id: submit_job(world, world.rng, job_id))  # type: ignore[misc]
 
 
@@ -128,7 +128,7 @@
     submitted_at = world.now
     if not world.run_until(lambda: world.invariants.starts_by_job["j-1"] > 0, MAX_START_DELAY_S + 20):
         return float("inf")
-    return (world.now - submitted_at) / S
+    return (world.now - submitted_at) / SECOND
 
 
 #: Fields of the small jobs: the rank of the large ones and, unlike those, a deadline.
@@ -165,7 +165,7 @@
     world = started_world(12, capacity=5)
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller.state.tuning = node.controller.machine_index.tuning = Tuning(begin_within=1000 * S)
+        node.controller.state.tuning = node.controller.machine_index.tuning = Tuning(begin_within=1000 * SECOND)
     assert start_delay_s(world, {"rank": "normal"}, LOW) == float("inf")
 
 
@@ -174,7 +174,7 @@
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller.state.tuning = node.controller.machine_index.tuning = Tuning(
-            patience=1000 * S, share_wait=1000 * S, begin_within=1000 * S
+            patience=1000 * SECOND, share_wait=1000 * SECOND, begin_within=1000 * SECOND
         )
     assert start_delay_s(world, URGENT, LARGE["array"]) == float("inf")
 
@@ -205,7 +205,10 @@
             dueS=45.0 if urgent else None,
             **placements[number % 4],
         )
-        world.after(number * 1.5 * S, lambda job_id=job_id: submit_job(world, world.rng, job_id, SUBMISSION_RETRIES))  # type: ignore[misc]
+        world.after(
+            number * 1.5 * SECOND,
+            lambda job_id=job_id: submit_job(world, world.rng, job_id, SUBMISSION_RETRIES),  # type: ignore[misc]
+        )
     return job_ids
 
 
@@ -235,7 +238,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_cancelled_job_ends_in_time_when_links_are_slow_for_a_minute(slow_links: Fault, seed: int) -> None:
     world = busy_world(seed + 20, guessS=500.0)
-    slow_links(FaultContext(world, world.rng, 60 * S, leader_of(world), []))
+    slow_links(FaultContext(world, world.rng, 60 * SECOND, leader_of(world), []))
     run_with_checks(world, 5)
     cancel_job(world, world.rng, "j-1")
     run_with_checks(world, 55)
@@ -252,7 +255,7 @@
     world.slow_down_links("c0", ["c1"], in_order)
     received: list[int] = []
     for number in range(50):
-        world.send("c0", "c1", lambda answer, number=number: received.append(number), 9 * S, lambda reply: None)  # type: ignore[misc]
+        world.send("c0", "c1", lambda answer, number=number: received.append(number), 9 * SECOND, lambda reply: None)  # type: ignore[misc]
         world.run(0.05)
     world.run(3)
     return received
@@ -288,7 +291,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_no_task_runs_twice_when_machines_get_no_responses_while_the_leader_changes(seed: int) -> None:
     """Their heartbeats arrive all the time, at one controller after the other."""
-    world = full_world()
+    world = large_busy_world()
     busy_hosts = sorted({agent.host for agent, _ in world.invariants.running_tasks()})
     world.hosts_without_responses.update(world.rng.sample(busy_hosts, 4))
     run_with_checks(world, 3 + seed)
@@ -331,7 +334,7 @@
     down_s: float, wait_s: float
 ) -> None:
     """The leader is killed; the controllers that run for leader are killed and restarted while the view changes."""
-    world = full_world()
+    world = large_busy_world()
     before = running_attempts(world, "j-1")
     old_leader = leader_of(world)
     world.nodes[old_leader].kill()
@@ -339,7 +342,7 @@
     for name in world.controller_names:
         if name != old_leader:
             world.nodes[name].kill()
-            world.after(down_s * S, world.nodes[name].start)
+            world.after(down_s * SECOND, world.nodes[name].start)
             run_with_checks(world, 0.7)
     run_with_checks(world, 12)
     assert len(before & running_attempts(world, "j-1")) == len(before), "no task was lost"
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -15,7 +15,7 @@
 from ramptide.protocol.agents import COMMANDS_PATH, Heartbeat, decode_heartbeat
 from ramptide.state.task_state import DesiredState, Phase
 from ramptide.transport.runtime import Request
-from virtual import Response, S, World, full_world, leader_of, run_with_checks
+from virtual import SECOND, Response, World, large_busy_world, leader_of, run_with_checks
 
 
 def encode_heartbeat(host: str, fencing_token: int, agent_epoch: int = 1, sequence_number: int = 1) -> bytes:
@@ -40,7 +40,7 @@
 
 def seconds_until_reconciled(silence_leader: Callable[[World, str], None]) -> float:
     """Return how long after the change of membership all other controllers are reconciled, with 16 running tasks."""
-    world = full_world()
+    world = large_busy_world()
     world.run(5)
     silent_leader = leader_of(world)
     silence_leader(world, silent_leader)
@@ -60,7 +60,7 @@
     assert world.run_until(lambda: all(controller.state.reconciled for controller in remaining_controllers), 20)
     run_with_checks(world, 20)
     assert world.invariants.violations == []
-    return (world.now - view_changed_at - 20 * S) / S
+    return (world.now - view_changed_at - 20 * SECOND) / SECOND
 
 
 def kill(world: World, controller_name: str) -> None:
@@ -140,7 +140,7 @@
 
 def test_direct_heartbeat_changes_nothing_when_it_is_not_the_first_of_the_view() -> None:
     """The agent may have created it before it received the last reply, so a task that it lacks may still be started."""
-    world = full_world()
+    world = large_busy_world()
     world.define_job("j-2", pieces=12, cores=1.0, guessS=500.0)
     body = json.dumps(world.job_specs["j-2"]).encode()
     world.request("c0", lambda controller: controller.job_api.submit(body, lambda status, *_: None))
@@ -158,7 +158,7 @@
 
 def test_lease_counts_from_the_direct_heartbeat() -> None:
     """Before the agent saw the token, a controller of an earlier view may have replied to it."""
-    world = full_world()
+    world = large_busy_world()
     killed_leader = leader_of(world)
     world.nodes[killed_leader].kill()
     remaining_controllers = [
@@ -193,7 +193,7 @@
 
 def test_skipped_direct_heartbeat_does_not_make_the_next_heartbeat_seem_to_follow_a_gap() -> None:
     """Each response increases the agent's sequence number; a gap shows that a heartbeat went to another controller."""
-    world = full_world()
+    world = large_busy_world()
     controller, host = next(
         (node.controller, host)
         for node in world.nodes.values()
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -31,12 +31,12 @@
 from ramptide.state.records import Progress, RecordError
 from virtual import (
     CLOUD,
+    SECOND,
     SETTINGS_FILE,
     STORE,
     Cloud,
     KeyValueStore,
     Respond,
-    S,
     World,
     busy_world,
     job_spec,
@@ -644,7 +644,7 @@
     listed_targets: list[str] = []
 
     def handle(caller: str, method: str, target: str, body: bytes, respond: Respond) -> None:
-        if target.startswith(KEYS_PATH + "?") and world.now < 3 * S:
+        if target.startswith(KEYS_PATH + "?") and world.now < 3 * SECOND:
             listed_targets.append(target)
             respond(200, page if len(listed_targets) % 2 else page | {"rows": []})
         else:
@@ -722,7 +722,7 @@
 def test_setting_is_refused_when_its_value_is_out_of_bounds(value: Any) -> None:
     with pytest.raises(SettingsError, match=r"^window|^step"):
         Tuning().with_changes({"step": value})
-    assert Tuning.from_value({"step": value, "window": 3.0}).window == 3 * S
+    assert Tuning.from_value({"step": value, "window": 3.0}).window == 3 * SECOND
 
 
 def test_settings_file_is_accepted_with_any_teams_zones_objectives_and_unknown_fields(tmp_path: Path) -> None:
--- a/tests/test_behavior_digest.py
+++ b/tests/test_behavior_digest.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from virtual import S, World
+from virtual import SECOND, World
 
 TOOLS = Path(__file__).resolve().parent.parent / "tools"
 sys.path.insert(0, str(TOOLS))
@@ -53,7 +53,7 @@
 def digest_of_answers(*answers: tuple[float, str, int, bytes, dict[str, str]]) -> str:
     observer = DigestObserver()
     for seconds, sender, status, body, headers in answers:
-        observer.answered(seconds * S, sender, status, body, headers)
+        observer.on_response(seconds * SECOND, sender, status, body, headers)
     return observer.hexdigest()
 
 
@@ -72,19 +72,19 @@
 
 
 def test_digest_depends_on_every_field_of_a_call() -> None:
-    original_call = (S, "c0", "state", "POST", "/txn", "application/json", b"{}", 2 * S)
+    original_call = (SECOND, "c0", "state", "POST", "/txn", "application/json", b"{}", 2 * SECOND)
     changed_calls = [
         (*original_call[:position], changed_field, *original_call[position + 1 :])
-        for position, changed_field in enumerate([2 * S, *"abcde", b"", S])
+        for position, changed_field in enumerate([2 * SECOND, *"abcde", b"", SECOND])
     ]
     digests = set()
     for call in [original_call, *changed_calls]:
         observer = DigestObserver()
-        observer.called(*call)
+        observer.on_request(*call)
         digests.add(observer.hexdigest())
     assert len(digests) == 9
 
 
 def test_digest_refuses_a_body_that_is_not_encoded() -> None:
     with pytest.raises(TypeError):
-        DigestObserver().answered(S, "c0", 200, {"a": 1}, {})  # type: ignore[arg-type]
+        DigestObserver().on_response(SECOND, "c0", 200, {"a": 1}, {})  # type: ignore[arg-type]
--- a/tests/test_controller_communication.py
+++ b/tests/test_controller_communication.py
@@ -31,7 +31,7 @@
 from ramptide.state.task_state import Phase
 from ramptide.state.watch_cache import WatchCache
 from ramptide.transport.runtime import Request
-from virtual import Response, S, VirtualRuntime, World, job_spec, leader_of, started_world, submit_job
+from virtual import SECOND, Response, VirtualRuntime, World, job_spec, leader_of, started_world, submit_job
 
 EVENTS = st.lists(
     st.tuples(st.sampled_from(["set", "drop", "send", "deliver", "late", "answer"]), st.integers(0, 9)), max_size=120
@@ -244,16 +244,16 @@
 
 def test_rate_grows_until_a_call_is_rejected_and_then_returns_to_its_initial_value() -> None:
     bucket = TokenBucket(10.0, 10.0, 25.0)
-    bucket.wait_time(20 * S, 1)
+    bucket.wait_time(20 * SECOND, 1)
     assert bucket.rate == 25.0
     bucket.drain()
     assert bucket.rate == 10.0
-    assert bucket.wait_time(20 * S, 1) > timedelta(0)
+    assert bucket.wait_time(20 * SECOND, 1) > timedelta(0)
 
 
 def new_shard() -> Shard:
     spec = decode_job_spec(json.dumps(job_spec("j-1", cores=1.0, pieces=100)).encode())
-    shard = Shard(5, 8 * S, 1 * S, lambda job_id: spec if job_id == "j-1" else None)
+    shard = Shard(5, 8 * SECOND, 1 * SECOND, lambda job_id: spec if job_id == "j-1" else None)
     record = MachineRecord("m", "a", False, 1, 0.0, None, True, "r")
     shard.add_machine("vm-1", record, MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"]), timedelta(0), [])
     return shard
@@ -275,12 +275,12 @@
     """The copies are of the same or an earlier agent epoch, from before the view, or arrive after the lease expired."""
     shard, applied = new_shard(), dict[tuple[int, int], Heartbeat]()
     machine = shard.machines["vm-1"]
-    assert shard.heartbeats.apply(new_heartbeat(1, 1, 4, 1, 2), 0 * S)
+    assert shard.heartbeats.apply(new_heartbeat(1, 1, 4, 1, 2), 0 * SECOND)
     assert not machine.is_reconciled, "the agent may have created it before it saw the token"
     assert not machine.entries
-    rng, now = random.Random(4), 0 * S
+    rng, now = random.Random(4), 0 * SECOND
     for sequence_number in range(2, 40):
-        now += 1 * S
+        now += 1 * SECOND
         agent_epoch = 1 + sequence_number // 10
         heartbeat = new_heartbeat(agent_epoch, sequence_number, 5, *rng.sample(range(8), 3))
         assert shard.heartbeats.apply(heartbeat, now)
@@ -289,38 +289,38 @@
         heartbeat_at, reply_at = machine.last_heartbeat_at, machine.last_reply_at
         applied[agent_epoch, sequence_number] = heartbeat
         for heartbeat_id in rng.sample(sorted(applied), min(3, len(applied))):
-            assert not shard.heartbeats.apply(applied[heartbeat_id], now + 0.3 * S)
+            assert not shard.heartbeats.apply(applied[heartbeat_id], now + 0.3 * SECOND)
         assert phases_before == {key: entry.phase for key, entry in machine.entries.items()}
         assert (machine.last_heartbeat_at, machine.last_reply_at) == (heartbeat_at, reply_at), (
             "late copies do not extend the lease"
         )
     assert machine.is_reconciled
-    shard.leases.expire(now + 9.2 * S, 0 * S)
+    shard.leases.expire(now + 9.2 * SECOND, 0 * SECOND)
     assert all(entry.phase is Phase.GONE for entry in machine.entries.values())
-    assert not shard.heartbeats.apply(new_heartbeat(4, 99, 5, 1, 2, 3), now + 10 * S), (
+    assert not shard.heartbeats.apply(new_heartbeat(4, 99, 5, 1, 2, 3), now + 10 * SECOND), (
         "a late heartbeat of the ended agent epoch revives no task"
     )
-    assert shard.heartbeats.apply(new_heartbeat(5, 100, 5), now + 11 * S)
+    assert shard.heartbeats.apply(new_heartbeat(5, 100, 5), now + 11 * SECOND)
 
 
 def test_late_heartbeat_revives_a_gone_task_without_the_epoch_check_after_expiry() -> None:
     shard = new_shard()
     machine = shard.machines["vm-1"]
-    assert shard.heartbeats.apply(new_heartbeat(1, 1, 5, 1), 0 * S)
-    machine.last_reply_at = 0 * S
-    shard.leases.expire(10 * S, 0 * S)
+    assert shard.heartbeats.apply(new_heartbeat(1, 1, 5, 1), 0 * SECOND)
+    machine.last_reply_at = 0 * SECOND
+    shard.leases.expire(10 * SECOND, 0 * SECOND)
     machine.last_heartbeat_id = HeartbeatId(1, 1)
-    assert shard.heartbeats.apply(new_heartbeat(1, 2, 5, 1), 11 * S)
+    assert shard.heartbeats.apply(new_heartbeat(1, 2, 5, 1), 11 * SECOND)
     assert any(entry.phase is Phase.RUNNING for entry in machine.entries.values())
 
 
 def test_late_heartbeat_of_a_returned_machine_does_not_restore_it() -> None:
     shard = new_shard()
-    assert shard.heartbeats.apply(new_heartbeat(1, 1, 5), 0 * S)
+    assert shard.heartbeats.apply(new_heartbeat(1, 1, 5), 0 * SECOND)
     shard.remove_machine("vm-1")
-    assert shard.heartbeats.apply(new_heartbeat(1, 1, 4), 20 * S)
+    assert shard.heartbeats.apply(new_heartbeat(1, 1, 4), 20 * SECOND)
     assert not shard.unrecorded_machines(), "a heartbeat from before this view records no machine"
-    assert shard.heartbeats.apply(new_heartbeat(1, 2, 5), 21 * S)
+    assert shard.heartbeats.apply(new_heartbeat(1, 2, 5), 21 * SECOND)
     assert shard.unrecorded_machines(), "the leader knows which machines it returned and decides"
     world = started_world(5)
     controller = world.nodes[leader_of(world)].controller
@@ -382,7 +382,7 @@
         world.define_job(f"j-{number}", **fields)
     rng = random.Random(seed)
     for number, job_id in enumerate(world.job_specs):
-        world.after(number * 0.02 * S, lambda job_id=job_id: submit_job(world, rng, job_id))  # type: ignore[misc]
+        world.after(number * 0.02 * SECOND, lambda job_id=job_id: submit_job(world, rng, job_id))  # type: ignore[misc]
     return world
 
 
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -26,7 +26,7 @@
 from ramptide.scheduling.job_scheduler import JobScheduler
 from ramptide.scheduling.job_state import JobState
 from ramptide.state.records import MachineRecord
-from virtual import S, World, check_indexes, end_faults, leader_of, owner_of, play, started_world
+from virtual import SECOND, World, check_indexes, end_faults, leader_of, owner_of, play_history, started_world
 
 
 def live_controllers(world: World) -> list[Controller]:
@@ -71,7 +71,7 @@
             )
 
     for half_second in range(seconds * 2):
-        world.after(half_second * 0.5 * S, sample)
+        world.after(half_second * 0.5 * SECOND, sample)
     return quarantined
 
 
@@ -183,7 +183,7 @@
 
 
 def test_healthy_machine_is_quarantined_without_the_quarantine_delay(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(faulty_machines, "QUARANTINE_AFTER", 0.1 * S)
+    monkeypatch.setattr(faulty_machines, "QUARANTINE_AFTER", 0.1 * SECOND)
     assert machines_quarantined_while_jobs_run_elsewhere(5.0)
 
 
@@ -303,7 +303,7 @@
         world.failure_delays |= {"j-0": 0.4, "j-1": 3.0, "j-2": 8.0}
         check_indexes(world)
 
-    world = play(seed, look=set_failures_and_check_indexes)
+    world = play_history(seed, periodic_check=set_failures_and_check_indexes)
     assert world.invariants.violations == []
     assert any(world.invariants.starts_by_job[job_id] for job_id in world.failure_delays)
     end_faults(world)
@@ -350,7 +350,7 @@
 
     def back_off_without_delay(failing_jobs: FailingJobs, job_state: JobState, now: timedelta) -> None:
         back_off(failing_jobs, job_state, now)
-        job_state.retry_at = 0 * S
+        job_state.retry_at = 0 * SECOND
         job_state.excluded_until.clear()
 
     monkeypatch.setattr(FailingJobs, "back_off", back_off_without_delay)
@@ -503,11 +503,11 @@
     (job_id,) = submit_failing_jobs(world, 1, 0.3, pieces=8)
     world.run(30)
     job_state, controller = job_state_of(world, job_id), live_controllers(world)[0]
-    later = world.now + 500 * S
+    later = world.now + 500 * SECOND
     assert job_state.is_failing
-    assert job_state.idle_for(later, controller.runtime.wall() + 500 * S) == 0 * S
+    assert job_state.idle_for(later, controller.runtime.wall() + 500 * SECOND) == 0 * SECOND
     job_state.failed_on.clear()
-    assert job_state.idle_for(later, controller.runtime.wall() + 500 * S) > controller.state.tuning.patience
+    assert job_state.idle_for(later, controller.runtime.wall() + 500 * SECOND) > controller.state.tuning.patience
 
 
 def count_starts_after_scheduler_change(world: World) -> int:
@@ -550,7 +550,7 @@
 
 
 def test_machine_keeps_its_last_failed_jobs_and_counts_those_since_a_success() -> None:
-    machine = OwnedMachine("vm-1", MachineRecord("m", "a", False, 1, 0.0), None, True, 0 * S)
+    machine = OwnedMachine("vm-1", MachineRecord("m", "a", False, 1, 0.0), None, True, 0 * SECOND)
     for job_id in ("j-1", "j-2", "j-1"):
         record_outcome(machine, job_id, "error")
     assert (machine.failed_jobs, machine.consecutive_failures) == (["j-1", "j-2"], 2)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -36,16 +36,16 @@
 from ramptide.state.watch_cache import WatchCache
 from ramptide.team_limits.share_split import ShareSplit
 from virtual import (
+    SECOND,
     Agent,
     Respond,
-    S,
     Task,
     World,
     busy_world,
     cancel_job,
     end_faults,
-    full_world,
     ignore_response,
+    large_busy_world,
     leader_of,
     longest_starvation,
     owner_of,
@@ -83,7 +83,7 @@
         world.store.start_outage(outage_s)
         if restart:
             world.nodes[confirming].kill()
-            world.after(0.3 * S, world.nodes[confirming].start)
+            world.after(0.3 * SECOND, world.nodes[confirming].start)
 
     world.request(confirming, lambda controller: controller.job_api.cancel(job_id, on_confirmed))
     assert world.run_until(lambda: job_id in world.cancelled_at, 3)
@@ -238,7 +238,7 @@
         restart_controller(world, leader_of(world))
     if "elections" in faults:
         for number in range(2):
-            world.after(number * 7 * S, lambda: restart_controller(world, leader_of(world)))
+            world.after(number * 7 * SECOND, lambda: restart_controller(world, leader_of(world)))
     run_with_checks(world, 50)
     return hung
 
@@ -252,7 +252,7 @@
 
 
 def test_many_hanging_machines_are_returned_in_time_when_leaders_change() -> None:
-    world = full_world()
+    world = large_busy_world()
     hung = cancel_job_on_hung_machines(world, "elections", machines=6)
     assert world.invariants.violations == []
     assert not any(agent.alive for agent in hung)
@@ -278,7 +278,7 @@
         machine_index._free_rooms.on_new_view()
 
     monkeypatch.setattr(MachineIndex, "on_new_view", forget_terminations)
-    world = full_world()
+    world = large_busy_world()
     cancel_job_on_hung_machines(world, "elections", machines=6)
     assert any("ran_cancelled" in violation for violation in world.invariants.violations)
 
@@ -309,7 +309,7 @@
 
 def test_array_starts_in_time_when_only_room_reserved_for_services_is_free() -> None:
     world = world_with_array_beside_services()
-    assert longest_starvation(world, 100)[0] < 90 * S
+    assert longest_starvation(world, 100)[0] < 90 * SECOND
     assert world.run_until(lambda: world.is_done("j-5"), 300)
 
 
@@ -318,9 +318,9 @@
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller.state.tuning = node.controller.machine_index.tuning = Tuning(
-            share_wait=1000 * S, patience=1000 * S
+            share_wait=1000 * SECOND, patience=1000 * SECOND
         )
-    assert longest_starvation(world, 100)[0] >= 90 * S
+    assert longest_starvation(world, 100)[0] >= 90 * SECOND
 
 
 # The transaction of a handover gets no response.
@@ -335,7 +335,7 @@
         if target == TRANSACTION_PATH and b'"hand":[' in body and not dropped:
             dropped.append(body)
             if delay_s is not None:
-                world.after(delay_s * S, lambda: handle(caller, method, target, body, ignore_response))
+                world.after(delay_s * SECOND, lambda: handle(caller, method, target, body, ignore_response))
         else:
             handle(caller, method, target, body, respond)
 
@@ -361,7 +361,7 @@
 
 
 def test_job_stays_unfinished_without_the_retry_of_its_handover(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ramptide.scheduling.handover.RETRY_DELAY", 1000 * S)
+    monkeypatch.setattr("ramptide.scheduling.handover.RETRY_DELAY", 1000 * SECOND)
     world = started_world(3)
     drop_first_handover(world, None)
     submit_job_without_room_at_its_scheduler(world)
@@ -393,7 +393,9 @@
     assert world.run_until(lambda: len(running_attempts(world, "j-1") | running_attempts(world, "j-2")) == 3, 40)
     job_id = "j-1" if running_attempts(world, "j-1") else "j-2"
     send = old_scheduler.peers.send
-    old_scheduler.peers.send = lambda peer, update, interval=S: peer.name != new_name and send(peer, update, interval)  # type: ignore[assignment, method-assign]
+    old_scheduler.peers.send = lambda peer, update, interval=SECOND: (  # type: ignore[assignment, method-assign]
+        peer.name != new_name and send(peer, update, interval)
+    )
     world.run(0.5)
     message = new_scheduler.peers.last_message(old_name)
     assert message is not None
@@ -451,7 +453,7 @@
         def send(  # type: ignore[no-untyped-def]
             peer: Peer,
             message: PeerMessage,
-            interval: timedelta = S,
+            interval: timedelta = SECOND,
             sender: Controller = controller,
             reported=reported,
         ) -> None:
@@ -528,7 +530,7 @@
         if number % 4 == 3:
             world.store.start_outage(6)
         world.nodes[leader].kill()
-        world.after((0.3 if number % 2 else 2.5) * S, world.nodes[leader].start)
+        world.after((0.3 if number % 2 else 2.5) * SECOND, world.nodes[leader].start)
         run_with_checks(world, 12)
 
 
@@ -544,7 +546,7 @@
     job_ids = [f"j-{number}" for number in range(20)]
     for number, job_id in enumerate(job_ids):
         world.define_job(job_id, pieces=3, cores=2.0, guessS=(4.0, 15.0, 30.0)[number % 3], **variants[number % 5])
-        world.after(number * 5 * S, lambda job_id=job_id: submit_job(world, world.rng, job_id))  # type: ignore[misc]
+        world.after(number * 5 * SECOND, lambda job_id=job_id: submit_job(world, world.rng, job_id))  # type: ignore[misc]
     return job_ids
 
 
@@ -555,7 +557,7 @@
     world.run(5)
     kill_ten_leaders(world)
     end_faults(world)
-    assert longest_starvation(world, 60)[0] < 60 * S
+    assert longest_starvation(world, 60)[0] < 60 * SECOND
     assert world.invariants.violations == []
     # A job whose controller was killed during the submission may not be accepted, as its user gets no answer.
     assert len(world.accepted_jobs) >= len(job_ids) - 3
@@ -584,7 +586,7 @@
 
 @pytest.mark.parametrize("fault", ["deaf", "cut"])
 def test_no_task_runs_twice_when_the_new_leader_cannot_reach_machines(fault: str) -> None:
-    world = full_world()
+    world = large_busy_world()
     restart_leader_with_unreachable_machines(world, fault)
     assert world.invariants.violations == []
     assert len(world.invariants.running_tasks()) == 16
@@ -595,7 +597,7 @@
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(Reconciliation, "unreconciled_machines", lambda reconciliation: {})
-    world = full_world()
+    world = large_busy_world()
     restart_leader_with_unreachable_machines(world, fault)
     assert any("ran_twice" in violation for violation in world.invariants.violations)
 
@@ -612,7 +614,7 @@
             world.cut_link(host, name)
     restart_controller(world, leader_of(world))
     running = next(job_id for job_id in ("j-1", "j-2", "j-3") if running_attempts(world, job_id))
-    world.after(3 * S, lambda: cancel_job(world, world.rng, running))
+    world.after(3 * SECOND, lambda: cancel_job(world, world.rng, running))
     run_with_checks(world, 25)
     world.heal()
     world.cloud.is_down = False
@@ -642,7 +644,7 @@
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(running_attempts(world, "j-1")) >= 8, 40)
     for number in range(3):
-        world.invariants.running_tasks()[0][0].die()
+        world.invariants.running_tasks()[0][0].terminate()
         if number == 1:
             restart_controller(world, leader_of(world))
         run_with_checks(world, 8)
@@ -693,8 +695,8 @@
         world.request("c1", lambda controller: controller.job_api.poll("j-1", record_final_status))
         world.request("c2", lambda controller: controller.job_api.submit(body, record_final_status))
 
-    world.invariants.on_job_done = lambda job_id: world.after(delay_s * S, send_requests)
-    assert world.run_until(lambda: len(world.invariants.finished_tasks) == 2, 40)
+    world.invariants.on_job_done = lambda job_id: world.after(delay_s * SECOND, send_requests)
+    assert world.run_until(lambda: len(world.invariants.succeeded_tasks) == 2, 40)
     run_with_checks(world, 8)
     for name in world.controller_names:
         answer = world.poll_job("j-1", name)
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ramptide.autoscaling.cloud_list import CloudList
-from virtual import S, World, busy_world, full_world, leader_of
+from virtual import SECOND, World, busy_world, large_busy_world, leader_of
 
 #: More silent machines than a new view returns at once.
 LOST_MACHINES = 7
@@ -16,15 +16,15 @@
 
 def world_with_machines_lost_with_the_leader() -> tuple[World, set[str]]:
     """Return a world, and machines that leave the cloud's list before the next leader reads it for the first time."""
-    world = full_world()
+    world = large_busy_world()
     old_leader = leader_of(world)
     world.run(10)
     world.nodes[old_leader].kill()
     lost = [agent for agent in world.agents.values() if agent.alive][:LOST_MACHINES]
     for agent in lost:
-        agent.die()
+        agent.terminate()
         del world.cloud.listing[agent.host]
-    world.after(30 * S, world.nodes[old_leader].start)
+    world.after(30 * SECOND, world.nodes[old_leader].start)
     return world, {agent.host for agent in lost}
 
 
@@ -47,7 +47,7 @@
 
 def test_lost_machines_stay_recorded_without_the_time_since_they_were_recorded(monkeypatch: pytest.MonkeyPatch) -> None:
     def ignore_time_of_record(cloud_list: CloudList, host: str) -> None:
-        cloud_list._recorded_since[host] = cloud_list._runtime.now + 1000 * S
+        cloud_list._recorded_since[host] = cloud_list._runtime.now + 1000 * SECOND
 
     monkeypatch.setattr(CloudList, "track_machine", ignore_time_of_record)
     world, lost = world_with_machines_lost_with_the_leader()
--- a/tests/test_hang_restart.py
+++ b/tests/test_hang_restart.py
@@ -8,16 +8,16 @@
 import pytest
 
 from virtual import (
+    SECOND,
     Agent,
     Fault,
     FaultContext,
-    S,
     World,
     busy_world,
     cancel_job,
     cut_store_link,
     freeze_controller,
-    full_world,
+    large_busy_world,
     leader_of,
     lose_store_and_peers,
     run_with_checks,
@@ -42,7 +42,7 @@
 def restart_all(world: World, down_s: float) -> None:
     for node in world.nodes.values():
         node.kill()
-        world.after(down_s * S, node.start)
+        world.after(down_s * SECOND, node.start)
 
 
 @pytest.mark.parametrize("store_delay_s", [0.0, 1.0])
@@ -51,7 +51,7 @@
     kill_at_s: float, store_delay_s: float
 ) -> None:
     """The processes start again after half a second; `cancel_s` is 20 s."""
-    world = full_world()
+    world = large_busy_world()
     hung = hang_and_cancel(world, 6)
     world.max_store_delay_s = store_delay_s
     run_with_checks(world, kill_at_s)
@@ -75,7 +75,7 @@
 
 def test_hanging_machines_are_returned_in_time_when_all_controllers_are_down_for_a_lease() -> None:
     """`lease_s` is 8 s, and 9 s of `cancel_s` are left when the controllers start again."""
-    world = full_world()
+    world = large_busy_world()
     hung = hang_and_cancel(world, 6)
     run_with_checks(world, 2)
     restart_all(world, 9)
@@ -91,13 +91,13 @@
     machines: int, kill_at_s: float, down_s: float | None
 ) -> None:
     """The others continue and know when the job was cancelled. If `down_s` is None, the leader is not started again."""
-    world = full_world()
+    world = large_busy_world()
     hung = hang_and_cancel(world, machines)
     run_with_checks(world, kill_at_s)
     node = world.nodes[leader_of(world)]
     node.kill()
     if down_s is not None:
-        world.after(down_s * S, node.start)
+        world.after(down_s * SECOND, node.start)
     run_with_checks(world, 25)
     assert world.invariants.violations == []
     assert not any(agent.alive for agent in hung)
@@ -113,10 +113,10 @@
 def test_hanging_machines_are_returned_in_time_when_a_fault_affects_the_leader(
     machines: int, fault_at_s: float, fault: Fault
 ) -> None:
-    world = full_world()
+    world = large_busy_world()
     hung = hang_and_cancel(world, machines)
     run_with_checks(world, fault_at_s)
-    fault(FaultContext(world, world.rng, 9 * S, leader_of(world), []))
+    fault(FaultContext(world, world.rng, 9 * SECOND, leader_of(world), []))
     run_with_checks(world, 25)
     assert world.invariants.violations == []
     assert not any(agent.alive for agent in hung)
@@ -127,7 +127,7 @@
 ) -> None:
     monkeypatch.setattr("ramptide.controller.timings.CONFIRM_TIMEOUT_RATIO", 0.75)
     monkeypatch.setattr("ramptide.controller.fencing.SurvivingPeers.on_new_view", lambda survivors, view: None)
-    world = full_world()
+    world = large_busy_world()
     hang_and_cancel(world, 6)
     run_with_checks(world, 12)
     restart_all(world, 0.5)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -18,7 +18,7 @@
 from ramptide.protocol.jobs import decode_job_spec
 from ramptide.scheduling.urgency_order import UrgencyOrder
 from ramptide.state.records import JobRecord, Progress, to_value
-from virtual import Agent, Entry, S, Task, World, leader_of, submit_job
+from virtual import SECOND, Agent, Entry, Task, World, leader_of, submit_job
 
 SMALL_FLEET_MACHINES, LARGE_FLEET_MACHINES = 500, 4000
 MACHINES_PER_RENTAL = 50
@@ -34,7 +34,7 @@
 
     Each rental of fifty machines runs the tasks of one job.
     """
-    world = World(5, teams=teams, capacity=machines, members=members, parts=features)
+    world = World(5, teams=teams, capacity=machines, members=members, features=features)
     world.store_limits |= {"rps": 300.0, "write_rps": 60.0, "value_kb": 4.0}
     for first_index in range(0, machines, MACHINES_PER_RENTAL):
         job_id = f"j-{first_index}"
@@ -68,7 +68,7 @@
     agent.tasks = {(task.job_id, task.index, task.attempt): task for task in tasks}
     listed_machine = {"ref": host, "rig": "m", "yard": zone, "loaners": False, "status": "running"}
     world.cloud.listing[host] = listed_machine
-    world.after(world.rng.random() * S, agent.boot)
+    world.after(world.rng.random() * SECOND, agent.boot)
 
 
 def running_controllers(world: World) -> list[Controller]:
@@ -280,7 +280,7 @@
     healthy_agents = [agent for agent in world.agents.values() if agent not in hanging_agents]
     started_at = world.now
     assert world.run_until(most_agents_have_the_token, 9)
-    assert world.now - started_at < 1.5 * S, "an agent waits 4 s for a reply of the frozen leader"
+    assert world.now - started_at < 1.5 * SECOND, "an agent waits 4 s for a reply of the frozen leader"
     assert world.run_until(lambda: all(controller.state.reconciled for controller in remaining_controllers), 14), (
         "the lease is 8 s"
     )
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -32,7 +32,7 @@
 from ramptide.state.records import PROGRESS_WINDOW_TASKS, JobRecord, MachineRecord, Progress, to_value
 from ramptide.team_limits.share_allocator import ShareAllocator
 from ramptide.team_limits.split_policy import ProportionalSplit
-from virtual import S, job_spec
+from virtual import SECOND, job_spec
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -162,7 +162,7 @@
         total = 0
         for admitted_at, amount in admitted[first:]:
             total += amount
-            assert total <= 5.0 + 10.0 * ((admitted_at - started_at) / S) + 1e-6
+            assert total <= 5.0 + 10.0 * ((admitted_at - started_at) / SECOND) + 1e-6
 
 
 def test_only_the_machines_of_a_leaving_member_get_another_owner() -> None:
@@ -173,7 +173,7 @@
     assert all(owners_after[host] == owners_before[host] for host in hosts if owners_before[host] != "c")
 
 
-AGENT_DURATIONS = AgentDurations(S, 10 * S, 30 * S)
+AGENT_DURATIONS = AgentDurations(SECOND, 10 * SECOND, 30 * SECOND)
 MACHINE_TYPE = MachineType(name="m", cpus=8.0, ram_gb=32.0, zones=["a"], price=1.0, spot_price=0.4, boot_s=30.0)
 
 
@@ -188,7 +188,16 @@
         "fault_indicating_job_count": 0,
         "is_drained": False,
     } | fields
-    return FleetMachine(host, record, MACHINE_TYPE, is_up, age_s * S, task_count=task_count, room=room, **attributes)  # type: ignore[arg-type]
+    return FleetMachine(
+        host,
+        record,
+        MACHINE_TYPE,
+        is_up,
+        age_s * SECOND,
+        task_count=task_count,
+        room=room,
+        **attributes,  # type: ignore[arg-type]
+    )
 
 
 def count_rentals(
@@ -208,11 +217,11 @@
 
 def waiting_demand(task_count: int, waited_s: float = 1.0) -> Demand:
     spec = decode_job_spec(json.dumps(job_spec("j-1", pieces=task_count, cores=4.0)).encode())
-    return Demand(spec, task_count, waited_s * S, Counter())
+    return Demand(spec, task_count, waited_s * SECOND, Counter())
 
 
 def test_one_machine_a_step_is_rented_once_the_count_was_high_for_the_window() -> None:
-    autoscaler = Autoscaler(Tuning(pool_size=0, window=2 * S), AGENT_DURATIONS)
+    autoscaler = Autoscaler(Tuning(pool_size=0, window=2 * SECOND), AGENT_DURATIONS)
     assert count_rentals(autoscaler, [waiting_demand(4)], [], 4) == 0
     assert autoscaler.trigger is Trigger.RISING
     assert count_rentals(autoscaler, [waiting_demand(4)], [], 3, 2.0) == 3
@@ -231,14 +240,16 @@
 
 
 def test_long_waiting_tasks_alone_raise_the_trigger() -> None:
-    autoscaler = Autoscaler(Tuning(pool_size=0, window=0 * S, waiting_high=100, long_waiting_high=2), AGENT_DURATIONS)
+    autoscaler = Autoscaler(
+        Tuning(pool_size=0, window=0 * SECOND, waiting_high=100, long_waiting_high=2), AGENT_DURATIONS
+    )
     assert count_rentals(autoscaler, [waiting_demand(4, 5.0)], [], 3) == 0
     assert count_rentals(autoscaler, [waiting_demand(4, 11.0)], [], 3, 2.0) == 3
     assert autoscaler.long_waiting == 4
 
 
 def test_refused_machine_kind_is_not_rented_again_before_a_backoff() -> None:
-    autoscaler = Autoscaler(Tuning(pool_size=0, window=0 * S), AGENT_DURATIONS)
+    autoscaler = Autoscaler(Tuning(pool_size=0, window=0 * SECOND), AGENT_DURATIONS)
     autoscaler.step(timedelta(0), [waiting_demand(2)], [], [MACHINE_TYPE], True)
     autoscaler.record_refusal(("m", "a", False), timedelta(0))
     assert count_rentals(autoscaler, [waiting_demand(2)], [], 6, 0.5) == 0
@@ -246,12 +257,12 @@
 
 
 def test_pool_is_refilled_and_surplus_idle_machine_is_drained_after_the_cooldown() -> None:
-    autoscaler = Autoscaler(Tuning(pool_size=1, cooldown=10 * S), AGENT_DURATIONS)
+    autoscaler = Autoscaler(Tuning(pool_size=1, cooldown=10 * SECOND), AGENT_DURATIONS)
     assert count_rentals(autoscaler, [], [], 1) == 1, "the pool has too few machines"
     idle_machines = [fleet_machine("vm-0"), fleet_machine("vm-1")]
     drained: dict[str, str] = {}
     for second in range(30):
-        plan = autoscaler.step(second * S, [], idle_machines, [MACHINE_TYPE], True)
+        plan = autoscaler.step(second * SECOND, [], idle_machines, [MACHINE_TYPE], True)
         assert plan.rent is None
         if second < 10:
             assert plan.drain == {}
@@ -264,7 +275,7 @@
     """A job bound to a zone without capacity can keep the trigger high for ever, and must not keep idle machines."""
 
     def drained_in_zone(zone: str) -> dict[str, str]:
-        autoscaler = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S), AGENT_DURATIONS)
+        autoscaler = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * SECOND), AGENT_DURATIONS)
         spec = decode_job_spec(json.dumps(job_spec("j-1", pieces=4, cores=4.0, yard=zone)).encode())
         idle_machine = fleet_machine("vm-0")
         assert idle_machine.room is not None
@@ -273,7 +284,7 @@
         idle_machine.room.in_pool = True
         drained: dict[str, str] = {}
         for second in range(30):
-            plan = autoscaler.step(second * S, [Demand(spec, 4, 1 * S, Counter())], [idle_machine], [], True)
+            plan = autoscaler.step(second * SECOND, [Demand(spec, 4, 1 * SECOND, Counter())], [idle_machine], [], True)
             assert second >= 10 or plan.drain == {}
             drained |= plan.drain
         assert autoscaler.trigger is Trigger.HIGH
@@ -296,11 +307,13 @@
         return result
 
     def drained_among(*machines: FleetMachine, waiting_tasks: int = 0) -> dict[str, str]:
-        autoscaler = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * S, started=15 * S), AGENT_DURATIONS)
+        autoscaler = Autoscaler(
+            Tuning(pool_size=0, pool_share=0.0, cooldown=10 * SECOND, started=15 * SECOND), AGENT_DURATIONS
+        )
         result: dict[str, str] = {}
         for second in range(20):
             demands = [waiting_demand(waiting_tasks)] if waiting_tasks else []
-            result |= autoscaler.step(second * S, demands, list(machines), [MACHINE_TYPE], True).drain
+            result |= autoscaler.step(second * SECOND, demands, list(machines), [MACHINE_TYPE], True).drain
         return result
 
     underutilized, well_used = (
@@ -324,22 +337,24 @@
     autoscaler = Autoscaler(Tuning(), AGENT_DURATIONS)
     machines = [
         fleet_machine("vm-sick", fault_indicating_job_count=2),
-        fleet_machine("vm-silent", silent_for=31 * S),
-        fleet_machine("vm-hangs", silent_for=29 * S),
-        fleet_machine("vm-dead", silent_for=12 * S, cloud_status="failed"),
-        fleet_machine("vm-new", is_up=False, age_s=60.0, silent_for=31 * S),
-        fleet_machine("vm-never", is_up=False, age_s=120.0, silent_for=31 * S),
-        fleet_machine("vm-taken", preempted_in=0.2 * S),
+        fleet_machine("vm-silent", silent_for=31 * SECOND),
+        fleet_machine("vm-hangs", silent_for=29 * SECOND),
+        fleet_machine("vm-dead", silent_for=12 * SECOND, cloud_status="failed"),
+        fleet_machine("vm-new", is_up=False, age_s=60.0, silent_for=31 * SECOND),
+        fleet_machine("vm-never", is_up=False, age_s=120.0, silent_for=31 * SECOND),
+        fleet_machine("vm-taken", preempted_in=0.2 * SECOND),
         fleet_machine("vm-good", task_count=1),
     ]
     first_plan = autoscaler.step(timedelta(0), [], machines, [MACHINE_TYPE], False)
     reasons_of_others = {"vm-silent": "silent", "vm-dead": "gone", "vm-never": "never up", "vm-taken": "taken"}
     assert first_plan.drain == reasons_of_others
-    assert autoscaler.step(9.5 * S, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others
-    assert autoscaler.step(10 * S, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others | {"vm-sick": "sick"}
+    assert autoscaler.step(9.5 * SECOND, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others
+    assert autoscaler.step(10 * SECOND, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others | {
+        "vm-sick": "sick"
+    }
     machines[0].fault_indicating_job_count = 1
-    assert autoscaler.step(11 * S, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others
+    assert autoscaler.step(11 * SECOND, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others
     machines[0].fault_indicating_job_count = 2
-    assert autoscaler.step(12 * S, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others, (
+    assert autoscaler.step(12 * SECOND, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others, (
         "the evidence must persist from the start again"
     )
--- a/tests/test_operator_diagnostics.py
+++ b/tests/test_operator_diagnostics.py
@@ -32,10 +32,10 @@
 from ramptide.transport.process_statistics import ProcessStatistics
 from virtual import (
     CLOUD,
+    SECOND,
     STORE,
     Node,
     Respond,
-    S,
     VirtualRuntime,
     World,
     busy_world,
@@ -152,7 +152,7 @@
     assert world.is_done("j-2"), "the other controllers finish the job"
     assert world.is_done("j-3"), "the other controllers finish the job"
     end_faults(world)
-    assert longest_starvation(world, 20)[0] < 15 * S
+    assert longest_starvation(world, 20)[0] < 15 * SECOND
     assert world.invariants.violations == []
     assert not any(task.job_id == "j-1" for _, task in world.invariants.running_tasks())
     assert all(
@@ -392,7 +392,7 @@
     assert answer_counts(controller_of(world, "c1")) == ({("submit", 503): 1}, {"machine_types": 1})
     world.cloud.is_down = False
     world.run(8)
-    controller_of(world, "c1").commit_batcher.expected_delay = lambda: 9 * S  # type: ignore[method-assign]
+    controller_of(world, "c1").commit_batcher.expected_delay = lambda: 9 * SECOND  # type: ignore[method-assign]
     submit("c1")
     assert answer_counts(controller_of(world, "c1"))[1] == {"machine_types": 1, "overloaded": 1}
     world.store.is_down = True
@@ -554,7 +554,7 @@
             for change in transaction["then"]
         )
         if has_decision:
-            dropped_at.append(world.now / S)
+            dropped_at.append(world.now / SECOND)
         transact(transaction, ignore_response if has_decision else respond)
 
     world.store._transact = drop_response  # type: ignore[method-assign]
@@ -640,7 +640,7 @@
     world.run(22)
     with controller_log(world) as log:
         world.nodes[name].freeze(20)
-        stall_end = world.now + 20 * S
+        stall_end = world.now + 20 * SECOND
         world.run(20.5)
         first_lines = log.lines_of(name, stall_end)
         world.run(20)
@@ -729,7 +729,7 @@
     for node in world.nodes.values():
         node.start()
     world.run(4)
-    controller_of(world, "c0").commit_batcher.expected_delay = lambda: 0 * S  # type: ignore[method-assign]
+    controller_of(world, "c0").commit_batcher.expected_delay = lambda: 0 * SECOND  # type: ignore[method-assign]
     answers: list[int] = []
     for number in range(60):
         world.define_job(f"j-{number}", pieces=1)
--- a/tests/test_protocol_invariants.py
+++ b/tests/test_protocol_invariants.py
@@ -26,9 +26,9 @@
 from ramptide.controller.reconciliation import Reconciliation
 from ramptide.state.task_state import FINISHED_PHASE_NAMES
 from virtual import (
+    SECOND,
     Agent,
     Respond,
-    S,
     World,
     busy_world,
     cancel_job,
@@ -38,7 +38,7 @@
     leader_of,
     longest_starvation,
     owner_of,
-    play,
+    play_history,
     started_world,
     submit_job,
 )
@@ -46,13 +46,13 @@
 
 @pytest.mark.parametrize("seed", range(28))
 def test_generated_histories_violate_no_invariant(seed: int) -> None:
-    world = play(seed)
+    world = play_history(seed)
     assert world.invariants.violations == []
     assert world.invariants.start_count > 0
     # Every accepted job stays known: once the faults are over, any controller answers for it.
     end_faults(world)
     waited, job_id = longest_starvation(world, 100)
-    assert waited < 90 * S, f"{job_id} waits although there is room for it"
+    assert waited < 90 * SECOND, f"{job_id} waits although there is room for it"
     known = {key.split("/")[-1] for key in world.store.entries if key.startswith(("live/job/", "ended/"))}
     assert world.accepted_jobs <= known
     for job_id in known:
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("seed", range(100, 108))
 def test_indexes_agree_with_a_full_recomputation(seed: int) -> None:
-    world = play(seed, 40.0, look=check_indexes)
+    world = play_history(seed, 40.0, periodic_check=check_indexes)
     assert world.invariants.start_count > 0
 
 
@@ -152,7 +152,7 @@
 def test_job_finishes_when_one_of_its_machines_died() -> None:
     world = busy_world(guessS=10.0)
     agent, _ = world.invariants.running_tasks()[0]
-    agent.die()
+    agent.terminate()
     assert world.run_until(lambda: world.is_done("j-1"), 60)
     assert world.invariants.violations == []
 
@@ -197,7 +197,7 @@
         if running_controller.state.scheduler is not None
     ]
     job_states = [job_state for scheduler in schedulers for job_state in scheduler.jobs.values()]
-    assert any(job_state.backoff > 0 * S for job_state in job_states)
+    assert any(job_state.backoff > 0 * SECOND for job_state in job_states)
 
 
 def test_idle_machines_are_returned_except_for_the_pool() -> None:
@@ -480,10 +480,10 @@
     """
     for number in range(60):
         world.define_job(f"j-{number + 10}", shape="service", pieces=1, cores=0.5)
-        world.after(number * 0.05 * S, lambda job_id=f"j-{number + 10}": submit_job(world, world.rng, job_id))  # type: ignore[misc]
+        world.after(number * 0.05 * SECOND, lambda job_id=f"j-{number + 10}": submit_job(world, world.rng, job_id))  # type: ignore[misc]
     world.run(25)
     for number in range(60):
-        world.after(number * 0.3 * S, lambda job_id=f"j-{number + 10}": cancel_job(world, world.rng, job_id))  # type: ignore[misc]
+        world.after(number * 0.3 * SECOND, lambda job_id=f"j-{number + 10}": cancel_job(world, world.rng, job_id))  # type: ignore[misc]
     world.run(1)
     killed = next(name for name in world.controller_names if name != leader_of(world))
     world.nodes[killed].kill()
@@ -494,7 +494,7 @@
     started_at = world.now
     assert world.run_until(lambda: all(c.state.reconciled for c in others), 30)
     assert world.invariants.violations == []
-    return (world.now - started_at) / S
+    return (world.now - started_at) / SECOND
 
 
 def test_view_is_reconciled_in_time_while_jobs_are_cancelled_all_the_time() -> None:
@@ -522,7 +522,7 @@
     world = busy_world(guessS=200.0)
     lost, _ = world.invariants.running_tasks()[0]
     before = {agent.host for agent, _ in world.invariants.running_tasks()}
-    lost.die()
+    lost.terminate()
     killed = next(name for name in world.controller_names if name != leader_of(world))
     world.nodes[killed].kill()
     others = [node.controller for name, node in world.nodes.items() if name != killed and node.controller is not None]
@@ -545,7 +545,7 @@
     """
     world.cloud.is_down = True
     lost, _ = world.invariants.running_tasks()[0]
-    lost.die()
+    lost.terminate()
     other = next(name for name in world.controller_names if name not in (owner_of(world, lost.host), leader_of(world)))
     started_at, controller = world.now, world.nodes[owner_of(world, lost.host)].controller
     assert controller is not None
@@ -558,7 +558,7 @@
     assert not controller.state.reconciled
     assert world.run_until(lambda: controller.state.reconciled, 30)
     assert world.invariants.violations == []
-    return (world.now - started_at) / S
+    return (world.now - started_at) / SECOND
 
 
 def test_silence_of_a_machine_is_counted_across_views_when_it_keeps_its_owner() -> None:
@@ -573,7 +573,7 @@
 def test_machines_of_a_controller_left_with_its_agents_alone_are_taken_over_soon() -> None:
     """While it may renew their leases, the others wait, and may start nothing."""
     world = World(3)
-    world.cancel_s = 60.0
+    world.cancel_timeout_s = 60.0
     for node in world.nodes.values():
         node.start()
     world.run(5)
@@ -672,7 +672,7 @@
     for node in world.nodes.values():
         assert node.controller is not None
         assert node.controller.state.shard is not None
-        monkeypatch.setattr(node.controller.state.shard.leases, "_lease_duration", 2 * S)
+        monkeypatch.setattr(node.controller.state.shard.leases, "_lease_duration", 2 * SECOND)
     hang_half_of_the_machines(world, 12)
     assert any("ran_twice" in violation for violation in world.invariants.violations)
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -26,7 +26,7 @@
 from ramptide.quota.share_exchange import QuotaExchange
 from ramptide.quota.share_waits import ShareWaits
 from ramptide.state.amounts import UNITS_PER_WHOLE, Amounts, add_amounts
-from virtual import Agent, S, Task, World, leader_of, running_attempts, started_world
+from virtual import SECOND, Agent, Task, World, leader_of, running_attempts, started_world
 
 QUOTA_ENABLED = Features(QuotaFeature(True))
 TIGHT_LIMIT_CPUS = 12.0
@@ -39,7 +39,7 @@
     seed: int, job_count: int = 60, seconds: float = 30.0, teams: dict[str, float] | None = None
 ) -> World:
     """Return a world whose teams submit more than their limits to all controllers; the machines have room for all."""
-    world = started_world(seed, teams=teams or TEAMS, capacity=12, parts=QUOTA_ENABLED)
+    world = started_world(seed, teams=teams or TEAMS, capacity=12, features=QUOTA_ENABLED)
     rng = random.Random(seed)
     team_names = list(world.teams)
     for index in range(job_count):
@@ -48,11 +48,11 @@
         world.define_job(
             f"j-{index}", owner=rng.choice(team_names), pieces=task_count, cores=cores, guessS=rng.choice([1.0, 3.0])
         )
-        world.after(rng.uniform(0, seconds) * S, lambda job_id=f"j-{index}": send(world, rng, job_id))  # type: ignore[misc]
+        world.after(rng.uniform(0, seconds) * SECOND, lambda job_id=f"j-{index}": submit_repeatedly(world, rng, job_id))  # type: ignore[misc]
     return world
 
 
-def send(world: World, rng: random.Random, job_id: str) -> None:
+def submit_repeatedly(world: World, rng: random.Random, job_id: str) -> None:
     """Submit a job to a random controller every 2 s until one has accepted it."""
     if job_id in world.accepted_jobs:
         return
@@ -63,7 +63,7 @@
             world.accepted_jobs.add(job_id)
 
     world.request(rng.choice(world.controller_names), lambda controller: controller.job_api.submit(body, on_response))
-    world.after(2 * S, lambda: send(world, rng, job_id))
+    world.after(2 * SECOND, lambda: submit_repeatedly(world, rng, job_id))
 
 
 def assert_all_jobs_finish(world: World, seconds: float = 90.0) -> None:
@@ -101,7 +101,7 @@
     def inject(world: World, name: str) -> None:
         world.isolate(name)
         world.nodes[name].freeze(seconds)
-        world.after(seconds * S, world.heal)
+        world.after(seconds * SECOND, world.heal)
 
     return inject
 
@@ -110,38 +110,38 @@
     """The sender ends before any message has left it, and a new process starts under its name."""
     world.isolate(name)
     world.nodes[name].kill()
-    world.after(0.3 * S, world.heal)
-    world.after(0.3 * S, world.nodes[name].start)
+    world.after(0.3 * SECOND, world.heal)
+    world.after(0.3 * SECOND, world.nodes[name].start)
 
 
 def restart_other_member(world: World, name: str) -> None:
     other = next(member for member in world.controller_names if member != name)
     world.nodes[other].kill()
-    world.after(0.3 * S, world.nodes[other].start)
+    world.after(0.3 * SECOND, world.nodes[other].start)
 
 
 def restart_leader(world: World, _name: str) -> None:
     """The leader ends, so that another member leads; a new process of the old one starts 4 s later."""
     leader = leader_of(world)
     world.nodes[leader].kill()
-    world.after(4 * S, world.nodes[leader].start)
+    world.after(4 * SECOND, world.nodes[leader].start)
 
 
 def disconnect_from_peers(world: World, name: str) -> None:
     for other in world.controller_names:
         if other != name:
             world.cut_link(name, other)
-    world.after(10 * S, world.heal)
+    world.after(10 * SECOND, world.heal)
 
 
 def disconnect_from_store(world: World, name: str) -> None:
     world.store.refused_callers.add(name)
-    world.after(10 * S, lambda: world.store.refused_callers.discard(name))
+    world.after(10 * SECOND, lambda: world.store.refused_callers.discard(name))
 
 
 def lose_and_duplicate_messages(world: World, _name: str) -> None:
     world.loss_rate, world.duplication_rate = 0.2, 0.2
-    world.after(15 * S, lambda: setattr(world, "loss_rate", 0.0))
+    world.after(15 * SECOND, lambda: setattr(world, "loss_rate", 0.0))
 
 
 def stop_store_after_cancellations(world: World, name: str) -> None:
@@ -158,7 +158,7 @@
     for job_id in running_job_ids:
         world.cancel_requested.add(job_id)
         cancel(job_id)
-    world.after(0.3 * S, lambda: world.store.start_outage(world.cancel_s + 5))
+    world.after(0.3 * SECOND, lambda: world.store.start_outage(world.cancel_timeout_s + 5))
 
 
 def hang_machines(world: World, _name: str) -> None:
@@ -281,7 +281,7 @@
 
 
 def test_task_larger_than_any_share_runs_when_other_members_pass_share() -> None:
-    world = started_world(3, teams={"tight": TIGHT_LIMIT_CPUS}, capacity=12, parts=QUOTA_ENABLED)
+    world = started_world(3, teams={"tight": TIGHT_LIMIT_CPUS}, capacity=12, features=QUOTA_ENABLED)
     for index, name in enumerate(world.controller_names):
         world.define_job(f"j-{index}", owner="tight", pieces=4, cores=1.0, guessS=4.0 + index)
         assert world.submit_until_accepted(f"j-{index}", name)
@@ -319,7 +319,7 @@
     ids=str,
 )
 def test_invalid_quota_message_changes_no_share(changes: dict[str, Any], caplog: pytest.LogCaptureFixture) -> None:
-    world = started_world(1, teams=TEAMS, parts=QUOTA_ENABLED)
+    world = started_world(1, teams=TEAMS, features=QUOTA_ENABLED)
     world.run(3)
     controller = world.nodes["c0"].controller
     assert controller is not None
@@ -348,7 +348,7 @@
     for checks_sender, expected_gain in ((True, 0), (False, UNITS_PER_WHOLE)):
         if not checks_sender:
             monkeypatch.setattr(QuotaExchange, "_check_sender", lambda self, quota_message, message: None)
-        world = started_world(1, teams=TEAMS, parts=QUOTA_ENABLED)
+        world = started_world(1, teams=TEAMS, features=QUOTA_ENABLED)
         world.run(3)
         controller = world.nodes["c0"].controller
         assert controller is not None
@@ -374,18 +374,18 @@
 
 
 def test_no_share_is_passed_and_no_limit_exceeded_while_quota_is_off_on_one_member() -> None:
-    world = started_world(4, teams=TEAMS, parts=QUOTA_ENABLED)
-    world.parts = None
+    world = started_world(4, teams=TEAMS, features=QUOTA_ENABLED)
+    world.features = None
     world.nodes["c1"].kill()
     world.nodes["c1"].start()
     rng = random.Random(4)
     for index in range(30):
         world.define_job(f"j-{index}", owner="tight", pieces=3, cores=2.0, guessS=1.0)
-        world.after(rng.uniform(0, 10) * S, lambda job_id=f"j-{index}": send(world, rng, job_id))  # type: ignore[misc]
+        world.after(rng.uniform(0, 10) * SECOND, lambda job_id=f"j-{index}": submit_repeatedly(world, rng, job_id))  # type: ignore[misc]
     world.run(20)
     assert sum_of_counters(world, "given") == 0
     # The feature is switched on at one controller after the other, while jobs run.
-    world.parts = QUOTA_ENABLED
+    world.features = QUOTA_ENABLED
     for name in world.controller_names:
         world.nodes[name].kill()
         world.run(0.3)
@@ -395,7 +395,7 @@
 
 
 def test_peer_message_without_quota_is_accepted_and_older_fields_are_still_sent() -> None:
-    world = started_world(1, teams=TEAMS, parts=QUOTA_ENABLED)
+    world = started_world(1, teams=TEAMS, features=QUOTA_ENABLED)
     world.run(3)
     controller = world.nodes["c0"].controller
     assert controller is not None
@@ -432,7 +432,7 @@
 @pytest.mark.parametrize("guarantees_first", [1, 0])
 def test_job_within_guarantee_goes_first_only_when_the_setting_says_so(guarantees_first: int) -> None:
     """A job beyond its team's guarantee waits for room, with a deadline; one within a guarantee is submitted later."""
-    world = World(6, teams={"rich": 40.0, "poor": 40.0}, capacity=3, parts=QUOTA_ENABLED)
+    world = World(6, teams={"rich": 40.0, "poor": 40.0}, capacity=3, features=QUOTA_ENABLED)
     world.guarantees = {"rich": 2.0, "poor": 12.0}
     for node in world.nodes.values():
         node.start()
@@ -458,7 +458,7 @@
     is_leader_restarted: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Four tasks within a guarantee need the room of four tasks beyond one, also when another member becomes leader."""
-    world = World(6, teams={"rich": 40.0, "poor": 40.0}, capacity=3, parts=QUOTA_ENABLED)
+    world = World(6, teams={"rich": 40.0, "poor": 40.0}, capacity=3, features=QUOTA_ENABLED)
     world.guarantees = {"rich": 2.0, "poor": 8.0}
     for node in world.nodes.values():
         node.start()
@@ -522,15 +522,15 @@
 
 def test_wait_for_share_is_measured_from_its_start_to_its_end() -> None:
     waits = ShareWaits()
-    waits.update({"j-1", "j-2"}, 1 * S)
-    waits.update({"j-2"}, 1.5 * S)
+    waits.update({"j-1", "j-2"}, 1 * SECOND)
+    waits.update({"j-2"}, 1.5 * SECOND)
     assert waits.count == 1
     assert waits.percentiles()[50.0] == pytest.approx(0.5, rel=0.02)
-    waits.update(set(), 4 * S)
+    waits.update(set(), 4 * SECOND)
     assert waits.count == 2
-    assert waits.total == 3.5 * S
+    assert waits.total == 3.5 * SECOND
     assert waits.percentiles()[99.0] == pytest.approx(3, rel=0.02)
-    waits.update({"j-3"}, 5 * S)
+    waits.update({"j-3"}, 5 * SECOND)
     waits.discard_current()
-    waits.update(set(), 9000 * S)
+    waits.update(set(), 9000 * SECOND)
     assert waits.count == 2
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -99,7 +99,7 @@
 
 def world_at_limit() -> World:
     """Return a world with a team at its limit; a job fits the machines of one member, so that each member runs some."""
-    world = started_world(2, teams={"tight": 12.0, "other": 10.0}, capacity=12, parts=QUOTA_ENABLED)
+    world = started_world(2, teams={"tight": 12.0, "other": 10.0}, capacity=12, features=QUOTA_ENABLED)
     for number in range(30):
         world.define_job(f"j-{number}", owner="tight", pieces=4, cores=1.0, guessS=3.0)
         assert world.submit_until_accepted(f"j-{number}", world.controller_names[number % 3])
@@ -245,7 +245,7 @@
     "changes", [{}, [], {"tight": {"cpus_max": 99}}, {"x" * 300: {}}, {str(n): None for n in range(40)}]
 )
 def test_invalid_call_changes_no_limit(changes: Any) -> None:
-    world = started_world(1, teams={"tight": 12.0}, parts=QUOTA_ENABLED)
+    world = started_world(1, teams={"tight": 12.0}, features=QUOTA_ENABLED)
     status, answer = call_quota_api(world, "c0", changes)
     assert status == 400
     assert answer["error"]
@@ -253,7 +253,7 @@
 
 
 def test_broken_limit_record_leaves_the_limit_unchanged(caplog: pytest.LogCaptureFixture) -> None:
-    world = started_world(1, teams={"tight": 12.0}, parts=QUOTA_ENABLED)
+    world = started_world(1, teams={"tight": 12.0}, features=QUOTA_ENABLED)
     world.store.put(key_of("tight"), {"version": 9})
     world.run(2)
     controller = world.nodes["c0"].controller
@@ -265,7 +265,7 @@
 
 
 def test_change_is_reported_as_conflicting_when_another_one_came_first() -> None:
-    world = started_world(1, teams={"tight": 12.0}, parts=QUOTA_ENABLED)
+    world = started_world(1, teams={"tight": 12.0}, features=QUOTA_ENABLED)
     controller = world.nodes["c0"].controller
     assert controller is not None
     assert controller.limit_table is not None
--- a/tests/test_slow_controllers.py
+++ b/tests/test_slow_controllers.py
@@ -9,10 +9,10 @@
 import pytest
 
 from ramptide.controller.controller import Controller
-from virtual import MS, Node, S, World, cancel_job, leader_of, restart_controller, submit_job
+from virtual import MILLISECOND, SECOND, Node, World, cancel_job, leader_of, restart_controller, submit_job
 
 #: The processor time of an event. Without requests of users, a controller has about 30 events per second here.
-EVENT_COST = 20 * MS
+EVENT_COST = 20 * MILLISECOND
 
 
 def slow_world(seed: int) -> World:
@@ -75,7 +75,7 @@
         controller.job_api.poll("j-4", lambda status, *_: statuses.append(status))
 
     for number in range(800):
-        world.after(number * 12.5 * MS, lambda: world.request(name, poll))
+        world.after(number * 12.5 * MILLISECOND, lambda: world.request(name, poll))
     world.run(9)
     assert world.nodes[name].backlog > 200, "the leader is behind with its events"
     run_with_regular_checks(world, 31)
@@ -137,7 +137,7 @@
     for job_id in ("j-0", "j-1", "j-3"):
         world.accepted_jobs.add(job_id)
         cancel_job(world, world.rng, job_id)
-    world.after(0.4 * S, lambda: world.store.start_outage(30))
+    world.after(0.4 * SECOND, lambda: world.store.start_outage(30))
     run_with_regular_checks(world, 45)
     assert world.invariants.violations == []
     check_new_job_finishes(world, "j-100")
--- a/tests/virtual/__init__.py
+++ b/tests/virtual/__init__.py
@@ -7,7 +7,7 @@
 """
 
 from virtual.agent import MACHINE_CPUS, MACHINE_RAM_GB, Agent, AttemptKey, Task
-from virtual.clock import EPOCH, MS, S, VirtualClock
+from virtual.clock import EPOCH, MILLISECOND, SECOND, VirtualClock
 from virtual.cloud import Cloud
 from virtual.faults import (
     OVERLAPPING_FAULTS,
@@ -22,7 +22,7 @@
     slow_service_links,
     store_refuses_controller,
 )
-from virtual.histories import DEFAULT_HISTORY_S, QUOTA_ON, longest_starvation, play, starved_jobs
+from virtual.histories import DEFAULT_HISTORY_S, QUOTA_ON, longest_starvation, play_history, starved_jobs
 from virtual.indexes import check_indexes
 from virtual.invariants import InvariantChecker
 from virtual.jobs import job_spec
@@ -30,7 +30,14 @@
 from virtual.network import CLOUD, STORE, Respond, Response, SlowLink, VirtualNetwork, ignore_response
 from virtual.node import Node, VirtualRuntime, VirtualTimerHandle
 from virtual.observer import Observer
-from virtual.scenarios import busy_world, end_faults, full_world, restart_controller, run_with_checks, running_attempts
+from virtual.scenarios import (
+    busy_world,
+    end_faults,
+    large_busy_world,
+    restart_controller,
+    run_with_checks,
+    running_attempts,
+)
 from virtual.settings import SETTINGS_FILE, cluster_settings
 from virtual.users import Users, cancel_job, submit_job
 from virtual.world import World, leader_of, owner_of, started_world
@@ -41,9 +48,10 @@
     "EPOCH",
     "MACHINE_CPUS",
     "MACHINE_RAM_GB",
-    "MS",
+    "MILLISECOND",
     "OVERLAPPING_FAULTS",
     "QUOTA_ON",
+    "SECOND",
     "SETTINGS_FILE",
     "SINGLE_FAULTS",
     "SLOW_LINK_FAULTS",
@@ -60,7 +68,6 @@
     "Observer",
     "Respond",
     "Response",
-    "S",
     "SlowLink",
     "Task",
     "Users",
@@ -76,15 +83,15 @@
     "cut_store_link",
     "end_faults",
     "freeze_controller",
-    "full_world",
     "ignore_response",
     "inject_fault",
     "job_spec",
+    "large_busy_world",
     "leader_of",
     "longest_starvation",
     "lose_store_and_peers",
     "owner_of",
-    "play",
+    "play_history",
     "restart_controller",
     "run_with_checks",
     "running_attempts",
--- a/tests/virtual/agent.py
+++ b/tests/virtual/agent.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any
 
-from virtual.clock import MS, S
+from virtual.clock import MILLISECOND, SECOND
 from virtual.network import Respond, Response
 
 if TYPE_CHECKING:
@@ -18,12 +18,12 @@
 #: Allows for the rounding errors of sums of CPUs.
 CAPACITY_TOLERANCE_CPUS = 1e-6
 
-HEARTBEAT_TIMEOUT = 4 * S
+HEARTBEAT_TIMEOUT = 4 * SECOND
 HEARTBEAT_INTERVAL_S = 1.0
 #: The time to the next heartbeat after a new fencing token, after a redirect, and after a failed request.
 NEW_TOKEN_INTERVAL_S, REDIRECT_INTERVAL_S, RETRY_INTERVAL_S = 0.5, 0.2, 1.0
-LEASE_CHECK_INTERVAL = 100 * MS
-FETCH_DURATION = 300 * MS
+LEASE_CHECK_INTERVAL = 100 * MILLISECOND
+FETCH_DURATION = 300 * MILLISECOND
 #: How long a task runs on a faulty machine before it fails.
 FAULTY_RUNTIME_S = 0.2
 
@@ -80,7 +80,7 @@
     lease_renewed_at: timedelta = timedelta(0)
     hung_until: timedelta = timedelta(0)
 
-    LEASE_DURATION = 8 * S
+    LEASE_DURATION = 8 * SECOND
 
     # The state of the machine.
 
@@ -93,20 +93,20 @@
             self._check_lease_repeatedly()
             self._send_heartbeat()
 
-    def die(self) -> None:
+    def terminate(self) -> None:
         """Terminate the machine with all its tasks, without notice to any controller."""
         self.alive = False
         self.tasks.clear()
 
     def hang(self, seconds: float) -> None:
         """Suspend the machine for a while; when it resumes, it checks its lease before anything else."""
-        self.hung_until = self.world.now + seconds * S
-        self.world.after(seconds * S, self._check_lease)
+        self.hung_until = self.world.now + seconds * SECOND
+        self.world.after(seconds * SECOND, self._check_lease)
 
     def _defer_while_hung(self, action: Callable[[], None]) -> bool:
         """Return whether the machine hangs; if so, the action is scheduled for when it resumes."""
         if self.world.now < self.hung_until:
-            self.world.after(self.hung_until - self.world.now + MS, action)
+            self.world.after(self.hung_until - self.world.now + MILLISECOND, action)
             return True
         return False
 
@@ -186,7 +186,7 @@
         else:
             self.controller_index = (self.controller_index + 1) % len(self.world.controller_names)
             interval_s = RETRY_INTERVAL_S
-        self.world.after(interval_s * S, self._send_heartbeat)
+        self.world.after(interval_s * SECOND, self._send_heartbeat)
 
     def _redirect_target(self, response: Response | None) -> int | None:
         """Return the index of the controller to which a response redirects, or None if it does not redirect."""
@@ -267,9 +267,9 @@
         self.world.invariants.on_task_started(self, task)
         if self.is_faulty or task.job_id in self.world.failure_delays:
             runtime_s = FAULTY_RUNTIME_S if self.is_faulty else self.world.failure_delays[task.job_id]
-            self.world.after(runtime_s * S, lambda: self._finish(task, FAILED))
+            self.world.after(runtime_s * SECOND, lambda: self._finish(task, FAILED))
         elif spec["shape"] == "batch":
-            self.world.after(spec["guessS"] * S, lambda: self._finish(task, SUCCEEDED))
+            self.world.after(spec["guessS"] * SECOND, lambda: self._finish(task, SUCCEEDED))
 
     def _finish(self, task: Task, cause: str) -> None:
         if self._defer_while_hung(lambda: self._finish(task, cause)):
--- a/tests/virtual/clock.py
+++ b/tests/virtual/clock.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from datetime import UTC, datetime, timedelta
 
-S = timedelta(seconds=1)
-MS = timedelta(milliseconds=1)
+SECOND = timedelta(seconds=1)
+MILLISECOND = timedelta(milliseconds=1)
 #: The wall-clock time at which every virtual world begins.
 EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
 
@@ -26,7 +26,7 @@
 
     def run(self, seconds: float) -> None:
         """Advance the clock by a duration and execute all events that are due by its end."""
-        end = self.now + seconds * S
+        end = self.now + seconds * SECOND
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
             action()
--- a/tests/virtual/cloud.py
+++ b/tests/virtual/cloud.py
@@ -7,14 +7,14 @@
 
 from ramptide.protocol.cloud import MACHINE_TYPES_PATH, RETURN_PATH
 from virtual.agent import MACHINE_CPUS, MACHINE_RAM_GB, MACHINE_TYPE, Agent
-from virtual.clock import S
+from virtual.clock import SECOND
 from virtual.network import Respond
 
 if TYPE_CHECKING:
     from virtual.world import World
 
 #: The time from the rental of a machine until it appears in the cloud's list.
-LIST_LAG = 2 * S
+LIST_LAG = 2 * SECOND
 
 
 class Cloud:
@@ -62,7 +62,7 @@
         for host in hosts:
             agent = self.world.agents.get(host)
             if agent is not None:
-                agent.die()
+                agent.terminate()
             self.listing.pop(host, None)
         respond(200, {})
 
@@ -92,7 +92,7 @@
         host = f"vm-{next(self._host_numbers):06d}"
         agent = Agent(self.world, host, zone, spot)
         self.world.agents[host] = agent
-        self.world.after(self.world.rng.uniform(*self.boot_seconds) * S, agent.boot)
+        self.world.after(self.world.rng.uniform(*self.boot_seconds) * SECOND, agent.boot)
         self.world.after(LIST_LAG, lambda: self._list_agent(agent))
         return host
 
--- a/tests/virtual/faults.py
+++ b/tests/virtual/faults.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from virtual.agent import Agent
-from virtual.clock import S
+from virtual.clock import SECOND
 from virtual.network import CLOUD, STORE
 from virtual.scenarios import restart_controller
 from virtual.users import cancel_job
@@ -34,11 +34,11 @@
 
     def schedule(self, min_delay_s: float, max_delay_s: float, action: Callable[[], None]) -> None:
         """Schedule an action after a random delay."""
-        self.world.after(self.rng.uniform(min_delay_s, max_delay_s) * S, action)
+        self.world.after(self.rng.uniform(min_delay_s, max_delay_s) * SECOND, action)
 
     def schedule_restart(self, delay_s: float, name: str, downtime_s: float) -> None:
         """Schedule a restart of a controller, which does not run for `downtime_s` seconds."""
-        self.world.after(delay_s * S, lambda: restart_controller(self.world, name, downtime_s))
+        self.world.after(delay_s * SECOND, lambda: restart_controller(self.world, name, downtime_s))
 
     def at_end(self, action: Callable[[], None], factor: int = 1) -> None:
         """Schedule the action that ends the fault after the fault's duration times `factor`."""
@@ -101,7 +101,7 @@
 
 def store_outage(context: FaultContext) -> None:
     """Make the key-value store refuse all requests."""
-    context.world.store.start_outage(context.duration / S)
+    context.world.store.start_outage(context.duration / SECOND)
 
 
 def store_refuses_controller(context: FaultContext) -> None:
@@ -115,7 +115,7 @@
     """Make the key-value store refuse one controller, and soon after all of them, and cancel a job meanwhile."""
     store = context.world.store
     store.refused_callers.add(context.controller_name)
-    context.world.after(1 * S, context.cancel_random_job)
+    context.world.after(1 * SECOND, context.cancel_random_job)
     context.schedule(0.5, 3, lambda: store.start_outage(25))
     context.at_end(lambda: store.refused_callers.discard(context.controller_name))
 
@@ -160,7 +160,7 @@
     peers = [name for name in world.controller_names if name != context.controller_name]
     for other in (STORE, *peers):
         world.cut_link(context.controller_name, other)
-    world.after(0.5 * S, context.cancel_random_job)
+    world.after(0.5 * SECOND, context.cancel_random_job)
     context.at_end(world.heal)
 
 
@@ -259,7 +259,7 @@
 def terminate_machine(context: FaultContext) -> None:
     """Terminate a machine."""
     if context.machines:
-        context.rng.choice(context.machines).die()
+        context.rng.choice(context.machines).terminate()
 
 
 def make_machine_faulty(context: FaultContext) -> None:
@@ -297,7 +297,7 @@
 
     def on_job_done(job_id: str) -> None:
         if rng.random() < 0.6:
-            world.after(rng.choice([0.0, 0.1, 0.6, 1.2]) * S, lambda: cancel_job(world, rng, job_id))
+            world.after(rng.choice([0.0, 0.1, 0.6, 1.2]) * SECOND, lambda: cancel_job(world, rng, job_id))
 
     world.invariants.on_job_done = on_job_done
     context.at_end(lambda: setattr(world.invariants, "on_job_done", lambda job_id: None), factor=2)
@@ -348,7 +348,7 @@
 
 def inject_fault(world: World, rng: random.Random, name: str) -> None:
     """Inject the fault of the given name, with a random duration and controller."""
-    duration = rng.uniform(2, 20) * S
+    duration = rng.uniform(2, 20) * SECOND
     controller_name = rng.choice(world.controller_names)
     machines = [agent for agent in world.agents.values() if agent.alive]
     OVERLAPPING_FAULTS[name](FaultContext(world, rng, duration, controller_name, machines))
--- a/tests/virtual/histories.py
+++ b/tests/virtual/histories.py
@@ -7,7 +7,7 @@
 
 from ramptide.config.features import Features, QuotaFeature
 from virtual.agent import ENDED, MACHINE_CPUS, Agent, Task
-from virtual.clock import S
+from virtual.clock import SECOND
 from virtual.faults import OVERLAPPING_FAULTS, SINGLE_FAULTS, inject_fault
 from virtual.observer import Observer
 from virtual.users import Users, submit_job
@@ -23,12 +23,12 @@
 PLACEMENT_FIELDS: list[dict[str, Any]] = [{}, {}, {}, {"oneZone": True}, {"spread": True}, {"yard": "a"}]
 
 
-def play(
+def play_history(
     seed: int,
     seconds: float = DEFAULT_HISTORY_S,
-    look: Callable[[World], None] | None = None,
+    periodic_check: Callable[[World], None] | None = None,
     overlapping: bool = False,
-    parts: Features | None = None,
+    features: Features | None = None,
     observer: Observer | None = None,
 ) -> World:
     """Play one history and return its world, in which all violations of the invariants are recorded.
@@ -46,7 +46,7 @@
         Notified of everything that the controllers send.
     """
     rng = random.Random(seed)
-    world = started_world(seed, teams={"team": 0.0, "tight": 24.0}, capacity=10, parts=parts, observer=observer)
+    world = started_world(seed, teams={"team": 0.0, "tight": 24.0}, capacity=10, features=features, observer=observer)
     users = Users(world, rng)
     world.holds_requests_on_cut_links = rng.random() < 0.5
     world.duplication_rate = rng.choice([0.0, 0.01])
@@ -56,11 +56,11 @@
     else:
         schedule_faults(world, rng, seconds)
     for tenth_of_second in range(int(seconds * 10)):
-        world.after(tenth_of_second * 0.1 * S, world.invariants.check)
+        world.after(tenth_of_second * 0.1 * SECOND, world.invariants.check)
     for second in range(int(seconds)):
-        world.after((second + rng.random()) * S, users.send_random_request)
-    if look is not None:
-        schedule_periodic_check(world, look, seconds)
+        world.after((second + rng.random()) * SECOND, users.send_random_request)
+    if periodic_check is not None:
+        schedule_periodic_check(world, periodic_check, seconds)
     world.run(seconds)
     return world
 
@@ -68,7 +68,7 @@
 def schedule_periodic_check(world: World, check: Callable[[World], None], seconds: float) -> None:
     """Schedule a call of `check` every half second."""
     for half_second in range(int(seconds * 2)):
-        world.after(half_second * 0.5 * S, lambda: check(world))
+        world.after(half_second * 0.5 * SECOND, lambda: check(world))
 
 
 def schedule_jobs(world: World, rng: random.Random, seconds: float) -> None:
@@ -89,11 +89,11 @@
 
 
 def _schedule_submission(world: World, rng: random.Random, delay_s: float, job_id: str) -> None:
-    world.after(delay_s * S, lambda: submit_job(world, rng, job_id))
+    world.after(delay_s * SECOND, lambda: submit_job(world, rng, job_id))
 
 
 def _schedule_fault(world: World, rng: random.Random, delay_s: float, name: str) -> None:
-    world.after(delay_s * S, lambda: inject_fault(world, rng, name))
+    world.after(delay_s * SECOND, lambda: inject_fault(world, rng, name))
 
 
 def schedule_faults(world: World, rng: random.Random, seconds: float) -> None:
@@ -134,7 +134,7 @@
     spec = world.job_specs[job_id]
     unfinished = [(agent, task) for agent, task in present if task.status != ENDED]
     agent_by_index = {task.index: agent for agent, task in present if task.job_id == job_id}
-    succeeded = {index for other_job_id, index in world.invariants.finished_tasks if other_job_id == job_id}
+    succeeded = {index for other_job_id, index in world.invariants.succeeded_tasks if other_job_id == job_id}
     waiting_count = spec["pieces"] - len(agent_by_index.keys() | succeeded)
     if not waiting_count or not _is_below_team_limit(world, spec, unfinished):
         return False
--- a/tests/virtual/invariants.py
+++ b/tests/virtual/invariants.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from virtual.agent import CAPACITY_TOLERANCE_CPUS, RUNNING, Agent, Task
-from virtual.clock import S
+from virtual.clock import SECOND
 
 if TYPE_CHECKING:
     from virtual.world import World
@@ -21,7 +21,7 @@
         self.world = world
         self.violations: list[str] = []
         #: The tasks that succeeded on a machine, by job id and task index.
-        self.finished_tasks: set[tuple[str, int]] = set()
+        self.succeeded_tasks: set[tuple[str, int]] = set()
         self.start_count = 0
         self.starts_by_job: Counter[str] = Counter()
         #: Called with the job id when the last task of a job succeeds.
@@ -39,13 +39,13 @@
 
     def on_task_done(self, task: Task) -> None:
         """Record that a task succeeded."""
-        self.finished_tasks.add(task.task_id)
+        self.succeeded_tasks.add(task.task_id)
         if self._have_all_tasks_succeeded(task.job_id):
             self.on_job_done(task.job_id)
 
     def _have_all_tasks_succeeded(self, job_id: str) -> bool:
         task_count = self.world.job_specs[job_id]["pieces"]
-        return all((job_id, index) in self.finished_tasks for index in range(task_count))
+        return all((job_id, index) in self.succeeded_tasks for index in range(task_count))
 
     def on_task_started(self, agent: Agent, task: Task) -> None:
         """Count the start of a task and check all invariants."""
@@ -86,7 +86,7 @@
         self._check_done_jobs()
 
     def _check_cancelled_jobs(self) -> None:
-        cancel_timeout = self.world.cancel_s * S
+        cancel_timeout = self.world.cancel_timeout_s * SECOND
         for agent in self.world.agents.values():
             # Machines that hang past their leases count as well: a cancelled task must not resume there.
             for task in agent.tasks.values() if agent.alive else ():
--- a/tests/virtual/key_value_store.py
+++ b/tests/virtual/key_value_store.py
@@ -7,14 +7,14 @@
 from urllib.parse import parse_qs, unquote, urlsplit
 
 from ramptide.protocol.key_value_store import KEYS_PATH, LEASES_PATH, TRANSACTION_PATH, WATCH_PATH
-from virtual.clock import MS, S
+from virtual.clock import MILLISECOND, SECOND
 from virtual.network import Respond
 
 if TYPE_CHECKING:
     from virtual.world import World
 
 #: How often a watch without changes to report checks again.
-WATCH_POLL_INTERVAL = 20 * MS
+WATCH_POLL_INTERVAL = 20 * MILLISECOND
 DEFAULT_PAGE_SIZE_KEYS = 1000
 
 
@@ -64,7 +64,7 @@
             self.is_down = False
             self.leases = {lease_id: self._lease_from_now(lease.duration) for lease_id, lease in self.leases.items()}
 
-        self.world.after(seconds * S, end)
+        self.world.after(seconds * SECOND, end)
 
     def put(self, key: str, value: Any, lease_id: int | None = None) -> None:
         """Write a key directly, without a request and without conditions."""
@@ -79,7 +79,7 @@
         if is_refused:
             respond(503, {})
         elif parts.path == WATCH_PATH:
-            deadline = self.world.now + int(query["blockMs"]) * MS
+            deadline = self.world.now + int(query["blockMs"]) * MILLISECOND
             self._watch(query["prefix"], int(query["since"]), deadline, respond)
         elif parts.path == KEYS_PATH:
             self._list_keys(query, respond)
@@ -88,7 +88,7 @@
         elif parts.path == TRANSACTION_PATH:
             self._transact(json.loads(body), respond)
         elif parts.path == LEASES_PATH:
-            self._grant_lease(json.loads(body)["lifeMs"] * MS, respond)
+            self._grant_lease(json.loads(body)["lifeMs"] * MILLISECOND, respond)
         else:
             self._change_lease(method, int(parts.path.split("/")[2]), respond)
 
@@ -165,7 +165,7 @@
     def _change_lease(self, method: str, lease_id: int, respond: Respond) -> None:
         """Renew a lease, or revoke it with the method DELETE."""
         if method == "DELETE" and lease_id in self.leases:
-            self.leases[lease_id] = Lease(self.world.now - S, S)
+            self.leases[lease_id] = Lease(self.world.now - SECOND, SECOND)
             self._expire_leases()
         if lease_id not in self.leases:
             respond(404, {})
--- a/tests/virtual/loopback.py
+++ b/tests/virtual/loopback.py
@@ -51,9 +51,9 @@
 class RemoteNode(Node):
     """A controller in a process of its own, which receives heartbeats over a socket."""
 
-    def __init__(self, world: "LoopWorld", name: str) -> None:
+    def __init__(self, world: "LoopbackWorld", name: str) -> None:
         super().__init__(world, name)
-        self._address = world.users_address(name)
+        self._address = world.client_address(name)
         self._client = world.client
 
     def deliver_heartbeat(self, body: bytes, respond: Respond) -> None:
@@ -68,24 +68,24 @@
         self._client.call(Request(self._address, "POST", HEARTBEAT_PATH, HEARTBEAT_TIMEOUT, body), on_response)
 
 
-class LoopWorld(World):
+class LoopbackWorld(World):
     """A world in real time: the simulated services are reached over sockets, and each controller is a process."""
 
     def __init__(
-        self, folder: Path, teams: dict[str, float] | None = None, capacity: int = 12, parts: Path | None = None
+        self, folder: Path, teams: dict[str, float] | None = None, capacity: int = 12, features_file: Path | None = None
     ) -> None:
         self.loop = EventLoop()
         super().__init__(1, teams=teams, capacity=capacity)
         self.folder = folder
         self.log_level = "info"
         #: The features file of controllers that are started from now on; None for no file.
-        self.parts_file = parts
+        self.features_file = features_file
         self.client = Client(self.loop, MAX_CONNECTIONS)
         #: By controller, the port for users and agents, and the port for peers and operators.
         self.ports = {name: (free_port(), free_port()) for name in self.controller_names}
-        self.outside = {STORE: free_address(), CLOUD: free_address()}
-        self._serve(self.outside[STORE], self._handle_store_request)
-        self._serve(self.outside[CLOUD], self._handle_cloud_request)
+        self.service_addresses = {STORE: free_address(), CLOUD: free_address()}
+        self._serve(self.service_addresses[STORE], self._handle_store_request)
+        self._serve(self.service_addresses[CLOUD], self._handle_cloud_request)
         self.agent_addresses: dict[str, str] = {}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         for name in self.controller_names:
@@ -106,7 +106,7 @@
         """Schedule an event on the event loop."""
         self.loop.after(delay, action)
 
-    def until(self, condition: Callable[[], bool], seconds: float) -> bool:
+    def serve_until(self, condition: Callable[[], bool], seconds: float) -> bool:
         """Run the event loop until the condition holds, for at most `seconds`; return whether it holds."""
         end = time.monotonic() + seconds
         while time.monotonic() < end and not condition():
@@ -146,7 +146,7 @@
 
     # The controller processes.
 
-    def users_address(self, name: str) -> str:
+    def client_address(self, name: str) -> str:
         """Return the address of a controller for users and agents."""
         return f"127.0.0.1:{self.ports[name][0]}"
 
@@ -158,15 +158,15 @@
         """Start the process of a controller."""
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(self._settings(name)))
-        features = ["--parts", str(self.parts_file)] if self.parts_file is not None else []
+        features = ["--parts", str(self.features_file)] if self.features_file is not None else []
         command = [sys.executable, str(ROOT / "run.py"), *features, "--config", str(path)]
         self.processes[name] = subprocess.Popen(command, env=self._environment() | {"LOG_LEVEL": self.log_level})
 
     def _settings(self, name: str) -> dict[str, Any]:
         peers = [other for other in self.controller_names if other != name]
         return {
-            "member": name, "area": "a", "client_listen": self.users_address(name),
-            "peer_bind": self.peer_address(name), "outside": self.outside,
+            "member": name, "area": "a", "client_listen": self.client_address(name),
+            "peer_bind": self.peer_address(name), "outside": self.service_addresses,
             "siblings": [{"member": other, "area": "a", "addr": self.peer_address(other)} for other in peers],
             "cluster": cluster_settings(self, FD_LIMIT),
         }  # fmt: skip
@@ -195,7 +195,7 @@
 
     # Requests to controllers.
 
-    def operator(self, name: str, *arguments: str) -> tuple[int, str]:
+    def run_admin_command(self, name: str, *arguments: str) -> tuple[int, str]:
         """Run an `admin` command of the command line; return its exit status and output."""
         command = subprocess.Popen(
             [sys.executable, str(ROOT / "run.py"), "admin", "--address", self.peer_address(name), *arguments],
@@ -203,20 +203,20 @@
             stdout=subprocess.PIPE,
             text=True,
         )
-        self.until(lambda: command.poll() is not None, 30)
+        self.serve_until(lambda: command.poll() is not None, 30)
         return command.returncode, command.communicate()[0]
 
     def is_healthy(self, name: str) -> bool:
         """Return whether the controller reports that it is healthy."""
-        return self.status(name, "GET", HEALTH_PATH) == 200
+        return self.request_status(name, "GET", HEALTH_PATH) == 200
 
-    def http(self, name: str, method: str, path: str, body: bytes = b"") -> Response | None:
+    def send_request(self, name: str, method: str, path: str, body: bytes = b"") -> Response | None:
         """Send a user's request to a controller; return the response, or None if there was none in time."""
-        return self._call(self.users_address(name), method, path, body)
+        return self._call(self.client_address(name), method, path, body)
 
-    def status(self, name: str, method: str, path: str, body: bytes = b"") -> int:
+    def request_status(self, name: str, method: str, path: str, body: bytes = b"") -> int:
         """Send a user's request to a controller; return the status of the response, or 0 if there was none in time."""
-        response = self.http(name, method, path, body)
+        response = self.send_request(name, method, path, body)
         return 0 if response is None else response.status
 
     def metrics(self, name: str) -> str:
@@ -229,10 +229,10 @@
     def _call(self, address: str, method: str, path: str, body: bytes) -> Response | None:
         responses: list[Response | None] = []
         self.client.call(Request(address, method, path, REQUEST_TIMEOUT, body), responses.append)
-        self.until(lambda: bool(responses), 6)
+        self.serve_until(lambda: bool(responses), 6)
         return responses[0]
 
-    def raw(self, name: str, data: bytes) -> bytes:
+    def send_raw(self, name: str, data: bytes) -> bytes:
         """Send bytes to a controller; return everything that it sends until it closes the connection."""
         with socket.create_connection(("127.0.0.1", self.ports[name][0]), 5) as sock:
             sock.sendall(data)
--- a/tests/virtual/network.py
+++ b/tests/virtual/network.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any
 
-from virtual.clock import MS, S, VirtualClock
+from virtual.clock import MILLISECOND, SECOND, VirtualClock
 
 if TYPE_CHECKING:
     from virtual.agent import Agent
@@ -51,7 +51,7 @@
 
     def delay(self, rng: random.Random, sender: str, now: timedelta) -> timedelta:
         """Return the random delay of a message that is sent now."""
-        arrival = now + rng.uniform(self.MIN_DELAY_S, self.MAX_DELAY_S) * S
+        arrival = now + rng.uniform(self.MIN_DELAY_S, self.MAX_DELAY_S) * SECOND
         if self.in_order:
             arrival = max(arrival, self.latest_arrival.get(sender, arrival))
         self.latest_arrival[sender] = arrival
@@ -109,7 +109,7 @@
         self.hosts_without_responses.clear()
         held, self.held_requests = self.held_requests, []
         for deliver in held:
-            self.after(5 * MS, deliver)
+            self.after(5 * MILLISECOND, deliver)
 
     def slow_down_links(self, one: str, others: Collection[str], in_order: bool) -> None:
         """Delay the messages between a host and each of the others, in both directions."""
@@ -170,14 +170,14 @@
         """Schedule second deliveries of the request, whose responses are discarded."""
         if source in self.agents and self.rng.random() < self.late_heartbeat_rate:
             # The copy is between a second and several times the duration of an agent's lease late.
-            self.after(self.rng.uniform(1, 40) * S, lambda: request(ignore_response))
+            self.after(self.rng.uniform(1, 40) * SECOND, lambda: request(ignore_response))
         if self.rng.random() < self.duplication_rate:
-            self.after(self.rng.random() * 20 * S, lambda: request(ignore_response))
+            self.after(self.rng.random() * 20 * SECOND, lambda: request(ignore_response))
 
     def after_store_delay(self, action: Callable[[], None]) -> None:
         """Execute a request to the key-value store, at once or after a random delay of up to `max_store_delay_s`."""
         if self.max_store_delay_s:
-            self.after(self.rng.random() * self.max_store_delay_s * S, action)
+            self.after(self.rng.random() * self.max_store_delay_s * SECOND, action)
         else:
             action()
 
@@ -185,4 +185,4 @@
         link = self.slow_links.get(frozenset((sender, receiver)))
         if link is not None:
             return link.delay(self.rng, sender, self.now)
-        return (1 + self.rng.random() * 4) * MS
+        return (1 + self.rng.random() * 4) * MILLISECOND
--- a/tests/virtual/node.py
+++ b/tests/virtual/node.py
@@ -13,7 +13,7 @@
 from ramptide.protocol.key_value_store import TRANSACTION_PATH
 from ramptide.protocol.settings_file import decode_settings
 from ramptide.transport.runtime import Request
-from virtual.clock import EPOCH, S
+from virtual.clock import EPOCH, SECOND
 from virtual.network import CLOUD, STORE, Respond, Response, ignore_response
 from virtual.settings import cluster_settings
 
@@ -86,7 +86,7 @@
     def _notify_observer(self, request: Request) -> None:
         observer = self.world.observer
         if observer is not None:
-            observer.called(
+            observer.on_request(
                 self.now,
                 self.node.name,
                 request.address,
@@ -99,7 +99,7 @@
 
     def _write_late(self, request: Request) -> None:
         """Schedule a write for well after newer writes of the same controller; its response is discarded."""
-        delay = self.world.rng.uniform(2, 12) * S
+        delay = self.world.rng.uniform(2, 12) * SECOND
         name, store = self.node.name, self.world.store
         self.world.after(
             delay, lambda: store.handle(name, request.method, request.target, request.body, ignore_response)
@@ -148,7 +148,7 @@
         self._runtime = VirtualRuntime(self)
         settings = decode_settings(json.dumps(self._settings()).encode())
         incarnation = f"{self.name}-{self._start_count}"
-        self.controller = Controller(self._runtime, settings, incarnation, self.world.parts)
+        self.controller = Controller(self._runtime, settings, incarnation, self.world.features)
         self.controller.start()
 
     def _settings(self) -> dict[str, object]:
@@ -169,14 +169,14 @@
 
     def freeze(self, seconds: float) -> None:
         """Suspend the process while its clocks continue to run; then all pending events are due at once."""
-        self._frozen_until = self.world.now + seconds * S
+        self._frozen_until = self.world.now + seconds * SECOND
 
     # Events.
 
     def request(
         self,
         call: Callable[[Controller], None],
-        on_dead: Callable[[], None] = lambda: None,
+        on_not_running: Callable[[], None] = lambda: None,
         deferrable: bool = False,
     ) -> None:
         """Deliver a request to the process; `on_not_running` is called if there is no process.
@@ -185,7 +185,7 @@
         """
         controller, runtime = self.controller, self._runtime
         if controller is None or runtime is None:
-            on_dead()
+            on_not_running()
         else:
             self.dispatch(runtime, lambda: call(controller), deferrable)
 
--- a/tests/virtual/scenarios.py
+++ b/tests/virtual/scenarios.py
@@ -1,7 +1,7 @@
 """Worlds in known states, and steps that several tests have in common."""
 
 from virtual.agent import AttemptKey
-from virtual.clock import S
+from virtual.clock import SECOND
 from virtual.world import World, started_world
 
 
@@ -17,7 +17,7 @@
     return world
 
 
-def full_world() -> World:
+def large_busy_world() -> World:
     """Return a world with sixteen running tasks on at least eight machines.
 
     When all of them are silent, a new view waits for them; it would return a few silent machines at once instead.
@@ -50,7 +50,7 @@
             node.start()
 
     node.kill()
-    world.after(seconds * S, start)
+    world.after(seconds * SECOND, start)
 
 
 def end_faults(world: World) -> None:
--- a/tests/virtual/users.py
+++ b/tests/virtual/users.py
@@ -4,10 +4,10 @@
 import random
 from typing import Any
 
-from virtual.clock import S
+from virtual.clock import SECOND
 from virtual.world import World
 
-RETRY_INTERVAL = 1 * S
+RETRY_INTERVAL = 1 * SECOND
 #: A job that no user submits.
 UNKNOWN_JOB_ID = "j-999999"
 
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -32,7 +32,7 @@
         teams: dict[str, float] | None = None,
         capacity: int = 12,
         members: int = 3,
-        parts: Features | None = None,
+        features: Features | None = None,
         observer: Observer | None = None,
     ) -> None:
         super().__init__(random.Random(seed))
@@ -42,13 +42,13 @@
         self.sent_bytes: Counter[str] = Counter()
         self.longest_body = 0
         # The settings of controllers that are started from now on.
-        self.cancel_s = 20.0
+        self.cancel_timeout_s = 20.0
         self.store_limits = {"rps": 300.0, "write_rps": 150.0, "value_kb": 16.0, "txn_ops": 12}
         #: The limit of each team in CPUs; 0 for no limit.
         self.teams = teams or {"team": 0.0}
         #: The guarantees of teams in CPUs.
         self.guarantees: dict[str, float] = {}
-        self.parts = parts
+        self.features = features
         # The hosts.
         self.store = KeyValueStore(self)
         self.cloud = Cloud(self, capacity)
@@ -76,7 +76,7 @@
             return respond
 
         def observe_and_respond(status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
-            observer.answered(self.now, controller_name, status, body, headers or {})
+            observer.on_response(self.now, controller_name, status, body, headers or {})
             if headers is None:
                 respond(status, body)
             else:
--- a/tools/behavior_digest.py
+++ b/tools/behavior_digest.py
@@ -35,22 +35,22 @@
         self.calls = 0
         self._hash = hashlib.sha256()
 
-    def called(
+    def on_request(
         self,
         now: timedelta,
         sender: str,
         address: str,
         method: str,
         target: str,
-        kind: str,
+        content_type: str,
         body: bytes,
         timeout: timedelta,
     ) -> None:
         """Add a request to another host."""
         self.calls += 1
-        self._add("call", now, sender, address, method, target, kind, body, timeout)
+        self._add("call", now, sender, address, method, target, content_type, body, timeout)
 
-    def answered(self, now: timedelta, sender: str, status: int, body: bytes, headers: dict[str, str]) -> None:
+    def on_response(self, now: timedelta, sender: str, status: int, body: bytes, headers: dict[str, str]) -> None:
         """Add a response to a user, an agent or a peer."""
         self._add("answer", now, sender, status, body, len(headers))
         for name, value in headers.items():
@@ -105,17 +105,17 @@
 
 def digest_of_seed(seed: int, seconds: float | None = None) -> SeedDigest:
     """Play the four histories of a seed; each has the length `seconds` if that is given, or the default length."""
-    from virtual import DEFAULT_HISTORY_S, QUOTA_ON, play
+    from virtual import DEFAULT_HISTORY_S, QUOTA_ON, play_history
 
     observer = DigestObserver()
     variants = [(overlapping, features) for overlapping in (False, True) for features in (None, QUOTA_ON)]
     for number, (overlapping, features) in enumerate(variants):
         observer.begin_history(number)
-        play(
+        play_history(
             seed,
             DEFAULT_HISTORY_S if seconds is None else seconds,
             overlapping=overlapping,
-            parts=features,
+            features=features,
             observer=observer,
         )
     return SeedDigest(seed, observer.calls, observer.hexdigest())
--- a/tools/measure_quota.py
+++ b/tools/measure_quota.py
@@ -21,8 +21,8 @@
 from ramptide.quota.planner import max_usable
 from ramptide.state.amounts import NO_LIMIT, UNITS_PER_WHOLE, ZERO_AMOUNTS, Amounts
 from ramptide.team_limits.split_policy import ProportionalSplit, SplitPolicy
-from test_quota import send
-from virtual import Agent, S, Task, World, started_world
+from test_quota import submit_repeatedly
+from virtual import SECOND, Agent, Task, World, started_world
 
 RUN_S = 60
 SAMPLE_INTERVAL_S = 0.05
@@ -74,7 +74,7 @@
 
 def play_load(load: Load, seed: int, features: Features | None, result: Result) -> None:
     """Run a load with one seed and add the figures to the result."""
-    world = started_world(seed, teams=TEAM_LIMITS, capacity=16, parts=features)
+    world = started_world(seed, teams=TEAM_LIMITS, capacity=16, features=features)
     schedule_load(world, load, random.Random(seed))
     accepted_at: dict[str, timedelta] = {}
     first_started_at: dict[str, timedelta] = {}
@@ -117,9 +117,12 @@
                 cores=rng.choice([0.7, 1.0, 2.0, 3.0]),
                 guessS=load.task_runtime_s,
             )
-            world.after((begin_s + rng.uniform(0, 0.2)) * S, lambda job_id=job_id: send(world, rng, job_id))  # type: ignore[misc]
+            world.after(
+                (begin_s + rng.uniform(0, 0.2)) * SECOND,
+                lambda job_id=job_id: submit_repeatedly(world, rng, job_id),  # type: ignore[misc]
+            )
     world.define_job("j-9999", owner=next(iter(TEAM_LIMITS)), pieces=12, cores=1.0, guessS=2.0)
-    world.after(0.5 * S, lambda: send(world, rng, "j-9999"))
+    world.after(0.5 * SECOND, lambda: submit_repeatedly(world, rng, "j-9999"))
 
 
 def sample_usage(world: World, result: Result) -> None:
