--- a/tools/behavior_digest.py
+++ b/tools/behavior_digest.py
@@ -32,7 +32,7 @@
     """Computes a digest of what controllers send; implements `virtual.Observer`."""
 
     def __init__(self) -> None:
-        self.calls = 0
+        self.request_count = 0
         self._hash = hashlib.sha256()
 
     def on_request(
@@ -47,7 +47,7 @@
         timeout: timedelta,
     ) -> None:
         """Add a request to another host."""
-        self.calls += 1
+        self.request_count += 1
         self._add("call", now, sender, address, method, target, content_type, body, timeout)
 
     def on_response(self, now: timedelta, sender: str, status: int, body: bytes, headers: dict[str, str]) -> None:
@@ -95,12 +95,12 @@
     """The number of requests, and the digest, of the four histories of one seed."""
 
     seed: int
-    calls: int
+    request_count: int
     sha256: str
 
     def line(self) -> str:
         """Return the line to print."""
-        return f"{self.seed} {self.calls} {self.sha256}"
+        return f"{self.seed} {self.request_count} {self.sha256}"
 
 
 def digest_of_seed(seed: int, seconds: float | None = None) -> SeedDigest:
@@ -118,7 +118,7 @@
             features=features,
             observer=observer,
         )
-    return SeedDigest(seed, observer.calls, observer.hexdigest())
+    return SeedDigest(seed, observer.request_count, observer.hexdigest())
 
 
 def digests_of_seeds(seeds: Iterable[int], seconds: float | None, process_count: int) -> Iterator[SeedDigest]:
@@ -133,13 +133,13 @@
 
 def print_digests(digests: Iterable[SeedDigest]) -> None:
     """Print a line for each seed, and one for all seeds with the total of requests and a digest of the lines before."""
-    total_calls = 0
+    total_request_count = 0
     total_digest = hashlib.sha256()
     for digest in digests:
         print(digest.line(), flush=True)
-        total_calls += digest.calls
+        total_request_count += digest.request_count
         total_digest.update(f"{digest.line()}\n".encode())
-    print(f"all {total_calls} {total_digest.hexdigest()}")
+    print(f"all {total_request_count} {total_digest.hexdigest()}")
 
 
 def _arguments() -> argparse.Namespace:
--- a/tools/measure_quota.py
+++ b/tools/measure_quota.py
@@ -105,7 +105,7 @@
 
 
 def schedule_load(world: World, load: Load, rng: random.Random) -> None:
-    """Schedule the bursts, and before them a job that has machines rented."""
+    """Schedule the bursts, and a job before them, so that machines are already rented when the first burst begins."""
     for burst in range(load.burst_count):
         team, begin_s = rng.choice(list(TEAM_LIMITS)), rng.uniform(12, RUN_S * 0.8)
         for number in range(load.jobs_per_burst):
