--- a/tests/virtual/faults.py
+++ b/tests/virtual/faults.py
@@ -112,7 +112,7 @@
 
 
 def store_refuses_controller_then_all(context: FaultContext) -> None:
-    """Make the key-value store refuse one controller, and soon after all of them, and cancel a job meanwhile."""
+    """Make the key-value store refuse one controller, and all of them soon afterwards; cancel a job meanwhile."""
     store = context.world.store
     store.refused_callers.add(context.controller_name)
     context.world.after(1 * SECOND, context.cancel_random_job)
--- a/tests/virtual/histories.py
+++ b/tests/virtual/histories.py
@@ -106,8 +106,8 @@
 def schedule_fault_pairs(world: World, rng: random.Random, seconds: float) -> None:
     """Schedule random pairs of faults.
 
-    Both faults of a pair begin within the same two seconds. In half of the pairs a controller is restarted quickly, and
-    in three of ten copies of heartbeats arrive late, beginning at most 4 s after the pair.
+    Both faults of a pair begin within the same two seconds. With a probability of 0.5 a controller is restarted quickly
+    as well, and with a probability of 0.3 copies of heartbeats arrive late; both begin at most 4 s after the pair.
     """
     for _ in range(rng.randint(1, 3)):
         begin_s = rng.uniform(3, seconds * 0.7)
--- a/tests/virtual/indexes.py
+++ b/tests/virtual/indexes.py
@@ -1,4 +1,8 @@
-"""Compares the controllers' indexes with the same values computed from all the indexed objects."""
+"""Compares the controllers' indexes with the same values computed from all the indexed objects.
+
+The reported tasks of a machine are rows of the type `TaskRow`: job id, task index, attempt number, phase and cause of
+the end.
+"""
 
 from collections import Counter
 
@@ -13,7 +17,7 @@
 
 
 def check_indexes(world: World) -> None:
-    """Check the indexes of all controllers that have a scheduler, as they do while they are in a view."""
+    """Check the indexes of all controllers that have a scheduler, as they do while they have a place in the view."""
     for node in world.nodes.values():
         controller = node.controller
         if controller is None or controller.state.scheduler is None:
@@ -28,30 +32,33 @@
 
 def _check_rooms(machine_index: MachineIndex) -> None:
     expected = {
-        name: room
-        for name in machine_index.machines
-        if (room := machine_index._free_rooms._compute_room(name)) is not None
+        host: room
+        for host in machine_index.machines
+        if (room := machine_index._free_rooms._compute_room(host)) is not None
     }
     assert machine_index.rooms == expected
 
 
 def _check_tasks(machine_index: MachineIndex) -> None:
-    running = Counter(row[0] for host in machine_index.machines.values() for row in host.tasks if row[3] == RUNNING)
+    running = Counter(
+        row[0] for machine in machine_index.machines.values() for row in machine.tasks if row[3] == RUNNING
+    )
     assert {job_id: count for job_id, count in machine_index.running_tasks.items() if count} == running
-    for job_id in {row[0] for host in machine_index.machines.values() for row in host.tasks}:
+    for job_id in {row[0] for machine in machine_index.machines.values() for row in machine.tasks}:
         assert machine_index.hosts_of_job(job_id) == sorted(
-            name for name, host in machine_index.machines.items() if any(row[0] == job_id for row in host.tasks)
+            host for host, machine in machine_index.machines.items() if any(row[0] == job_id for row in machine.tasks)
         )
 
 
 def _check_failures(controller: Controller) -> None:
     machine_index, jobs = controller.machine_index, controller.state.jobs
-    failures = {(job_id, name) for name, host in machine_index.machines.items() for job_id in host.failed_jobs}
+    failures = {(job_id, host) for host, machine in machine_index.machines.items() for job_id in machine.failed_jobs}
     assert {
-        (job_id, name) for job_id, names in machine_index._failures._hosts_by_failed_job.items() for name in names
+        (job_id, host) for job_id, hosts in machine_index._failures._hosts_by_failed_job.items() for host in hosts
     } == failures
     succeeded = {job_id for job_id, _ in failures if job_id in jobs and jobs[job_id].progress.count}
-    succeeded |= {row[0] for host in machine_index.machines.values() for row in host.tasks if row[4] == SUCCEEDED}
+    succeeded |= {row[0] for machine in machine_index.machines.values() for row in machine.tasks if row[4] == SUCCEEDED}
+    # A recorded success stays after its task is no longer reported, so the index may have more jobs than `succeeded`.
     assert (
         succeeded & machine_index._failures._hosts_by_failed_job.keys()
         <= machine_index._failures._succeeded_jobs
@@ -73,5 +80,7 @@
         assert scheduler.usage().get(team, (0.0, 0.0)) == pytest.approx(usage.get(team, (0.0, 0.0)))
     indexed = [attempt for entries in scheduler.attempt_index.by_job.values() for attempt in entries.values()]
     assert sorted(attempt.key for attempt in indexed) == sorted(attempt.key for attempt in attempts)
-    reported = {tuple(row[:3]) for host in machine_index.machines.values() if host.is_reconciled for row in host.tasks}
+    reported = {
+        tuple(row[:3]) for machine in machine_index.machines.values() if machine.is_reconciled for row in machine.tasks
+    }
     assert all(attempt.key in scheduler.attempt_index.unreported or attempt.key in reported for attempt in attempts)
--- a/tests/virtual/key_value_store.py
+++ b/tests/virtual/key_value_store.py
@@ -1,4 +1,4 @@
-"""A simulated key-value store with transactions, leases and watches."""
+"""A simulation of the consensus-backed key-value store, with transactions, leases and watches."""
 
 import itertools
 import json
--- a/tests/virtual/network.py
+++ b/tests/virtual/network.py
@@ -104,7 +104,7 @@
                     self.cut_link(host, other)
 
     def heal(self) -> None:
-        """Restore all cut links and lost responses, and deliver the held requests."""
+        """Restore all cut links, stop the loss of responses, and deliver the held requests."""
         self.cut_links.clear()
         self.hosts_without_responses.clear()
         held, self.held_requests = self.held_requests, []
--- a/tests/virtual/node.py
+++ b/tests/virtual/node.py
@@ -134,7 +134,8 @@
         self._runtime: VirtualRuntime | None = None
         self._start_count = 0
         self._frozen_until = timedelta(0)
-        #: The processing time of each event; events that arrive meanwhile are queued, and deferrable ones handled last.
+        #: The time that a slow process takes for each event; 0 for none. Events that arrive meanwhile are queued, and
+        #: deferrable ones, such as the requests of users, are handled last.
         self.event_cost = timedelta(0)
         self._urgent_events: deque[Callable[[], object]] = deque()
         self._deferrable_events: deque[Callable[[], object]] = deque()
--- a/tests/virtual/scenarios.py
+++ b/tests/virtual/scenarios.py
@@ -20,7 +20,8 @@
 def large_busy_world() -> World:
     """Return a world with sixteen running tasks on at least eight machines.
 
-    When all of them are silent, a new view waits for them; it would return a few silent machines at once instead.
+    When all of these machines are silent, a new view waits until their leases end. Up to three silent machines would be
+    returned to the cloud at once instead.
     """
     world = started_world(3)
     world.define_job("j-1", pieces=16, cores=4.0, guessS=500.0)
--- a/tests/virtual/users.py
+++ b/tests/virtual/users.py
@@ -1,4 +1,4 @@
-"""The users of the virtual world, who submit, poll and cancel jobs and retry until their requests succeed."""
+"""The users of the virtual world, who submit, poll and cancel jobs, and retry failed submissions and cancellations."""
 
 import json
 import random
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -102,8 +102,8 @@
         def on_response(status: int, _body: bytes, _headers: dict[str, str]) -> None:
             statuses.append(status)
 
-        for attempt in range(tries):
-            target = controller_name if attempt == 0 else self.rng.choice(self.controller_names)
+        for try_number in range(tries):
+            target = controller_name if try_number == 0 else self.rng.choice(self.controller_names)
             self._submit(target, body, on_response)
             self.run(1.0)
             if statuses and statuses[-1] in (200, 201):
