--- a/tests/compatibility/codecs.py
+++ b/tests/compatibility/codecs.py
@@ -35,9 +35,9 @@
 # Records in the key-value store.
 
 
-def _record_codec(kind: Any) -> Codec:
+def _record_codec(record_type: Any) -> Codec:
     def reencode(body: bytes) -> bytes:
-        return types.encode_json(records.to_value(msgspec.convert(types.decode_json(body), kind)))
+        return types.encode_json(records.to_value(msgspec.convert(types.decode_json(body), record_type)))
 
     return reencode
 
--- a/tests/compatibility/freeze.py
+++ b/tests/compatibility/freeze.py
@@ -40,6 +40,7 @@
 
 
 def without_fields(value: dict[str, Value], *names: str) -> dict[str, Value]:
+    """Return a copy of an object without the named fields."""
     return {name: field for name, field in value.items() if name not in names}
 
 
@@ -133,6 +134,7 @@
 
 
 def freeze_records() -> None:
+    """Write the files of `test_records`; the stored state is what a scenario leaves in the key-value store."""
     cases = []
     for kind, form, value in record_cases():
         stored = to_json(value)
@@ -265,6 +267,7 @@
 
 
 def freeze_protocol() -> None:
+    """Write the files of `test_protocol`."""
     cases = []
     for kind, form, body in incoming_cases():
         result = codec_result(codecs.INCOMING_CODECS[kind], body.encode())
@@ -353,6 +356,7 @@
 
 
 def freeze_peers() -> None:
+    """Write the files of `test_peers` except the recorded traffic."""
     cases = []
     for kind, form, value in peer_cases():
         body = cbor2.dumps(value)
@@ -367,11 +371,13 @@
 
 
 def freeze_traffic() -> None:
+    """Write the recorded traffic of each scenario, a file each."""
     for scenario in traffic.SCENARIOS:
         frozen.write_text(f"traffic/{scenario}.jsonl", frozen.to_lines(frozen.record_traffic(scenario)))
 
 
 def freeze_operators() -> None:
+    """Write the files of `test_operators`."""
     frozen.write_text("settings.json", json.dumps(codecs.setting_definitions(), indent=1) + "\n")
     with tempfile.TemporaryDirectory() as folder:
         command_line_cases = [
@@ -389,6 +395,7 @@
 
 
 def freeze_http() -> None:
+    """Write the file of `test_answers`."""
     with tempfile.TemporaryDirectory() as folder:
         frozen.write_text("http.json", json.dumps(http_calls.http_cases(Path(folder)), indent=1) + "\n")
 
--- a/tests/compatibility/frozen.py
+++ b/tests/compatibility/frozen.py
@@ -7,11 +7,12 @@
 from pathlib import Path
 from typing import Any
 
-DATA = Path(__file__).resolve().parent / "data"
+DATA_FOLDER = Path(__file__).resolve().parent / "data"
 
 
 def read_text(name: str) -> str:
-    return (DATA / name).read_text(encoding="utf-8")
+    """Return the text of a frozen file."""
+    return (DATA_FOLDER / name).read_text(encoding="utf-8")
 
 
 def read_lines(name: str) -> list[Any]:
@@ -20,6 +21,7 @@
 
 
 def read_json(name: str) -> Any:
+    """Return the value of a file that has one JSON value."""
     return json.loads(read_text(name))
 
 
@@ -29,7 +31,8 @@
 
 
 def write_text(name: str, text: str) -> None:
-    path = DATA / name
+    """Write a frozen file, and create its folder if there is none."""
+    path = DATA_FOLDER / name
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(text, encoding="utf-8")
 
--- a/tests/compatibility/http_calls.py
+++ b/tests/compatibility/http_calls.py
@@ -28,6 +28,7 @@
 
 
 def json_body(value: Any) -> bytes:
+    """Return the body of a request that carries a JSON value."""
     return json.dumps(value).encode()
 
 
@@ -119,13 +120,13 @@
         def read() -> bool:
             nonlocal received
             try:
-                part = sock.recv(65536)
+                chunk = sock.recv(65536)
             except BlockingIOError:
                 return False
             except ConnectionResetError:
-                part = b""
-            received += part
-            is_closed[0] = part == b""
+                chunk = b""
+            received += chunk
+            is_closed[0] = chunk == b""
             return is_closed[0]
 
         world.serve_until(read, 10)
@@ -161,6 +162,7 @@
 
 
 def decode_json_body(response: bytes) -> Any:
+    """Return the JSON value in the body of a whole response."""
     return json.loads(response.partition(b"\r\n\r\n")[2])
 
 
--- a/tests/compatibility/test_operators.py
+++ b/tests/compatibility/test_operators.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(frozen.read_json("settings.json")))
-def test_only_the_named_setting_changes(name: str) -> None:
+def test_operator_change_of_a_setting_changes_only_that_setting(name: str) -> None:
     default, low, high, _ = frozen.read_json("settings.json")[name]
     changed = codecs.change_settings({name: high if default != high else low})
     assert changed[name] != default
--- a/tests/compatibility/test_records.py
+++ b/tests/compatibility/test_records.py
@@ -29,6 +29,10 @@
 
 @pytest.mark.parametrize("kind", ["job", "ended", "rental", "flavors", "limit", "view"])
 def test_kind_has_a_record_that_is_reencoded_byte_for_byte(kind: str) -> None:
+    """Covers the records in the form in which controllers write them.
+
+    Stored settings are not among the kinds, as their codec adds the default of each setting that is not stored.
+    """
     unchanged = [case for case in CASES if case["kind"] == kind and case["stored"] == case.get("read")]
     assert unchanged
 
--- a/tests/compatibility/traffic.py
+++ b/tests/compatibility/traffic.py
@@ -40,6 +40,7 @@
         self._recorded: set[tuple[str, ...]] = set()
 
     def add(self, *line: str) -> None:
+        """Record a line that was not recorded before; where only writes are recorded, all other lines are ignored."""
         is_included = not self._writes_only or line[2].startswith(("POST /txn", "POST /rentals"))
         if is_included and line not in self._recorded:
             self._recorded.add(line)
@@ -53,13 +54,13 @@
 
     def start(self, stack: ExitStack) -> None:
         """Record until the stack is closed."""
-        call, send = VirtualRuntime.call, World.send
+        original_call, original_send = VirtualRuntime.call, World.send
 
         def recorded_call(runtime: Any, request: Request, on_response: Any) -> None:
             content_type = request.content_type
             body = _to_text(request.body, content_type == CBOR_CONTENT_TYPE)
             self.add(runtime.node.name, request.address, f"{request.method} {request.target} {content_type}", body)
-            call(runtime, request, on_response)
+            original_call(runtime, request, on_response)
 
         def recorded_send(world: World, source: str, target: str, request: Callable[[Any], None], *rest: Any):  # type: ignore[no-untyped-def]
             def recorded_request(respond: Callable[[int, Any], None]) -> None:
@@ -70,16 +71,18 @@
 
                 request(recorded_respond)
 
-            return send(world, source, target, recorded_request if target in world.controller_names else request, *rest)
+            return original_send(
+                world, source, target, recorded_request if target in world.controller_names else request, *rest
+            )
 
-        run = World.run
+        original_run = World.run
 
         def sampled_run(world: World, seconds: float) -> None:
             """Run the world in steps, and sample the status after each of them."""
             for _ in range(int(seconds / STATUS_SAMPLE_INTERVAL_S)):
-                run(world, STATUS_SAMPLE_INTERVAL_S)
+                original_run(world, STATUS_SAMPLE_INTERVAL_S)
                 self.sample_status(world)
-            run(world, seconds % STATUS_SAMPLE_INTERVAL_S)
+            original_run(world, seconds % STATUS_SAMPLE_INTERVAL_S)
 
         stack.enter_context(patch.object(World, "run", sampled_run))
         stack.enter_context(patch.object(VirtualRuntime, "call", recorded_call))
@@ -175,9 +178,10 @@
 
 
 def network_partitions() -> World:
-    """Network partitions, and a cancelled job while the key-value store refuses one controller.
+    """The network is partitioned twice, and a job is cancelled while the key-value store refuses a follower.
 
-    A follower reaches only the other controllers and the key-value store, and later the leader loses all agents.
+    In the first partition a follower reaches only the other controllers and the key-value store; in the second one the
+    leader loses all agents.
     """
     world = started_world(13, capacity=6)
     world.define_job("j-40", shape="service", pieces=8, cores=2.0)
