--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -3,7 +3,7 @@
 The tests guard against these failures, most of them also with one guard taken away, to show that it is needed:
 
 - A cancelled task runs on for longer than `cancel_s`, or an uncancelled one is stopped: the key-value store refuses the
-  leader alone, another controller confirms the cancellation, and then an outage refuses all controllers.
+  leader alone, another controller confirms the cancellation, and then the store refuses all controllers in an outage.
 - A cancelled task runs on for longer than `cancel_s` on a machine that hangs while controllers restart.
 - An array waits forever while room that is reserved for services is free.
 - A job stays without room at its scheduler after the transaction of its handover got no response.
@@ -56,13 +56,14 @@
     submit_job,
 )
 
-# The key-value store refuses the leader alone, another controller confirms a cancellation, then all are refused.
+# The key-value store refuses the leader alone, another controller confirms a cancellation, then an outage begins.
 
 
 def cancel_between_refusal_and_outage(world: World, confirming: str, outage_s: float, restart: bool = False) -> None:
-    """Cancel j-1 at controller `confirming` while the store refuses the leader, and start an outage of the store then.
+    """Cancel j-1 at controller `confirming` while the store refuses the leader; an outage begins at the confirmation.
 
-    With `restart`, the confirming controller is killed before it can inform any other one, and starts again soon.
+    With `restart`, the confirming controller is killed before it can inform any other controller, and is started again
+    0.3 s later.
     """
     leader = leader_of(world)
     world.store.refused_callers.add(leader)
@@ -90,7 +91,7 @@
 
 
 def world_with_two_jobs(seed: int) -> World:
-    """Return a world in which two long jobs run: j-1, which tests cancel, and j-2, which none cancels."""
+    """Return a world in which two long jobs run: j-1, which tests cancel, and j-2, which no test cancels."""
     world = busy_world(seed, guessS=500.0, pieces=6, cores=2.0)
     world.define_job("j-2", pieces=6, cores=2.0, guessS=500.0)
     assert world.submit_until_accepted("j-2", "c1")
@@ -134,7 +135,7 @@
 
 
 def disable_announcements(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have confirmed cancellations not announced at once, as if those messages were lost."""
+    """Prevent the immediate announcement of confirmed cancellations, as if the announcing messages were lost."""
     monkeypatch.setattr(
         "ramptide.controller.cancellations.RecentCancellations.announce", lambda cancellations, job_id: None
     )
@@ -219,13 +220,13 @@
 # A machine hangs for longer than a cancellation may take, with a cancelled task on it.
 
 
-def cancel_job_on_hung_machines(world: World, *faults: str, machines: int = 1) -> list[Agent]:
-    """Hang machines with tasks of j-1, cancel it, inject the named faults, and return the machines.
+def cancel_job_on_hung_machines(world: World, *faults: str, machine_count: int = 1) -> list[Agent]:
+    """Hang `machine_count` machines with tasks of j-1, cancel the job, inject the faults, and return the machines.
 
     Past its lease, a machine that hangs ends all tasks as soon as it continues; the invariants still count a cancelled
     task there as running until the machine is returned.
     """
-    hung = list({agent.host: agent for agent, _ in world.invariants.running_tasks()}.values())[:machines]
+    hung = list({agent.host: agent for agent, _ in world.invariants.running_tasks()}.values())[:machine_count]
     for agent in hung:
         agent.hang(45)
     assert world.run_until(lambda: world.cancel_job("j-1", followers(world)[0]), 10)
@@ -251,9 +252,9 @@
     assert not hung[0].alive
 
 
-def test_many_hanging_machines_are_returned_in_time_when_leaders_change() -> None:
+def test_many_hanging_machines_are_returned_in_time_when_the_leader_changes_twice() -> None:
     world = large_busy_world()
-    hung = cancel_job_on_hung_machines(world, "elections", machines=6)
+    hung = cancel_job_on_hung_machines(world, "elections", machine_count=6)
     assert world.invariants.violations == []
     assert not any(agent.alive for agent in hung)
 
@@ -268,7 +269,7 @@
 def test_cancelled_task_runs_on_without_unconfirmed_terminations_kept_across_views(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """In a new view, the owner of a machine that hangs reports no tasks there, as no heartbeat has arrived in it."""
+    """In a new view, the owner of a hanging machine reports no tasks there, as no heartbeat has arrived since."""
 
     def forget_terminations(machine_index: MachineIndex) -> None:
         machine_index.machines.update(
@@ -279,7 +280,7 @@
 
     monkeypatch.setattr(MachineIndex, "on_new_view", forget_terminations)
     world = large_busy_world()
-    cancel_job_on_hung_machines(world, "elections", machines=6)
+    cancel_job_on_hung_machines(world, "elections", machine_count=6)
     assert any("ran_cancelled" in violation for violation in world.invariants.violations)
 
 
@@ -296,7 +297,7 @@
 
 
 def world_with_array_beside_services() -> World:
-    """Return a world in which an array waits; each machine runs a service, and its free quarter is kept for others."""
+    """Return a world in which an array waits beside services: each machine keeps its free quarter for more services."""
     world = started_world(8, capacity=2)
     for number in range(2):
         world.define_job(f"j-{number}", shape="service", pieces=1, cores=6.0)
@@ -313,7 +314,7 @@
     assert world.run_until(lambda: world.is_done("j-5"), 300)
 
 
-def test_array_starves_without_the_limits_of_its_wait_for_reserved_room() -> None:
+def test_array_starves_without_share_wait_and_patience() -> None:
     world = world_with_array_beside_services()
     for node in world.nodes.values():
         assert node.controller is not None
@@ -327,7 +328,7 @@
 
 
 def drop_first_handover(world: World, delay_s: float | None) -> None:
-    """Give the first handover no response; it is executed `delay_s` seconds after it arrives, or never if None."""
+    """Give the first handover no response; it is executed `delay_s` seconds late, or never if that is None."""
     handle = world.store.handle
     dropped: list[bytes] = []
 
@@ -374,37 +375,37 @@
 def hand_over_job_at_team_limit(world: World) -> None:
     """Hand a job over to the leader, while another job of its team waits for the limit at the former scheduler.
 
-    For 2.5 s, the leader receives no new message of the former scheduler.
+    For 2.5 s, the leader receives no new message from the former scheduler.
     """
-    new_name, old_name = leader_of(world), followers(world)[0]
-    old_scheduler, new_scheduler = world.nodes[old_name].controller, world.nodes[new_name].controller
-    assert old_scheduler is not None
+    new_name, former_name = leader_of(world), followers(world)[0]
+    former_scheduler, new_scheduler = world.nodes[former_name].controller, world.nodes[new_name].controller
+    assert former_scheduler is not None
     assert new_scheduler is not None
-    assert old_scheduler.state.view is not None
-    assert old_scheduler.state.scheduler is not None
-    for controller in (old_scheduler, new_scheduler):
+    assert former_scheduler.state.view is not None
+    assert former_scheduler.state.scheduler is not None
+    for controller in (former_scheduler, new_scheduler):
         controller.handover.run = lambda scheduler, now: None  # type: ignore[method-assign]
     for node in world.nodes.values():
         assert node.controller is not None
-        node.controller.job_api._choose_scheduler = lambda run: old_name
+        node.controller.job_api._choose_scheduler = lambda run: former_name
     for job_id in ("j-1", "j-2"):
         world.define_job(job_id, owner="few", pieces=3, cores=4.0, guessS=300.0)
-        assert world.submit_until_accepted(job_id, old_name)
+        assert world.submit_until_accepted(job_id, former_name)
     assert world.run_until(lambda: len(running_attempts(world, "j-1") | running_attempts(world, "j-2")) == 3, 40)
     job_id = "j-1" if running_attempts(world, "j-1") else "j-2"
-    send = old_scheduler.peers.send
-    old_scheduler.peers.send = lambda peer, update, interval=SECOND: (  # type: ignore[assignment, method-assign]
+    send = former_scheduler.peers.send
+    former_scheduler.peers.send = lambda peer, update, interval=SECOND: (  # type: ignore[assignment, method-assign]
         peer.name != new_name and send(peer, update, interval)
     )
     world.run(0.5)
-    message = new_scheduler.peers.last_message(old_name)
+    message = new_scheduler.peers.last_message(former_name)
     assert message is not None
-    job = old_scheduler.state.jobs[job_id]
-    handover_record = Handover(old_scheduler.state.view.number, old_name, message.sequence_number)
+    job = former_scheduler.state.jobs[job_id]
+    handover_record = Handover(former_scheduler.state.view.number, former_name, message.sequence_number)
     record = msgspec.structs.replace(job.record, scheduler=new_name, handover=handover_record)
     world.store.put(f"live/job/{job_id}", msgspec.to_builtins(record))
     run_with_checks(world, 2)
-    old_scheduler.peers.send = send  # type: ignore[method-assign]
+    former_scheduler.peers.send = send  # type: ignore[method-assign]
     run_with_checks(world, 5)
 
 
@@ -426,23 +427,23 @@
 def test_team_limit_is_exceeded_without_the_wait_for_the_former_schedulers_message(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def startable_handovers(split: ShareSplit, scheduler: JobScheduler, _view: View) -> list[str]:
+    def find_startable_handovers(split: ShareSplit, scheduler: JobScheduler, _view: View) -> list[str]:
         return [
             job_state.job.job_id
             for job_state in scheduler.jobs.values()
             if job_state.job.record.handover is not None and split._may_start_job(job_state)
         ]
 
-    monkeypatch.setattr(ShareSplit, "_find_counted_handovers", startable_handovers)
+    monkeypatch.setattr(ShareSplit, "_find_counted_handovers", find_startable_handovers)
     world = world_with_limited_team()
     hand_over_job_at_team_limit(world)
     assert any("quota" in violation for violation in world.invariants.violations)
 
 
 def messages_without_own_attempts(world: World) -> list[str]:
-    """Return the messages that fail to show attempts which their senders start on their own machines.
+    """Return the messages that do not show some attempt that the sender has started on its own machines.
 
-    Each message acknowledges the sender's own desired tasks, so it must also show their effect.
+    Each message acknowledges the sender's own desired tasks, so it must also show the effect of these tasks.
     """
     incomplete: list[str] = []
     for node in world.nodes.values():
@@ -484,6 +485,7 @@
 
 
 def test_messages_miss_acknowledged_starts_without_the_recorded_status_changes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A controller that takes over a job relies on these messages, and would not know of the missing starts."""
     original_method = Replication.record_changes
 
     def record_without_own_desired_tasks(
@@ -505,7 +507,7 @@
 
 
 def restart_all_controllers(world: World, seconds: float) -> None:
-    """Kill all controllers and start them again `seconds` later; heartbeats get no responses meanwhile."""
+    """Kill all controllers and start them again `seconds` later; no controller responds to heartbeats meanwhile."""
     for name in world.controller_names:
         world.nodes[name].kill()
     run_with_checks(world, seconds)
@@ -524,7 +526,7 @@
 
 
 def kill_ten_leaders(world: World) -> None:
-    """Kill ten leaders within two minutes, two of them in an outage of 6 s; each starts again within 2.5 s."""
+    """Kill ten leaders within two minutes, two of them in an outage of 6 s; each starts again 0.3 s or 2.5 s later."""
     for number in range(10):
         leader = leader_of(world)
         if number % 4 == 3:
@@ -535,7 +537,7 @@
 
 
 def schedule_jobs_of_two_teams(world: World) -> list[str]:
-    """Schedule jobs of two teams, one of them with a limit: long and short ones, with and without zone constraints."""
+    """Schedule long and short jobs, with and without zone constraints, of two teams, one of which has a limit."""
     variants: list[dict[str, Any]] = [
         {},
         {"owner": "few"},
@@ -559,13 +561,14 @@
     end_faults(world)
     assert longest_starvation(world, 60)[0] < 60 * SECOND
     assert world.invariants.violations == []
-    # A job whose controller was killed during the submission may not be accepted, as its user gets no answer.
+    # A job may stay unaccepted if its controller was killed during the submission: its user gets no answer, and does
+    # not retry.
     assert len(world.accepted_jobs) >= len(job_ids) - 3
     assert world.run_until(lambda: all(world.is_done(job_id) for job_id in world.accepted_jobs), 60)
 
 
 def restart_leader_with_unreachable_machines(world: World, fault: str) -> None:
-    """Cut machines with long tasks off, or drop the responses to them, and restart the leader.
+    """Cut off four machines with long tasks, or drop the responses to their heartbeats, and restart the leader.
 
     The cloud is down, so that no machine can be returned.
     """
@@ -628,7 +631,7 @@
     assert len(world.invariants.running_tasks()) == 12
 
 
-def test_limit_or_single_execution_is_violated_without_the_wait_for_unreconciled_machines(
+def test_limit_is_exceeded_or_a_task_runs_twice_without_the_wait_for_unreconciled_machines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Reconciliation, "unreconciled_machines", lambda reconciliation: {})
@@ -654,7 +657,7 @@
 
 
 def test_all_results_are_counted_when_tasks_end_before_between_and_after_leader_changes() -> None:
-    """Tasks run for 2 s, 14 s and 30 s; the leader is restarted after 10 s, and its successor after 20 s."""
+    """Tasks run for 2 s, 14 s and 30 s; the leader is restarted after 10 s, and the next leader after 20 s."""
     world = started_world(5)
     for job_id in ("j-1", "j-2"):
         world.define_job(job_id, pieces=3, cores=2.0, guessS=2.0)
@@ -680,8 +683,8 @@
 def final_statuses(world: World, delay_s: float) -> set[str]:
     """Return the final statuses of j-1 that users are told.
 
-    `delay_s` after its last task has ended, the job is cancelled, polled and submitted again, each at a different
-    controller. Later it is polled at all controllers.
+    `delay_s` seconds after the last task of the job has succeeded, the job is cancelled, polled and submitted again,
+    each at a different controller. Later the job is polled at all controllers.
     """
     body = json.dumps(world.job_specs["j-1"]).encode()
     statuses: list[str] = []
