--- a/tests/test_operator_diagnostics.py
+++ b/tests/test_operator_diagnostics.py
@@ -1,12 +1,12 @@
-"""Controllers that lose connections or stall, and what the status, the metrics and the log show of that and of faults.
+"""Controllers that lose connections or stall, and what the status, the metrics and the log show of faults.
 
 The tests guard against these failures:
 
 - A controller that was unreachable or stalled for over a minute acts on outdated state when it is back.
 - A controller that is cut off from its agents alone keeps its machines until they are returned as silent, and their
   tasks are lost.
-- The only controller left gives up its place in the view, by outdated messages of controllers that have failed.
-- Operators see the same symptoms for different faults, or symptoms of a fault at controllers that it does not affect.
+- The only controller left gives up its place in the view because of outdated messages of controllers that have failed.
+- Operators see the same symptoms for different faults, or symptoms of a fault at controllers that are not affected.
 - Answers, lost tasks, view changes or decisions are counted or logged twice, not at all, or before they are written.
 """
 
@@ -106,7 +106,7 @@
             world.cut_link(name, other)
 
 
-def cut_from_all_but_agents(world: World, name: str) -> None:
+def cut_from_store_and_peers(world: World, name: str) -> None:
     world.isolate(name, CLOUD, *world.agents)
 
 
@@ -119,7 +119,7 @@
     cut_from_store,
     refused_by_store,
     cut_from_agents,
-    cut_from_all_but_agents,
+    cut_from_store_and_peers,
     stall,
 ]
 
@@ -177,7 +177,7 @@
         world.run(0.1)
         world.invariants.check()
     assert controller_of(world, name).membership._lost_lease_count <= 1, (
-        "it does not apply for a place again before agents answer"
+        "the controller does not apply for a place again before agents answer"
     )
     world.heal()
     world.run(20)
@@ -274,7 +274,7 @@
     assert sum(row["out_of_use"] is not None for row in machines.values()) == 1
 
 
-def test_status_and_metrics_show_what_waits_for_the_limit_of_each_team() -> None:
+def test_status_and_metrics_show_how_many_cpus_wait_for_the_limit_of_each_team() -> None:
     world = started_world(5, teams={"team": 0.0, "few": 8.0})
     world.define_job("j-1", owner="few", pieces=10, cores=2.0, guessS=300.0)
     world.define_job("j-2", owner="team", pieces=2, cores=2.0, guessS=300.0)
@@ -284,11 +284,11 @@
     world.run(4)
     teams_by_member = {name: status_of(world, name)["teams"] for name in world.controller_names}
     assert all(set(teams) == {"team", "few"} for teams in teams_by_member.values())
-    few = [teams["few"]["cores"] for teams in teams_by_member.values()]
-    assert all(row["limit"] == 8.0 and row["used"] == 8.0 for row in few)
-    assert sum(row["share"] for row in few) == sum(row["share_used"] for row in few) == 8.0
-    assert sum(row["waiting_for_limit"] for row in few) == 12.0
-    assert all(row["share_used"] <= row["share"] + 1e-6 for row in few)
+    few_rows = [teams["few"]["cores"] for teams in teams_by_member.values()]
+    assert all(row["limit"] == 8.0 and row["used"] == 8.0 for row in few_rows)
+    assert sum(row["share"] for row in few_rows) == sum(row["share_used"] for row in few_rows) == 8.0
+    assert sum(row["waiting_for_limit"] for row in few_rows) == 12.0
+    assert all(row["share_used"] <= row["share"] + 1e-6 for row in few_rows)
     unlimited = teams_by_member["c0"]["team"]["cores"]
     assert unlimited["limit"] is None
     assert unlimited["share"] is None
@@ -354,7 +354,7 @@
     world.define_job("j-1", guessS=300.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.submit_until_accepted("j-1", "c0")
-    world.request("c0", lambda c: c.job_api.submit(b"{}", lambda *_response: None))
+    world.request("c0", lambda controller: controller.job_api.submit(b"{}", lambda *_response: None))
     for job_id in ("j-1", "j-77", "nonsense"):
         world.poll_job(job_id, "c0")
         world.cancel_job(job_id, "c0")
@@ -376,7 +376,7 @@
     body = json.dumps(job_spec("j-5")).encode()
 
     def submit(name: str) -> None:
-        world.request(name, lambda c: c.job_api.submit(body, lambda *_response: None))
+        world.request(name, lambda controller: controller.job_api.submit(body, lambda *_response: None))
 
     world.cloud.is_down = True
     world.nodes["c0"].start()
@@ -399,7 +399,7 @@
     world.run(4)
     submit("c1")
     world.cancel_job("j-6", "c1")
-    world.request("c1", lambda c: c.job_api.poll("j-6", lambda *_response: None))
+    world.request("c1", lambda controller: controller.job_api.poll("j-6", lambda *_response: None))
     world.run(4)
     answers, reasons = answer_counts(controller_of(world, "c1"))
     assert reasons == {"machine_types": 1, "overloaded": 1, "state_service": 3}
@@ -412,7 +412,7 @@
     controller = controller_of(world, "c0")
     job = controller.state.jobs["j-1"]
     revision, job.mod_revision = job.mod_revision, job.mod_revision - 1
-    world.request("c0", lambda c: c.job_api.cancel("j-1", lambda *_response: None))
+    world.request("c0", lambda controller: controller.job_api.cancel("j-1", lambda *_response: None))
     job.mod_revision = revision
     world.run(3)
     assert {key: count for key, count in answer_counts(controller)[0].items() if key[0] == "cancel"} == {
@@ -420,10 +420,10 @@
     }
 
 
-def world_with_lost_tasks(machines: int, caplog: pytest.LogCaptureFixture) -> World:
-    """Return a world in which machines of the leader, with two tasks each, have hung past their leases.
+def world_with_lost_tasks(machine_count: int, caplog: pytest.LogCaptureFixture) -> World:
+    """Return a world in which `machine_count` machines of the leader, with two tasks each, have hung past their leases.
 
-    The view was reconciled before. `machines`: their number.
+    The view was reconciled before.
     """
     world = started_world(2, capacity=24)
     world.cloud.boot_seconds = (1.0, 1.5)
@@ -435,32 +435,33 @@
     world.cloud.is_down = True
     name = leader_of(world)
     owned_agents = [agent for agent, _ in world.invariants.running_tasks() if owner_of(world, agent.host) == name]
-    hanging = list(dict.fromkeys(agent.host for agent in owned_agents))[:machines]
-    assert len(hanging) == machines
+    hanging = list(dict.fromkeys(agent.host for agent in owned_agents))[:machine_count]
+    assert len(hanging) == machine_count
     for host in hanging:
         world.agents[host].hang(60)
     assert controller_of(world, name).state.reconciled
     world.run(5)
     assert sorted(status_of(world, name)["silent_machines"]) == sorted(hanging)
     assert all(
-        metrics_of(world, controller_name)["machines_silent",] == machines for controller_name in world.controller_names
+        metrics_of(world, controller_name)["machines_silent",] == machine_count
+        for controller_name in world.controller_names
     )
     assert metrics_of(world, name)["tasks_lost_total",] == 0
     world.run(10)
-    assert metrics_of(world, name)["tasks_lost_total",] == 2 * machines
-    assert metrics_of(world, name)["leases_ended_total",] == machines
+    assert metrics_of(world, name)["tasks_lost_total",] == 2 * machine_count
+    assert metrics_of(world, name)["leases_ended_total",] == machine_count
     return world
 
 
-@pytest.mark.parametrize("machines", [1, 4])
+@pytest.mark.parametrize("machine_count", [1, 4])
 def test_tasks_lost_with_expired_leases_are_counted_and_logged_once(
-    machines: int, caplog: pytest.LogCaptureFixture
+    machine_count: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    world = world_with_lost_tasks(machines, caplog)
+    world = world_with_lost_tasks(machine_count, caplog)
     lines = [record.getMessage() for record in caplog.records if "leases expired:" in record.getMessage()]
-    assert sum(int(line.split("tasks_lost=")[1].split()[0]) for line in lines) == 2 * machines
+    assert sum(int(line.split("tasks_lost=")[1].split()[0]) for line in lines) == 2 * machine_count
     world.run(55)
-    assert sum(metrics_of(world, name)["tasks_lost_total",] for name in world.controller_names) == 2 * machines, (
+    assert sum(metrics_of(world, name)["tasks_lost_total",] for name in world.controller_names) == 2 * machine_count, (
         "each lost task is counted once"
     )
     assert sum(metrics_of(world, name)["machines_silent",] for name in world.controller_names) == 0, (
@@ -479,7 +480,7 @@
 
 
 def test_tasks_are_not_counted_as_lost_by_a_controller_that_was_removed_from_the_view() -> None:
-    """Its agents continue under other controllers, although it receives no heartbeats until past their leases."""
+    """The agents continue under other controllers; the removed one receives no heartbeats until past their leases."""
     world = busy_world(guessS=500.0)
     name = max(
         world.controller_names,
@@ -497,7 +498,7 @@
 
 
 def refuse_rentals(world: World) -> Callable[[], None]:
-    """Have the store refuse changes of rentals, as if they were changed meanwhile; return a function that ends this."""
+    """Have the store refuse changes of rentals, as if others had changed them; return a function that ends this."""
     transact = world.store._transact
 
     def refuse(transaction: dict[str, Any], respond: Respond) -> None:
@@ -568,7 +569,7 @@
     assert logged_decisions == [f"machines decided: hosts='{host}' machine_type=m zone={zone} outcome='silent'"]
 
 
-def test_written_decisions_leave_out_those_whose_records_did_not_fit() -> None:
+def test_written_decisions_leave_out_those_whose_records_did_not_fit_into_the_transaction() -> None:
     decisions = [MachineDecision(f"vm-{n}", "m", "a", f"r-{n}", "silent", "silent") for n in range(4)]
     assert written_decisions(decisions, {"r-1", "r-3"}) == [decisions[1], decisions[3]]
 
@@ -627,7 +628,7 @@
 
 @pytest.mark.parametrize("is_leader", [True, False])
 def test_stalled_controller_logs_the_stall_and_no_outdated_decision(is_leader: bool) -> None:
-    """A machine that it owns is silent before the stall, so that a decision about it is due when it continues."""
+    """A machine of the controller is silent before the stall, so a decision about it is due when the stall ends."""
     world = busy_world(guessS=500.0)
     name = leader_of(world) if is_leader else owner_of(world, world.invariants.running_tasks()[0][0].host)
     if not is_leader and name == leader_of(world):
@@ -689,7 +690,7 @@
 
 
 @pytest.mark.parametrize(("fault", "metric", "line"), SYMPTOMS_BY_FAULT)
-def test_symptoms_that_the_manual_names_show_only_at_the_affected_controller(
+def test_symptoms_named_in_the_manual_show_only_at_the_affected_controller(
     fault: Callable[[World, str], None], metric: str, line: str
 ) -> None:
     world = busy_world(guessS=300.0)
@@ -721,8 +722,8 @@
 def test_submissions_that_wait_too_long_for_their_write_are_answered_as_overload_and_not_as_an_outage() -> None:
     """At the start of a busy day, more is submitted than the key-value store accepts.
 
-    If these submissions were counted as refused in an outage, operators would look for one. The expected delay is short
-    when the submissions arrive, as it can be while other controllers have much to write, too.
+    If these submissions were counted as refused in an outage, operators would look for one. The expected delay of a
+    write is short when the submissions arrive, as it can be while other controllers have much to write, too.
     """
     world = World(5)
     world.store_limits = world.store_limits | {"write_rps": 6.0}
@@ -734,7 +735,12 @@
     for number in range(60):
         world.define_job(f"j-{number}", pieces=1)
         body = json.dumps(world.job_specs[f"j-{number}"]).encode()
-        world.request("c0", lambda c, body=body: c.job_api.submit(body, lambda status, *_: answers.append(status)))  # type: ignore[misc]
+        world.request(
+            "c0",
+            lambda controller, body=body: controller.job_api.submit(  # type: ignore[misc]
+                body, lambda status, *_: answers.append(status)
+            ),
+        )
     world.run(8)
     reasons = controller_of(world, "c0").telemetry.unavailable
     assert len(answers) == 60
@@ -744,9 +750,9 @@
 
 
 def world_with_one_controller_left(seed: int) -> tuple[World, Controller]:
-    """Return a world in which two controllers were killed, and the third one, whose machines all hang.
+    """Return a world in which two controllers were killed, and the third controller, whose machines all hang.
 
-    It knows the machines of the others from their last messages only.
+    The third controller knows the machines of the killed ones only from the last messages of these.
     """
     world = started_world(seed, capacity=15)
     world.define_job("j-1", pieces=24, cores=4.0, guessS=500.0)
@@ -766,7 +772,10 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_only_controller_left_keeps_its_place_when_all_its_machines_are_silent(seed: int) -> None:
-    """By their last messages, the killed controllers reach their agents, so it could step down for up to 3 minutes."""
+    """The last messages of the killed controllers show that they received heartbeats.
+
+    If such outdated messages counted, the controller left would give up its place for up to 3 minutes.
+    """
     world, remaining = world_with_one_controller_left(seed)
     assert world.run_until(lambda: remaining.membership.is_leading, 12)
     for _ in range(60):
