--- a/tests/test_protocol_invariants.py
+++ b/tests/test_protocol_invariants.py
@@ -157,7 +157,7 @@
     assert world.invariants.violations == []
 
 
-def test_isolated_leader_is_replaced_and_the_job_finishes_when_it_is_back() -> None:
+def test_isolated_leader_is_replaced_and_the_job_finishes_when_the_links_are_healed() -> None:
     world = busy_world(guessS=15.0)
     old_leader = leader_of(world)
     world.isolate(old_leader, *world.agents)
@@ -327,9 +327,9 @@
 
 
 def restart_two_controllers_in_an_outage(world: World, outage_s: float) -> list[set[tuple[str, int, int]]]:
-    """Restart two controllers in an outage of the key-value store, after which no process knows what they confirmed.
+    """Restart two controllers in an outage of the key-value store; no process knows what the killed ones confirmed.
 
-    Return the running attempts before the outage, and in each of the 40 s after the restarts.
+    Return the running attempts before the outage, and after each of the 40 seconds that follow the restarts.
     """
     running_by_second = [{(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()}]
     world.store.start_outage(outage_s)
@@ -350,7 +350,10 @@
 
 
 def test_tasks_end_within_the_cancellation_timeout_when_controllers_restart_in_a_long_outage() -> None:
-    """A cancellation may be confirmed just before the first restart, 3 s into the outage; `cancel_s` is 20 s."""
+    """A cancellation may be confirmed just before the first controller is killed, 3 s into the outage.
+
+    `cancel_s` is 20 s. The restarts are over 5 s into the outage, from which the attempts are recorded each second.
+    """
     world = busy_world(guessS=90.0)
     running_by_second = restart_two_controllers_in_an_outage(world, 30)
     assert running_by_second[17] == set(), "all tasks ended in time"
@@ -389,7 +392,7 @@
     assert world.run_until(lambda: controller.state.counters["returns"] > 0, 60)
     returned_host = next(host for host, agent in world.agents.items() if not agent.alive)
     row = {"ref": returned_host, "rig": "m", "yard": "a", "loaners": False, "status": "running"}
-    world.cloud.listing[returned_host] = row  # The cloud's list lags behind its returns.
+    world.cloud.listing[returned_host] = row  # The list of the cloud lags behind the returns.
     world.run(5)
     world.cloud.is_down = True
     world.run(60)
@@ -405,7 +408,7 @@
 
 
 def starts_sent_while_unreachable(world: World) -> int:
-    """Return the most attempts in phase `sent` on a machine whose lease expired because it gets no responses."""
+    """Return the most attempts in phase `sent` at any time on a machine whose lease expired for lack of responses."""
     agent = make_machine_unreachable(world)
     world.run(10)
     assert agent.agent_epoch > 1
@@ -431,7 +434,7 @@
     assert world.invariants.violations == []
 
 
-def test_tasks_are_started_on_a_machine_without_the_mark_as_unreachable(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tasks_are_started_on_a_machine_that_is_not_marked_unreachable(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(HeartbeatIntake, "_mark_unreachable", lambda intake, machine, now: None)
     assert starts_sent_while_unreachable(busy_world(members=1, guessS=60.0)) > 0
 
@@ -465,10 +468,16 @@
     answers: list[tuple[int, dict[str, str]]] = []
     body = json.dumps(job_spec("j-5")).encode()
     world.request(
-        "c1", lambda c: c.job_api.submit(body, lambda status, response, headers: answers.append((status, headers)))
+        "c1",
+        lambda controller: controller.job_api.submit(
+            body, lambda status, response, headers: answers.append((status, headers))
+        ),
     )
     world.request(
-        "c1", lambda c: c.job_api.poll("j-1", lambda status, response, headers: answers.append((status, headers)))
+        "c1",
+        lambda controller: controller.job_api.poll(
+            "j-1", lambda status, response, headers: answers.append((status, headers))
+        ),
     )
     assert [(status, "Retry-After" in headers) for status, headers in answers] == [(503, True)] * 2
 
@@ -489,10 +498,10 @@
     world.nodes[killed].kill()
     others = [node.controller for name, node in world.nodes.items() if name != killed and node.controller is not None]
     assert world.run_until(
-        lambda: all(c.state.view is not None and killed not in c.state.view.members for c in others), 10
+        lambda: all(other.state.view is not None and killed not in other.state.view.members for other in others), 10
     )
     started_at = world.now
-    assert world.run_until(lambda: all(c.state.reconciled for c in others), 30)
+    assert world.run_until(lambda: all(other.state.reconciled for other in others), 30)
     assert world.invariants.violations == []
     return (world.now - started_at) / SECOND
 
@@ -518,7 +527,7 @@
 
 
 def test_view_does_not_wait_for_the_lease_of_one_silent_machine() -> None:
-    """Its return is confirmed, which proves it gone; a machine that is only slow to find its owner is not returned."""
+    """The confirmed return proves the silent machine gone; a machine that is just slow to find its owner is kept."""
     world = busy_world(guessS=200.0)
     lost, _ = world.invariants.running_tasks()[0]
     before = {agent.host for agent, _ in world.invariants.running_tasks()}
@@ -527,9 +536,9 @@
     world.nodes[killed].kill()
     others = [node.controller for name, node in world.nodes.items() if name != killed and node.controller is not None]
     assert world.run_until(
-        lambda: all(c.state.view is not None and killed not in c.state.view.members for c in others), 10
+        lambda: all(other.state.view is not None and killed not in other.state.view.members for other in others), 10
     )
-    assert world.run_until(lambda: all(c.state.reconciled for c in others), 4.5), (
+    assert world.run_until(lambda: all(other.state.reconciled for other in others), 4.5), (
         "the lease is 8 s, and a machine counts as silent after 3 s"
     )
     world.run(20)
@@ -571,7 +580,7 @@
 
 
 def test_machines_of_a_controller_left_with_its_agents_alone_are_taken_over_soon() -> None:
-    """While it may renew their leases, the others wait, and may start nothing."""
+    """While that controller may renew the leases of its agents, the others wait, and may start nothing."""
     world = World(3)
     world.cancel_timeout_s = 60.0
     for node in world.nodes.values():
@@ -585,15 +594,18 @@
     world.isolate(cut_off, *world.agents)
     others = [node.controller for name, node in world.nodes.items() if name != cut_off and node.controller is not None]
     assert world.run_until(
-        lambda: all(c.state.view is not None and cut_off not in c.state.view.members for c in others), 10
+        lambda: all(other.state.view is not None and cut_off not in other.state.view.members for other in others), 10
     )
-    assert world.run_until(lambda: all(c.state.reconciled for c in others), 12)
+    assert world.run_until(lambda: all(other.state.reconciled for other in others), 12)
     assert {(t.job_id, t.index, t.attempt) for _, t in world.invariants.running_tasks()} == before
     assert world.invariants.violations == []
 
 
 def test_member_gets_a_new_incarnation_when_its_lease_expired() -> None:
-    """The others count its authority from `LEASE_TIMEOUT` before its removal, so it must not act under a new lease."""
+    """The others count the authority of a removed member from `LEASE_TIMEOUT` before the removal.
+
+    So the member must not act on in the old view under a new lease.
+    """
     world = busy_world(guessS=200.0)
     name = next(name for name in world.controller_names if name != leader_of(world))
     controller = world.nodes[name].controller
@@ -603,7 +615,7 @@
     world.run(5)
     world.store.refused_callers.clear()
     assert world.run_until(lambda: controller.membership.incarnation != before, 5)
-    assert not controller.authority.may_reply(), "it may not act in the old view any more"
+    assert not controller.authority.may_reply(), "the member may not act in the old view any more"
     assert world.run_until(lambda: controller.state.reconciled and controller.authority.may_reply(), 15)
     assert controller.state.view is not None
     assert controller.state.view.members[name] == controller.membership.incarnation
@@ -617,8 +629,11 @@
     return name, [host for host, agent in world.agents.items() if agent.alive and owner_of(world, host) == name]
 
 
-def cut_off_a_zone(world: World) -> None:
-    """Let a controller and its machines reach only each other for well over a lease; then held requests arrive."""
+def cut_off_controller_with_its_machines(world: World) -> None:
+    """Let a controller and its machines reach only each other, as if their zone were cut off, for well over a lease.
+
+    The requests that are held at the cut links arrive afterwards.
+    """
     world.cloud.is_down = world.holds_requests_on_cut_links = True
     world.isolate_with(*busy_shard(world))
     for _ in range(250):
@@ -628,19 +643,23 @@
     world.run(15)
 
 
-def test_no_task_runs_twice_when_a_zone_is_cut_off() -> None:
+def test_no_task_runs_twice_when_a_controller_and_its_machines_are_cut_off() -> None:
     world = busy_world(guessS=500.0)
     before = sum(agent.alive for agent in world.agents.values())
-    cut_off_a_zone(world)
+    cut_off_controller_with_its_machines(world)
     assert world.invariants.violations == []
     assert len(world.invariants.running_tasks()) == 6, "all tasks run again"
-    assert sum(agent.alive for agent in world.agents.values()) >= before, "the machines of the zone are used again"
+    assert sum(agent.alive for agent in world.agents.values()) >= before, (
+        "the machines that were cut off are used again"
+    )
 
 
-def test_tasks_run_twice_when_a_zone_is_cut_off_without_the_proof_for_renewals(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tasks_of_a_cut_off_controller_run_twice_without_the_proof_for_renewals(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(Authority, "may_renew", lambda authority: True)
     world = busy_world(guessS=500.0)
-    cut_off_a_zone(world)
+    cut_off_controller_with_its_machines(world)
     assert any("ran_twice" in violation for violation in world.invariants.violations)
 
 
@@ -683,7 +702,10 @@
     frozen = leader_of(world)
     world.define_job("j-2", pieces=12, cores=2.0, guessS=10.0)
     world.request(
-        frozen, lambda c: c.job_api.submit(json.dumps(world.job_specs["j-2"]).encode(), lambda *_response: None)
+        frozen,
+        lambda controller: controller.job_api.submit(
+            json.dumps(world.job_specs["j-2"]).encode(), lambda *_response: None
+        ),
     )
     world.nodes[frozen].freeze(12)
     world.run(11.9)
@@ -703,8 +725,8 @@
 def refuse_all_controllers_then_serve_two(world: World) -> None:
     """Have the store refuse all controllers and then only one, which is cut off with its agents by then.
 
-    The store goes on expiring leases, as it only refuses requests, although all controllers agree on an outage. The two
-    that are served again remove the third from the view.
+    All controllers agree on an outage, but the store only refuses requests and goes on expiring leases. The two
+    controllers that are served again remove the third from the view.
     """
     world.cloud.is_down = True
     third, machines = busy_shard(world)
@@ -729,8 +751,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     original = Peers.store_unavailable_agreed_at
-    later = lambda peers: agreed_at + LEASE_TIMEOUT if (agreed_at := original(peers)) is not None else None  # noqa: E731
-    monkeypatch.setattr(Peers, "store_unavailable_agreed_at", later)
+    without_deduction = lambda peers: agreed_at + LEASE_TIMEOUT if (agreed_at := original(peers)) is not None else None  # noqa: E731
+    monkeypatch.setattr(Peers, "store_unavailable_agreed_at", without_deduction)
     world = busy_world(guessS=500.0)
     refuse_all_controllers_then_serve_two(world)
     assert any("ran_twice" in violation for violation in world.invariants.violations)
