--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -4,8 +4,8 @@
 
 - After the faults of a generated history, some controller does not answer for an accepted job, or the job does not end.
 - The largest job of a class, or a job of low rank, does not start during a steady flow of small or higher-ranked jobs.
-- Slow links, late copies of heartbeats, lost responses, a controller left with its agents alone, or quick restarts of
-  processes make a cancelled task run on, or a task run twice or be lost.
+- Slow links, late copies of heartbeats, lost responses, a controller cut off from the store and its peers, or quick
+  restarts of processes make a cancelled task run on, or a task run twice or be lost.
 """
 
 from datetime import timedelta
@@ -45,7 +45,10 @@
 
 
 def longest_unanswered(world: World, seconds: int) -> tuple[timedelta, str]:
-    """Poll each accepted job at each controller every second; return the longest time without an answer, and where."""
+    """Poll each accepted job at each controller every second; return the longest time without an answer.
+
+    The text in the result names the job and the controller.
+    """
     answered: dict[tuple[str, str], timedelta] = {}
     started_at = world.now
     keys = [(job_id, name) for job_id in sorted(world.accepted_jobs) for name in world.controller_names]
@@ -106,7 +109,7 @@
     check_after_faults(play_history(seed))
 
 
-# The largest jobs of a class start during a steady flow of small ones.
+# The largest jobs of a class, and jobs of low rank, start during a steady flow of small jobs.
 
 
 def schedule_flow_of_small_jobs(world: World, **fields: object) -> None:
@@ -120,7 +123,7 @@
 
 
 def start_delay_s(world: World, flow: dict[str, object], job: dict[str, object]) -> float:
-    """Return how long after its submission the first task of a job starts during the flow; infinity if none starts."""
+    """Return how long after its submission the first task of a job starts during the flow; infinity if no task does."""
     schedule_flow_of_small_jobs(world, **flow)
     world.run(30)
     world.define_job("j-1", **job)
@@ -131,9 +134,9 @@
     return (world.now - submitted_at) / SECOND
 
 
-#: Fields of the small jobs: the rank of the large ones and, unlike those, a deadline.
-URGENT: dict[str, object] = {"dueS": 120.0}
-LARGE: dict[str, dict[str, object]] = {
+#: The fields of the small jobs: they have the same rank as the large jobs and, unlike those, a deadline.
+URGENT_JOB_FIELDS: dict[str, object] = {"dueS": 120.0}
+LARGE_JOBS: dict[str, dict[str, object]] = {
     "array": {"pieces": 60, "cores": 2.0, "guessS": 20.0},
     "whole machines": {"pieces": 12, "cores": 8.0, "guessS": 20.0},
     "one zone": {"pieces": 20, "cores": 8.0, "guessS": 20.0, "oneZone": True},
@@ -143,21 +146,24 @@
 }
 
 
-@pytest.mark.parametrize("large", LARGE.values(), ids=LARGE.keys())
+@pytest.mark.parametrize("large", LARGE_JOBS.values(), ids=LARGE_JOBS.keys())
 def test_largest_job_starts_within_four_minutes_during_a_flow_of_small_jobs(large: dict[str, object]) -> None:
     world = started_world(11, capacity=5)
-    assert start_delay_s(world, URGENT, large) < MAX_START_DELAY_S
+    assert start_delay_s(world, URGENT_JOB_FIELDS, large) < MAX_START_DELAY_S
     assert world.invariants.violations == []
 
 
-LOW: dict[str, object] = {"rank": "low", "pieces": 40, "cores": 2.0, "guessS": 20.0}
+LOW_RANK_JOB: dict[str, object] = {"rank": "low", "pieces": 40, "cores": 2.0, "guessS": 20.0}
 
 
 @pytest.mark.parametrize(("rank", "shape"), [("normal", "batch"), ("production", "batch"), ("high", "service")])
 def test_job_of_low_rank_starts_within_four_minutes_during_a_flow_of_higher_ranks(rank: str, shape: str) -> None:
-    """`patience` reorders jobs of one rank only, so `begin_within` has to let a job of low rank start."""
+    """`patience` reorders jobs of one rank only, so `begin_within` has to let a job of low rank start.
+
+    Otherwise the job waits for as long as jobs of higher ranks arrive.
+    """
     world = started_world(12, capacity=5)
-    assert start_delay_s(world, {"rank": rank}, LOW | {"shape": shape}) < MAX_START_DELAY_S
+    assert start_delay_s(world, {"rank": rank}, LOW_RANK_JOB | {"shape": shape}) < MAX_START_DELAY_S
     assert world.invariants.violations == []
 
 
@@ -166,24 +172,24 @@
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller.state.tuning = node.controller.machine_index.tuning = Tuning(begin_within=1000 * SECOND)
-    assert start_delay_s(world, {"rank": "normal"}, LOW) == float("inf")
+    assert start_delay_s(world, {"rank": "normal"}, LOW_RANK_JOB) == float("inf")
 
 
-def test_largest_job_does_not_start_without_the_limits_of_its_wait() -> None:
+def test_largest_job_does_not_start_without_patience_share_wait_and_begin_within() -> None:
     world = started_world(11, capacity=5)
     for node in world.nodes.values():
         assert node.controller is not None
         node.controller.state.tuning = node.controller.machine_index.tuning = Tuning(
             patience=1000 * SECOND, share_wait=1000 * SECOND, begin_within=1000 * SECOND
         )
-    assert start_delay_s(world, URGENT, LARGE["array"]) == float("inf")
+    assert start_delay_s(world, URGENT_JOB_FIELDS, LARGE_JOBS["array"]) == float("inf")
 
 
 # Links are slow, and deliver messages in order or in any order.
 
 
 def slow_down_all_links(world: World, in_order: bool) -> None:
-    """Delay messages between the controllers and all hosts, except for machines that are rented later."""
+    """Delay the messages between the controllers and all hosts, except for machines that are rented later."""
     for name in world.controller_names:
         world.slow_down_links(name, [STORE, CLOUD, *sorted(world.agents)], in_order)
         world.slow_down_links(name, [other for other in world.controller_names if other != name], in_order)
@@ -270,7 +276,7 @@
     assert sorted(received) == list(range(50)) != received
 
 
-# Late copies of heartbeats, lost responses, a controller left with its agents alone, quick restarts of processes.
+# Copies of heartbeats are late, responses are lost, a controller is cut off, or processes restart quickly.
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -290,7 +296,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_task_runs_twice_when_machines_get_no_responses_while_the_leader_changes(seed: int) -> None:
-    """Their heartbeats arrive all the time, at one controller after the other."""
+    """The heartbeats of these machines arrive all the time, at one controller after the other."""
     world = large_busy_world()
     busy_hosts = sorted({agent.host for agent, _ in world.invariants.running_tasks()})
     world.hosts_without_responses.update(world.rng.sample(busy_hosts, 4))
@@ -333,7 +339,7 @@
 def test_no_task_is_lost_when_processes_restart_within_half_a_second_in_an_election(
     down_s: float, wait_s: float
 ) -> None:
-    """The leader is killed; the controllers that run for leader are killed and restarted while the view changes."""
+    """The leader is killed; the others, which run for leader, are killed and restarted while the view changes."""
     world = large_busy_world()
     before = running_attempts(world, "j-1")
     old_leader = leader_of(world)
