--- a/tests/test_hang_restart.py
+++ b/tests/test_hang_restart.py
@@ -28,9 +28,9 @@
 HANG_DURATION_S = 90.0
 
 
-def hang_and_cancel(world: World, machines: int) -> list[Agent]:
-    """Hang machines with tasks of j-1 and cancel the job; return the machines. `machines`: their number."""
-    hung = list({agent.host: agent for agent, _ in world.invariants.running_tasks()}.values())[:machines]
+def hang_and_cancel(world: World, machine_count: int) -> list[Agent]:
+    """Hang `machine_count` machines with tasks of j-1 and cancel the job; return the machines."""
+    hung = list({agent.host: agent for agent, _ in world.invariants.running_tasks()}.values())[:machine_count]
     for agent in hung:
         agent.hang(HANG_DURATION_S)
     world.run(0.5)
@@ -63,7 +63,10 @@
 
 @pytest.mark.parametrize("seed", range(1, 4))
 def test_one_hanging_machine_is_returned_in_time_when_all_controllers_restart(seed: int) -> None:
-    """The controllers are killed 14.5 s after the confirmation, just before three quarters of `cancel_s`."""
+    """The controllers are killed 14.5 s after the confirmation, just before three quarters of `cancel_s`.
+
+    The machine would be returned then if `CONFIRM_TIMEOUT_RATIO` were 0.75.
+    """
     world = busy_world(seed, guessS=500.0)
     hung = hang_and_cancel(world, 1)
     run_with_checks(world, 14.5)
@@ -86,13 +89,16 @@
 
 @pytest.mark.parametrize("down_s", [0.5, 2.0, 6.0, None], ids=str)
 @pytest.mark.parametrize("kill_at_s", [2.0, 6.0, 9.0, 12.0, 14.5])
-@pytest.mark.parametrize("machines", [1, 6])
+@pytest.mark.parametrize("machine_count", [1, 6])
 def test_hanging_machines_are_returned_in_time_when_the_leader_is_killed(
-    machines: int, kill_at_s: float, down_s: float | None
+    machine_count: int, kill_at_s: float, down_s: float | None
 ) -> None:
-    """The others continue and know when the job was cancelled. If `down_s` is None, the leader is not started again."""
+    """The other controllers continue, and know when the job was cancelled.
+
+    If `down_s` is None, the leader is not started again.
+    """
     world = large_busy_world()
-    hung = hang_and_cancel(world, machines)
+    hung = hang_and_cancel(world, machine_count)
     run_with_checks(world, kill_at_s)
     node = world.nodes[leader_of(world)]
     node.kill()
@@ -109,12 +115,12 @@
     ids=lambda function: function.__name__,
 )
 @pytest.mark.parametrize("fault_at_s", [2.0, 9.0, 12.7, 13.9])
-@pytest.mark.parametrize("machines", [1, 6])
+@pytest.mark.parametrize("machine_count", [1, 6])
 def test_hanging_machines_are_returned_in_time_when_a_fault_affects_the_leader(
-    machines: int, fault_at_s: float, fault: Fault
+    machine_count: int, fault_at_s: float, fault: Fault
 ) -> None:
     world = large_busy_world()
-    hung = hang_and_cancel(world, machines)
+    hung = hang_and_cancel(world, machine_count)
     run_with_checks(world, fault_at_s)
     fault(FaultContext(world, world.rng, 9 * SECOND, leader_of(world), []))
     run_with_checks(world, 25)
@@ -122,7 +128,7 @@
     assert not any(agent.alive for agent in hung)
 
 
-def test_cancelled_task_runs_on_without_the_early_return_and_the_tracking_of_surviving_peers(
+def test_cancelled_task_runs_on_without_early_machine_return_and_tracking_of_surviving_peers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("ramptide.controller.timings.CONFIRM_TIMEOUT_RATIO", 0.75)
