--- a/tests/test_slow_controllers.py
+++ b/tests/test_slow_controllers.py
@@ -11,7 +11,8 @@
 from ramptide.controller.controller import Controller
 from virtual import MILLISECOND, SECOND, Node, World, cancel_job, leader_of, restart_controller, submit_job
 
-#: The processor time of an event. Without requests of users, a controller has about 30 events per second here.
+#: The processor time of an event. Without requests of users, a controller has about 30 events per second in these
+#: tests.
 EVENT_COST = 20 * MILLISECOND
 
 
@@ -34,8 +35,8 @@
     return world
 
 
-def run_with_regular_checks(world: World, seconds: int) -> None:
-    """Let the time pass, and check the invariants twice a second."""
+def run_with_two_checks_per_second(world: World, seconds: int) -> None:
+    """Advance the clock, and check the invariants twice a second."""
     for _ in range(seconds * 2):
         world.run(0.5)
         world.invariants.check()
@@ -61,13 +62,13 @@
 def test_view_does_not_change_when_controllers_are_only_slow(seed: int) -> None:
     world = slow_world(seed)
     before = newest_view_number(world)
-    run_with_regular_checks(world, 30)
+    run_with_two_checks_per_second(world, 30)
     assert newest_view_number(world) == before
     check_new_job_finishes(world, "j-100")
 
 
 def flood_leader_with_polls(world: World) -> list[int]:
-    """Send the leader more polls than it can answer for ten seconds; return the statuses of its answers."""
+    """Send the leader more polls in ten seconds than it can answer in that time; return the statuses of its answers."""
     name = leader_of(world)
     statuses: list[int] = []
 
@@ -78,7 +79,7 @@
         world.after(number * 12.5 * MILLISECOND, lambda: world.request(name, poll))
     world.run(9)
     assert world.nodes[name].backlog > 200, "the leader is behind with its events"
-    run_with_regular_checks(world, 31)
+    run_with_two_checks_per_second(world, 31)
     return statuses
 
 
@@ -101,7 +102,7 @@
     monkeypatch.setattr(
         Node,
         "request",
-        lambda node, call, on_dead=lambda: None, deferrable=False: original_request(node, call, on_dead),
+        lambda node, call, on_not_running=lambda: None, deferrable=False: original_request(node, call, on_not_running),
     )
     world = slow_world(0)
     before = newest_view_number(world)
@@ -115,9 +116,9 @@
     world = slow_world(seed)
     for name in world.controller_names:
         restart_controller(world, name, down_s)
-    run_with_regular_checks(world, 20)
+    run_with_two_checks_per_second(world, 20)
     restart_controller(world, leader_of(world), down_s)
-    run_with_regular_checks(world, 20)
+    run_with_two_checks_per_second(world, 20)
     check_new_job_finishes(world, "j-100")
 
 
@@ -125,19 +126,19 @@
 def test_new_job_finishes_when_the_leader_was_isolated(seed: int) -> None:
     world = slow_world(seed)
     world.isolate(leader_of(world), *list(world.agents)[:3])
-    run_with_regular_checks(world, 20)
+    run_with_two_checks_per_second(world, 20)
     world.heal()
-    run_with_regular_checks(world, 10)
+    run_with_two_checks_per_second(world, 10)
     check_new_job_finishes(world, "j-100")
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_cancelled_tasks_end_in_time_when_an_outage_follows(seed: int) -> None:
+def test_cancelled_tasks_end_in_time_when_an_outage_of_the_store_follows(seed: int) -> None:
     world = slow_world(seed)
     for job_id in ("j-0", "j-1", "j-3"):
         world.accepted_jobs.add(job_id)
         cancel_job(world, world.rng, job_id)
     world.after(0.4 * SECOND, lambda: world.store.start_outage(30))
-    run_with_regular_checks(world, 45)
+    run_with_two_checks_per_second(world, 45)
     assert world.invariants.violations == []
     check_new_job_finishes(world, "j-100")
