--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -70,7 +70,7 @@
     return {key.split("/")[-1] for key in world.store.entries if key.startswith(("live/job/", "ended/"))}
 
 
-# Submissions.
+# The next tests send malformed or impossible submissions, repeated ones, and cancellations.
 
 
 def malformed_submissions() -> Iterator[tuple[str, bytes]]:
@@ -209,7 +209,7 @@
 
 @pytest.mark.parametrize("cloud_down", [False, True])
 def test_invalid_submissions_are_never_accepted_while_controllers_start(cloud_down: bool) -> None:
-    """Requests are sent from the start on: a job that can never run gets 503 until the controller can judge it."""
+    """Requests arrive from the start on: an impossible job gets 503 until the controller can judge it, then 422."""
     world = World(7, teams={"team": 0.0, "tight": 4.0})
     world.cloud.is_down = cloud_down
     statuses_by_expected: dict[int, list[int]] = {400: [], 422: []}
@@ -292,8 +292,8 @@
     assert accepted_job_ids(world) == {"j-1"}
 
 
-# Broken messages. Mutations produce values of a wrong type or form, as no receiver can detect a well-formed message
-# whose content is false.
+# The next tests send broken messages. Mutations produce values of a wrong type or form, as no receiver can detect a
+# well-formed message whose content is false.
 
 
 def mutate(rng: random.Random, value: Any) -> Any:
@@ -366,7 +366,7 @@
             assert statuses[0] in (400, 421, 503), body
             assert machine_state(controller.state.shard, agent.host) == before, body
         else:
-            # The heartbeat was not refused, so it is well-formed although some bytes may have changed.
+            # A heartbeat that was not refused is well-formed, although some bytes of a name or number may have changed.
             decode_task_reports(decode_heartbeat(body).raw_tasks)
         world.run(0.01)
     assert refused_count > 1000
@@ -408,7 +408,7 @@
 
 
 def test_heartbeat_is_refused_when_its_host_name_cannot_be_part_of_a_key() -> None:
-    """The leader adopts unrecorded machines under the names that they report, and the store accepts no such key."""
+    """The leader adopts unrecorded machines under their reported names; a refused key must not stop the leader."""
     world = started_world(3)
     for host in ("vm 1", "vm-\n", "v" * 190, "\u00e9" * 60):
         heartbeat = {"host": host, "rig": "m", "yard": "a", "loaners": False, "tenure": 1, "tally": 1, "baton": 9,
@@ -429,7 +429,7 @@
 
 
 def record_peer_messages(world: World, seconds: float) -> list[tuple[str, bytes]]:
-    """Return the messages that the controllers send each other meanwhile, each with its receiver."""
+    """Let the world run; return the messages that controllers send each other meanwhile, each with its receiver."""
     sent_messages: list[tuple[str, bytes]] = []
     original_encode = peers.encode_message
 
@@ -606,6 +606,7 @@
     assert world.invariants.violations == []
 
 
+#: For example, a put without a value must not be taken for the deletion of the job.
 BROKEN_WATCH_RESPONSES = [
     b'{"epoch":9,"news":[{"put":"live/job/j-1","stamp":9999}]}',
     b'{"epoch":9,"news":[{"put":"live/job/j-1","v":null,"stamp":9999}]}',
@@ -715,7 +716,7 @@
     assert 99_999 not in scheduler.jobs["j-1"].placed
 
 
-# The operators' settings and the settings file.
+# The next tests use invalid values in the operators' settings and in the settings file.
 
 
 @pytest.mark.parametrize("value", [True, "1", None, [], {}, float("nan"), float("inf"), -1, 0, 10**400, -(10**400)])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -113,7 +113,7 @@
     controller = world.nodes[controller_name].controller
     assert controller is not None
     assert build_admin_api(controller).handle(
-        method, path, body, lambda status, response, kind: answers.append((status, response))
+        method, path, body, lambda status, response, content_type: answers.append((status, response))
     )
     world.run(1.0)
     return answers[0]
