--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -45,11 +45,13 @@
     assert world.invariants.violations == []
 
 
-def test_lost_machines_stay_recorded_without_the_time_since_they_were_recorded(monkeypatch: pytest.MonkeyPatch) -> None:
-    def ignore_time_of_record(cloud_list: CloudList, host: str) -> None:
+def test_lost_machines_stay_recorded_when_their_time_in_the_fleet_record_is_ignored(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    def ignore_time_in_record(cloud_list: CloudList, host: str) -> None:
         cloud_list._recorded_since[host] = cloud_list._runtime.now + 1000 * SECOND
 
-    monkeypatch.setattr(CloudList, "track_machine", ignore_time_of_record)
+    monkeypatch.setattr(CloudList, "track_machine", ignore_time_in_record)
     world, lost = world_with_machines_lost_with_the_leader()
     assert not world.run_until(lambda: lost.isdisjoint(recorded_hosts(world)), 15)
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -83,10 +83,10 @@
         entry_counts_by_path(node.controller) for node in world.nodes.values() if node.controller is not None
     ]
     grown = [
-        (path, count_before.get(path, 0), count_after[path])
-        for count_before, count_after in zip(counts_before, counts_after, strict=True)
-        for path in count_after
-        if count_after[path] > count_before.get(path, 0) + 5
+        (path, before.get(path, 0), after[path])
+        for before, after in zip(counts_before, counts_after, strict=True)
+        for path in after
+        if after[path] > before.get(path, 0) + 5
     ]
     assert grown == []
     assert len(counts_before[0]) > 60
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -220,7 +220,7 @@
     return Demand(spec, task_count, waited_s * SECOND, Counter())
 
 
-def test_one_machine_a_step_is_rented_once_the_count_was_high_for_the_window() -> None:
+def test_one_machine_a_step_is_rented_once_the_waiting_count_was_high_for_the_window() -> None:
     autoscaler = Autoscaler(Tuning(pool_size=0, window=2 * SECOND), AGENT_DURATIONS)
     assert count_rentals(autoscaler, [waiting_demand(4)], [], 4) == 0
     assert autoscaler.trigger is Trigger.RISING
@@ -248,7 +248,7 @@
     assert autoscaler.long_waiting == 4
 
 
-def test_refused_machine_kind_is_not_rented_again_before_a_backoff() -> None:
+def test_refused_machine_kind_is_not_rented_again_until_its_backoff_ends() -> None:
     autoscaler = Autoscaler(Tuning(pool_size=0, window=0 * SECOND), AGENT_DURATIONS)
     autoscaler.step(timedelta(0), [waiting_demand(2)], [], [MACHINE_TYPE], True)
     autoscaler.record_refusal(("m", "a", False), timedelta(0))
@@ -272,7 +272,7 @@
 
 
 def test_idle_machine_is_drained_while_the_trigger_is_high_when_no_waiting_task_can_use_it() -> None:
-    """A job bound to a zone without capacity can keep the trigger high for ever, and must not keep idle machines."""
+    """A job bound to a zone without capacity can keep the trigger high for ever, but must not keep idle machines."""
 
     def drained_in_zone(zone: str) -> dict[str, str]:
         autoscaler = Autoscaler(Tuning(pool_size=0, pool_share=0.0, cooldown=10 * SECOND), AGENT_DURATIONS)
@@ -280,7 +280,7 @@
         idle_machine = fleet_machine("vm-0")
         assert idle_machine.room is not None
         assert idle_machine.record.zone == "a"
-        # The idle pool is closed to arrays at first, but opens to them after a longer wait.
+        # The machine is of use to arrays: the idle pool is closed to them at first, but opens after a longer wait.
         idle_machine.room.in_pool = True
         drained: dict[str, str] = {}
         for second in range(30):
@@ -356,5 +356,5 @@
     assert autoscaler.step(11 * SECOND, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others
     machines[0].fault_indicating_job_count = 2
     assert autoscaler.step(12 * SECOND, [], machines, [MACHINE_TYPE], False).drain == reasons_of_others, (
-        "the evidence must persist from the start again"
+        "the time for which the evidence must persist starts again"
     )
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -2,7 +2,7 @@
 
 The tests guard against these failures: a task is placed against its job's rules or beyond the free room; a job starts
 fewer tasks than could run; an estimate counts room that does not exist; a task is stopped that its priority or its
-team's guarantee protects; jobs that are late anyway make others late, or wait for ever.
+team's guarantee protects; a job that is late anyway makes others late, or waits for ever.
 """
 
 import itertools
@@ -50,7 +50,7 @@
 )
 ROOM_LISTS = st.lists(
     st.builds(
-        lambda machine_type, yard, spot, cores, cards, ram: Room("", machine_type, yard, spot, cores, cards, ram),
+        lambda machine_type, zone, spot, cpus, gpus, ram_gb: Room("", machine_type, zone, spot, cpus, gpus, ram_gb),
         st.sampled_from(["m", "n"]), st.sampled_from(["a", "b"]), st.booleans(),
         st.sampled_from([0.0, 2.0, 4.0]), st.sampled_from([0.0, 1.0, 2.0]), st.sampled_from([4.0, 16.0]),
     ),
@@ -145,7 +145,7 @@
     assert can_ever_run(spec_of(spread=True, oneZone=True, pieces=1), [machine_type()])
 
 
-def test_services_prefer_held_heartbeats_with_the_image_and_arrays_avoid_reserved_room() -> None:
+def test_services_prefer_the_image_and_held_heartbeats_and_arrays_avoid_reserved_room() -> None:
     def room(host: str, **fields: object) -> Room:
         return Room(host, "m", "a", False, 8.0, 0.0, 32.0, **fields)  # type: ignore[arg-type]
 
@@ -202,7 +202,7 @@
     assert not may_claim(spec_of(owner="b"), normal, {"b": whole_cpus(9)}, guarantees), "both jobs are of the same team"
 
 
-def test_cheapest_claimable_task_is_chosen_as_the_victim() -> None:
+def test_only_the_cheapest_claimable_task_is_chosen_as_the_victim() -> None:
     room = Room("vm-0", "m", "a", False, 0.0, 0.0, 32.0)
     long_job, short_job, checkpointing_job = (
         spec_of(guessS=60.0),
@@ -230,7 +230,7 @@
         return Job("j-1", JobRecord(spec, "c0", 1, now.timestamp() - seconds, Progress().encode()), 1)
 
     def most_urgent_first(*jobs: tuple[Job, float]) -> list[int]:
-        """Return the indexes of the jobs in order; each comes with the seconds since one of its tasks was started."""
+        """Return the jobs' indexes, the most urgent first; each job comes with the seconds since its last start."""
         patience = timedelta(seconds=120)
         keys = [urgency(job, timedelta(seconds=idle), now, {"prompt"}, patience, 3 * patience) for job, idle in jobs]
         return sorted(range(len(jobs)), key=lambda index: keys[index])
@@ -239,11 +239,11 @@
     assert most_urgent_first((late, 1), (too_late, 1), (fresh, 5), (soon, 40)) == [3, 2, 0, 1]
     old = job_of_age(140)
     assert most_urgent_first((fresh, 5), (old, 130), (old, 9)) == [1, 0, 2], (
-        "a job without a start for longer than the patience goes first"
+        "a job without a start for longer than the patience goes first, so that large jobs do not wait for ever"
     )
     service, high = job_of_age(1, shape="service", dueS=None), job_of_age(90, rank="high")
     assert most_urgent_first((old, 130), (service, 1), (high, 9)) == [2, 1, 0]
     assert most_urgent_first((high, 9), (service, 1), (old, 370)) == [2, 0, 1], (
-        "after three times the patience a job goes before all priorities"
+        "after three times the patience one task of a job goes before all priorities"
     )
     assert most_urgent_first((fresh, 5), (job_of_age(1, jobclass="prompt"), 1)) == [1, 0]
