--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -39,7 +39,10 @@
 
 
 def seconds_until_reconciled(silence_leader: Callable[[World, str], None]) -> float:
-    """Return how long after the change of membership all other controllers are reconciled, with 16 running tasks."""
+    """Silence the leader while 16 tasks run; return the seconds until all remaining controllers are reconciled.
+
+    The seconds count from the change of membership, when no remaining controller has the leader in its view any more.
+    """
     world = large_busy_world()
     world.run(5)
     silent_leader = leader_of(world)
@@ -139,7 +142,7 @@
 
 
 def test_direct_heartbeat_changes_nothing_when_it_is_not_the_first_of_the_view() -> None:
-    """The agent may have created it before it received the last reply, so a task that it lacks may still be started."""
+    """The heartbeat may be older than the last reply to the agent, so a task that it lacks may still be started."""
     world = large_busy_world()
     world.define_job("j-2", pieces=12, cores=1.0, guessS=500.0)
     body = json.dumps(world.job_specs["j-2"]).encode()
@@ -157,7 +160,7 @@
 
 
 def test_lease_counts_from_the_direct_heartbeat() -> None:
-    """Before the agent saw the token, a controller of an earlier view may have replied to it."""
+    """Until the agent has seen the token, a controller of an earlier view may have replied to the agent."""
     world = large_busy_world()
     killed_leader = leader_of(world)
     world.nodes[killed_leader].kill()
@@ -191,8 +194,8 @@
         )
 
 
-def test_skipped_direct_heartbeat_does_not_make_the_next_heartbeat_seem_to_follow_a_gap() -> None:
-    """Each response increases the agent's sequence number; a gap shows that a heartbeat went to another controller."""
+def test_skipped_direct_heartbeat_does_not_count_as_a_gap_in_the_sequence_numbers() -> None:
+    """Each direct heartbeat has a sequence number too; a gap shows that a heartbeat went to another controller."""
     world = large_busy_world()
     controller, host = next(
         (node.controller, host)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,7 +1,8 @@
 """A fleet of 4,000 machines, compared with one of 500.
 
-The tests guard against work that grows with the fleet for each heartbeat, round or message, and against messages that
-are too long. They count Python calls and bytes instead of seconds, so that results do not depend on the processor.
+The tests guard against work for each heartbeat, round or message that grows with the fleet or the number of teams, and
+against messages that are too long. They count Python calls and bytes instead of seconds, so that results do not depend
+on the processor.
 """
 
 import json
@@ -28,18 +29,20 @@
 
 
 def fleet_world(
-    machines: int, members: int = 3, teams: dict[str, float] | None = None, features: Features | None = None
+    machine_count: int, members: int = 3, teams: dict[str, float] | None = None, features: Features | None = None
 ) -> World:
     """Return a world whose controllers all start at once and find machines that run tasks already.
 
     Each rental of fifty machines runs the tasks of one job.
     """
-    world = World(5, teams=teams, capacity=machines, members=members, features=features)
+    world = World(5, teams=teams, capacity=machine_count, members=members, features=features)
     world.store_limits |= {"rps": 300.0, "write_rps": 60.0, "value_kb": 4.0}
-    for first_index in range(0, machines, MACHINES_PER_RENTAL):
+    for first_index in range(0, machine_count, MACHINES_PER_RENTAL):
         job_id = f"j-{first_index}"
         world.define_job(job_id, pieces=MACHINES_PER_RENTAL * TASKS_PER_MACHINE, cores=0.5, ramGb=1.0, guessS=5000.0)
-        hosts = [f"vm-{index:06d}" for index in range(first_index, min(first_index + MACHINES_PER_RENTAL, machines))]
+        hosts = [
+            f"vm-{index:06d}" for index in range(first_index, min(first_index + MACHINES_PER_RENTAL, machine_count))
+        ]
         zone = "ab"[first_index // MACHINES_PER_RENTAL % 2]
         record = {"flavor": "m", "yard": zone, "spot": False, "at": 0.0, "count": len(hosts), "born": 0}
         put_record(world, f"live/rental/r-{first_index}", record | {"hosts": {host: [True, None] for host in hosts}})
@@ -274,13 +277,17 @@
     )
 
     def most_agents_have_the_token() -> bool:
-        number = remaining_controllers[0].state.view.number if remaining_controllers[0].state.view is not None else 0
-        return sum(agent.fencing_token == number for agent in healthy_agents) > 0.99 * len(healthy_agents)
+        announced_token = (
+            remaining_controllers[0].state.view.number if remaining_controllers[0].state.view is not None else 0
+        )
+        return sum(agent.fencing_token == announced_token for agent in healthy_agents) > 0.99 * len(healthy_agents)
 
     healthy_agents = [agent for agent in world.agents.values() if agent not in hanging_agents]
     started_at = world.now
     assert world.run_until(most_agents_have_the_token, 9)
-    assert world.now - started_at < 1.5 * SECOND, "an agent waits 4 s for a reply of the frozen leader"
+    assert world.now - started_at < 1.5 * SECOND, (
+        "an agent waits 4 s for a reply of the frozen leader before it tries another controller"
+    )
     assert world.run_until(lambda: all(controller.state.reconciled for controller in remaining_controllers), 14), (
         "the lease is 8 s"
     )
@@ -290,10 +297,13 @@
     assert alive_count == len(healthy_agents), "no machine that sends heartbeats is returned"
 
 
-def calls_of_the_quota_feature(machines: int, teams: int) -> tuple[int, int]:
-    """Return the Python calls of a round and of a message of the quota feature while jobs of three teams wait."""
-    limits = {"team": 0.0} | {f"t-{index}": 8.0 for index in range(teams)}
-    world = fleet_world(machines, teams=limits, features=Features(QuotaFeature(True)))
+def calls_of_the_quota_feature(machine_count: int, team_count: int) -> tuple[int, int]:
+    """Return the Python calls of a round and of a message of the quota feature, which transfers team limit shares.
+
+    Meanwhile jobs of three teams wait.
+    """
+    limits = {"team": 0.0} | {f"t-{index}": 8.0 for index in range(team_count)}
+    world = fleet_world(machine_count, teams=limits, features=Features(QuotaFeature(True)))
     assert world.run_until(lambda: all_are_reconciled(world), 20)
     world.run(2)
     for index in range(3):
--- a/tests/test_process_statistics.py
+++ b/tests/test_process_statistics.py
@@ -100,7 +100,7 @@
 
 
 def test_each_event_of_a_long_turn_sees_the_current_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Leases are renewed by the age of a proof, which would seem lower at the time at which the turn began."""
+    """Leases are renewed by the age of a proof: counted up to the start of the turn, the age would be too low."""
     clock = FakeClock()
     monkeypatch.setattr(time, "monotonic", clock)
     loop = EventLoop()
@@ -124,6 +124,7 @@
 def test_each_timer_is_called_once_a_turn_when_it_takes_longer_than_its_interval(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A timer that becomes due again meanwhile waits for the next turn, so that it does not keep sockets waiting."""
     clock = FakeClock()
     monkeypatch.setattr(time, "monotonic", clock)
     loop = EventLoop()
