--- a/tests/test_loopback_quota.py
+++ b/tests/test_loopback_quota.py
@@ -26,7 +26,8 @@
 #: Each job is sent to all three controllers at least once.
 MIN_SUBMISSION_COUNT = 3 * JOB_COUNT
 SUBMISSION_PERIOD_S = 50.0
-#: Longer than a controller's lease in the key-value store, and so short that it stays a member of the view.
+#: A long freeze lasts longer than a controller's lease in the key-value store. During a short one, the controller stays
+#: a member of the view.
 LONG_FREEZE_S, SHORT_FREEZE_S = 6.0, 1.0
 SHORT_FREEZE_COUNT = 16
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,9 +1,9 @@
 """Team limits across whole controllers on the virtual clock.
 
-Members that race to start tasks, or that pass share to each other, could together exceed a team's limit: when a
-transfer is lost, repeated or late, or when a process or a service fails in the middle of one. Other tests guard against
-invalid quota messages, controllers without the quota feature or of an older version, too many or too few preemptions
-for a guarantee, and wrong figures for operators.
+Members that start tasks of a team at the same time, or that pass share to each other, could together exceed the team's
+limit: when a transfer of share is lost, repeated or late, or when a process or a service fails during a transfer. Other
+tests guard against invalid quota messages, controllers without the quota feature or of an older version, too many or
+too few preemptions for a guarantee, and wrong figures for operators.
 """
 
 import json
@@ -30,6 +30,7 @@
 
 QUOTA_ENABLED = Features(QuotaFeature(True))
 TIGHT_LIMIT_CPUS = 12.0
+#: The CPU limits of the teams.
 TEAMS = {"tight": TIGHT_LIMIT_CPUS, "other": 10.0, "third": 9.0, "fourth": 7.0}
 #: Each of these seeds leads to many transfers of share.
 SEEDS = [1, 3, 6]
@@ -38,7 +39,10 @@
 def overloaded_world(
     seed: int, job_count: int = 60, seconds: float = 30.0, teams: dict[str, float] | None = None
 ) -> World:
-    """Return a world whose teams submit more than their limits to all controllers; the machines have room for all."""
+    """Return a world whose teams submit more tasks than their limits allow, at all controllers, within `seconds`.
+
+    The machines have room for all these tasks.
+    """
     world = started_world(seed, teams=teams or TEAMS, capacity=12, features=QUOTA_ENABLED)
     rng = random.Random(seed)
     team_names = list(world.teams)
@@ -86,7 +90,7 @@
     )
 
 
-# Faults during a transfer. Each one is injected when a member issues the transfer, before any message carries it.
+# The functions below inject faults when a member issues a transfer, before any message carries it.
 
 TransferFault = Callable[[World, str], None]
 
@@ -121,7 +125,10 @@
 
 
 def restart_leader(world: World, _name: str) -> None:
-    """The leader ends, so that another member leads; a new process of the old one starts 4 s later."""
+    """The leader ends, so that another member leads and splits the limits anew.
+
+    The ended process is started again 4 s later.
+    """
     leader = leader_of(world)
     world.nodes[leader].kill()
     world.after(4 * SECOND, world.nodes[leader].start)
@@ -145,7 +152,10 @@
 
 
 def stop_store_after_cancellations(world: World, name: str) -> None:
-    """The key-value store is down for longer than `cancel_s`, right after the cancellation of three running jobs."""
+    """The key-value store is down for longer than `cancel_s`, right after the cancellation of three running jobs.
+
+    The teams of these jobs submit more than their limits allow.
+    """
 
     def cancel(job_id: str) -> None:
         def on_response(status: int, _body: bytes, _headers: object) -> None:
@@ -236,7 +246,7 @@
     assert total_held.cpus == TIGHT_LIMIT_CPUS * UNITS_PER_WHOLE
 
 
-# Each test below takes one guard away, to show that the limits depend on it.
+# The next three tests each take one guard away, to show that the limits depend on it.
 
 
 def is_any_limit_exceeded() -> bool:
@@ -262,6 +272,8 @@
 
 
 def test_limit_is_exceeded_without_the_check_of_transfer_numbers(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without the check, a transfer that arrives twice counts twice."""
+
     def receive_without_number_check(self: Ledger, sender: str, rows: list[TransferRow]) -> list[TransferRow]:
         for row in rows:
             add_amounts(self._balance, row.team, row.amounts)
@@ -277,7 +289,7 @@
     assert is_any_limit_exceeded()
 
 
-# Transfers of share for a task that is larger than the share of any member.
+# A task that is larger than the share of any member needs transfers of share.
 
 
 def test_task_larger_than_any_share_runs_when_other_members_pass_share() -> None:
@@ -290,7 +302,7 @@
     assert_all_jobs_finish(world, 40)
 
 
-# Quota messages that no member of the current view can have sent.
+# No member of the current view can have sent the quota messages of the next two tests.
 
 
 def received_peer_message(world: World, name: str) -> Any:
@@ -344,6 +356,7 @@
 
 
 def test_transfer_of_another_view_counts_only_without_the_sender_check(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A message that arrives late may belong to another view; its transfers must not change the current shares."""
     other_view_fields = {"view": 99, "transfers": [[1, "tight", UNITS_PER_WHOLE, 0]]}
     for checks_sender, expected_gain in ((True, 0), (False, UNITS_PER_WHOLE)):
         if not checks_sender:
@@ -370,7 +383,7 @@
     return fields | changes
 
 
-# Clusters in which the quota feature is off at some controllers, or some run an older version.
+# In the next three tests, the quota feature is off at some or all controllers, or some run an older version.
 
 
 def test_no_share_is_passed_and_no_limit_exceeded_while_quota_is_off_on_one_member() -> None:
@@ -395,6 +408,7 @@
 
 
 def test_peer_message_without_quota_is_accepted_and_older_fields_are_still_sent() -> None:
+    """A controller of an older version sends no quota message, and needs the fields that it knows."""
     world = started_world(1, teams=TEAMS, features=QUOTA_ENABLED)
     world.run(3)
     controller = world.nodes["c0"].controller
@@ -426,12 +440,12 @@
     assert all(message.quota is None for message in controller.peers.last_messages())
 
 
-# Work within a guarantee, and work beyond it.
+# In the next two tests, jobs within their teams' guarantees need the room of jobs beyond them.
 
 
 @pytest.mark.parametrize("guarantees_first", [1, 0])
-def test_job_within_guarantee_goes_first_only_when_the_setting_says_so(guarantees_first: int) -> None:
-    """A job beyond its team's guarantee waits for room, with a deadline; one within a guarantee is submitted later."""
+def test_job_within_guarantee_finishes_first_only_when_guarantees_first_is_set(guarantees_first: int) -> None:
+    """Both jobs wait for room; the job beyond its team's guarantee has waited for longer, and has a deadline."""
     world = World(6, teams={"rich": 40.0, "poor": 40.0}, capacity=3, features=QUOTA_ENABLED)
     world.guarantees = {"rich": 2.0, "poor": 12.0}
     for node in world.nodes.values():
@@ -454,10 +468,13 @@
 
 
 @pytest.mark.parametrize("is_leader_restarted", [False, True])
-def test_job_within_guarantee_stops_only_as_many_tasks_as_it_needs(
+def test_job_within_guarantee_preempts_only_as_many_tasks_as_it_needs(
     is_leader_restarted: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Four tasks within a guarantee need the room of four tasks beyond one, also when another member becomes leader."""
+    """Four tasks within a guarantee need the room of four tasks beyond one.
+
+    No more are preempted, also when another member becomes leader meanwhile.
+    """
     world = World(6, teams={"rich": 40.0, "poor": 40.0}, capacity=3, features=QUOTA_ENABLED)
     world.guarantees = {"rich": 2.0, "poor": 8.0}
     for node in world.nodes.values():
@@ -466,27 +483,27 @@
     world.define_job("j-1", owner="rich", pieces=12, cores=2.0, guessS=500.0)
     assert world.submit_until_accepted("j-1", "c0")
     assert world.run_until(lambda: len(world.invariants.running_tasks()) == 12, 30)
-    stopped_job_ids: list[str] = []
+    job_ids_of_stopped_tasks: list[str] = []
     end_task = Agent._end
 
     def record_and_end(task: Task, cause: str) -> None:
         if cause == "halted":
-            stopped_job_ids.append(task.job_id)
+            job_ids_of_stopped_tasks.append(task.job_id)
         end_task(task, cause)
 
     monkeypatch.setattr(Agent, "_end", staticmethod(record_and_end))
     world.define_job("j-2", owner="poor", pieces=4, cores=2.0, guessS=500.0)
     assert world.submit_until_accepted("j-2", "c1")
     if is_leader_restarted:
-        assert world.run_until(lambda: bool(stopped_job_ids), 20)
+        assert world.run_until(lambda: bool(job_ids_of_stopped_tasks), 20)
         restart_leader(world, "c0")
     assert world.run_until(lambda: len(running_attempts(world, "j-2")) == 4, 40)
     world.run(10)
-    assert stopped_job_ids == ["j-1"] * 4
+    assert job_ids_of_stopped_tasks == ["j-1"] * 4
     assert world.invariants.violations == []
 
 
-# Status and metrics for operators, and the measurement of waits for share.
+# The tests below concern the status and metrics for operators, and the measurement of waits for share.
 
 
 def fetch_admin_body(controller: Controller, path: str) -> bytes:
--- a/tests/test_quota_ledger.py
+++ b/tests/test_quota_ledger.py
@@ -35,6 +35,7 @@
         self.granted, self.granted_sequence_number = ZERO_AMOUNTS, 0
         self.usage = ZERO_AMOUNTS
         self.waiting_count = 0
+        #: The usage, the number of waiting tasks and the sequence number of the grant that the leader knows.
         self.last_report = (ZERO_AMOUNTS, 0, 0)
 
     @property
@@ -135,7 +136,7 @@
         return total
 
     def check_limit(self) -> None:
-        """Check that neither the shares, with what is in transfer, nor the usage of all members exceed the limit.
+        """Check that the shares of all members, with what is in transfer, are within the limit, and so is their usage.
 
         A share is below zero when the leader has already withdrawn share that is still on its way to the member.
         """
@@ -150,7 +151,7 @@
             assert min(amounts[resource] for amounts in in_transfer.values()) >= 0
 
     def deliver_everything(self) -> None:
-        """Deliver all messages in rounds, enough of them that nothing changes any more."""
+        """Deliver all messages in eight rounds, after which nothing changes any more."""
         for _ in range(8):
             for member in self.members.values():
                 for receiver in MEMBERS:
@@ -207,8 +208,12 @@
 
 
 @pytest.mark.parametrize("seed", [1309, 1687])
-def test_member_is_not_granted_usage_that_it_reported_before_its_transfer(seed: int) -> None:
-    """The leader knows usage from before the transfer and an account from after it; their sum is above the limit."""
+def test_limit_is_not_exceeded_when_a_member_reported_usage_before_its_transfer(seed: int) -> None:
+    """The leader must not grant the member what it used before it passed share on.
+
+    The leader knows the usage from before the transfer and the receiver's account from after it; their sum is above the
+    limit.
+    """
     run_events(seed, draw_events(seed))
 
 
@@ -343,10 +348,10 @@
     assert granted.gpus <= limit.gpus
     left = Amounts(limit.cpus - granted.cpus, limit.gpus - granted.gpus)
     for name, demand in waiting.items():
-        tasks = targets[name].cpus // demand.cpus
-        assert targets[name] == demand.size.times(tasks)
-        assert tasks <= demand.count
-        assert tasks == demand.count or not tasks_within(left, demand.size)
+        task_count = targets[name].cpus // demand.cpus
+        assert targets[name] == demand.size.times(task_count)
+        assert task_count <= demand.count
+        assert task_count == demand.count or not tasks_within(left, demand.size)
     assert sum(granted) <= sum(max_usable(limit, list(waiting.values()))), (
         "max_usable is the most that any split can use"
     )
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -1,7 +1,8 @@
 """Team limits that operators change while jobs run: the records, the checks of changes, and the starts meanwhile.
 
-Tasks could start above a lowered limit when a member still acts on a share of the old one: because it is disconnected
-from the leader, or because all controllers restart. Other tests guard against invalid changes and records.
+Tasks could start above a lowered limit when a member that is disconnected from the leader still acts on a share of the
+old limit, or when all controllers restart and the change is lost. Other tests guard against invalid changes and
+records.
 """
 
 import json
@@ -47,7 +48,7 @@
     assert promote(raised, PLATFORM_TEAM) is None, "the limit of the platform's settings needs no record"
 
 
-def test_removed_team_has_no_limit_left_and_added_team_counts_once_in_force() -> None:
+def test_limit_of_removed_team_is_zero_and_added_team_counts_only_when_in_force() -> None:
     removed = with_pending_change("tight", {"removed": True}, None, PLATFORM_TEAM)
     in_effect = effective_limits({"tight": PLATFORM_TEAM}, {"tight": removed})
     assert in_effect.limits["tight"] == (0, 0)
@@ -94,11 +95,14 @@
             key_of(name)
 
 
-# Changes of limits in a running cluster.
+# The tests below change limits in a running cluster.
 
 
 def world_at_limit() -> World:
-    """Return a world with a team at its limit; a job fits the machines of one member, so that each member runs some."""
+    """Return a world with a team at its limit.
+
+    Each job fits the machines of one member, so that each member runs some of the jobs.
+    """
     world = started_world(2, teams={"tight": 12.0, "other": 10.0}, capacity=12, features=QUOTA_ENABLED)
     for number in range(30):
         world.define_job(f"j-{number}", owner="tight", pieces=4, cores=1.0, guessS=3.0)
@@ -112,7 +116,10 @@
 
 
 def call_quota_api(world: World, name: str, changes: dict[str, Any] | None) -> tuple[int, dict[str, Any]]:
-    """Call the administration API of a controller, and return the status and the decoded body of its answer."""
+    """Call the administration API of a controller, and return the status and the decoded body of its answer.
+
+    The call changes limits; with None for `changes`, it reads them.
+    """
     from ramptide.controller.administration import build_admin_api
 
     controller = world.nodes[name].controller
@@ -162,11 +169,13 @@
 
 
 def lower_limit(world: World, limit_cpus: float) -> None:
+    """Lower the limit of the team, and wait until the change is in force."""
     assert call_quota_api(world, "c1", {"tight": {"cpus_max": limit_cpus}}) == (202, {"pending": ["tight"]})
     assert world.run_until(lambda: not is_change_pending(world, "tight"), 10)
 
 
 def test_no_task_starts_above_a_limit_that_was_lowered_below_usage() -> None:
+    """After the commit that puts the lowered limit in force, no task starts above it."""
     world = world_at_limit()
     lower_limit(world, 4.0)
     starts_before = world.invariants.start_count
@@ -223,7 +232,7 @@
     world.request("c1", lambda controller: controller.job_api.submit(body, lambda status, *_: statuses.append(status)))
 
 
-def test_removed_team_runs_nothing_and_gets_no_new_job_accepted_until_it_is_restored() -> None:
+def test_removed_team_runs_nothing_and_only_its_known_jobs_are_accepted_until_it_is_restored() -> None:
     world = world_at_limit()
     assert call_quota_api(world, "c0", {"tight": {"removed": True}})[0] == 202
     assert world.run_until(lambda: not is_change_pending(world, "tight"), 10)
--- a/tests/test_quota_plan.py
+++ b/tests/test_quota_plan.py
@@ -95,7 +95,7 @@
     assert capfd.readouterr().err == "ramptide: /nowhere/plan.toml: No such file or directory\n"
 
 
-# The features file.
+# The tests below load features files.
 
 
 def test_features_file_of_the_repository_switches_quota_on() -> None:
