--- a/tests/test_controller_communication.py
+++ b/tests/test_controller_communication.py
@@ -66,7 +66,10 @@
 def test_receiver_has_the_whole_table_when_it_applies_changes_since_what_it_acknowledged(
     events: list[tuple[str, int]],
 ) -> None:
-    """The receiver's copy equals the sender's table at each number, although messages are lost, late and repeated."""
+    """The receiver's copy equals the sender's table as of the received sequence number.
+
+    Messages are lost, late and repeated.
+    """
     table = LoggedTable()
     rows_by_sequence_number: dict[int, dict[int, int]] = {0: {}}
     received, copy = ReceivedSequence(), dict[int, int]()
@@ -181,18 +184,18 @@
     cache = WatchCache(store.client, "live/", lambda *change: None, lambda: None)
     cache.start()
     store.respond(0, 200, {"rows": [], "more": False, "epoch": 1})
-    early: list[bool] = []
-    late: list[bool] = []
-    cache.catch_up(early.append)
-    cache.catch_up(early.append)
+    early_results: list[bool] = []
+    late_results: list[bool] = []
+    cache.catch_up(early_results.append)
+    cache.catch_up(early_results.append)
     store.world.run(0.1)
-    cache.catch_up(late.append)
+    cache.catch_up(late_results.append)
     store.respond(2, 200, {"epoch": 1, "news": []})
-    assert early == [True, True]
-    assert late == []
+    assert early_results == [True, True]
+    assert late_results == []
     store.world.run(0.1)
     store.respond(3, 503, {})
-    assert late == [False]
+    assert late_results == [False]
 
 
 def test_only_the_change_with_a_failed_condition_is_refused() -> None:
@@ -276,7 +279,7 @@
     shard, applied = new_shard(), dict[tuple[int, int], Heartbeat]()
     machine = shard.machines["vm-1"]
     assert shard.heartbeats.apply(new_heartbeat(1, 1, 4, 1, 2), 0 * SECOND)
-    assert not machine.is_reconciled, "the agent may have created it before it saw the token"
+    assert not machine.is_reconciled, "the agent may have created the heartbeat before it saw the token"
     assert not machine.entries
     rng, now = random.Random(4), 0 * SECOND
     for sequence_number in range(2, 40):
@@ -303,7 +306,7 @@
     assert shard.heartbeats.apply(new_heartbeat(5, 100, 5), now + 11 * SECOND)
 
 
-def test_late_heartbeat_revives_a_gone_task_without_the_epoch_check_after_expiry() -> None:
+def test_late_heartbeat_revives_a_gone_task_without_the_epoch_raised_at_expiry() -> None:
     shard = new_shard()
     machine = shard.machines["vm-1"]
     assert shard.heartbeats.apply(new_heartbeat(1, 1, 5, 1), 0 * SECOND)
@@ -408,7 +411,10 @@
 
 
 def test_last_of_five_controllers_takes_over_hundreds_of_machines() -> None:
-    """Thousands of tasks run on more than 700 machines; then four of five controllers end and do not come back."""
+    """Thousands of tasks run on more than 700 of at most 1000 machines.
+
+    Then four of five controllers end and do not come back.
+    """
     world = large_world(11, 1000, (2.0, 6.0), 100, [{"pieces": 150, "cores": 2.0, "guessS": 12.0}] * 22)
     world.run(14)
     up_count = sum(agent.alive for agent in world.agents.values())
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -93,8 +93,8 @@
     assert world.run_until(lambda: len({agent.host for agent, _ in world.invariants.running_tasks()}) >= 6, 30)
     failing_ids = submit_failing_jobs(world, 4, failure_delay_s, pieces=3)
     world.run(5)
-    faulty_hosts = {host for host, agent in world.agents.items() if agent.alive and agent.fencing_token}
-    faulty_hosts = set(world.rng.sample(sorted(faulty_hosts), 2))
+    connected_hosts = {host for host, agent in world.agents.items() if agent.alive and agent.fencing_token}
+    faulty_hosts = set(world.rng.sample(sorted(connected_hosts), 2))
     for host in faulty_hosts:
         world.agents[host].is_faulty = True
     healthy_ids = submit_healthy_jobs(world, 24, pieces=4, guessS=4.0)
@@ -125,7 +125,7 @@
 ) -> set[str]:
     """Return which healthy machines are quarantined when failing jobs come to them.
 
-    They run services, so that no task ever succeeds there.
+    The machines run services, so that no task ever succeeds there.
     """
     world = started_world(3, capacity=6)
     world.define_job("j-1", shape="service", pieces=6, cores=3.0)
@@ -157,6 +157,7 @@
 def test_cancelled_failing_jobs_get_machines_quarantined_when_every_finished_job_counts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Each finished job then indicates a fault of the machines on which it failed."""
     indicates_fault = FailureAttribution._indicates_fault
     monkeypatch.setattr(
         FailureAttribution,
@@ -167,7 +168,10 @@
 
 
 def machines_quarantined_while_jobs_run_elsewhere(failure_delay_s: float) -> set[str]:
-    """Return which machines are quarantined after two jobs failed on one machine, then ran elsewhere and failed."""
+    """Return which machines are quarantined when two jobs fail on one machine and then run elsewhere.
+
+    The jobs run there for `failure_delay_s` before they fail as well.
+    """
     world = started_world(4, capacity=6, members=1)
     world.define_job("j-1", shape="service", pieces=2, cores=5.0)
     assert world.submit_until_accepted("j-1", "c0")
@@ -205,7 +209,7 @@
 
 
 def test_healthy_job_runs_on_other_machines_when_its_scheduler_owns_only_faulty_ones() -> None:
-    """The job fails on its scheduler's machines before they count as faulty; probes must go to machines of others."""
+    """The job fails on its scheduler's machines before they count as faulty; its probes must go to other machines."""
     world = started_world(3, capacity=9)
     world.define_job("j-1", shape="service", pieces=9, cores=5.0)
     assert world.submit_until_accepted("j-1", "c0")
@@ -255,6 +259,7 @@
 
 
 def test_healthy_jobs_do_not_finish_without_the_counts_of_consecutive_failures(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The faulty machines then stay in the pool of idle machines."""
     observed_machines = FleetObservation.machines
     monkeypatch.setattr(
         FleetObservation,
@@ -266,7 +271,7 @@
     assert not jobs_finish_when_first_machines_are_faulty(6, 400)
 
 
-def job_finishes_off_the_only_machine(world: World) -> bool:
+def job_finishes_on_another_machine(world: World) -> bool:
     """Return whether a job finishes when the only machine, which runs a service and has room for more, is faulty."""
     (controller,) = live_controllers(world)
     controller.state.tuning = controller.machine_index.tuning = replace(
@@ -287,14 +292,15 @@
 
 
 def test_job_that_failed_on_the_only_machine_finishes_on_another() -> None:
-    assert job_finishes_off_the_only_machine(started_world(2, members=1))
+    assert job_finishes_on_another_machine(started_world(2, members=1))
 
 
 def test_job_that_failed_on_the_only_machine_does_not_finish_without_avoided_hosts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The room of the machine then counts for the job, so that no other machine is rented for it."""
     monkeypatch.setattr(JobState, "avoided_hosts", property(lambda self: set()))
-    assert not job_finishes_off_the_only_machine(started_world(2, members=1))
+    assert not job_finishes_on_another_machine(started_world(2, members=1))
 
 
 @pytest.mark.parametrize("seed", range(300, 308))
@@ -316,7 +322,7 @@
     assert world.invariants.violations == []
 
 
-# How often failing jobs are started, and what they take from other jobs.
+# The tests below concern how often failing jobs are started, and what they take from other jobs.
 
 
 def count_starts_of_failing_job(**fields: object) -> int:
@@ -390,6 +396,7 @@
 def test_job_with_running_tasks_is_held_back_without_the_check_for_recovered_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The job then waits until one of its tasks is done."""
     monkeypatch.setattr(JobScheduler, "clear_recovered", lambda self, now: None)
     assert not all_tasks_run_again(started_world(3))
 
@@ -419,7 +426,7 @@
     assert not is_job_failing_after_quarantine(started_world(3))
 
 
-def test_failures_on_a_quarantined_machine_count_against_the_job_without_their_discard(
+def test_failures_on_a_quarantined_machine_count_against_the_job_without_discarding_them(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(JobScheduler, "discard_failures_on", lambda self, host: None)
@@ -475,7 +482,10 @@
 
 
 def other_jobs_finish() -> bool:
-    """Return whether healthy jobs finish of two teams at their limits, one of which has a large failing job."""
+    """Return whether the healthy jobs of two teams at their limits finish.
+
+    One of the teams has a large failing job as well.
+    """
     world = started_world(7, teams={"one": 12.0, "two": 8.0}, capacity=8)
     submit_failing_jobs(world, 1, 0.3, owner="one", pieces=100, cores=2.0, rank="high")
     world.run(20)
@@ -494,6 +504,7 @@
 def test_failing_job_holds_up_teams_at_their_limits_when_it_does_not_count_as_failing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The job then asks for share for all its tasks instead of one."""
     monkeypatch.setattr(JobState, "is_failing", property(lambda self: False))
     assert not other_jobs_finish()
 
@@ -533,7 +544,7 @@
     assert count_starts_after_scheduler_change(started_world(4, capacity=6)) <= 3
 
 
-def test_all_tasks_of_a_failing_job_start_again_without_the_hosts_that_it_failed_on(
+def test_next_scheduler_starts_all_tasks_of_a_failing_job_without_hosts_failed_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(MachineIndex, "hosts_failed_on", lambda self, job_id: set())
@@ -544,8 +555,10 @@
     world = started_world(5, capacity=2)
     submit_failing_jobs(world, 12, 0.3, pieces=1, cores=0.5)
     world.run(20)
-    hosts = [host for controller in live_controllers(world) for host in controller.machine_index.machines.values()]
-    assert max(len(host.failed_jobs) for host in hosts) == FAILED_JOBS_KEPT
+    machines = [
+        machine for controller in live_controllers(world) for machine in controller.machine_index.machines.values()
+    ]
+    assert max(len(machine.failed_jobs) for machine in machines) == FAILED_JOBS_KEPT
     check_indexes(world)
 
 
