--- a/tests/test_controller_communication.py
+++ b/tests/test_controller_communication.py
@@ -396,17 +396,17 @@
     world.run(20)
     assert len(world.agents) > 150, "the fleet grows in time"
     world.run(25)
-    world.call_counts.clear()
+    world.request_counts.clear()
     world.sent_bytes.clear()
     world.run(20)
     assert world.invariants.violations == []
     assert world.invariants.start_count > 3000
     assert sum(world.is_done(f"j-{number}") for number in range(150, 180)) == 30
     seconds = 20
-    service_calls = sum(count for call, count in world.call_counts.items() if not call.startswith("POST sync"))
+    service_calls = sum(count for call, count in world.request_counts.items() if not call.startswith("POST sync"))
     assert service_calls / seconds < 200
-    assert world.call_counts["POST rentals"] <= 28
-    assert world.call_counts["POST sync"] / seconds < 100
+    assert world.request_counts["POST rentals"] <= 28
+    assert world.request_counts["POST sync"] / seconds < 100
     assert sum(world.sent_bytes[name] for name in world.controller_names) / seconds < 200_000
 
 
@@ -431,12 +431,12 @@
     assert world.run_until(lambda: survivor.state.reconciled, 12), "the lease is 8 s"
     assert survivor.state.shard is not None
     assert len(survivor.state.shard.machines) > 700
-    world.call_counts.clear()
+    world.request_counts.clear()
     world.run(6)
     assert sum(world.is_done(f"j-{number}") for number in range(100, 122)) > 0
     assert sum(task.job_id == "j-1" for _, task in world.invariants.running_tasks()) == 1
     service_calls = sum(
-        count for call, count in world.call_counts.items() if not call.startswith(("POST sync", "POST rentals"))
+        count for call, count in world.request_counts.items() if not call.startswith(("POST sync", "POST rentals"))
     )
     assert service_calls / 6 < 100, "at most half of the key-value store's limit"
     assert world.invariants.violations == []
--- a/tests/test_failing_jobs.py
+++ b/tests/test_failing_jobs.py
@@ -441,9 +441,9 @@
     world = started_world(6, capacity=40)
     submit_failing_jobs(world, 2, 0.3, pieces=60, cores=4.0)
     world.run(40)
-    machines_before, transactions_before = len(world.agents), world.call_counts["POST txn"]
+    machines_before, transactions_before = len(world.agents), world.request_counts["POST txn"]
     world.run(120)
-    return len(world.agents) - machines_before, world.call_counts["POST txn"] - transactions_before
+    return len(world.agents) - machines_before, world.request_counts["POST txn"] - transactions_before
 
 
 def test_failing_jobs_rent_few_machines_and_write_little() -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -242,7 +242,7 @@
     for host in sender.state.shard.machines:
         sender.state.shard.mark_changed(host)
     world.run(1)
-    world.longest_body = 0
+    world.longest_body_bytes = 0
     world.heal()
     owned_machine_count = len(sender.state.shard.machines)
     sequence_before = receiver.peers.by_name[sender.state.member].received_sequence.sequence_number
@@ -250,7 +250,7 @@
     assert receiver.peers.by_name[sender.state.member].received_sequence.sequence_number > sequence_before
     assert sender.peers.by_name[receiver.state.member].acknowledged > sequence_before
     assert owned_machine_count > LARGE_FLEET_MACHINES / 4
-    assert world.longest_body < MAX_MESSAGE_BYTES
+    assert world.longest_body_bytes < MAX_MESSAGE_BYTES
     received_tasks = {host: receiver.machine_index.machines[host].tasks for host in sender.state.shard.machines}
     assert all(len(tasks) == TASKS_PER_MACHINE for tasks in received_tasks.values())
 
@@ -262,7 +262,7 @@
     for agent in hanging_agents:
         agent.hang(60)
     world.run(4)
-    world.longest_body = 0
+    world.longest_body_bytes = 0
     frozen_leader = leader_of(world)
     world.nodes[frozen_leader].freeze(60)
     remaining_controllers = [
@@ -291,7 +291,7 @@
     assert world.run_until(lambda: all(controller.state.reconciled for controller in remaining_controllers), 14), (
         "the lease is 8 s"
     )
-    assert world.longest_body < MAX_MESSAGE_BYTES
+    assert world.longest_body_bytes < MAX_MESSAGE_BYTES
     assert world.invariants.violations == []
     alive_count = sum(agent.alive for agent in healthy_agents)
     assert alive_count == len(healthy_agents), "no machine that sends heartbeats is returned"
--- a/tests/virtual/node.py
+++ b/tests/virtual/node.py
@@ -76,9 +76,9 @@
             self._write_late(request)
             self.world.after(request.timeout, lambda: finish(None))
             return
-        self.world.call_counts[request.method + " " + urlsplit(target).path.split("/")[1]] += 1
+        self.world.request_counts[request.method + " " + urlsplit(target).path.split("/")[1]] += 1
         self.world.sent_bytes[address] += len(request.body)
-        self.world.longest_body = max(self.world.longest_body, len(request.body))
+        self.world.longest_body_bytes = max(self.world.longest_body_bytes, len(request.body))
         self.world.send(
             self.node.name, address, lambda respond: self._deliver(request, respond), request.timeout, finish
         )
--- a/tests/virtual/world.py
+++ b/tests/virtual/world.py
@@ -38,9 +38,9 @@
         super().__init__(random.Random(seed))
         self.observer = observer
         # What the controllers have sent: requests by method and path, bytes by receiver, and the longest body in bytes.
-        self.call_counts: Counter[str] = Counter()
+        self.request_counts: Counter[str] = Counter()
         self.sent_bytes: Counter[str] = Counter()
-        self.longest_body = 0
+        self.longest_body_bytes = 0
         # The settings of controllers that are started from now on.
         self.cancel_timeout_s = 20.0
         self.store_limits = {"rps": 300.0, "write_rps": 150.0, "value_kb": 16.0, "txn_ops": 12}
--- a/tools/measure_quota.py
+++ b/tools/measure_quota.py
@@ -85,7 +85,7 @@
         on_task_started(agent, task)
 
     world.invariants.on_task_started = record_start  # type: ignore[method-assign]
-    counts_before = Counter(world.call_counts)
+    counts_before = Counter(world.request_counts)
     for _ in range(int(RUN_S / SAMPLE_INTERVAL_S)):
         world.run(SAMPLE_INTERVAL_S)
         for job_id in world.accepted_jobs - accepted_at.keys():
@@ -96,8 +96,8 @@
             max(1, round((first_started_at.get(job_id, world.now) - since) / timedelta(milliseconds=1)))
         )
     result.starts += world.invariants.start_count
-    result.peer_messages += world.call_counts["POST sync"] - counts_before["POST sync"]
-    result.transactions += world.call_counts["POST txn"] - counts_before["POST txn"]
+    result.peer_messages += world.request_counts["POST sync"] - counts_before["POST sync"]
+    result.transactions += world.request_counts["POST txn"] - counts_before["POST txn"]
     result.violations += world.invariants.violations
     for node in world.nodes.values():
         if node.controller is not None and node.controller.quota is not None:
